--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -177,13 +177,13 @@
         /// The server.
         server: ServerId,
         /// What they make of it now.
-        standing: Standing,
+        standing: ServerVerdict,
     },
 }
 
 /// What several sidecars say of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerVerdict {
     /// Nothing.
     #[default]
     Trusted,
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -22,7 +22,7 @@
     Whole { mask: u8 },
     Gone { which: usize },
     Failed,
-    Stands { server: u64, standing: Standing },
+    Stands { server: u64, standing: ServerVerdict },
 }
 
 #[derive(Debug)]
@@ -283,7 +283,7 @@
         1 => Just(Step::Failed),
         2 => (0..6u64, 0..3u8).prop_map(|(server, standing)| Step::Stands {
             server,
-            standing: [Standing::Trusted, Standing::Doubted, Standing::Leaving][usize::from(standing)],
+            standing: [ServerVerdict::Trusted, ServerVerdict::Doubted, ServerVerdict::Leaving][usize::from(standing)],
         }),
     ]
 }
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
-use coppercart::api::{Event, Health, ListKind, ServerId, Standing};
+use coppercart::api::{Event, Health, ListKind, ServerId, ServerVerdict};
 
 use super::{Driver, ListedServer};
 use crate::fleet::Fleet;
@@ -31,7 +31,7 @@
 struct Hearer(Weak<Driver>);
 
 impl StandingSink for Hearer {
-    fn stands(&self, server: ServerId, standing: Standing) {
+    fn stands(&self, server: ServerId, standing: ServerVerdict) {
         if let Some(driver) = self.0.upgrade() {
             driver.event(Event::Stands { server, standing });
         }
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -26,11 +26,11 @@
 }
 
 /// A standing in the balancer's terms.
-fn told(standing: Standing) -> coppercart::api::Standing {
+fn told(standing: Standing) -> coppercart::api::ServerVerdict {
     match standing {
-        Standing::Trusted => coppercart::api::Standing::Trusted,
-        Standing::Suspected => coppercart::api::Standing::Doubted,
-        Standing::Leaving => coppercart::api::Standing::Leaving,
+        Standing::Trusted => coppercart::api::ServerVerdict::Trusted,
+        Standing::Suspected => coppercart::api::ServerVerdict::Doubted,
+        Standing::Leaving => coppercart::api::ServerVerdict::Leaving,
     }
 }
 
@@ -80,7 +80,7 @@
 
     /// Reports a standing to the sink that is not the replica's own. No `RefCell` may be borrowed by the caller, because
     /// the balancer acts on it at once.
-    pub fn report(&self, server: ServerId, standing: coppercart::api::Standing) {
+    pub fn report(&self, server: ServerId, standing: coppercart::api::ServerVerdict) {
         if let Some(sink) = self.sink.borrow().as_deref() {
             sink.stands(server, standing);
         }
@@ -129,7 +129,7 @@
 
     /// Reports all changes of standings to the sink and to `also`. No `RefCell` may be borrowed by the caller, because
     /// the balancer acts on them at once.
-    pub fn tell(&self, also: impl Fn(ServerId, coppercart::api::Standing)) {
+    pub fn tell(&self, also: impl Fn(ServerId, coppercart::api::ServerVerdict)) {
         let sink = self.sink.borrow();
         loop {
             let event = self.replica.borrow_mut().poll_event();
@@ -192,7 +192,7 @@
     }
 
     /// The standing of a server.
-    pub fn standing(&self, server: ServerId) -> coppercart::api::Standing {
+    pub fn standing(&self, server: ServerId) -> coppercart::api::ServerVerdict {
         told(self.replica.borrow().standing(server.0))
     }
 
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use coppercart::api::{Outcome, ServerEntry, ServerId, Standing};
+use coppercart::api::{Outcome, ServerEntry, ServerId, ServerVerdict};
 use coppercart::settings::Settings;
 use millethook_frames::{Channel, ChannelConfig, Frame, FrameWriter, Header, Kind, fleet_id};
 pub use millethook_replica::EntryValue;
@@ -331,12 +331,12 @@
 
     /// The own list of servers, or changes of it, was handed to the balancer. Returns the servers among them that are
     /// not trusted.
-    pub fn listed(&self, entries: &[ServerEntry]) -> Vec<(ServerId, Standing)> {
+    pub fn listed(&self, entries: &[ServerEntry]) -> Vec<(ServerId, ServerVerdict)> {
         let Some(evidence) = &self.evidence else { return Vec::new() };
         evidence.listed(self.now(), entries);
         self.wake.notify_one();
         let stands = entries.iter().map(|e| (e.id, evidence.standing(e.id)));
-        stands.filter(|(_, standing)| *standing != Standing::Trusted).collect()
+        stands.filter(|(_, standing)| *standing != ServerVerdict::Trusted).collect()
     }
 
     /// The own list does not have these servers any more. This is not published, because a whole list may be outdated.
--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use coppercart::api::{Micros, ServerId, Standing};
+use coppercart::api::{Micros, ServerId, ServerVerdict};
 use millethook_lease::{Config, Event, Figures, Lease, Member, Members};
 pub use millethook_lease::{JobId, Token};
 use millethook_machine::hash::mix;
@@ -125,7 +125,7 @@
     }
 
     /// The standing of a server has changed.
-    pub fn stands(&self, now: Micros, server: ServerId, standing: Standing) {
+    pub fn stands(&self, now: Micros, server: ServerId, standing: ServerVerdict) {
         if let Some(trials) = &self.trials {
             trials.borrow_mut().stands(now, server, standing, &mut self.lease.borrow_mut());
         }
--- a/crates/millethook-engine/src/news.rs
+++ b/crates/millethook-engine/src/news.rs
@@ -1,7 +1,7 @@
 //! What the engine's sources and the engine tell one another, so that neither has to know the
 //! other: discovery and peers bring news, and datagrams go out by whatever carries them.
 
-use coppercart::api::{ListKind, ServerId, Standing};
+use coppercart::api::{ListKind, ServerId, ServerVerdict};
 
 use crate::list::List;
 
@@ -38,5 +38,5 @@
 /// Whoever wants to hear what the fleet makes of servers.
 pub trait StandingSink {
     /// A server stands otherwise than before.
-    fn stands(&self, server: ServerId, standing: Standing);
+    fn stands(&self, server: ServerId, standing: ServerVerdict);
 }
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use coppercart::api::{Micros, ServerId, Standing};
+use coppercart::api::{Micros, ServerId, ServerVerdict};
 use millethook_lease::{JobId, Lease, Token};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Turn {
     /// The balancer is to go by this standing from now on, for a while.
-    Stand(ServerId, Standing),
+    Stand(ServerId, ServerVerdict),
     /// The trial is given back, because nothing was sent to the server for [`IDLE_HOLDS`].
     GiveUp(ServerId, JobId),
     /// All are told that this sidecar tries it.
@@ -63,14 +63,20 @@
         u64::from(self.random.next_u32()) % most.max(1)
     }
 
-    pub fn stands(&mut self, now: Micros, server: ServerId, standing: Standing, lease: &mut Lease) {
+    pub fn stands(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        standing: ServerVerdict,
+        lease: &mut Lease,
+    ) {
         let known = self.doubted.contains_key(&server.0);
-        if standing == Standing::Doubted && !known && self.doubted.len() < MOST {
+        if standing == ServerVerdict::Doubted && !known && self.doubted.len() < MOST {
             // Not all at once: whoever is first is heard of by the others.
             let ask_at = now + self.some(self.hold);
             let job = (self.job)(server.0);
             self.doubted.insert(server.0, Doubt { job, ask_at, again_at: now, owned: None });
-        } else if standing != Standing::Doubted
+        } else if standing != ServerVerdict::Doubted
             && let Some(doubt) = self.doubted.remove(&server.0)
         {
             lease.release(now, doubt.job, None);
@@ -103,7 +109,7 @@
                 // Without this the owner leaves the server alone for as long as its own failures there and the verdicts of
                 // others have told it to, and in calm for ever: the server looks slow, and loses each tie of two picks.
                 // The owner would give the trial back before its first attempt, and so would each owner after it.
-                turns.push(Turn::Stand(ServerId(*server), Standing::Trusted));
+                turns.push(Turn::Stand(ServerId(*server), ServerVerdict::Trusted));
                 doubt.owned = Some(Ownership { due_at: now, tried: false });
             }
             // Its word is as old as the last renewal; without another one its lease is over.
@@ -134,7 +140,7 @@
                     }
                     if doubt.again_at <= now {
                         doubt.again_at = now + hold / 2;
-                        turns.push(Turn::Stand(ServerId(*server), Standing::Doubted));
+                        turns.push(Turn::Stand(ServerId(*server), ServerVerdict::Doubted));
                     }
                 }
                 (None, None) if doubt.ask_at <= now => {
