--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -188,7 +188,7 @@
     #[default]
     Trusted,
     /// Several had no answer since anyone had one.
-    Doubted,
+    Suspected,
     /// Discovery has told one of them that it goes.
     Leaving,
 }
--- a/crates/coppercart/src/decide/hearsay.rs
+++ b/crates/coppercart/src/decide/hearsay.rs
@@ -14,7 +14,7 @@
         let s = &mut self.servers[slot];
         let fresh = s.answered > 0 && now - s.answered < self.longest_aim as Micros;
         match standing {
-            ServerVerdict::Doubted if room && !fresh => {
+            ServerVerdict::Suspected if room && !fresh => {
                 s.ejected_until = s.ejected_until.max(now + self.reset_interval);
                 (s.failures, s.failed_at, s.chips) = (s.failures.max(1), now, 0);
             }
--- a/crates/coppercart/tests/it/decide/servers.rs
+++ b/crates/coppercart/tests/it/decide/servers.rs
@@ -58,14 +58,14 @@
     assert_eq!(of(&mut b), 0, "others add nothing that the own list has not named");
     // Nobody was answered there for long, as far as this one knows.
     let mut b = Bench::new(settings(|_| {}), 5, &servers);
-    stands(&mut b, 0, ServerVerdict::Doubted);
+    stands(&mut b, 0, ServerVerdict::Suspected);
     let (id, _) = b.request(0);
     b.event(Event::ClientGone { id });
     assert!((0..5).all(|_| b.round(0, 0.0) != Some(ServerId(0))));
     // One that lies of all servers.
     let mut b = Bench::new(settings(|_| {}), 5, &servers);
     for n in [0, 2, 4, 6] {
-        stands(&mut b, n, ServerVerdict::Doubted);
+        stands(&mut b, n, ServerVerdict::Suspected);
         stands(&mut b, n, ServerVerdict::Leaving);
     }
     assert!((0..60).all(|_| b.round(0, 0.0).is_some()));
@@ -81,7 +81,7 @@
     let servers: Vec<_> = [0, 2, 4, 6].map(server).to_vec();
     let mut b = Bench::new(settings(|_| {}), 5, &servers);
     for _ in 0..40 {
-        b.event(Event::Stands { server: ServerId(0), standing: ServerVerdict::Doubted });
+        b.event(Event::Stands { server: ServerId(0), standing: ServerVerdict::Suspected });
         // A round takes 20 ms, so repeats come well within the time that a verdict holds.
         for _ in 0..12 {
             assert_ne!(b.round(0, 0.0), Some(ServerId(0)), "at {} us", b.now);
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -283,7 +283,7 @@
         1 => Just(Step::Failed),
         2 => (0..6u64, 0..3u8).prop_map(|(server, standing)| Step::Stands {
             server,
-            standing: [ServerVerdict::Trusted, ServerVerdict::Doubted, ServerVerdict::Leaving][usize::from(standing)],
+            standing: [ServerVerdict::Trusted, ServerVerdict::Suspected, ServerVerdict::Leaving][usize::from(standing)],
         }),
     ]
 }
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -29,7 +29,7 @@
 fn told(standing: Standing) -> coppercart::api::ServerVerdict {
     match standing {
         Standing::Trusted => coppercart::api::ServerVerdict::Trusted,
-        Standing::Suspected => coppercart::api::ServerVerdict::Doubted,
+        Standing::Suspected => coppercart::api::ServerVerdict::Suspected,
         Standing::Leaving => coppercart::api::ServerVerdict::Leaving,
     }
 }
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -71,12 +71,12 @@
         lease: &mut Lease,
     ) {
         let known = self.doubted.contains_key(&server.0);
-        if standing == ServerVerdict::Doubted && !known && self.doubted.len() < MOST {
+        if standing == ServerVerdict::Suspected && !known && self.doubted.len() < MOST {
             // Not all at once: whoever is first is heard of by the others.
             let ask_at = now + self.some(self.hold);
             let job = (self.job)(server.0);
             self.doubted.insert(server.0, Doubt { job, ask_at, again_at: now, owned: None });
-        } else if standing != ServerVerdict::Doubted
+        } else if standing != ServerVerdict::Suspected
             && let Some(doubt) = self.doubted.remove(&server.0)
         {
             lease.release(now, doubt.job, None);
@@ -140,7 +140,7 @@
                     }
                     if doubt.again_at <= now {
                         doubt.again_at = now + hold / 2;
-                        turns.push(Turn::Stand(ServerId(*server), ServerVerdict::Doubted));
+                        turns.push(Turn::Stand(ServerId(*server), ServerVerdict::Suspected));
                     }
                 }
                 (None, None) if doubt.ask_at <= now => {
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -177,8 +177,8 @@
         // By itself it makes each of its trials rarer than the one before.
         sidecar.run(60 * S);
         let begins = sidecar.now;
-        sidecar.event(Event::Stands { server: SILENT, standing: ServerVerdict::Doubted });
-        sidecar.trials.stands(begins, SILENT, ServerVerdict::Doubted, &mut sidecar.lease);
+        sidecar.event(Event::Stands { server: SILENT, standing: ServerVerdict::Suspected });
+        sidecar.trials.stands(begins, SILENT, ServerVerdict::Suspected, &mut sidecar.lease);
         sidecar.sent_to_silent.clear();
         sidecar.run(begins + 60 * S);
         assert!(sidecar.given_up.is_empty(), "seed {seed}: given up at {:?}", sidecar.given_up);
