--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -79,13 +79,13 @@
     /// Ended by an [`Action::Cancel`]; it may have run.
     Cancelled,
     /// Never sent: it never ran.
-    Moot,
+    NeverSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent)
     }
 }
 
--- a/crates/coppercart/src/decide/learning.rs
+++ b/crates/coppercart/src/decide/learning.rs
@@ -47,7 +47,7 @@
         match outcome {
             // An attempt that its copy has overtaken is cancelled; without this it would tell nothing.
             Outcome::Cancelled if lost => {}
-            Outcome::Moot | Outcome::Cancelled => return,
+            Outcome::NeverSent | Outcome::Cancelled => return,
             Outcome::Served | Outcome::Error | Outcome::Full => {
                 s.silent_since = (s.in_flight > 0).then_some(now);
                 s.received = Some(now);
--- a/crates/coppercart/src/wire/batch.rs
+++ b/crates/coppercart/src/wire/batch.rs
@@ -124,7 +124,7 @@
         5 => Outcome::ConnectFailed,
         6 => Outcome::Reset,
         7 => Outcome::Cancelled,
-        8 => Outcome::Moot,
+        8 => Outcome::NeverSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
--- a/crates/coppercart/tests/it/replay.rs
+++ b/crates/coppercart/tests/it/replay.rs
@@ -110,7 +110,7 @@
                     7 | 8 => Outcome::Reset,
                     9 => Outcome::ConnectFailed,
                     10 => Outcome::TimedOut,
-                    11 => Outcome::Moot,
+                    11 => Outcome::NeverSent,
                     _ => Outcome::Served,
                 };
                 let report = report((self.rng.next_u64() % 30) as f32);
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -225,7 +225,7 @@
                     Outcome::Full,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
-                    Outcome::Moot,
+                    Outcome::NeverSent,
                 ][usize::from(how) % 6];
                 self.outcome(id, attempt, outcome, queue);
             }
--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -72,7 +72,7 @@
     fn moot(self: &Rc<Driver>, id: RequestId, n: usize, server: ServerId) {
         let driver = self.clone();
         spawn_local(async move {
-            driver.over(id, n, server, Outcome::Moot, 0, LoadReport::default(), None);
+            driver.over(id, n, server, Outcome::NeverSent, 0, LoadReport::default(), None);
         });
     }
 
@@ -214,7 +214,7 @@
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                 self.reach.borrow_mut().failed(server, Instant::now());
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NeverSent => {}
         }
         let mut finished = true;
         if let Some(request) = self.core.borrow_mut().requests.get_mut(&id) {
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -159,7 +159,7 @@
             Outcome::TimedOut => ObservedOutcome::TimedOut,
             Outcome::ConnectFailed | Outcome::Reset => ObservedOutcome::Broken,
             Outcome::Cancelled => return self.replica.borrow_mut().on_attempt_cancelled(server.0),
-            Outcome::Moot => return,
+            Outcome::NeverSent => return,
         };
         self.replica.borrow_mut().on_attempt_ended(
             now,
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -188,7 +188,7 @@
             };
             if !gate.may_begin(request, Instant::now()) {
                 lease.give_back();
-                return Ok(AttemptOutcome::end(Outcome::Moot, none()));
+                return Ok(AttemptOutcome::end(Outcome::NeverSent, none()));
             }
             let at = (server, dial);
             let connection = AttemptConnection { lease, rested, matching };
@@ -209,7 +209,7 @@
             // What broke is closed before another connection is looked for.
             drop(running);
             if never_ran && !gate.may_commit(request, Instant::now()) {
-                return Ok(AttemptOutcome::end(Outcome::Moot, none()));
+                return Ok(AttemptOutcome::end(Outcome::NeverSent, none()));
             }
             match (never_ran, rested) {
                 (false, _) => return Ok(AttemptOutcome::end(Outcome::Reset, none())),
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -271,7 +271,7 @@
             now = Instant::now();
             if now >= until {
                 // For want of a connection here nothing is known of the server.
-                return Err(Outcome::Moot);
+                return Err(Outcome::NeverSent);
             }
         }
     }
@@ -289,7 +289,7 @@
             turns.entry(server).or_insert_with(new).clone()
         };
         let turn = timeout_at(until.into(), turns.acquire_owned()).await;
-        turn.ok().and_then(Result::ok).ok_or(Outcome::Moot)
+        turn.ok().and_then(Result::ok).ok_or(Outcome::NeverSent)
     }
 
     /// A permit where none is free; None: a connection to `server` came to rest first, and will do.
@@ -311,7 +311,7 @@
         loop {
             tokio::select! {
                 biased;
-                permit = &mut taken => return permit.map(Some).ok_or(Outcome::Moot),
+                permit = &mut taken => return permit.map(Some).ok_or(Outcome::NeverSent),
                 () = waiting.at.rested.notified() => {
                     if needs_new {
                         self.pool.borrow_mut().give_up_one();
--- a/crates/millethook-engine/src/upstream/probe.rs
+++ b/crates/millethook-engine/src/upstream/probe.rs
@@ -77,7 +77,9 @@
             // A handshake that never comes up ends like one that is refused, but later.
             (Outcome::ConnectFailed, _) if began.elapsed() >= patience => TrialOutcome::Silent,
             (Outcome::ConnectFailed, _) => TrialOutcome::Refused,
-            (Outcome::Moot | Outcome::TimedOut | Outcome::Cancelled, _) => TrialOutcome::Silent,
+            (Outcome::NeverSent | Outcome::TimedOut | Outcome::Cancelled, _) => {
+                TrialOutcome::Silent
+            }
             _ => TrialOutcome::Stranger,
         }
     }
--- a/crates/millethook-model/src/fleet/telling.rs
+++ b/crates/millethook-model/src/fleet/telling.rs
@@ -130,7 +130,7 @@
         Ending::Full => Outcome::Full,
         Ending::ConnectFailed => Outcome::ConnectFailed,
         Ending::Reset => Outcome::Reset,
-        Ending::Moot => Outcome::Moot,
+        Ending::Moot => Outcome::NeverSent,
         Ending::TimedOut => Outcome::TimedOut,
         Ending::Cancelled => Outcome::Cancelled,
     }
