--- a/crates/coppercart/src/decide/rules.rs
+++ b/crates/coppercart/src/decide/rules.rs
@@ -37,9 +37,9 @@
             return false;
         }
         match class.repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => request.never_ran(),
-            Repeat::Keyed => request.may_have_run().all(|a| {
+            RetrySafety::Safe => true,
+            RetrySafety::Unsafe => request.never_ran(),
+            RetrySafety::Keyed => request.may_have_run().all(|a| {
                 let shared = class.dedup_scope.shares((a.zone, a.cell), (s.zone, s.cell));
                 shared && self.now - a.sent < class.window
             }),
@@ -49,7 +49,7 @@
     /// Rule 2: whether the client may be told that trying again is harmless.
     fn refusable(&self, request: &Request) -> bool {
         // A client's own retry of a keyed request may come when no server remembers it.
-        self.settings.classes[request.class].repeat == Repeat::Safe || request.never_ran()
+        self.settings.classes[request.class].repeat == RetrySafety::Safe || request.never_ran()
     }
 
     /// The one gate of all sends.
--- a/crates/coppercart/src/decide/timers.rs
+++ b/crates/coppercart/src/decide/timers.rs
@@ -69,7 +69,7 @@
     ) {
         let Some(r) = self.requests.get(&id) else { return };
         let repeat = self.settings.classes[r.class].repeat;
-        let harmless = repeat != Repeat::Unsafe && self.settings.limits.may_duplicate;
+        let harmless = repeat != RetrySafety::Unsafe && self.settings.limits.may_duplicate;
         let waiting = harmless && !r.ended && !r.streaming && r.out() > 0;
         let all = r.attempts.iter().all(|a| lost(self, &self.servers[a.slot], a));
         if waiting && all && calm {
--- a/crates/coppercart/src/decide/view/check.rs
+++ b/crates/coppercart/src/decide/view/check.rs
@@ -28,7 +28,7 @@
             let ran = attempts.iter().position(|a| a.fate != Fate::NeverRan);
             let again = ran.is_some_and(|n| n + 1 < attempts.len());
             rule(
-                class.repeat != Repeat::Unsafe || !again,
+                class.repeat != RetrySafety::Unsafe || !again,
                 "an unsafe request goes out again only if it is known not to have run",
                 &|| format!("{id:?}: {attempts:?}"),
             )?;
@@ -112,7 +112,7 @@
             class.dedup_scope.shares((first.zone, first.cell), (next.zone, next.cell))
         });
         rule(
-            class.repeat != Repeat::Keyed || alike,
+            class.repeat != RetrySafety::Keyed || alike,
             "a keyed request goes to servers that know of each other's effects",
             found,
         )
--- a/crates/coppercart/src/settings.rs
+++ b/crates/coppercart/src/settings.rs
@@ -8,7 +8,7 @@
 mod class;
 mod limits;
 
-pub use class::{Class, Repeat, Scope};
+pub use class::{Class, RetrySafety, Scope};
 pub use limits::{Failover, Limits};
 
 /// How servers tell of their load.
--- a/crates/coppercart/src/settings/class.rs
+++ b/crates/coppercart/src/settings/class.rs
@@ -7,7 +7,7 @@
 
 /// Whether a request may be sent again once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Sent twice, it does no harm.
     #[serde(rename = "idempotent")]
     Safe,
@@ -55,7 +55,7 @@
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Whether it may be sent again once it may have run.
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// For keyed requests: the servers that drop each other's repeats.
     #[serde(default)]
     pub dedup_scope: Scope,
@@ -82,6 +82,6 @@
 impl Class {
     /// The time within which all attempts of a request have to be out that may have run.
     pub fn commit_window(&self) -> Micros {
-        if self.repeat == Repeat::Keyed { self.window } else { Micros::MAX }
+        if self.repeat == RetrySafety::Keyed { self.window } else { Micros::MAX }
     }
 }
--- a/crates/coppercart/tests/it/retune.rs
+++ b/crates/coppercart/tests/it/retune.rs
@@ -104,7 +104,7 @@
         let mut open: Vec<(RequestId, usize, ServerId, bool)> = Vec::new();
         let mut ended = std::collections::HashSet::new();
         let unsafe_here = |b: &Bench, class: usize| {
-            b.balancer.settings().classes[class].repeat == coppercart::settings::Repeat::Unsafe
+            b.balancer.settings().classes[class].repeat == coppercart::settings::RetrySafety::Unsafe
         };
         let names = ["look", "keep", "order"];
         for (class, outcome, change) in steps {
--- a/crates/millethook-engine/src/figures.rs
+++ b/crates/millethook-engine/src/figures.rs
@@ -119,7 +119,7 @@
 mod tests {
     use super::*;
     use crate::names::ClassName;
-    use coppercart::settings::Repeat;
+    use coppercart::settings::RetrySafety;
     use std::time::Duration;
 
     fn names(classes: &[(&str, usize)]) -> Names {
@@ -127,7 +127,7 @@
         for &(name, index) in classes {
             let of = ClassName {
                 index,
-                repeat: Repeat::Safe,
+                repeat: RetrySafety::Safe,
                 streaming: false,
                 aim: Duration::ZERO,
                 deadline: Duration::ZERO,
--- a/crates/millethook-engine/src/names.rs
+++ b/crates/millethook-engine/src/names.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coppercart::api::{LoadReport, ServerEntry};
-use coppercart::settings::{Repeat, Settings};
+use coppercart::settings::{RetrySafety, Settings};
 use serde_json::Value;
 
 use crate::list::Host;
@@ -22,7 +22,7 @@
     /// Its place in the settings.
     pub index: usize,
     /// It decides the method.
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// Its answers may be long.
     pub streaming: bool,
     /// Answers within this time count in full.
--- a/crates/millethook-explore/src/scenario.rs
+++ b/crates/millethook-explore/src/scenario.rs
@@ -1,7 +1,7 @@
 //! What is explored: servers, requests, settings, and the bounds of the exploration.
 
 use coppercart::api::{Health, Micros, ServerEntry, ServerId};
-use coppercart::settings::{Repeat, Settings};
+use coppercart::settings::{RetrySafety, Settings};
 use serde_json::json;
 
 /// A thousand microseconds.
@@ -62,12 +62,12 @@
     }
 }
 
-impl From<Kind> for Repeat {
-    fn from(kind: Kind) -> Repeat {
+impl From<Kind> for RetrySafety {
+    fn from(kind: Kind) -> RetrySafety {
         match kind {
-            Kind::Safe => Repeat::Safe,
-            Kind::Keyed => Repeat::Keyed,
-            Kind::Unsafe => Repeat::Unsafe,
+            Kind::Safe => RetrySafety::Safe,
+            Kind::Keyed => RetrySafety::Keyed,
+            Kind::Unsafe => RetrySafety::Unsafe,
         }
     }
 }
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use coppercart::settings::{Class, Repeat, Scope, Settings};
+use coppercart::settings::{Class, RetrySafety, Scope, Settings};
 use millethook_edge::record::HostTime;
 use millethook_edge::{EdgeId, Mark, Progress, Replay, State, WriteId};
 use millethook_engine::driver::Driver;
@@ -67,7 +67,7 @@
 
 /// Adds the classes that replays go by to the settings of the decisions.
 pub fn add_classes(names: &[String], settings: &mut Settings) {
-    let kept = |class: &&Class| names.contains(&class.name) && class.repeat != Repeat::Safe;
+    let kept = |class: &&Class| names.contains(&class.name) && class.repeat != RetrySafety::Safe;
     let replays: Vec<Class> = (settings.classes.iter().filter(kept))
         .map(|class| Class {
             name: replay_class(&class.name),
@@ -287,7 +287,7 @@
 fn repeat_of(class: &Class) -> millethook_edge::record::Repeat {
     match (class.repeat, class.dedup_scope) {
         // A replay does not choose servers, so that a group has to hold all.
-        (Repeat::Keyed, Scope::All) => {
+        (RetrySafety::Keyed, Scope::All) => {
             millethook_edge::record::Repeat::Within { window_ms: class.window / 1_000 }
         }
         _ => millethook_edge::record::Repeat::Never,
--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -76,7 +76,7 @@
         let (parts, ()) = request.into_parts();
         let request_head = RequestHead {
             class: class.index,
-            repeatable: class.repeat != coppercart::settings::Repeat::Unsafe,
+            repeatable: class.repeat != coppercart::settings::RetrySafety::Unsafe,
             streaming: false,
             aim: class.aim,
             tenant,
--- a/crates/millethook-http/src/head.rs
+++ b/crates/millethook-http/src/head.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coppercart::api::Micros;
-use coppercart::settings::Repeat;
+use coppercart::settings::RetrySafety;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
 use millethook_engine::driver::RequestHead;
@@ -111,12 +111,12 @@
     }
     let class = names.classes.get(class).ok_or_else(|| Invalid::UnknownClass(class.to_owned()))?;
     let keyed = text(&IDEMPOTENCY_KEY)?.is_some();
-    let expected = if class.repeat == Repeat::Safe { Method::GET } else { Method::POST };
+    let expected = if class.repeat == RetrySafety::Safe { Method::GET } else { Method::POST };
     if *method != expected {
         return Err(Invalid::Method { expected });
     }
-    if class.repeat != Repeat::Safe && keyed != (class.repeat == Repeat::Keyed) {
-        return Err(Invalid::Key { needed: class.repeat == Repeat::Keyed });
+    if class.repeat != RetrySafety::Safe && keyed != (class.repeat == RetrySafety::Keyed) {
+        return Err(Invalid::Key { needed: class.repeat == RetrySafety::Keyed });
     }
     let id = text(&CORRELATION_ID)?.filter(|id| !id.is_empty());
     let id = id.ok_or(Invalid::Missing(CORRELATION_ID.as_str()))?;
@@ -142,7 +142,7 @@
     };
     let request_head = RequestHead {
         class: class.index,
-        repeatable: class.repeat != Repeat::Unsafe,
+        repeatable: class.repeat != RetrySafety::Unsafe,
         streaming: class.streaming,
         aim: class.aim,
         tenant,
