--- a/crates/coppercart/src/settings.rs
+++ b/crates/coppercart/src/settings.rs
@@ -8,7 +8,7 @@
 mod class;
 mod limits;
 
-pub use class::{Class, RetrySafety, Scope};
+pub use class::{Class, DedupScope, RetrySafety};
 pub use limits::{Failover, Limits};
 
 /// How servers tell of their load.
--- a/crates/coppercart/src/settings/class.rs
+++ b/crates/coppercart/src/settings/class.rs
@@ -22,7 +22,7 @@
 /// The servers that discard repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
-pub enum Scope {
+pub enum DedupScope {
     /// All servers.
     #[default]
     All,
@@ -32,13 +32,13 @@
     Cell,
 }
 
-impl Scope {
+impl DedupScope {
     /// Whether servers at these places (zone and cell) know of each other's keyed requests.
     pub fn shares(self, a: (u8, u16), b: (u8, u16)) -> bool {
         match self {
-            Scope::All => true,
-            Scope::Zone => a.0 == b.0,
-            Scope::Cell => a.1 == b.1,
+            DedupScope::All => true,
+            DedupScope::Zone => a.0 == b.0,
+            DedupScope::Cell => a.1 == b.1,
         }
     }
 }
@@ -58,7 +58,7 @@
     pub repeat: RetrySafety,
     /// For keyed requests: the servers that drop each other's repeats.
     #[serde(default)]
-    pub dedup_scope: Scope,
+    pub dedup_scope: DedupScope,
     /// For keyed requests: how long repeats are dropped, from the first attempt that may have run.
     #[serde(default)]
     pub window: Micros,
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use coppercart::settings::{Class, RetrySafety, Scope, Settings};
+use coppercart::settings::{Class, DedupScope, RetrySafety, Settings};
 use millethook_edge::record::HostTime;
 use millethook_edge::{EdgeId, Mark, Progress, Replay, State, WriteId};
 use millethook_engine::driver::Driver;
@@ -287,7 +287,7 @@
 fn repeat_of(class: &Class) -> millethook_edge::record::Repeat {
     match (class.repeat, class.dedup_scope) {
         // A replay does not choose servers, so that a group has to hold all.
-        (RetrySafety::Keyed, Scope::All) => {
+        (RetrySafety::Keyed, DedupScope::All) => {
             millethook_edge::record::Repeat::Within { window_ms: class.window / 1_000 }
         }
         _ => millethook_edge::record::Repeat::Never,
