--- a/crates/coppercart/src/decide/retune.rs
+++ b/crates/coppercart/src/decide/retune.rs
@@ -34,8 +34,8 @@
         self.queue_column = s.column("q");
         self.held_column = s.column("rif");
         self.load_column = self.held_column.or(self.queue_column);
-        self.longest_aim = s.longest(|c| c.aim) as f64;
-        self.reset_interval = s.longest(|c| c.deadline);
+        self.longest_aim = s.max_over_classes(|c| c.aim) as f64;
+        self.reset_interval = s.max_over_classes(|c| c.deadline);
         self.learned.resize(s.classes.len(), Learned::default());
     }
 }
--- a/crates/coppercart/src/settings.rs
+++ b/crates/coppercart/src/settings.rs
@@ -278,7 +278,7 @@
     }
 
     /// The greatest of such a figure of the classes in force.
-    pub fn longest(&self, of: fn(&Class) -> Micros) -> Micros {
+    pub fn max_over_classes(&self, of: fn(&Class) -> Micros) -> Micros {
         self.classes.iter().filter(|class| !class.retired).map(of).max().unwrap_or(1)
     }
 
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -309,7 +309,7 @@
 
     /// The longest deadline of a class in force.
     pub fn longest_deadline(&self) -> Duration {
-        let longest = self.core.borrow().balancer.settings().longest(|c| c.deadline);
+        let longest = self.core.borrow().balancer.settings().max_over_classes(|c| c.deadline);
         Duration::from_micros(longest)
     }
 
@@ -317,7 +317,7 @@
     /// or takes a connection ([`Driver::try_any`]).
     pub fn is_isolated(&self) -> bool {
         let core = self.core.borrow();
-        let patience = Duration::from_micros(core.balancer.settings().longest(|c| c.aim));
+        let patience = Duration::from_micros(core.balancer.settings().max_over_classes(|c| c.aim));
         self.reach.borrow_mut().is_isolated(Instant::now(), core.servers.len(), patience)
     }
 
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -129,8 +129,10 @@
             }
             let sender = peers.clone()?;
             let (me, zone) = (config.settings.me, config.settings.zone);
-            let times =
-                (config.settings.longest(|c| c.aim), config.settings.longest(|c| c.deadline));
+            let times = (
+                config.settings.max_over_classes(|c| c.aim),
+                config.settings.max_over_classes(|c| c.deadline),
+            );
             let seed = (config.seed, config.distribution);
             Some(Fleet::start(&of, (me, members), (zone, times.0, times.1), seed, sender))
         });
@@ -153,7 +155,8 @@
         );
         let how = config.settings.discovery;
         let call_limits = Rc::new(Cell::new(CallLimits::from(&config.settings)));
-        let longest_deadline = Duration::from_micros(config.settings.longest(|c| c.deadline));
+        let longest_deadline =
+            Duration::from_micros(config.settings.max_over_classes(|c| c.deadline));
         let (to_discovery, calls) = mpsc::unbounded_channel();
         let first_call = to_discovery.clone();
         let teller = peers.clone().map(|p| p as Rc<dyn PeerSender>);
@@ -263,7 +266,7 @@
         };
         let settings = self.driver.settings_with(new, held);
         let names = Arc::new(Names::new(&settings, raw)?);
-        let longest = Duration::from_micros(settings.longest(|c| c.deadline));
+        let longest = Duration::from_micros(settings.max_over_classes(|c| c.deadline));
         self.longest_deadline.set(longest.max(self.longest_deadline.get()));
         self.call_limits.set(CallLimits::from(&settings));
         self.upstream.set_reuse(self.reuse.unwrap_or_else(|| usual_reuse(&settings)));
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -40,7 +40,7 @@
 impl Sidecar {
     fn new(seed: u64) -> Sidecar {
         let settings = Settings::from_json(settings_json().to_string().as_bytes()).expect("sound");
-        let hold = settings.longest(|class| class.deadline);
+        let hold = settings.max_over_classes(|class| class.deadline);
         let mut balancer = Balancer::new(settings, seed, 0);
         let entries: Vec<ServerEntry> = (0..SERVERS)
             .map(|n| ServerEntry {
