--- a/crates/coppercart/src/decide/retune.rs
+++ b/crates/coppercart/src/decide/retune.rs
@@ -8,7 +8,7 @@
         &self.settings
     }
 
-    /// Takes settings that follow the ones in force ([`Settings::followed_by`]).
+    /// Takes settings that follow the ones in force ([`Settings::merged_with`]).
     pub fn retune(&mut self, settings: Settings) {
         let before = std::mem::replace(&mut self.settings, settings);
         for (place, class) in self.settings.classes.iter().enumerate() {
--- a/crates/coppercart/src/settings.rs
+++ b/crates/coppercart/src/settings.rs
@@ -288,7 +288,7 @@
     /// a retired class that is not `held` any more. Open requests name their class by its place, so each goes
     /// on under the rules that it came under. Names that stand for numbers elsewhere (zones, the columns of
     /// load reports) stay as they are.
-    pub fn followed_by(&self, mut new: Settings, held: impl Fn(usize) -> bool) -> Settings {
+    pub fn merged_with(&self, mut new: Settings, held: impl Fn(usize) -> bool) -> Settings {
         let mut classes = self.classes.clone();
         let stays = |class: &Class| new.classes.contains(class);
         for class in classes.iter_mut().filter(|class| !stays(class)) {
--- a/crates/coppercart/tests/it/retune.rs
+++ b/crates/coppercart/tests/it/retune.rs
@@ -14,7 +14,7 @@
     /// Takes these settings, as an engine would at which nothing but open requests holds places.
     fn retune(&mut self, new: Settings) {
         let balancer = &mut self.balancer;
-        let merged = balancer.settings().followed_by(new, |place| balancer.uses_class(place));
+        let merged = balancer.settings().merged_with(new, |place| balancer.uses_class(place));
         balancer.retune(merged);
     }
 
@@ -34,7 +34,7 @@
         classes.remove(0);
         classes.reverse();
     });
-    let merged = old.followed_by(new, |_| true);
+    let merged = old.merged_with(new, |_| true);
     let names: Vec<_> = merged.classes.iter().map(|c| (c.name.as_str(), c.retired)).collect();
     assert_eq!(names, [("look", true), ("keep", true), ("order", false), ("keep", false)]);
 }
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -284,7 +284,7 @@
     pub fn settings_with(&self, new: Settings, held: impl Fn(usize) -> bool) -> Settings {
         let core = self.core.borrow();
         let balancer = &core.balancer;
-        balancer.settings().followed_by(new, |place| held(place) || balancer.uses_class(place))
+        balancer.settings().merged_with(new, |place| held(place) || balancer.uses_class(place))
     }
 
     /// Takes settings of [`Driver::settings_with`].
