--- a/crates/coppercart/src/decide/servers.rs
+++ b/crates/coppercart/src/decide/servers.rs
@@ -17,7 +17,7 @@
             // Without this, thousands of sidecars that lose discovery or start together overload it together. Each
             // waits a random time that grows with failures, and none for longer than news may take.
             let share = if failed { 4 >> self.subscribe_failures.min(2) } else { 1 };
-            let most = self.settings.rules.ask_spread(share) as f64;
+            let most = self.settings.rules.max_discovery_delay(share) as f64;
             let wait = most * if failed { 0.25 + 0.75 * self.uniform() } else { self.uniform() };
             self.subscribe_failures += u32::from(failed);
             self.set_alarm(wait as Micros, Alarm::Subscribe, out);
--- a/crates/coppercart/src/settings.rs
+++ b/crates/coppercart/src/settings.rs
@@ -136,7 +136,7 @@
 impl Rules {
     /// Where discovery is asked, the longest that a sidecar puts off a call, as a share of what the settings leave:
     /// one that hung before it and one that is slow behind it still come in time.
-    pub fn ask_spread(&self, share: u64) -> Micros {
+    pub fn max_discovery_delay(&self, share: u64) -> Micros {
         (self.must_ask_in.max(4) / 2 / share).min(TOLD_AFTER - 2 * FUTILE_CALL)
     }
 }
--- a/crates/millethook-engine/src/discovery/patience.rs
+++ b/crates/millethook-engine/src/discovery/patience.rs
@@ -57,7 +57,7 @@
     fn from(settings: &Settings) -> CallLimits {
         CallLimits {
             fleet: settings.instances,
-            longest_wait: Duration::from_micros(settings.rules.ask_spread(1)),
+            longest_wait: Duration::from_micros(settings.rules.max_discovery_delay(1)),
         }
     }
 }
