--- a/crates/coppercart/src/decide/retune.rs
+++ b/crates/coppercart/src/decide/retune.rs
@@ -9,7 +9,7 @@
     }
 
     /// Takes settings that follow the ones in force ([`Settings::merged_with`]).
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         let before = std::mem::replace(&mut self.settings, settings);
         for (place, class) in self.settings.classes.iter().enumerate() {
             // A class that changed is met by the same work: what answers told of it holds on.
--- a/crates/coppercart/tests/it/retune.rs
+++ b/crates/coppercart/tests/it/retune.rs
@@ -15,7 +15,7 @@
     fn retune(&mut self, new: Settings) {
         let balancer = &mut self.balancer;
         let merged = balancer.settings().merged_with(new, |place| balancer.uses_class(place));
-        balancer.retune(merged);
+        balancer.update_settings(merged);
     }
 
     /// The place of the class of this name that is in force.
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -289,7 +289,7 @@
 
     /// Takes settings of [`Driver::settings_with`].
     pub fn retune(&self, settings: Settings) {
-        self.core.borrow_mut().balancer.retune(settings);
+        self.core.borrow_mut().balancer.update_settings(settings);
     }
 
     /// Servers on the list, and those of them that are avoided.
