--- a/crates/coppercart/src/decide/view.rs
+++ b/crates/coppercart/src/decide/view.rs
@@ -24,7 +24,7 @@
     }
 
     /// How many requests have no end yet, or attempts whose outcome is awaited.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -272,7 +272,7 @@
         Usage {
             requests: core.requests.len(),
             attempts: core.requests.values().map(out).sum(),
-            undecided: core.balancer.open(),
+            undecided: core.balancer.open_requests(),
             connections: self.upstream.counts(),
             ended: self.upstream.ended(),
             calls: self.upstream.calls(),
--- a/crates/millethook-explore/src/world/play.rs
+++ b/crates/millethook-explore/src/world/play.rs
@@ -38,7 +38,7 @@
             Step::List { server, change } => self.list_change(server, change)?,
         }
         if self.at_rest() {
-            judge::at_rest(&self.requests, self.balancer.open(), self.timers.len())?;
+            judge::at_rest(&self.requests, self.balancer.open_requests(), self.timers.len())?;
         }
         Ok(())
     }
--- a/crates/millethook-model/src/fleet/mod.rs
+++ b/crates/millethook-model/src/fleet/mod.rs
@@ -214,7 +214,7 @@
             }
         }
         for (number, sidecar) in self.sidecars.iter().enumerate() {
-            let held = sidecar.balancer.as_ref().map_or(0, |balancer| balancer.open());
+            let held = sidecar.balancer.as_ref().map_or(0, |balancer| balancer.open_requests());
             if held > 0 {
                 self.judge
                     .find(Rule::NothingLeft, now, || format!("sidecar {number} holds {held}"));
