--- a/crates/coppercart/src/decide/view/check.rs
+++ b/crates/coppercart/src/decide/view/check.rs
@@ -11,7 +11,7 @@
     ///
     /// # Errors
     /// The first one that is broken, with the values.
-    pub fn check(&self) -> Result<(), Violation> {
+    pub fn check_invariants(&self) -> Result<(), Violation> {
         let rule = Violation::unless;
         let mut out = vec![0u32; self.servers.len()];
         for (id, request) in &self.requests {
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -58,7 +58,7 @@
     fn event(&mut self, event: Event<'_>) {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
-        assert_eq!(self.balancer.check(), Ok(()));
+        assert_eq!(self.balancer.check_invariants(), Ok(()));
         for action in out {
             self.check(action);
         }
--- a/crates/millethook-explore/src/world/actions.rs
+++ b/crates/millethook-explore/src/world/actions.rs
@@ -22,7 +22,7 @@
     pub(super) fn own_check(&self) -> Verdict {
         let own =
             |violation: Violation| Finding { rule: Rule::OwnCheck, found: violation.to_string() };
-        self.balancer.check().map_err(own)
+        self.balancer.check_invariants().map_err(own)
     }
 
     pub(super) fn deliver(&mut self, event: Event<'_>) -> Verdict {
--- a/crates/millethook-model/src/fleet/telling.rs
+++ b/crates/millethook-model/src/fleet/telling.rs
@@ -21,7 +21,7 @@
         own.unchecked += 1;
         if self.plan.check_every > 0 && own.unchecked >= self.plan.check_every {
             own.unchecked = 0;
-            if let Err(violation) = balancer.check() {
+            if let Err(violation) = balancer.check_invariants() {
                 let found = || format!("sidecar {sidecar}: {violation}");
                 self.judge.find(Rule::OwnCheck, self.now, found);
             }
