--- a/crates/coppercart/src/settings.rs
+++ b/crates/coppercart/src/settings.rs
@@ -13,7 +13,7 @@
 
 /// How servers tell of their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum ReportHow {
+pub enum ReportMode {
     /// With each answer, and with answers to probes.
     #[serde(rename = "piggyback")]
     Answers,
@@ -104,7 +104,7 @@
     #[serde(default)]
     pub columns: Vec<String>,
     /// How they come.
-    pub how: ReportHow,
+    pub how: ReportMode,
 }
 
 /// Figures of the four rules. Times are in microseconds.
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -20,7 +20,7 @@
 };
 use coppercart::decide::Balancer;
 use coppercart::decide::view::ServerCounts;
-use coppercart::settings::{Class, ReportHow, Settings};
+use coppercart::settings::{Class, ReportMode, Settings};
 use millethook_connect::pool::{Counts, Ended};
 use rustc_hash::FxHashMap;
 use tokio::sync::{Notify, mpsc, oneshot};
@@ -117,7 +117,7 @@
         // `born_ms` of servers is Unix time, so the module's clock is, too; it never steps back.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clock = (unix.as_micros() as Micros, Instant::now());
-        let probe_reports = settings.report.how != ReportHow::Silent;
+        let probe_reports = settings.report.how != ReportMode::Silent;
         let core = RefCell::new(Core {
             balancer: Balancer::new(settings, seed, clock.0),
             requests: FxHashMap::default(),
