--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -101,7 +101,7 @@
     /// What the request is about; 0: unknown.
     pub key: u64,
     /// How long the client will wait.
-    pub left: Micros,
+    pub time_left: Micros,
     /// The client's guess at the work.
     pub hint: Option<Micros>,
     /// A client's repeat, where clients mark them.
--- a/crates/coppercart/src/decide/requests.rs
+++ b/crates/coppercart/src/decide/requests.rs
@@ -31,7 +31,7 @@
                 class,
                 key: new.key,
                 work_ratio,
-                deadline: self.now + new.left,
+                deadline: self.now + new.time_left,
                 most_attempts: self.settings.limits.max_attempts,
                 ended: false,
                 streaming: false,
--- a/crates/coppercart/tests/it/common/fleet/mod.rs
+++ b/crates/coppercart/tests/it/common/fleet/mod.rs
@@ -205,7 +205,7 @@
             class,
             tenant: 0,
             key: 0,
-            left: self.plan.classes[class].patience,
+            time_left: self.plan.classes[class].patience,
             hint: None,
             repeat: false,
         };
--- a/crates/coppercart/tests/it/common/mod.rs
+++ b/crates/coppercart/tests/it/common/mod.rs
@@ -89,7 +89,7 @@
             class,
             tenant: 0,
             key: self.key,
-            left: S,
+            time_left: S,
             hint,
             repeat: false,
         }));
--- a/crates/coppercart/tests/it/decide/copies.rs
+++ b/crates/coppercart/tests/it/decide/copies.rs
@@ -193,7 +193,7 @@
         class: 0,
         tenant: 0,
         key: 0,
-        left: 60 * S,
+        time_left: 60 * S,
         hint: None,
         repeat: false,
     }));
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -201,7 +201,7 @@
                     class,
                     tenant: 0,
                     key: n % 5,
-                    left,
+                    time_left: left,
                     hint: None,
                     repeat: n.is_multiple_of(3),
                 }));
--- a/crates/coppercart/tests/it/swing.rs
+++ b/crates/coppercart/tests/it/swing.rs
@@ -117,7 +117,7 @@
         match event {
             Event::Servers { entries, .. } => self.out = vec![0; entries.len()],
             Event::Answer { server, .. } => self.out[server.0 as usize] -= 1,
-            Event::Request(NewRequest { id, left, .. }) => {
+            Event::Request(NewRequest { id, time_left: left, .. }) => {
                 self.next += 1;
                 let servers = (0..self.out.len()).map(|n| (self.next + n) % self.out.len());
                 let least = servers.min_by_key(|&n| self.out[n]).expect("servers are listed");
--- a/crates/coppercart/tests/it/wire.rs
+++ b/crates/coppercart/tests/it/wire.rs
@@ -69,7 +69,7 @@
                 class: 0,
                 tenant: 0,
                 key: 0x91f0_3b7c_55d2_0a64,
-                left: 240_000,
+                time_left: 240_000,
                 hint: Some(12_000),
                 repeat: false,
             }),
--- a/crates/millethook-depth/src/model/simulation.rs
+++ b/crates/millethook-depth/src/model/simulation.rs
@@ -127,7 +127,7 @@
             class: 0,
             tenant: 0,
             key: self.random.random(),
-            left,
+            time_left: left,
             hint: None,
             repeat: false,
         };
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -236,7 +236,7 @@
             class: asked.class,
             tenant: asked.tenant,
             key: asked.key,
-            left: (asked.left - margin).as_micros() as Micros,
+            time_left: (asked.left - margin).as_micros() as Micros,
             hint: asked.hint,
             repeat: asked.repeat,
         }));
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -122,7 +122,7 @@
                     class: 0,
                     tenant: 0,
                     key: 0,
-                    left: S,
+                    time_left: S,
                     hint: None,
                     repeat: false,
                 }));
--- a/crates/millethook-model/src/fleet/clients.rs
+++ b/crates/millethook-model/src/fleet/clients.rs
@@ -86,7 +86,7 @@
             class: asked.class,
             tenant: 0,
             key: asked.key,
-            left,
+            time_left: left,
             hint: None,
             repeat: false,
         };
