--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -103,7 +103,7 @@
     /// How long the client will wait.
     pub time_left: Micros,
     /// The client's guess at the work.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// A client's repeat, where clients mark them.
     pub repeat: bool,
 }
--- a/crates/coppercart/src/decide/requests.rs
+++ b/crates/coppercart/src/decide/requests.rs
@@ -20,7 +20,7 @@
         // Without this, one heavy request looks like a slow server or a full fleet. Half of an answer
         // time, about, grows with the work that was announced.
         let l = &mut self.learned[class];
-        let work_ratio = new.hint.filter(|&h| h > 0).map_or(1.0, |hint| {
+        let work_ratio = new.work_hint.filter(|&h| h > 0).map_or(1.0, |hint| {
             let hint = hint as f64;
             l.hint = if l.hint > 0.0 { l.hint + MEAN_WEIGHT * (hint - l.hint) } else { hint };
             0.5 + 0.5 * (hint / l.hint).min(MAX_WORK_RATIO)
--- a/crates/coppercart/src/wire/batch.rs
+++ b/crates/coppercart/src/wire/batch.rs
@@ -84,7 +84,7 @@
                     tenant: rec.u32(9) as usize,
                     key: rec.u64(13),
                     time_left: rec.u32(21).into(),
-                    hint: (flags & COST_HINT != 0).then(|| rec.u32(25).into()),
+                    work_hint: (flags & COST_HINT != 0).then(|| rec.u32(25).into()),
                     class: rec.u8(29).into(),
                     repeat: flags & CLIENT_REPEAT != 0,
                 })
--- a/crates/coppercart/tests/it/common/fleet/mod.rs
+++ b/crates/coppercart/tests/it/common/fleet/mod.rs
@@ -206,7 +206,7 @@
             tenant: 0,
             key: 0,
             time_left: self.plan.classes[class].patience,
-            hint: None,
+            work_hint: None,
             repeat: false,
         };
         self.event(balancer, Event::Request(request));
--- a/crates/coppercart/tests/it/common/mod.rs
+++ b/crates/coppercart/tests/it/common/mod.rs
@@ -90,7 +90,7 @@
             tenant: 0,
             key: self.key,
             time_left: S,
-            hint,
+            work_hint: hint,
             repeat: false,
         }));
         (id, out)
--- a/crates/coppercart/tests/it/decide/copies.rs
+++ b/crates/coppercart/tests/it/decide/copies.rs
@@ -194,7 +194,7 @@
         tenant: 0,
         key: 0,
         time_left: 60 * S,
-        hint: None,
+        work_hint: None,
         repeat: false,
     }));
     let on = sent(&out).expect("sent");
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -202,7 +202,7 @@
                     tenant: 0,
                     key: n % 5,
                     time_left: left,
-                    hint: None,
+                    work_hint: None,
                     repeat: n.is_multiple_of(3),
                 }));
             }
--- a/crates/coppercart/tests/it/wire.rs
+++ b/crates/coppercart/tests/it/wire.rs
@@ -70,7 +70,7 @@
                 tenant: 0,
                 key: 0x91f0_3b7c_55d2_0a64,
                 time_left: 240_000,
-                hint: Some(12_000),
+                work_hint: Some(12_000),
                 repeat: false,
             }),
             Record::Ring(77),
--- a/crates/millethook-depth/src/model/simulation.rs
+++ b/crates/millethook-depth/src/model/simulation.rs
@@ -128,7 +128,7 @@
             tenant: 0,
             key: self.random.random(),
             time_left: left,
-            hint: None,
+            work_hint: None,
             repeat: false,
         };
         self.tell(sidecar, Event::Request(new));
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -237,7 +237,7 @@
             tenant: asked.tenant,
             key: asked.key,
             time_left: (asked.left - margin).as_micros() as Micros,
-            hint: asked.hint,
+            work_hint: asked.hint,
             repeat: asked.repeat,
         }));
         Ticket { id, driver: self.clone(), reply: waiting }
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -123,7 +123,7 @@
                     tenant: 0,
                     key: 0,
                     time_left: S,
-                    hint: None,
+                    work_hint: None,
                     repeat: false,
                 }));
             }
--- a/crates/millethook-model/src/fleet/clients.rs
+++ b/crates/millethook-model/src/fleet/clients.rs
@@ -87,7 +87,7 @@
             tenant: 0,
             key: asked.key,
             time_left: left,
-            hint: None,
+            work_hint: None,
             repeat: false,
         };
         self.tell(at.sidecar, Event::Request(new));
