--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -105,7 +105,7 @@
     /// The client's guess at the work.
     pub work_hint: Option<Micros>,
     /// A client's repeat, where clients mark them.
-    pub repeat: bool,
+    pub client_retry: bool,
 }
 
 /// What happens. Times are in microseconds.
--- a/crates/coppercart/src/wire/batch.rs
+++ b/crates/coppercart/src/wire/batch.rs
@@ -86,7 +86,7 @@
                     time_left: rec.u32(21).into(),
                     work_hint: (flags & COST_HINT != 0).then(|| rec.u32(25).into()),
                     class: rec.u8(29).into(),
-                    repeat: flags & CLIENT_REPEAT != 0,
+                    client_retry: flags & CLIENT_REPEAT != 0,
                 })
             }
             event::FIRST_BYTE => {
--- a/crates/coppercart/tests/it/common/fleet/mod.rs
+++ b/crates/coppercart/tests/it/common/fleet/mod.rs
@@ -207,7 +207,7 @@
             key: 0,
             time_left: self.plan.classes[class].patience,
             work_hint: None,
-            repeat: false,
+            client_retry: false,
         };
         self.event(balancer, Event::Request(request));
     }
--- a/crates/coppercart/tests/it/common/mod.rs
+++ b/crates/coppercart/tests/it/common/mod.rs
@@ -91,7 +91,7 @@
             key: self.key,
             time_left: S,
             work_hint: hint,
-            repeat: false,
+            client_retry: false,
         }));
         (id, out)
     }
--- a/crates/coppercart/tests/it/decide/copies.rs
+++ b/crates/coppercart/tests/it/decide/copies.rs
@@ -195,7 +195,7 @@
         key: 0,
         time_left: 60 * S,
         work_hint: None,
-        repeat: false,
+        client_retry: false,
     }));
     let on = sent(&out).expect("sent");
     let (began, mut again) = (b.now, None);
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -203,7 +203,7 @@
                     key: n % 5,
                     time_left: left,
                     work_hint: None,
-                    repeat: n.is_multiple_of(3),
+                    client_retry: n.is_multiple_of(3),
                 }));
             }
             Step::Outcome { which, how, queue } => {
--- a/crates/coppercart/tests/it/wire.rs
+++ b/crates/coppercart/tests/it/wire.rs
@@ -71,7 +71,7 @@
                 key: 0x91f0_3b7c_55d2_0a64,
                 time_left: 240_000,
                 work_hint: Some(12_000),
-                repeat: false,
+                client_retry: false,
             }),
             Record::Ring(77),
             Record::On(5),
--- a/crates/millethook-depth/src/model/simulation.rs
+++ b/crates/millethook-depth/src/model/simulation.rs
@@ -129,7 +129,7 @@
             key: self.random.random(),
             time_left: left,
             work_hint: None,
-            repeat: false,
+            client_retry: false,
         };
         self.tell(sidecar, Event::Request(new));
     }
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -238,7 +238,7 @@
             key: asked.key,
             time_left: (asked.left - margin).as_micros() as Micros,
             work_hint: asked.hint,
-            repeat: asked.repeat,
+            client_retry: asked.repeat,
         }));
         Ticket { id, driver: self.clone(), reply: waiting }
     }
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -124,7 +124,7 @@
                     key: 0,
                     time_left: S,
                     work_hint: None,
-                    repeat: false,
+                    client_retry: false,
                 }));
             }
             self.tick();
--- a/crates/millethook-explore/src/world.rs
+++ b/crates/millethook-explore/src/world.rs
@@ -107,7 +107,15 @@
 
     fn new_request(id: RequestId, kind: Kind) -> NewRequest {
         let (class, left) = (kind.class(), DEADLINE);
-        NewRequest { id, class, tenant: 0, key: 0, time_left: left, work_hint: None, repeat: false }
+        NewRequest {
+            id,
+            class,
+            tenant: 0,
+            key: 0,
+            time_left: left,
+            work_hint: None,
+            client_retry: false,
+        }
     }
 
     fn answer(
--- a/crates/millethook-model/src/fleet/clients.rs
+++ b/crates/millethook-model/src/fleet/clients.rs
@@ -88,7 +88,7 @@
             key: asked.key,
             time_left: left,
             work_hint: None,
-            repeat: false,
+            client_retry: false,
         };
         self.tell(at.sidecar, Event::Request(new));
     }
