--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -1,89 +1,93 @@
-//! What goes in and out of the decision module. No decisions here, and no wire names.
+//! Events and actions: the inputs and outputs of the decision module.
+//!
+//! This module contains no decision logic and does not use the wire format's names.
 
 use smallvec::SmallVec;
 
-/// Microseconds, on a clock that starts anywhere and never runs backwards.
+/// Microseconds on a monotonic clock with an arbitrary origin.
 pub type Micros = u64;
 
-/// A request, as its sidecar numbers it.
+/// Identifies a request within its sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A server, the same at every sidecar. It may be compared and hashed; it tells nothing else.
+/// Identifies a server; the same at every sidecar. The value is opaque: only compare and hash it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerId(pub u64);
 
-/// What discovery says of a server's process.
+/// The state of a server's process as discovery reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and may get nothing new.
+    /// Finishes its open requests and must not receive new ones.
     Draining,
-    /// It is not listed any more.
+    /// No longer listed.
     Gone,
 }
 
-/// One line of a list of servers.
+/// One entry of a server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
-    /// Its zone, as a position within the zones of the settings.
+    /// The zone, as an index into the zones of the settings.
     pub zone: u8,
-    /// What kind of machine it is.
+    /// The machine type.
     pub kind: u16,
-    /// A small group of servers that know each other's keyed requests.
+    /// The cell: a small group of servers that share deduplication state for keyed requests.
     pub cell: u16,
-    /// What its process does.
+    /// The state of the server's process.
     pub health: Health,
-    /// The list's figure of the server's power; the settings tell what it means.
+    /// The server's relative capacity as listed.
+    /// [`Settings::weight_kind`](crate::settings::Settings::weight_kind) says what the number
+    /// means.
     pub power: f32,
-    /// When the process last started; 0: long ago.
+    /// When the process last started; 0 if it started long ago.
     pub started: Micros,
 }
 
-/// How a list of servers applies.
+/// How a server list is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// The complete list.
     Whole,
-    /// The complete list as this sidecar last had it; it may be old.
+    /// The last complete list that this sidecar stored. It may be outdated.
     Remembered,
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// A call failed or the subscription broke; the last list stays.
+    /// A discovery call failed or the subscription broke. The previous list stays in use.
     Failed,
 }
 
-/// The values of a load report, in the order of the settings' columns.
+/// The values of a load report, in the order of the columns in the settings.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct LoadReport(pub SmallVec<[f32; 4]>);
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An answer in full.
+    /// Answered completely.
     Served,
-    /// An error answer; it may have run.
+    /// Answered with an error. The request may have run.
     Error,
-    /// Turned away unseen: it never ran.
+    /// Rejected because the server was full. The request never ran.
     Full,
-    /// No answer within the attempt's timeout; it may have run.
+    /// No answer within the attempt's timeout. The request may have run.
     TimedOut,
-    /// No connection: it never ran.
+    /// The connection could not be opened. The request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke. The request may have run.
     Reset,
-    /// Ended by an [`Action::Cancel`]; it may have run.
+    /// Ended by an [`Action::Cancel`]. The request may have run.
     Cancelled,
-    /// Never sent: it never ran.
+    /// The attempt was never sent. The request never ran.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent)
     }
@@ -94,169 +98,171 @@
 pub struct NewRequest {
     /// The request.
     pub id: RequestId,
-    /// Its class, as a position within [`Settings::classes`](crate::settings::Settings::classes).
+    /// The class, as an index into [`Settings::classes`](crate::settings::Settings::classes).
     pub class: usize,
-    /// Its tenant, as a position within the tenants of the settings.
+    /// The tenant, as an index into the tenants of the settings.
     pub tenant: usize,
-    /// What the request is about; 0: unknown.
+    /// Identifies what the request is about; 0 if unknown.
     pub key: u64,
-    /// How long the client will wait.
+    /// How much longer the client waits.
     pub time_left: Micros,
-    /// The client's guess at the work.
+    /// The client's estimate of the work.
     pub work_hint: Option<Micros>,
-    /// A client's repeat, where clients mark them.
+    /// Whether the client marked the request as a retry. Set only where clients mark retries.
     pub client_retry: bool,
 }
 
-/// What happens. Times are in microseconds.
+/// Input of the decision module. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// Discovery has told of servers.
+    /// Discovery delivered a server list.
     Servers {
-        /// How the entries apply.
+        /// How the entries are applied.
         kind: ListKind,
         /// The servers.
         entries: &'a [ServerEntry],
     },
-    /// A client has sent a request.
+    /// A client sent a request.
     Request(NewRequest),
-    /// A streaming answer has begun: the request belongs to this attempt from now on.
+    /// A streaming answer has begun. From now on the request belongs to this attempt.
     FirstByte {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0.
+        /// The index of the attempt, from 0.
         attempt: usize,
     },
     /// An attempt has ended.
     Answer {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0.
+        /// The index of the attempt, from 0.
         attempt: usize,
-        /// The server that it went to.
+        /// The server that the attempt was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The time from its send to its end.
+        /// The time from the send to the end of the attempt.
         latency: Micros,
-        /// The request has its final answer, by this outcome or before it.
+        /// Whether the request has its final answer, by this outcome or an earlier one.
         finished: bool,
-        /// What the server said of its load.
+        /// The load report that came with the answer.
         report: LoadReport,
     },
-    /// The client left, or its time is over.
+    /// The client disconnected or its deadline has passed.
     ClientGone {
         /// The request.
         id: RequestId,
     },
-    /// A timer that [`Action::Timer`] set has run out.
+    /// A timer that [`Action::Timer`] set has expired.
     Timer {
-        /// The number that it was set with.
+        /// The token of the timer.
         token: u32,
     },
     /// A probe has ended.
     Probed {
-        /// The server that was probed.
+        /// The probed server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The time that it took.
+        /// The duration of the probe.
         latency: Micros,
-        /// What the server said of its load.
+        /// The load report that came with the answer.
         report: LoadReport,
     },
-    /// Another sidecar has sent a message.
+    /// Another sidecar sent a message.
     Note {
-        /// The number of the other sidecar.
+        /// The number of the sending sidecar.
         from: u32,
-        /// The message.
+        /// The content of the message.
         data: &'a [u8],
     },
-    /// What the sidecars of the fleet together make of a server has changed, where they share that.
+    /// The fleet's verdict on a server has changed. Sent only where sidecars share their evidence.
     Stands {
         /// The server.
         server: ServerId,
-        /// What they make of it now.
+        /// The new verdict.
         standing: ServerVerdict,
     },
 }
 
-/// What several sidecars say of a server.
+/// What the sidecars of a fleet conclude about a server from their shared evidence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerVerdict {
-    /// Nothing.
+    /// Nothing is held against the server.
     #[default]
     Trusted,
-    /// Several had no answer since anyone had one.
+    /// Several sidecars got no answer since the last time that any of them got one.
     Suspected,
-    /// Discovery has told one of them that it goes.
+    /// Discovery told one of the sidecars that the server is leaving.
     Leaving,
 }
 
-/// What is to be done. Times are in microseconds.
+/// Output of the decision module. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request. Attempts are counted from 0 in the order of these actions.
+    /// Send an attempt of a request. The attempts of a request are numbered from 0 in the order of
+    /// these actions.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// After this time without an answer the attempt ends as [`Outcome::TimedOut`].
+        /// Without an answer after this time, the attempt ends as [`Outcome::TimedOut`].
         timeout: Micros,
-        /// What would make it run has to be out within this time, or must not go out.
+        /// The part of the request that makes it run has to be written within this time, or not at
+        /// all.
         commit_within: Micros,
     },
-    /// End an attempt that is out.
+    /// Cancel an open attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0.
+        /// The index of the attempt, from 0.
         attempt: usize,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused. A retry by the client is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// When the client should come back; 0: nothing is said of that.
+        /// When the client should retry; 0 if it is not told.
         retry_after: Micros,
     },
-    /// Final answer: failed; no promise.
+    /// Final answer: failed. Nothing is promised about a retry.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Wake the decisions with an [`Event::Timer`].
+    /// Set a timer that ends in an [`Event::Timer`].
     Timer {
-        /// After this time.
+        /// The time until the timer expires.
         delay: Micros,
-        /// A number that the event repeats.
+        /// The token that the event returns.
         token: u32,
     },
-    /// Ask a server for its load.
+    /// Probe a server for its load.
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Close idle connections to a server.
+    /// Close the idle connections to a server.
     CloseIdle {
         /// The server.
         server: ServerId,
     },
-    /// Ask discovery for changes from now on.
+    /// Subscribe to list changes from discovery.
     Subscribe,
-    /// Ask discovery for the whole list once.
+    /// Fetch the complete list from discovery once.
     FetchList,
     /// Send a message to other sidecars.
     Tell {
-        /// The number of the other sidecar, or [`ALL_PEERS`](crate::wire::ALL_PEERS).
+        /// The number of the receiving sidecar, or [`ALL_PEERS`](crate::wire::ALL_PEERS).
         peer: u32,
-        /// The message.
+        /// The content of the message.
         data: Vec<u8>,
     },
     /// Write a line to the log.
     Log {
-        /// The line.
+        /// The text of the line.
         text: String,
     },
 }
--- a/crates/coppercart/src/bin/coppercart-adapter.rs
+++ b/crates/coppercart/src/bin/coppercart-adapter.rs
@@ -1,5 +1,5 @@
-//! Hosts many instances of the decision module for the simulator: batches on standard input, one
-//! reply each on standard output. Instances share nothing but this process.
+//! Runs many instances of the decision module for the simulator: it reads batches from standard
+//! input and writes one reply each to standard output. Instances share only this process.
 #![forbid(unsafe_code)]
 
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 use coppercart::settings::Settings;
 use coppercart::wire::{self, Batch, Record, Reply, WireError};
 
-const LISTS: usize = 16;
+const MAX_LISTS: usize = 16;
 
 thread_local! {
     static PANIC: RefCell<String> = const { RefCell::new(String::new()) };
@@ -21,17 +21,18 @@
 #[derive(Default)]
 struct Host {
     instances: Vec<Option<Box<Balancer>>>,
-    lists: [Option<Vec<ServerEntry>>; LISTS],
-    skipped: Vec<u8>,
-    /// This batch's actions, an entry for each instance in the order of their first events.
+    lists: [Option<Vec<ServerEntry>>; MAX_LISTS],
+    unknown_codes: Vec<u8>,
+    /// The actions of the current batch, with an entry per instance in the order of their first
+    /// events.
     pending: Vec<(u16, Vec<Action>)>,
-    /// Where an instance's entry in `pending` is, and of which batch.
-    place: Vec<(u64, usize)>,
+    /// The position of an instance's entry in `pending`, and the batch for which it is valid.
+    positions: Vec<(u64, usize)>,
     batch: u64,
-    spare: Vec<Vec<Action>>,
+    unused_lists: Vec<Vec<Action>>,
 }
 
-/// What ends the run: a frame that cannot be read, or decisions that failed.
+/// A reason to stop: a malformed frame or a failure of the decision code.
 enum Stop {
     Wire(WireError),
     Fault { instance: u16, text: String },
@@ -44,18 +45,18 @@
 }
 
 impl Host {
-    fn turn(&mut self, instance: u16) -> usize {
-        let i = usize::from(instance);
-        if self.place.len() <= i {
-            self.place.resize(i + 1, (0, 0));
-            self.instances.resize_with(i + 1, || None);
+    fn entry_of(&mut self, instance: u16) -> usize {
+        let index = usize::from(instance);
+        if self.positions.len() <= index {
+            self.positions.resize(index + 1, (0, 0));
+            self.instances.resize_with(index + 1, || None);
         }
-        if self.place[i].0 != self.batch {
-            self.place[i] = (self.batch, self.pending.len());
-            let list = self.spare.pop().unwrap_or_default();
+        if self.positions[index].0 != self.batch {
+            self.positions[index] = (self.batch, self.pending.len());
+            let list = self.unused_lists.pop().unwrap_or_default();
             self.pending.push((instance, list));
         }
-        self.place[i].1
+        self.positions[index].1
     }
 
     fn batch(&mut self, frame: &[u8], reply: &mut Reply) -> Result<(), Stop> {
@@ -65,41 +66,41 @@
         for record in batch.records() {
             let event = match record? {
                 Record::On(instance) => {
-                    current = Some((instance, self.turn(instance)));
+                    current = Some((instance, self.entry_of(instance)));
                     continue;
                 }
                 Record::Rows { list, entries } => {
                     let slot = self.lists.get_mut(list as usize).ok_or_else(|| WireError {
-                        what: format!("list number {list} is past 15"),
-                        at: 0,
+                        message: format!("list number {list} is above 15"),
+                        offset: 0,
                     })?;
                     *slot = Some(entries);
                     continue;
                 }
                 Record::Unknown(code) => {
-                    if !self.skipped.contains(&code) {
-                        self.skipped.push(code);
+                    if !self.unknown_codes.contains(&code) {
+                        self.unknown_codes.push(code);
                         eprintln!("coppercart-adapter: skipping records of unknown code {code}");
                     }
                     continue;
                 }
                 other => other,
             };
-            let Some((instance, place)) = current else {
+            let Some((instance, position)) = current else {
                 return Err(Stop::Wire(WireError {
-                    what: "an event before any instance is named".into(),
-                    at: 0,
+                    message: "event record before any instance is selected".into(),
+                    offset: 0,
                 }));
             };
-            self.event(batch.now, instance, place, event)?;
+            self.event(batch.now, instance, position, event)?;
         }
         for (instance, mut actions) in self.pending.drain(..) {
             if !actions.is_empty() {
-                reply.at(instance);
-                actions.iter().for_each(|a| reply.action(a));
+                reply.select_instance(instance);
+                actions.iter().for_each(|action| reply.action(action));
                 actions.clear();
             }
-            self.spare.push(actions);
+            self.unused_lists.push(actions);
         }
         Ok(())
     }
@@ -108,22 +109,22 @@
         &mut self,
         now: u64,
         instance: u16,
-        place: usize,
+        position: usize,
         record: Record<'_>,
     ) -> Result<(), Stop> {
         let slot = &mut self.instances[usize::from(instance)];
-        let out = &mut self.pending[place].1;
+        let out = &mut self.pending[position].1;
         let fault = |text| Stop::Fault { instance, text };
         let event = match record {
             Record::Up { seed, info } => {
                 let settings = Settings::from_json(info).map_err(fault)?;
                 out.clear();
-                let made = guarded(|| Balancer::new(settings, seed, now)).map_err(fault)?;
-                *slot = Some(Box::new(made));
+                let balancer = catch_panic(|| Balancer::new(settings, seed, now)).map_err(fault)?;
+                *slot = Some(Box::new(balancer));
                 return Ok(());
             }
             Record::Exit => {
-                // What a killed instance still wanted dies with it.
+                // The pending actions of a stopped instance are dropped.
                 out.clear();
                 *slot = None;
                 return Ok(());
@@ -134,8 +135,8 @@
                 } else {
                     let known = self.lists.get(list as usize).and_then(Option::as_ref);
                     known.ok_or_else(|| WireError {
-                        what: format!("list number {list} was never defined"),
-                        at: 0,
+                        message: format!("list number {list} was never defined"),
+                        offset: 0,
                     })?
                 };
                 Event::Servers { kind, entries }
@@ -153,19 +154,19 @@
             Record::Note { from, data } => Event::Note { from, data },
             Record::On(_) | Record::Rows { .. } | Record::Unknown(_) => return Ok(()),
         };
-        // Events for an instance that is not up have nobody to read them.
+        // Events for an instance that is not running are ignored.
         match slot {
-            Some(balancer) => guarded(|| balancer.handle(now, event, out)).map_err(fault),
+            Some(balancer) => catch_panic(|| balancer.handle(now, event, out)).map_err(fault),
             None => Ok(()),
         }
     }
 }
 
-/// Runs the decisions; a panic inside them comes back as its text.
-fn guarded<T>(f: impl FnOnce() -> T) -> Result<T, String> {
+/// Runs the decision code and returns a panic as its text.
+fn catch_panic<T>(f: impl FnOnce() -> T) -> Result<T, String> {
     panic::catch_unwind(AssertUnwindSafe(f)).map_err(|_| {
         let text = PANIC.with(|p| p.take());
-        format!("panic in the decisions: {text}")
+        format!("panic in the decision code: {text}")
     })
 }
 
@@ -189,12 +190,12 @@
     let mut reply = Reply::default();
     let (mut frame, mut bytes) = (Vec::new(), Vec::new());
     while wire::read_frame(&mut input, &mut frame)? {
-        let stop = match host.batch(&frame, &mut reply) {
+        let fault = match host.batch(&frame, &mut reply) {
             Ok(()) => None,
             Err(Stop::Wire(e)) => return Err(io::Error::new(io::ErrorKind::InvalidData, e)),
             Err(Stop::Fault { instance, text }) => {
                 reply = Reply::default();
-                reply.at(instance);
+                reply.select_instance(instance);
                 reply.fault(&text);
                 Some(text)
             }
@@ -203,7 +204,7 @@
         reply.finish(&mut bytes);
         output.write_all(&bytes)?;
         output.flush()?;
-        if let Some(text) = stop {
+        if let Some(text) = fault {
             return Err(io::Error::other(text));
         }
     }
--- a/crates/coppercart/src/decide/learning.rs
+++ b/crates/coppercart/src/decide/learning.rs
@@ -1,21 +1,23 @@
-//! What answers and failures say of a server: chips, loads, answer times, trials.
+//! Learns from outcomes about servers: chips, loads, answer times and trials.
 
-use super::timers::MISSED_AIM;
+use super::timers::MISSED_AIM_LATENCY;
 use super::*;
 
-/// Algorithm 1 of the paper measures a queue against this share of the capacity.
+/// Algorithm 1 of the paper compares a queue with this share of the capacity.
 const CAPACITY_SHARE: f64 = 0.8;
-/// The paper's span for the average of reported queues, and how long no capacity is known.
-const CAPACITY_SPAN: Micros = 30_000_000;
-/// Chips a server can hold here: enough for a burst, few enough that a wipe costs little to regain.
+/// The paper's averaging span for reported queues. Until the first span has passed, the capacity is
+/// unknown.
+const CAPACITY_SPAN_US: Micros = 30_000_000;
+/// The maximum number of chips per server: enough for a burst, and few enough to regain soon after
+/// they are cleared.
 const MAX_CHIPS: u32 = 16;
-/// How loaded a refusal as full shows a server to be: more than answers do.
+/// The load that a refusal as full stands for; higher than the load that answers show.
 const FULL_LOAD: f64 = 16.0;
-/// Failures in a row after which trials are no rarer still (each one doubles the pause).
+/// Consecutive failures after which the pause between trials no longer doubles.
 const MAX_DOUBLINGS: u32 = 5;
 
 impl Balancer {
-    /// What an outcome tells of the server.
+    /// Updates what is known about the server from the outcome of an attempt.
     pub(super) fn on_outcome(
         &mut self,
         id: RequestId,
@@ -26,74 +28,82 @@
         report: &LoadReport,
     ) {
         let Some(request) = self.requests.get(&id) else { return };
-        let open = |a: &&Attempt| a.fate == Fate::Out && a.server == server;
+        let open = |a: &&Attempt| a.state == AttemptState::InFlight && a.server == server;
         let Some(a) = request.attempts.get(attempt).filter(open) else { return };
-        let (slot, sent, begun) = (a.slot, a.sent, a.begun);
-        let (class, work, refusals) = (request.class, request.work_ratio, request.attempts.len());
+        let (slot, sent, response_started) = (a.slot, a.sent_at, a.response_started);
+        let (class, work, attempt_count) =
+            (request.class, request.work_ratio, request.attempts.len());
         let now = self.now;
         let pause = self.reset_interval as f64 * (0.75 + 0.5 * self.uniform());
         let aim = self.settings.classes[class].aim as f64;
-        let silent = self.silent(&self.servers[slot]);
-        let lost = self.lost(&self.servers[slot], sent) && now - sent >= aim as Micros;
+        let silent = self.is_silent(&self.servers[slot]);
+        let unresponsive =
+            self.is_silent_since(&self.servers[slot], sent) && now - sent >= aim as Micros;
         let s = &mut self.servers[slot];
-        s.in_flight = s.in_flight.saturating_sub(u32::from(!begun));
+        s.in_flight = s.in_flight.saturating_sub(u32::from(!response_started));
         if s.in_flight == 0 {
-            // A cancelled attempt brings no answer: a server with nothing in flight is not silent.
-            s.silent_since = None;
+            // A cancelled attempt gets no answer: a server with nothing in flight is not silent.
+            s.unanswered_since = None;
         }
         if s.id != server {
             return;
         }
         match outcome {
-            // An attempt that its copy has overtaken is cancelled; without this it would tell nothing.
-            Outcome::Cancelled if lost => {}
+            // An attempt that its hedge overtook is cancelled. Without this, its server would not
+            // be blamed.
+            Outcome::Cancelled if unresponsive => {}
             Outcome::NeverSent | Outcome::Cancelled => return,
             Outcome::Served | Outcome::Error | Outcome::Full => {
-                s.silent_since = (s.in_flight > 0).then_some(now);
-                s.received = Some(now);
-                // A full server refuses at once, and what waits there is none the sooner for it.
-                s.answered = s.answered.max(if outcome == Outcome::Full { 0 } else { sent });
+                s.unanswered_since = (s.in_flight > 0).then_some(now);
+                s.last_received = Some(now);
+                // A full server refuses at once. That says nothing about the attempts that wait
+                // there.
+                s.latest_answered_send =
+                    s.latest_answered_send.max(if outcome == Outcome::Full { 0 } else { sent });
             }
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {}
         }
         if outcome == Outcome::Served || outcome == Outcome::Error {
-            self.report(slot, report);
+            self.apply_report(slot, report);
         }
         let s = &mut self.servers[slot];
         match outcome {
             Outcome::Served => {
                 s.failures = 0;
                 s.ejected_until = 0;
-                self.answer_time(slot, class, latency / work);
+                self.record_latency(slot, class, latency / work);
             }
             Outcome::Full => {
                 self.clear_chips(slot);
-                // Without this, a full zone looks quick by what it does serve.
+                // Without this, a full zone looks fast by the requests that it does serve.
                 self.adjust_cross_zone_share(slot, FULL_LOAD);
-                // Where queues are short, servers refuse long before answers are late.
-                // A refusal is news of the fleet only when the request found no place at all.
-                if refusals >= FULL_TRIES {
+                // Where queues are short, servers refuse long before answers are late. A refusal
+                // says something about the fleet only if the request found no server at all.
+                if attempt_count >= MAX_ATTEMPTS_WHEN_FULL {
                     self.observe_latency(slot, class, aim);
                 }
             }
-            // Without this, hurried clients, long queues and lost answers leave out well servers, and their load piles
-            // up on the others. Only silence for longer than an aim is a failure. What is unanswered after half of the
-            // aim is late: where clients wait for less than the aim, nothing else tells of an overload.
+            // Without this, short client timeouts, long queues and lost answers eject healthy
+            // servers, and their load piles up on the others. Only silence for longer than an aim
+            // is a failure. An attempt that is unanswered after half of the aim counts as late:
+            // where clients wait for less than the aim, nothing else shows an overload.
             Outcome::TimedOut if !silent => {
                 let waited = (now - sent) as f64 / aim;
-                if s.answered <= sent && (0.5..1.0).contains(&waited) {
-                    self.observe_latency(slot, class, MISSED_AIM * aim);
+                if s.latest_answered_send <= sent && (0.5..1.0).contains(&waited) {
+                    self.observe_latency(slot, class, MISSED_AIM_LATENCY * aim);
                 }
             }
-            _ => self.failed(slot, outcome, sent, pause),
+            _ => self.record_failure(slot, outcome, sent, pause),
         }
     }
 
-    /// Outlier ejection: each failure in a row doubles the pause until the next single trial.
-    /// A lone reset tells nothing: where networks reset connections now and then, a pause for each leaves too few.
-    /// A busy sidecar has many attempts out at one server, and what ends one ends them all.
-    /// Those that were out when it last failed are not a row of failures.
-    fn failed(&mut self, slot: Slot, outcome: Outcome, sent: Micros, pause: f64) {
+    /// Outlier ejection: each consecutive failure doubles the pause until the next single trial.
+    ///
+    /// A single reset does not count: where the network resets connections now and then, a pause
+    /// after each leaves too few servers. A busy sidecar has many attempts open at one server, and
+    /// one fault ends all of them: attempts that were open when the server last failed do not count
+    /// as consecutive failures.
+    fn record_failure(&mut self, slot: Slot, outcome: Outcome, sent: Micros, pause: f64) {
         let s = &mut self.servers[slot];
         if s.failures > 0 && sent < s.failed_at {
             return;
@@ -103,36 +113,37 @@
         if s.failures == 1 && outcome == Outcome::Reset {
             return;
         }
-        let doubled = f64::from(1u32 << (s.failures - 1).min(MAX_DOUBLINGS));
-        s.ejected_until = self.now + (pause * 0.25 * doubled) as Micros;
+        let factor = f64::from(1u32 << (s.failures - 1).min(MAX_DOUBLINGS));
+        s.ejected_until = self.now + (pause * 0.25 * factor) as Micros;
         s.chips = 0;
     }
 
     fn clear_chips(&mut self, slot: Slot) {
         let s = &mut self.servers[slot];
         s.chips = 0;
-        s.received = Some(self.now);
+        s.last_received = Some(self.now);
     }
 
-    fn answer_time(&mut self, slot: Slot, class: usize, latency: f64) {
-        let mean_weight = self.sample_weight(MEAN_WEIGHT);
-        let slowness_weight = self.sample_weight(SLOWNESS_WEIGHT);
-        let l = &mut self.learned[class];
-        if !l.seen {
-            (l.base, l.usual, l.seen) = (latency, latency, true);
+    fn record_latency(&mut self, slot: Slot, class: usize, latency: f64) {
+        let mean_weight = self.sample_weight(MEAN_SAMPLE_WEIGHT);
+        let slowness_weight = self.sample_weight(SLOWNESS_SAMPLE_WEIGHT);
+        let stats = &mut self.class_stats[class];
+        if !stats.has_samples {
+            (stats.base_latency, stats.mean_latency, stats.has_samples) = (latency, latency, true);
         }
-        // A low quantile by unequal steps: quick to fall, slow to rise.
-        let step = if latency < l.base { 0.5 } else { 0.02 };
-        l.base += step * (latency.min(2.0 * l.base) - l.base);
-        let relative = (latency / l.usual.max(1.0)).min(MOST_SLOW);
-        l.usual += mean_weight * (latency.min(4.0 * l.usual) - l.usual);
+        // Estimates a low quantile by unequal steps: it falls quickly and rises slowly.
+        let step = if latency < stats.base_latency { 0.5 } else { 0.02 };
+        stats.base_latency += step * (latency.min(2.0 * stats.base_latency) - stats.base_latency);
+        let relative = (latency / stats.mean_latency.max(1.0)).min(MAX_SLOWNESS);
+        stats.mean_latency +=
+            mean_weight * (latency.min(4.0 * stats.mean_latency) - stats.mean_latency);
         let s = &mut self.servers[slot];
         s.slowness += slowness_weight * (relative - s.slowness);
-        let loaded = relative * (1.0 + s.load / s.power);
-        self.adjust_cross_zone_share(slot, loaded);
+        let load = relative * (1.0 + s.load / s.power);
+        self.adjust_cross_zone_share(slot, load);
         if latency < self.settings.classes[class].aim as f64 {
-            // Without this, one heavy request looks like a long queue. What the report says of the
-            // answer time to be expected counts as much as the answer time itself.
+            // Without this, one heavy request looks like a long queue. The answer time expected
+            // from the load report counts as much as the measured one.
             let expected = match self.held_column {
                 Some(_) => {
                     let held = 1.0 + self.servers[slot].load;
@@ -146,28 +157,30 @@
         }
     }
 
-    /// Algorithm 1 here: mint from the reported queue, or wipe when it is past capacity.
-    fn report(&mut self, slot: Slot, report: &LoadReport) {
+    /// Algorithm 1 of the paper: mints chips according to the reported queue, or clears them when
+    /// the queue exceeds the capacity.
+    fn apply_report(&mut self, slot: Slot, report: &LoadReport) {
         let value = |column: Option<usize>| {
             let v = column.and_then(|i| report.0.get(i)).copied()?;
             v.is_finite().then(|| f64::from(v.max(0.0)))
         };
         let (queue, load) = (value(self.queue_column), value(self.load_column));
         let draws = (self.uniform(), self.uniform());
-        let (now, mean_weight) = (self.now, self.sample_weight(MEAN_WEIGHT));
+        let (now, mean_weight) = (self.now, self.sample_weight(MEAN_SAMPLE_WEIGHT));
         if let Some(load) = load {
             let s = &mut self.servers[slot];
-            (s.load, s.reported) = (load, now);
+            (s.load, s.reported_at) = (load, now);
             self.usual_load += mean_weight * (load / s.power - self.usual_load);
         }
         let s = &mut self.servers[slot];
         let Some(queue) = queue else {
-            // No queue reported: an answer in itself is the sign that another may follow.
+            // No queue was reported: an answer by itself shows that the server can take another
+            // request.
             s.chips = (s.chips + 2).min(MAX_CHIPS);
             return;
         };
-        s.average.add(now, CAPACITY_SPAN, queue);
-        let share = match s.average.last {
+        s.mean_queue.add(now, CAPACITY_SPAN_US, queue);
+        let fill_level = match s.mean_queue.last_mean {
             Some(capacity) => {
                 let capacity = capacity.max(4.0);
                 if queue > capacity {
@@ -177,13 +190,14 @@
             }
             None => 0.0,
         };
-        // Less than one chip minted for one spent would starve a hardly loaded server: a second draw lets them grow.
-        let minted = u32::from(draws.0 >= share) + u32::from(draws.1 >= 2.0 * share);
+        // Minting less than one chip per spent one would starve a lightly loaded server. The second
+        // draw lets chips accumulate.
+        let minted = u32::from(draws.0 >= fill_level) + u32::from(draws.1 >= 2.0 * fill_level);
         s.chips = (s.chips + minted).min(MAX_CHIPS);
     }
 
-    /// The weight of one more answer where a quiet sidecar gives it `quiet`.
+    /// Scales the weight of a sample down above [`LOW_RATE_PER_S`]; `quiet` is the full weight.
     pub(super) fn sample_weight(&self, quiet: f64) -> f64 {
-        quiet * (QUIET_RATE / self.rate.max(QUIET_RATE))
+        quiet * (LOW_RATE_PER_S / self.rate.max(LOW_RATE_PER_S))
     }
 }
--- a/crates/coppercart/src/decide/rules.rs
+++ b/crates/coppercart/src/decide/rules.rs
@@ -1,22 +1,29 @@
-//! The four rules: every send passes `send`, every refusal or failure passes `end`.
+//! Enforces the four rules: every send passes through `send`, every refusal or failure through
+//! `refuse_or_fail`.
 
 use super::*;
 
 impl Request {
-    pub(super) fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.fate == Fate::Out).count()
+    pub(super) fn in_flight(&self) -> usize {
+        self.attempts.iter().filter(|a| a.state == AttemptState::InFlight).count()
     }
-    pub(super) fn cancel(&self, id: RequestId, but: Option<usize>, out: &mut Vec<Action>) {
-        let of = |n: &usize| Some(*n) != but && self.attempts[*n].fate == Fate::Out;
-        let all = (0..self.attempts.len()).filter(of);
-        out.extend(all.map(|attempt| Action::Cancel { id, attempt }));
+    pub(super) fn cancel_attempts(
+        &self,
+        id: RequestId,
+        except: Option<usize>,
+        out: &mut Vec<Action>,
+    ) {
+        let is_open =
+            |n: &usize| Some(*n) != except && self.attempts[*n].state == AttemptState::InFlight;
+        let open = (0..self.attempts.len()).filter(is_open);
+        out.extend(open.map(|attempt| Action::Cancel { id, attempt }));
     }
-    pub(super) fn streams(&self) -> bool {
-        self.attempts.iter().any(|a| a.begun && a.fate == Fate::Out)
+    pub(super) fn has_open_stream(&self) -> bool {
+        self.attempts.iter().any(|a| a.response_started && a.state == AttemptState::InFlight)
     }
-    /// The attempts that may have run, or may yet.
+    /// The attempts that have run or may still run, as far as is known.
     fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| a.fate != Fate::NeverRan)
+        self.attempts.iter().filter(|a| a.state != AttemptState::NeverRan)
     }
     pub(super) fn never_ran(&self) -> bool {
         self.may_have_run().next().is_none()
@@ -24,15 +31,15 @@
 }
 
 impl Balancer {
-    /// Rule 2: whether `s` may get (another) attempt of this request.
-    pub(super) fn allowed(&self, request: &Request, s: &Server) -> bool {
+    /// Rule 2: returns whether `s` may get an attempt of this request.
+    pub(super) fn may_send(&self, request: &Request, s: &Server) -> bool {
         let class = &self.settings.classes[request.class];
         let limits = &self.settings.limits;
         if request.ended
             || request.streaming
             || self.now >= request.deadline
-            || request.attempts.len() >= request.most_attempts
-            || (request.out() > 0 && !limits.may_duplicate)
+            || request.attempts.len() >= request.attempt_limit
+            || (request.in_flight() > 0 && !limits.may_duplicate)
         {
             return false;
         }
@@ -40,66 +47,80 @@
             RetrySafety::Safe => true,
             RetrySafety::Unsafe => request.never_ran(),
             RetrySafety::Keyed => request.may_have_run().all(|a| {
-                let shared = class.dedup_scope.shares((a.zone, a.cell), (s.zone, s.cell));
-                shared && self.now - a.sent < class.window
+                let shared = class.dedup_scope.covers_both((a.zone, a.cell), (s.zone, s.cell));
+                shared && self.now - a.sent_at < class.window
             }),
         }
     }
 
-    /// Rule 2: whether the client may be told that trying again is harmless.
-    fn refusable(&self, request: &Request) -> bool {
-        // A client's own retry of a keyed request may come when no server remembers it.
+    /// Rule 2: returns whether the client may be told that a retry is harmless.
+    fn may_refuse(&self, request: &Request) -> bool {
+        // For a keyed request this cannot be promised: the client's retry may come after the
+        // servers have forgotten the key.
         self.settings.classes[request.class].repeat == RetrySafety::Safe || request.never_ran()
     }
 
-    /// The one gate of all sends.
+    /// Sends an attempt; the only place that does.
     pub(super) fn send(&mut self, id: RequestId, slot: Slot, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let (now, s) = (self.now, &self.servers[slot]);
-        if s.health != Health::Ready || !self.allowed(request, s) {
+        if s.health != Health::Ready || !self.may_send(request, s) {
             return false;
         }
-        let left = request.deadline - now;
-        // Copies count when they are out, not when they are decided on. One whose connection is late, and
-        // one that was first and is later still, both have to be out within the window of the first decision.
-        let since = now - request.may_have_run().map(|a| a.sent).min().unwrap_or(now);
-        let window = self.settings.classes[request.class].commit_window() - since;
+        let time_left = request.deadline - now;
+        // A hedge has to be on the wire within the deduplication window, not only decided. An
+        // attempt whose connection is slow, and an earlier one that is even slower, both have to be
+        // written within the window that began with the first decision.
+        let elapsed = now - request.may_have_run().map(|a| a.sent_at).min().unwrap_or(now);
+        let window = self.settings.classes[request.class].commit_window() - elapsed;
         let s = &mut self.servers[slot];
         if s.chips > 0 {
             s.chips -= 1;
-        } else if s.received.is_some() {
-            s.received = Some(now);
+        } else if s.last_received.is_some() {
+            s.last_received = Some(now);
         }
         s.in_flight += 1;
-        s.silent_since.get_or_insert(now);
+        s.unanswered_since.get_or_insert(now);
         let (server, zone, cell) = (s.id, s.zone, s.cell);
-        let attempt =
-            Attempt { slot, server, zone, cell, sent: now, fate: Fate::Out, begun: false };
-        out.push(Action::Send { id, server, timeout: left, commit_within: left.min(window) });
+        let attempt = Attempt {
+            slot,
+            server,
+            zone,
+            cell,
+            sent_at: now,
+            state: AttemptState::InFlight,
+            response_started: false,
+        };
+        out.push(Action::Send {
+            id,
+            server,
+            timeout: time_left,
+            commit_within: time_left.min(window),
+        });
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts.push(attempt);
         }
         true
     }
 
-    /// The one gate of all refusals and failures.
-    pub(super) fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Refuses or fails a request; the only place that does.
+    pub(super) fn refuse_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.ended) else { return };
-        out.push(match self.refusable(request) {
+        out.push(match self.may_refuse(request) {
             true => Action::Refuse { id, retry_after: self.retry_after() },
             false => Action::Fail { id },
         });
-        self.call_off(id, out);
+        self.close_request(id, out);
     }
 
-    /// A request's end: calls off what is still out and forgets it when nothing is.
-    pub(super) fn call_off(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Ends a request: cancels its open attempts, and forgets it once none is open.
+    pub(super) fn close_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.ended = true;
-        if request.out() == 0 {
+        if request.in_flight() == 0 {
             self.requests.remove(&id);
         } else if self.settings.limits.cancel && !request.streaming {
-            request.cancel(id, None, out);
+            request.cancel_attempts(id, None, out);
         }
     }
 }
--- a/crates/coppercart/src/decide/timers.rs
+++ b/crates/coppercart/src/decide/timers.rs
@@ -1,106 +1,133 @@
-//! What was to be looked at later.
+//! Timers: checks of open requests, deadlines and renewed subscriptions.
 
-use super::requests::RETRY_SHARE;
-use super::shedding::SHED_FROM;
+use super::requests::RETRY_BUDGET_RATIO;
+use super::shedding::MIN_SHED_LATENESS;
 use super::*;
 
-/// The answer time, in aims, that is taken for granted of what has not come by its aim.
-pub(super) const MISSED_AIM: f64 = 1.5;
+/// The answer time, in aims, assumed for an attempt that is unanswered at its aim.
+pub(super) const MISSED_AIM_LATENCY: f64 = 1.5;
 
 impl Balancer {
-    pub(super) fn set_alarm(&mut self, delay: Micros, alarm: Alarm, out: &mut Vec<Action>) {
+    pub(super) fn set_timer(&mut self, delay: Micros, kind: TimerKind, out: &mut Vec<Action>) {
         let token = self.next_token;
         self.next_token = self.next_token.wrapping_add(1);
-        self.alarms.insert(token, alarm);
+        self.timers.insert(token, kind);
         out.push(Action::Timer { delay, token });
     }
 
-    /// Looks at a request after `delay`, and at its end in time at the latest (rule 1). Otherwise three
-    /// timers for each at once would be kept for as long as clients say that they wait.
-    pub(super) fn look_again(&mut self, delay: Micros, alarm: Alarm, out: &mut Vec<Action>) {
-        let (Alarm::Copy(id) | Alarm::Late(id) | Alarm::Overdue(id)) = alarm else { return };
-        let Some(r) = self.requests.get(&id).filter(|r| !r.ended) else { return };
-        let left = r.deadline.saturating_sub(self.now);
-        let alarm = if left <= delay { Alarm::Overdue(id) } else { alarm };
-        self.set_alarm(left.min(delay), alarm, out);
+    /// Schedules a check of a request after `delay`, but not later than its deadline (rule 1).
+    ///
+    /// One timer per request: three timers set at its start would all be kept for as long as the
+    /// client says that it waits.
+    pub(super) fn schedule_check(&mut self, delay: Micros, kind: TimerKind, out: &mut Vec<Action>) {
+        let (TimerKind::EarlyHedge(id) | TimerKind::LateHedge(id) | TimerKind::Deadline(id)) = kind
+        else {
+            return;
+        };
+        let Some(request) = self.requests.get(&id).filter(|request| !request.ended) else { return };
+        let time_left = request.deadline.saturating_sub(self.now);
+        let kind = if time_left <= delay { TimerKind::Deadline(id) } else { kind };
+        self.set_timer(time_left.min(delay), kind, out);
     }
 
-    pub(super) fn timer(&mut self, token: u32, out: &mut Vec<Action>) {
-        match self.alarms.remove(&token) {
-            // A connection or an answer that falls silent takes its request with it. Where that does no harm a second
-            // copy goes out, within the budget for repeats; in an overload, copies would be what makes others late.
-            Some(Alarm::Copy(id)) => {
-                let Some(r) = self.requests.get(&id) else { return };
-                // Timers run late, and the next one is not to run later for that.
-                let aim = self.settings.classes[r.class].aim;
-                let due = r.attempts.first().map_or(self.now, |a| a.sent) + aim;
-                // One that came long after it: a heavy request is soon overtaken, too.
-                let usual = self.learned[r.class].usual as Micros;
-                let calm = self.lateness_now() < SHED_FROM;
-                self.copy(id, calm, |_, s, a| s.answered > a.sent + usual, out);
-                self.look_again(due.saturating_sub(self.now), Alarm::Late(id), out);
+    pub(super) fn on_timer(&mut self, token: u32, out: &mut Vec<Action>) {
+        match self.timers.remove(&token) {
+            // A connection or an answer that goes silent blocks its request. A hedge goes out if it
+            // is harmless and within the retry budget; in an overload, hedges would be what makes
+            // others late.
+            Some(TimerKind::EarlyHedge(id)) => {
+                let Some(request) = self.requests.get(&id) else { return };
+                // Timers fire late. The next one must not be later for that.
+                let aim = self.settings.classes[request.class].aim;
+                let aim_time = request.attempts.first().map_or(self.now, |a| a.sent_at) + aim;
+                // Counts answers to attempts sent clearly after this one: a heavy request is easily
+                // overtaken.
+                let mean_latency = self.class_stats[request.class].mean_latency as Micros;
+                let overload_free = self.current_lateness() < MIN_SHED_LATENESS;
+                self.hedge(
+                    id,
+                    overload_free,
+                    |_, s, a| s.latest_answered_send > a.sent_at + mean_latency,
+                    out,
+                );
+                self.schedule_check(
+                    aim_time.saturating_sub(self.now),
+                    TimerKind::LateHedge(id),
+                    out,
+                );
             }
-            Some(Alarm::Late(id)) => {
-                // Nothing overtakes a request at a server that accepts and never answers, so this copy is by time.
-                let calm = self.lateness_now() < SHED_FROM;
-                self.unanswered(id);
-                self.copy(id, calm, |b, s, a| b.lost(s, a.sent), out);
-                // Without another look, and budget earned by waiting, a lone caller would wait out its whole time.
-                let more = self.settings.failover.copy_at_aim;
-                let again = if more { self.longest_aim as Micros } else { Micros::MAX };
-                self.retry_budget += if more { RETRY_SHARE } else { 0.0 };
-                self.look_again(again, Alarm::Late(id), out);
+            Some(TimerKind::LateHedge(id)) => {
+                // A server that accepts requests and never answers overtakes nothing, so this hedge
+                // depends on time alone.
+                let overload_free = self.current_lateness() < MIN_SHED_LATENESS;
+                self.record_late_attempts(id);
+                self.hedge(id, overload_free, |b, s, a| b.is_silent_since(s, a.sent_at), out);
+                // Without another check, and budget earned by waiting, a lone client would wait
+                // until its deadline.
+                let keep_checking = self.settings.failover.copy_at_aim;
+                let next_check =
+                    if keep_checking { self.longest_aim as Micros } else { Micros::MAX };
+                self.retry_budget += if keep_checking { RETRY_BUDGET_RATIO } else { 0.0 };
+                self.schedule_check(next_check, TimerKind::LateHedge(id), out);
             }
-            Some(Alarm::Overdue(id)) if self.requests.get(&id).is_some_and(|r| !r.streams()) => {
-                self.end(id, out);
+            Some(TimerKind::Deadline(id))
+                if self.requests.get(&id).is_some_and(|request| !request.has_open_stream()) =>
+            {
+                self.refuse_or_fail(id, out);
             }
-            Some(Alarm::Subscribe) => out.push(Action::Subscribe),
-            Some(Alarm::Overdue(_)) | None => {}
+            Some(TimerKind::Subscribe) => out.push(Action::Subscribe),
+            Some(TimerKind::Deadline(_)) | None => {}
         }
     }
 
-    /// Sends one more copy where `lost` is true of every attempt so far.
-    fn copy(
+    /// Sends one more attempt if `is_lost` holds for every attempt so far.
+    fn hedge(
         &mut self,
         id: RequestId,
-        calm: bool,
-        lost: impl Fn(&Self, &Server, &Attempt) -> bool,
+        overload_free: bool,
+        is_lost: impl Fn(&Self, &Server, &Attempt) -> bool,
         out: &mut Vec<Action>,
     ) {
-        let Some(r) = self.requests.get(&id) else { return };
-        let repeat = self.settings.classes[r.class].repeat;
+        let Some(request) = self.requests.get(&id) else { return };
+        let repeat = self.settings.classes[request.class].repeat;
         let harmless = repeat != RetrySafety::Unsafe && self.settings.limits.may_duplicate;
-        let waiting = harmless && !r.ended && !r.streaming && r.out() > 0;
-        let all = r.attempts.iter().all(|a| lost(self, &self.servers[a.slot], a));
-        if waiting && all && calm {
+        let waiting = harmless && !request.ended && !request.streaming && request.in_flight() > 0;
+        let all_lost = request.attempts.iter().all(|a| is_lost(self, &self.servers[a.slot], a));
+        if waiting && all_lost && overload_free {
             self.retry(id, out);
         }
     }
 
-    /// Whether nothing has come from a server since then, where that means another attempt.
-    pub(super) fn lost(&self, s: &Server, sent: Micros) -> bool {
-        self.settings.failover.copy_at_aim && s.silent_since.is_some_and(|t| t <= sent)
+    /// Returns whether the server has sent nothing since `sent`, where the settings hedge in that
+    /// case.
+    pub(super) fn is_silent_since(&self, s: &Server, sent: Micros) -> bool {
+        self.settings.failover.copy_at_aim && s.unanswered_since.is_some_and(|t| t <= sent)
     }
 
-    /// With few requests of its own, a sidecar that waits for late answers to come in
-    /// learns of an overload when it is over. Not having come by the aim counts.
-    fn unanswered(&mut self, id: RequestId) {
-        // An answer that has begun is in time, however long it takes to come.
-        let open = self.requests.get(&id).filter(|r| !r.ended && !r.streaming);
-        let Some(r) = open else { return };
-        let class = r.class;
-        // A connection may fall silent though its server is well: what a later attempt there has overtaken tells of
-        // itself alone. Each attempt counts at one look.
-        let overtaken = |a: &Attempt| self.servers[a.slot].answered > a.sent;
+    /// Counts the open attempts of a request as late at its aim. A sidecar with few requests that
+    /// waits for late answers to arrive learns of an overload only when it is over.
+    fn record_late_attempts(&mut self, id: RequestId) {
+        // An answer that has begun is in time, however long it takes to arrive.
+        let open = self.requests.get(&id).filter(|request| !request.ended && !request.streaming);
+        let Some(request) = open else { return };
+        let class = request.class;
+        // A connection may go silent though its server is healthy: an attempt that a later one has
+        // overtaken says nothing about the server. Each attempt counts at one check.
+        let overtaken = |a: &Attempt| self.servers[a.slot].latest_answered_send > a.sent_at;
         let until = self.settings.classes[class].aim + self.longest_aim as Micros;
-        let counts = |a: &&Attempt| a.fate == Fate::Out && self.now - a.sent < until;
-        let out = r.attempts.iter().filter(counts).filter(|a| !overtaken(a));
-        let slots: SmallVec<[Slot; 2]> = out.map(|a| a.slot).collect();
-        let slowness_weight = self.sample_weight(SLOWNESS_WEIGHT);
+        let counts =
+            |a: &&Attempt| a.state == AttemptState::InFlight && self.now - a.sent_at < until;
+        let late = request.attempts.iter().filter(counts).filter(|a| !overtaken(a));
+        let slots: SmallVec<[Slot; 2]> = late.map(|a| a.slot).collect();
+        let slowness_weight = self.sample_weight(SLOWNESS_SAMPLE_WEIGHT);
         for slot in slots {
             let s = &mut self.servers[slot];
-            s.slowness += slowness_weight * (MOST_SLOW - s.slowness);
-            self.observe_latency(slot, class, MISSED_AIM * self.settings.classes[class].aim as f64);
+            s.slowness += slowness_weight * (MAX_SLOWNESS - s.slowness);
+            self.observe_latency(
+                slot,
+                class,
+                MISSED_AIM_LATENCY * self.settings.classes[class].aim as f64,
+            );
         }
     }
 }
--- a/crates/coppercart/src/decide/view.rs
+++ b/crates/coppercart/src/decide/view.rs
@@ -1,4 +1,4 @@
-//! What the decisions show of themselves to operators. Nothing here changes anything.
+//! Read-only views of the decision state for operators.
 
 mod check;
 #[cfg(feature = "explore")]
@@ -6,29 +6,29 @@
 
 use super::*;
 
-/// Servers as the decisions see them.
+/// Server counts as the decisions see them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// On the list, whatever they do.
+    /// Servers on the list, in any state.
     pub listed: usize,
-    /// Of these, those that get no ordinary request at present: they drain, or give no sign of life.
+    /// Listed servers that currently get no ordinary requests: they drain or are unhealthy.
     pub avoided: usize,
 }
 
 impl Balancer {
-    /// How many servers are listed and avoided now. Costs a look at each.
+    /// Counts the listed and the avoided servers. Looks at every server.
     pub fn server_counts(&self) -> ServerCounts {
         let listed = self.servers.iter().filter(|s| s.health != Health::Gone);
         let avoided = |s: &&Server| s.health != Health::Ready || !self.healthy(s);
         ServerCounts { listed: listed.clone().count(), avoided: listed.filter(avoided).count() }
     }
 
-    /// How many requests have no end yet, or attempts whose outcome is awaited.
+    /// Returns the number of requests without a final answer or with open attempts.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether requests of the class at this place are open.
+    /// Returns whether requests of the class at this index are open.
     pub fn uses_class(&self, class: usize) -> bool {
         self.requests.values().any(|request| request.class == class)
     }
--- a/crates/coppercart/src/decide/view/snapshot.rs
+++ b/crates/coppercart/src/decide/view/snapshot.rs
@@ -1,6 +1,7 @@
-//! Copies and fingerprints of the whole state, so that an exploration can go back to a state and knows one that it has
-//! met. Nothing here changes anything. Every struct is taken apart by name: a new field that is left out here does
-//! not compile.
+//! Copies and fingerprints of the whole state. An exploration restores earlier states and
+//! recognises states that it has visited. Read-only.
+//!
+//! Every struct is destructured by name: a new field that is missing here does not compile.
 
 use std::hash::{Hash, Hasher};
 
@@ -8,7 +9,7 @@
 
 impl Clone for Server {
     fn clone(&self) -> Server {
-        Server { average: self.average.clone(), ..*self }
+        Server { mean_queue: self.mean_queue.clone(), ..*self }
     }
 }
 
@@ -35,22 +36,22 @@
             subset: self.subset.clone(),
             ring: self.ring.clone(),
             requests: self.requests.clone(),
-            alarms: self.alarms.clone(),
-            learned: self.learned.clone(),
+            timers: self.timers.clone(),
+            class_stats: self.class_stats.clone(),
             lateness: self.lateness.clone(),
             ..*self
         }
     }
 }
 
-/// A float as something that can be hashed: equal bits, equal value.
+/// Converts floats to a hashable form; equal bits count as equal.
 fn bits<const N: usize>(values: [f64; N]) -> [u64; N] {
     values.map(f64::to_bits)
 }
 
 impl Balancer {
-    /// Adds all of the state but the settings to a fingerprint. Two balancers of the same settings whose hashed values
-    /// are the same do the same from here on.
+    /// Hashes all of the state except the settings. Two balancers with the same settings and the
+    /// same hashed values behave the same from here on.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let Balancer {
             settings: _,
@@ -67,14 +68,14 @@
             ranked_at_rate,
             remote_share,
             initial_remote_share,
-            least_remote_share,
+            min_remote_share,
             side_load,
             rate,
             rate_at,
             requests,
-            alarms,
+            timers,
             next_token,
-            learned,
+            class_stats,
             lateness,
             usual_load,
             retry_budget,
@@ -87,7 +88,7 @@
             reset_interval,
             now,
         } = self;
-        // The generator's state is 128 bits; its next two outputs stand for it.
+        // The generator has 128 bits of state; its next two outputs stand for it.
         let mut ahead = rng.clone();
         (ahead.next_u64(), ahead.next_u64()).hash(hasher);
         servers.iter().for_each(|server| server.fingerprint(hasher));
@@ -101,7 +102,7 @@
         ring.hash(hasher);
         (recent_keys, next_recent_key, weights_updated, rate_at, next_token, subscribe_failures)
             .hash(hasher);
-        bits([*ranked_at_rate, *remote_share, *initial_remote_share, *least_remote_share])
+        bits([*ranked_at_rate, *remote_share, *initial_remote_share, *min_remote_share])
             .hash(hasher);
         bits([side_load[0], side_load[1], *rate, *usual_load, *retry_budget]).hash(hasher);
         let mut open: Vec<_> = requests.iter().collect();
@@ -111,19 +112,19 @@
             id.hash(hasher);
             request.fingerprint(hasher);
         }
-        let mut set: Vec<_> = alarms.iter().collect();
+        let mut set: Vec<_> = timers.iter().collect();
         set.sort_unstable_by_key(|(token, _)| **token);
-        for (token, alarm) in set {
-            let (kind, id) = match alarm {
-                Alarm::Copy(id) => (0u8, id.0),
-                Alarm::Late(id) => (1, id.0),
-                Alarm::Overdue(id) => (2, id.0),
-                Alarm::Subscribe => (3, 0),
+        for (token, timer_kind) in set {
+            let (kind, id) = match timer_kind {
+                TimerKind::EarlyHedge(id) => (0u8, id.0),
+                TimerKind::LateHedge(id) => (1, id.0),
+                TimerKind::Deadline(id) => (2, id.0),
+                TimerKind::Subscribe => (3, 0),
             };
             (token, kind, id).hash(hasher);
         }
-        for Learned { base, usual, seen, hint } in learned {
-            (bits([*base, *usual, *hint]), seen).hash(hasher);
+        for ClassStats { base_latency, mean_latency, has_samples, mean_hint } in class_stats {
+            (bits([*base_latency, *mean_latency, *mean_hint]), has_samples).hash(hasher);
         }
         lateness.fingerprint(hasher);
         capacity.fingerprint(hasher);
@@ -144,34 +145,36 @@
             started,
             chips,
             in_flight,
-            received,
-            answered,
-            silent_since,
+            last_received,
+            latest_answered_send,
+            unanswered_since,
             failures,
             failed_at,
             ejected_until,
             load,
-            reported,
+            reported_at,
             slowness,
-            average,
+            mean_queue,
             in_subset,
-            leaving,
+            draining_by_verdict,
         } = self;
         (id, zone, cell, *health as u8, started, chips, in_flight).hash(hasher);
-        (received, answered, silent_since, failures, failed_at, ejected_until).hash(hasher);
-        (bits([*power, *load, *slowness]), reported, in_subset, leaving).hash(hasher);
-        average.fingerprint(hasher);
+        (last_received, latest_answered_send, unanswered_since, failures, failed_at, ejected_until)
+            .hash(hasher);
+        (bits([*power, *load, *slowness]), reported_at, in_subset, draining_by_verdict)
+            .hash(hasher);
+        mean_queue.fingerprint(hasher);
     }
 }
 
 impl Request {
     fn fingerprint(&self, hasher: &mut impl Hasher) {
-        let Request { class, key, work_ratio, deadline, most_attempts, ended, streaming, attempts } =
+        let Request { class, key, work_ratio, deadline, attempt_limit, ended, streaming, attempts } =
             self;
-        (class, key, work_ratio.to_bits(), deadline, most_attempts, ended, streaming).hash(hasher);
+        (class, key, work_ratio.to_bits(), deadline, attempt_limit, ended, streaming).hash(hasher);
         attempts.len().hash(hasher);
-        for Attempt { slot, server, zone, cell, sent, fate, begun } in attempts {
-            (slot, server, zone, cell, sent, *fate as u8, begun).hash(hasher);
+        for Attempt { slot, server, zone, cell, sent_at, state, response_started } in attempts {
+            (slot, server, zone, cell, sent_at, *state as u8, response_started).hash(hasher);
         }
     }
 }
--- a/crates/coppercart/src/lib.rs
+++ b/crates/coppercart/src/lib.rs
@@ -1,7 +1,8 @@
-//! coppercart: the decisions of a client-side load balancer that every client runs for itself.
+//! coppercart: the decision logic of a client-side load balancer. Each client runs its own
+//! instance.
 //!
-//! They are a sans-I/O state machine, [`decide::Balancer`]: events in, actions out. Nothing here
-//! depends on a runtime, a clock or a socket.
+//! The logic is a sans-I/O state machine, [`decide::Balancer`]: it takes events and returns
+//! actions. It does not depend on a runtime, a clock or a socket.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -9,7 +10,7 @@
 mod average;
 mod capacity;
 pub mod decide;
-mod draws;
 mod lateness;
 pub mod settings;
+mod weighted;
 pub mod wire;
--- a/crates/coppercart/src/settings.rs
+++ b/crates/coppercart/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings that an instance gets at its start, as JSON. Unknown keys are skipped; what the
-//! decisions need is checked here, so that they can rely on it.
+//! The settings of an instance, as JSON. Unknown keys are ignored. The settings are validated here,
+//! so that the decision module can rely on them.
 
 use serde::Deserialize;
 
@@ -11,13 +11,13 @@
 pub use class::{Class, DedupScope, RetrySafety};
 pub use limits::{Failover, Limits};
 
-/// How servers tell of their load.
+/// How servers report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum ReportMode {
-    /// With each answer, and with answers to probes.
+    /// With each answer, including answers to probes.
     #[serde(rename = "piggyback")]
     Answers,
-    /// With answers to probes only.
+    /// Only with answers to probes.
     #[serde(rename = "pull")]
     Probes,
     /// Not at all.
@@ -25,119 +25,123 @@
     Silent,
 }
 
-/// How the list of servers comes.
+/// How the server list is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Discovery pushes changes.
     #[default]
     #[serde(rename = "pushed")]
     Pushed,
-    /// Changes come only after [`Action::Subscribe`](crate::api::Action::Subscribe) or `FetchList`.
+    /// Changes arrive only after [`Action::Subscribe`](crate::api::Action::Subscribe) or
+    /// `FetchList`.
     #[serde(rename = "on_request")]
     OnRequest,
 }
 
-/// What the list's figure of a server's power is.
+/// The meaning of a server's `power` in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
-pub enum PowerMeans {
-    /// Nothing: it is 1 for all.
+pub enum WeightKind {
+    /// No meaning: every server counts as 1.
     #[default]
     Silent,
     /// The registered size of the machine.
     Nominal,
-    /// About the size of the machine.
+    /// The approximate size of the machine.
     Rough,
-    /// The size, divided by the load of a moment ago.
+    /// The size divided by a recent load.
     Live,
 }
 
-/// What the worth of a class is counted by.
+/// The unit for which a class earns its credit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
-pub enum WorthBy {
-    /// Each request earns its class's credit.
+pub enum WorthUnit {
+    /// Each request earns the credit of its class.
     #[default]
     Request,
-    /// Each unit of work earns it.
+    /// Each unit of work earns the credit of its class.
     Work,
 }
 
-/// How parts of the result are weighted against each other. The decisions do not read it.
+/// The weights of the parts of the simulator's score. The decision module does not read them.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Goal {
     /// The weight of the whole run.
     pub whole: f64,
-    /// The weight of the class that fares worst.
+    /// The weight of the class with the worst result.
     pub worst_class: f64,
-    /// The weight of the tenant that fares worst, within its share.
+    /// The weight of the tenant with the worst result within its share.
     pub worst_tenant: f64,
     /// The weight of the worst 10 seconds.
     pub worst_window: f64,
 }
 
-/// Points that are taken off the result, for each unit of what is named. 0: it costs nothing.
+/// Points deducted from the score per unit of each cost; 0 if it is free.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Prices {
-    /// For open connections: mean number, divided by 100 times the number of servers.
+    /// Open connections: their mean number, divided by 100 times the number of servers.
     pub connection: f64,
-    /// For attempts that cross zones, as a share of first attempts.
+    /// Attempts that cross zones, as a share of first attempts.
     pub cross_zone: f64,
-    /// For new connections, for each first attempt.
+    /// New connections, per first attempt.
     pub handshake: f64,
-    /// For worth that was not served by its aim and is lost.
+    /// Value that was not served within its aim and is lost.
     pub late_fail: f64,
-    /// For bytes between sidecars: number, divided by 256 times the number of first attempts.
+    /// Bytes between sidecars, divided by 256 times the number of first attempts.
     pub peer: f64,
-    /// For probes, for each first attempt.
+    /// Probes, per first attempt.
     pub probe: f64,
-    /// For work of servers that served no answer, as a share of the work offered.
+    /// Server work that did not lead to a served answer, as a share of the work offered.
     pub waste: f64,
 }
 
-/// Load reports of servers.
+/// The load reports of servers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Report {
-    /// The names of their values, four at most. The decisions know `q` (queue) and `rif` (requests held).
+    /// The names of the reported values, four at most. The decision module knows `q` (queue length)
+    /// and `rif` (requests held).
     #[serde(default)]
     pub columns: Vec<String>,
-    /// How they come.
+    /// How the reports are delivered.
     pub how: ReportMode,
 }
 
-/// Figures of the four rules. Times are in microseconds.
+/// Parameters of the four rules. Times are in microseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Rules {
     /// How long after the client's deadline a final answer still counts.
     pub answer_slack: Micros,
-    /// The time after its start by which a server is warm.
+    /// The slow start period: how long after its start a server is fully warm.
     pub cold: Micros,
-    /// The share of its full capacity that a server has at its start, above 0 and up to 1.
+    /// The share of its full capacity that a server has at its start; above 0, at most 1.
     pub cold_share: f64,
-    /// A cold server falls over under this many times its present capacity.
+    /// A cold server collapses under this many times its current capacity.
     pub fall_multiple: f64,
-    /// Where lists come on request: what is listed counts as told after this time without a subscription.
+    /// With lists on request: changes count as delivered after this time without a subscription.
     #[serde(default)]
     pub must_ask_in: Micros,
-    /// How long after it was told sends to a draining or gone server have to cease.
+    /// How long after the notice sends to a draining or removed server have to stop.
     pub stop_sending_within: Micros,
-    /// How long a cold server bears too much before it falls over.
+    /// How long a cold server withstands overload before it collapses.
     pub tip_after: Micros,
 }
 
-/// What discovery has to tell counts as told so long after it had it and could be reached, whatever has failed before.
-const TOLD_AFTER: Micros = 6_000_000;
-/// The longest that a call may take which comes to nothing.
-const FUTILE_CALL: Micros = 2_000_000;
+/// List changes count as delivered this long after discovery had them and was reachable, regardless
+/// of earlier failures.
+const UPDATE_DEADLINE_US: Micros = 6_000_000;
+/// The longest duration of a discovery call that fails.
+const MAX_FAILED_CALL_US: Micros = 2_000_000;
 
 impl Rules {
-    /// Where discovery is asked, the longest that a sidecar puts off a call, as a share of what the settings leave:
-    /// one that hung before it and one that is slow behind it still come in time.
-    pub fn max_discovery_delay(&self, share: u64) -> Micros {
-        (self.must_ask_in.max(4) / 2 / share).min(TOLD_AFTER - 2 * FUTILE_CALL)
+    /// Returns the maximum random delay before a discovery call, where lists come on request;
+    /// `divisor` divides the time that the settings allow. A call that hung before the delay and a
+    /// slow call after it still finish in time.
+    pub fn max_discovery_delay(&self, divisor: u64) -> Micros {
+        (self.must_ask_in.max(4) / 2 / divisor).min(UPDATE_DEADLINE_US - 2 * MAX_FAILED_CALL_US)
     }
 }
 
@@ -153,19 +157,19 @@
     pub share: f64,
 }
 
-/// How clients behave.
+/// Client behaviour.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Clients {
-    /// They mark their own repeats.
+    /// Whether clients mark their retries.
     pub marks_retry: bool,
 }
 
-/// Facts of this kind of service.
+/// Properties of this kind of service.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FamilyInfo {
-    /// A server does less work for a key that it has served lately.
+    /// Whether a server does less work for a key that it served recently.
     pub warm_keys: bool,
 }
 
@@ -173,53 +177,53 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Settings {
-    /// The classes of requests, at least one.
+    /// The request classes, at least one.
     pub classes: Vec<Class>,
-    /// How clients behave.
+    /// Client behaviour.
     #[serde(default)]
     pub clients: Clients,
-    /// How the list of servers comes.
+    /// How the server list is delivered.
     #[serde(default)]
     pub discovery: Discovery,
-    /// What is done about servers that are slow or silent.
+    /// How to treat slow or silent servers.
     #[serde(default)]
     pub failover: Failover,
-    /// Facts of this kind of service.
+    /// Properties of this kind of service.
     #[serde(default)]
     pub family_info: FamilyInfo,
-    /// How parts of the result are weighted.
+    /// The weights of the parts of the score.
     #[serde(default)]
     pub goal: Goal,
-    /// How many instances send to these servers, 1 or more.
+    /// The number of instances that send to these servers, at least 1.
     pub instances: u32,
     /// What an instance may do.
     #[serde(default)]
     pub limits: Limits,
-    /// This instance's number, from 0 and below `instances`.
+    /// The number of this instance, from 0 and below `instances`.
     pub me: u32,
-    /// The worth of a request beyond its tenant's share, as a share of its class's worth.
+    /// The value of a request beyond its tenant's share, as a share of its class's value.
     #[serde(default = "one")]
     pub over_share_worth: f64,
     /// What costs points.
     #[serde(default)]
     pub prices: Prices,
-    /// Load reports of servers.
+    /// The load reports of servers.
     pub report: Report,
-    /// Figures of the four rules.
+    /// Parameters of the four rules.
     pub rules: Rules,
-    /// The tenants; there may be none.
+    /// The tenants; may be empty.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// The shortest time between two batches of events.
+    /// The minimum time between two batches of events.
     #[serde(default)]
     pub tick: Micros,
-    /// What the list's figure of a server's power is.
+    /// The meaning of a server's `power` in the list.
     #[serde(default)]
-    pub weight_kind: PowerMeans,
-    /// What worth is counted by.
+    pub weight_kind: WeightKind,
+    /// The unit for which a class earns its credit.
     #[serde(default)]
-    pub worth_by: WorthBy,
-    /// This instance's zone, as a position within `zones`.
+    pub worth_by: WorthUnit,
+    /// The zone of this instance, as an index into `zones`.
     #[serde(default)]
     pub zone: u8,
     /// The names of the zones.
@@ -232,7 +236,7 @@
 }
 
 impl Settings {
-    /// Reads and checks the settings. The error names the key and what was expected.
+    /// Parses and validates the settings. An error names the key and what was expected.
     pub fn from_json(text: &[u8]) -> Result<Settings, String> {
         let s: Settings = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
         s.check()?;
@@ -240,36 +244,40 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let need = |ok: bool, what: &str| {
-            if ok { Ok(()) } else { Err(format!("settings: {what}")) }
+        let require = |ok: bool, message: &str| {
+            if ok { Ok(()) } else { Err(format!("settings: {message}")) }
         };
-        need(!self.classes.is_empty(), "classes: at least one expected")?;
+        require(!self.classes.is_empty(), "classes: at least one expected")?;
         for (i, c) in self.classes.iter().enumerate() {
-            let key = |k: &str, want: &str| format!("classes[{i}].{k}: {want} expected");
-            need(c.aim > 0, &key("aim", "a time above 0"))?;
-            need(c.deadline > 0, &key("deadline", "a time above 0"))?;
-            need(c.credit >= 0.0, &key("credit", "a worth of 0 or more"))?;
-            need((0.0..=1.0).contains(&c.late_worth), &key("lateWorth", "a share from 0 to 1"))?;
+            let field_error =
+                |key: &str, expected: &str| format!("classes[{i}].{key}: {expected} expected");
+            require(c.aim > 0, &field_error("aim", "a time above 0"))?;
+            require(c.deadline > 0, &field_error("deadline", "a time above 0"))?;
+            require(c.credit >= 0.0, &field_error("credit", "a worth of 0 or more"))?;
+            require(
+                (0.0..=1.0).contains(&c.late_worth),
+                &field_error("lateWorth", "a share from 0 to 1"),
+            )?;
         }
-        need(self.limits.max_attempts > 0, "limits.maxAttempts: 1 or more expected")?;
-        need(self.instances > 0, "instances: 1 or more expected")?;
-        need(self.me < self.instances, "me: a number below instances expected")?;
-        need(self.report.columns.len() <= 4, "report.columns: four names at most expected")?;
-        need(
+        require(self.limits.max_attempts > 0, "limits.maxAttempts: 1 or more expected")?;
+        require(self.instances > 0, "instances: 1 or more expected")?;
+        require(self.me < self.instances, "me: a number below instances expected")?;
+        require(self.report.columns.len() <= 4, "report.columns: four names at most expected")?;
+        require(
             self.zones.is_empty() || (self.zone as usize) < self.zones.len(),
             "zone: a position within zones expected",
         )?;
-        need(
+        require(
             self.rules.cold_share > 0.0 && self.rules.cold_share <= 1.0,
             "rules.coldShare: a share above 0, up to 1 expected",
         )?;
-        need(
+        require(
             (1.0..=8.0).contains(&self.failover.slow_exponent),
             "failover.slowExponent: a figure from 1 to 8 expected",
         )?;
-        need(self.rules.fall_multiple > 0.0, "rules.fallMultiple: a figure above 0 expected")?;
+        require(self.rules.fall_multiple > 0.0, "rules.fallMultiple: a figure above 0 expected")?;
         for (i, t) in self.tenants.iter().enumerate() {
-            need(
+            require(
                 t.quota_per_s >= 0.0 && t.share >= 0.0,
                 &format!("tenants[{i}]: quotaPerS and share of 0 or more expected"),
             )?;
@@ -277,31 +285,31 @@
         Ok(())
     }
 
-    /// The greatest of such a figure of the classes in force.
-    pub fn max_over_classes(&self, of: fn(&Class) -> Micros) -> Micros {
-        self.classes.iter().filter(|class| !class.retired).map(of).max().unwrap_or(1)
+    /// Returns the maximum of a duration over all active classes.
+    pub fn max_over_classes(&self, duration: fn(&Class) -> Micros) -> Micros {
+        self.classes.iter().filter(|class| !class.retired).map(duration).max().unwrap_or(1)
     }
 
-    /// These settings, followed by `new` while requests are open.
+    /// Merges new settings into these, for use while requests are open.
     ///
-    /// A class that stays as it was keeps its place; any other of `new` gets one that no class has, or one of
-    /// a retired class that is not `held` any more. Open requests name their class by its place, so each goes
-    /// on under the rules that it came under. Names that stand for numbers elsewhere (zones, the columns of
-    /// load reports) stay as they are.
-    pub fn merged_with(&self, mut new: Settings, held: impl Fn(usize) -> bool) -> Settings {
+    /// An unchanged class keeps its index. Any other class of `new` gets an unused index, or that
+    /// of a retired class for which `in_use` returns false. Open requests refer to their class by
+    /// its index, so each keeps the rules under which it arrived. Names that other state refers to
+    /// by number (zones, the columns of load reports) stay unchanged.
+    pub fn merged_with(&self, mut new: Settings, in_use: impl Fn(usize) -> bool) -> Settings {
         let mut classes = self.classes.clone();
-        let stays = |class: &Class| new.classes.contains(class);
-        for class in classes.iter_mut().filter(|class| !stays(class)) {
-            // Without this, other classes are still shed by comparison with what it was worth.
+        let unchanged = |class: &Class| new.classes.contains(class);
+        for class in classes.iter_mut().filter(|class| !unchanged(class)) {
+            // Without this, other classes are still shed by comparison with the retired class.
             (class.retired, class.credit) = (true, 0.0);
         }
         for class in new.classes {
             if classes.contains(&class) {
                 continue;
             }
-            let free = (0..classes.len()).find(|&place| classes[place].retired && !held(place));
+            let free = (0..classes.len()).find(|&index| classes[index].retired && !in_use(index));
             match free {
-                Some(place) => classes[place] = class,
+                Some(index) => classes[index] = class,
                 None => classes.push(class),
             }
         }
@@ -312,8 +320,8 @@
         new
     }
 
-    /// The position of a column of the load report.
-    pub fn column(&self, name: &str) -> Option<usize> {
+    /// Returns the index of a column of the load report.
+    pub fn report_column(&self, name: &str) -> Option<usize> {
         self.report.columns.iter().position(|c| c == name)
     }
 }
--- a/crates/coppercart/src/settings/class.rs
+++ b/crates/coppercart/src/settings/class.rs
@@ -1,40 +1,40 @@
-//! Classes of requests: their times, their worth, and what a repeat of them does.
+//! Request classes: their deadlines, their value and whether their requests may be retried.
 
 use serde::Deserialize;
 
 use super::one;
 use crate::api::Micros;
 
-/// Whether a request may be sent again once it may have run.
+/// Whether a request may be retried once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum RetrySafety {
-    /// Sent twice, it does no harm.
+    /// Running it twice does no harm.
     #[serde(rename = "idempotent")]
     Safe,
-    /// It has a key by which servers drop repeats for a time ([`Class::window`]).
+    /// It has a key by which servers discard duplicates for a time ([`Class::window`]).
     #[serde(rename = "deduplicated")]
     Keyed,
-    /// Sent twice, it takes effect twice.
+    /// Running it twice takes effect twice.
     #[serde(rename = "at_most_once")]
     Unsafe,
 }
 
-/// The servers that discard repeats of a keyed request.
+/// The servers that share deduplication state for a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum DedupScope {
     /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
 impl DedupScope {
-    /// Whether servers at these places (zone and cell) know of each other's keyed requests.
-    pub fn shares(self, a: (u8, u16), b: (u8, u16)) -> bool {
+    /// Returns whether servers in these places (zone and cell) share deduplication state.
+    pub fn covers_both(self, a: (u8, u16), b: (u8, u16)) -> bool {
         match self {
             DedupScope::All => true,
             DedupScope::Zone => a.0 == b.0,
@@ -47,40 +47,42 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     #[serde(default)]
     pub name: String,
-    /// An answer within this time earns the full worth.
+    /// The latency target: an answer within this time earns the full value.
     pub aim: Micros,
-    /// How long a client waits in all.
+    /// How long a client waits in total.
     pub deadline: Micros,
-    /// Whether it may be sent again once it may have run.
+    /// Whether a request may be retried once it may have run.
     pub repeat: RetrySafety,
-    /// For keyed requests: the servers that drop each other's repeats.
+    /// For keyed requests: the servers that discard each other's duplicates.
     #[serde(default)]
     pub dedup_scope: DedupScope,
-    /// For keyed requests: how long repeats are dropped, from the first attempt that may have run.
+    /// For keyed requests: how long duplicates are discarded, from the first attempt that may have
+    /// run.
     #[serde(default)]
     pub window: Micros,
-    /// The worth of a request, 0 or more.
+    /// The value of a request, 0 or more.
     #[serde(default = "one")]
     pub credit: f64,
-    /// The share of the worth that an answer earns between aim and deadline, from 0 to 1.
+    /// The share of the value that an answer earns between the aim and the deadline, from 0 to 1.
     #[serde(default)]
     pub late_worth: f64,
-    /// The aim grows by this many times the request's work, up to the deadline.
+    /// The aim grows by this multiple of the request's work, up to the deadline.
     #[serde(default)]
     pub aim_stretch: f64,
-    /// The answer is a stream.
+    /// Whether the answer is a stream.
     #[serde(default)]
     pub streaming: bool,
-    /// Newer settings lack it or have another in its stead. Its place is kept for requests that are open.
+    /// Whether newer settings removed or replaced the class. Its index is kept for open requests.
     #[serde(skip)]
     pub retired: bool,
 }
 
 impl Class {
-    /// The time within which all attempts of a request have to be out that may have run.
+    /// Returns the time within which all attempts that may run have to be sent, from the first one
+    /// on.
     pub fn commit_window(&self) -> Micros {
         if self.repeat == RetrySafety::Keyed { self.window } else { Micros::MAX }
     }
--- a/crates/coppercart/src/settings/limits.rs
+++ b/crates/coppercart/src/settings/limits.rs
@@ -1,4 +1,4 @@
-//! What a sidecar may do, and how often.
+//! What an instance may do, and its limits.
 
 use serde::Deserialize;
 
@@ -8,25 +8,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers close connections that are idle for so long.
+    /// Servers close connections that are idle for this long.
     pub conn_idle: Micros,
-    /// A connection that takes longer to open has failed.
+    /// Opening a connection fails after this time.
     pub connect_timeout: Micros,
-    /// Attempts of one request, at most; 1 or more.
+    /// The maximum number of attempts per request, at least 1.
     pub max_attempts: usize,
-    /// The longest time that a client heeds when it is told to come back later.
+    /// The longest retry delay that clients honour.
     pub max_retry_after: Micros,
-    /// A request may have two attempts out at once.
+    /// Whether a request may have two open attempts.
     pub may_duplicate: bool,
-    /// Sidecars may send messages to each other.
+    /// Whether sidecars may send messages to each other.
     pub may_tell: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probing: bool,
-    /// Clients are told when to come back.
+    /// Whether clients are told when to retry.
     pub retry_after: bool,
-    /// Attempts that a connection carries at once.
+    /// The maximum number of concurrent attempts per connection.
     pub streams_per_conn: u32,
 }
 
@@ -47,16 +47,17 @@
     }
 }
 
-/// What is done about servers that are slow or silent, beyond what the platform's settings know of. Where the
-/// settings lack it, decisions are as on the platform.
+/// How to treat slow or silent servers, beyond what the platform's settings cover. Without this
+/// section, decisions are the same as on the platform.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Failover {
-    /// A safe or keyed request whose server has said nothing since it was sent gets another attempt at its aim,
-    /// within the budget for retries and outside of overload. Costly where servers are often late: each copy is load.
+    /// Whether a safe or keyed request whose server has sent nothing since the request gets another
+    /// attempt at its aim, within the retry budget and outside of overload. Costly where servers
+    /// are often late: each hedge is load.
     pub copy_at_aim: bool,
-    /// How steeply a server gets less the slower its answers are beside the others': a server `n` times as slow
-    /// as chance allows is passed over but once in `n` to this power. 2 on the platform.
+    /// How strongly slow servers are avoided: a server `n` times as slow as chance allows is chosen
+    /// only once in `n` to this power. The platform uses 2.
     pub slow_exponent: f64,
 }
 
--- a/crates/coppercart/src/wire.rs
+++ b/crates/coppercart/src/wire.rs
@@ -1,7 +1,8 @@
-//! The simulator's binary wire: frames of fixed-size records with one tail each, little-endian.
+//! The simulator's binary wire format: little-endian frames of fixed-size records, each frame with
+//! one tail for data of variable size.
 //!
-//! Reading is total: any bytes give records or a [`WireError`], never a panic and never an
-//! allocation sized by a length that was not checked against the bytes at hand.
+//! The reader is total: any bytes give records or a [`WireError`]. It never panics, and it never
+//! allocates by a length that was not checked against the available bytes.
 mod batch;
 mod codes;
 mod error;
--- a/crates/coppercart/src/wire/batch.rs
+++ b/crates/coppercart/src/wire/batch.rs
@@ -1,45 +1,45 @@
-//! Reads a batch: its clock, its records and their tail.
+//! Reads a batch: its time, its records and their tail.
 
 use smallvec::SmallVec;
 
 use super::codes::{CLIENT_REPEAT, COST_HINT, ENTRY, EVENT, HEADER, REPORT_VALUES, event};
-use super::error::{WireError, bad};
+use super::error::{WireError, wire_error};
 use super::fields::Fields;
 use super::record::Record;
 use crate::api::{Health, ListKind, LoadReport, Micros, NewRequest, Outcome, ServerEntry};
 
-/// A batch: the clock and its records. Decoding a record may still find a fault.
+/// A batch of records. Decoding a record can still fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Batch<'a> {
-    /// The time of all its records.
+    /// The time of all records.
     pub now: Micros,
     frame: &'a [u8],
     count: usize,
 }
 
 impl<'a> Batch<'a> {
-    /// `frame` is the whole frame, its header included.
+    /// Parses a whole frame, including its header.
     pub fn new(frame: &'a [u8]) -> Result<Batch<'a>, WireError> {
         if frame.len() < HEADER {
-            return bad(frame.len(), "frame ends within its header");
+            return wire_error(frame.len(), "frame ends within its header");
         }
-        let head = Fields(frame);
-        if head.u32(0) as usize != frame.len() {
-            return bad(0, format!("length {} for {} bytes", head.u32(0), frame.len()));
+        let header = Fields(frame);
+        if header.u32(0) as usize != frame.len() {
+            return wire_error(0, format!("length {} for {} bytes", header.u32(0), frame.len()));
         }
-        let count = head.u32(12) as usize;
+        let count = header.u32(12) as usize;
         if count > (frame.len() - HEADER) / EVENT {
-            return bad(12, format!("{count} records do not fit the frame"));
+            return wire_error(12, format!("{count} records do not fit the frame"));
         }
-        Ok(Batch { now: head.u64(4), frame, count })
+        Ok(Batch { now: header.u64(4), frame, count })
     }
 
-    /// The records, in order. One that cannot be read is an error in its place.
+    /// Returns the records in order. A record that cannot be decoded is an error in its place.
     pub fn records(self) -> impl Iterator<Item = Result<Record<'a>, WireError>> {
         (0..self.count).map(move |i| self.record(HEADER + i * EVENT))
     }
 
-    /// The tail's bytes from an offset on, `len` units of `unit` bytes.
+    /// Returns the tail bytes of a record: `len` units of `unit` bytes from an offset on.
     fn tail(&self, at: usize, field: usize, unit: usize) -> Result<&'a [u8], WireError> {
         let rec = Fields(&self.frame[at..at + EVENT]);
         let tail = &self.frame[HEADER + self.count * EVENT..];
@@ -47,7 +47,7 @@
         let len = (rec.u32(field + 4) as usize).checked_mul(unit);
         match len.and_then(|len| from.checked_add(len)) {
             Some(end) if end <= tail.len() => Ok(&tail[from..end]),
-            _ => bad(at + field, format!("bytes from {from} on lie outside the tail")),
+            _ => wire_error(at + field, format!("bytes from {from} on lie outside the tail")),
         }
     }
 
@@ -64,7 +64,7 @@
                     .chunks_exact(ENTRY)
                     .map(|row| entry(&Fields(row)))
                     .collect::<Result<_, _>>()
-                    .map_err(|what| WireError { what, at: at + 5 })?;
+                    .map_err(|message| WireError { message, offset: at + 5 })?;
                 Record::Rows { list, entries }
             }
             event::DIRECTORY_UPDATE => Record::Directory {
@@ -73,7 +73,7 @@
                     1 => ListKind::Remembered,
                     2 => ListKind::Changes,
                     3 => ListKind::Failed,
-                    other => return bad(at + 5, format!("unknown kind of list {other}")),
+                    other => return wire_error(at + 5, format!("unknown kind of list {other}")),
                 },
                 list: rec.u32(6),
             },
@@ -96,18 +96,20 @@
                 id: rec.request(1),
                 attempt: rec.u16(9).into(),
                 server: rec.server(11),
-                outcome: outcome(rec.u8(17)).map_or_else(|w| bad(at + 17, w), Ok)?,
+                outcome: outcome(rec.u8(17))
+                    .map_or_else(|message| wire_error(at + 17, message), Ok)?,
                 latency: rec.u32(18).into(),
                 finished: rec.u8(22) != 0,
-                report: report(&rec, 23).map_or_else(|w| bad(at + 23, w), Ok)?,
+                report: report(&rec, 23).map_or_else(|message| wire_error(at + 23, message), Ok)?,
             },
             event::VANISHED => Record::Vanished(rec.request(1)),
             event::RING => Record::Ring(rec.u32(1)),
             event::PROBE_DONE => Record::Probed {
                 latency: rec.u32(1).into(),
                 server: rec.server(5),
-                outcome: outcome(rec.u8(11)).map_or_else(|w| bad(at + 11, w), Ok)?,
-                report: report(&rec, 12).map_or_else(|w| bad(at + 12, w), Ok)?,
+                outcome: outcome(rec.u8(11))
+                    .map_or_else(|message| wire_error(at + 11, message), Ok)?,
+                report: report(&rec, 12).map_or_else(|message| wire_error(at + 12, message), Ok)?,
             },
             event::NOTE_FROM => Record::Note { from: rec.u32(1), data: self.tail(at, 5, 1)? },
             other => Record::Unknown(other),
--- a/crates/coppercart/src/wire/error.rs
+++ b/crates/coppercart/src/wire/error.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a frame.
+//! The error of the wire format.
 
 use std::fmt;
 
-/// What is wrong with a frame, and where in it.
+/// A malformed frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireError {
-    /// What was found, and what was expected.
-    pub what: String,
-    /// Offset from the start of the frame.
-    pub at: usize,
+    /// What was found, or what was expected.
+    pub message: String,
+    /// The offset of the fault from the start of the frame.
+    pub offset: usize,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "malformed frame: {} at byte {}", self.what, self.at)
+        write!(f, "malformed frame: {} at byte {}", self.message, self.offset)
     }
 }
 
 impl std::error::Error for WireError {}
 
-pub(super) fn bad<T>(at: usize, what: impl Into<String>) -> Result<T, WireError> {
-    Err(WireError { what: what.into(), at })
+pub(super) fn wire_error<T>(offset: usize, message: impl Into<String>) -> Result<T, WireError> {
+    Err(WireError { message: message.into(), offset })
 }
--- a/crates/coppercart/src/wire/fields.rs
+++ b/crates/coppercart/src/wire/fields.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{RequestId, ServerId};
 
-/// A little-endian reader over bytes whose length was checked before.
+/// A little-endian reader over bytes whose length has been checked.
 pub(super) struct Fields<'a>(pub(super) &'a [u8]);
 
 impl<'a> Fields<'a> {
--- a/crates/coppercart/src/wire/frame.rs
+++ b/crates/coppercart/src/wire/frame.rs
@@ -4,14 +4,14 @@
 
 use super::codes::HEADER;
 
-/// Reads one frame into `buf`. `Ok(false)`: the input ended before a frame began.
+/// Reads one frame into `buf`. Returns `Ok(false)` if the input ended before a frame began.
 pub fn read_frame(input: &mut impl Read, buf: &mut Vec<u8>) -> io::Result<bool> {
     buf.clear();
     input.by_ref().take(4).read_to_end(buf)?;
     if buf.is_empty() {
         return Ok(false);
     }
-    let malformed = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
+    let malformed = |message: String| io::Error::new(io::ErrorKind::InvalidData, message);
     let Ok(len) = <[u8; 4]>::try_from(buf.as_slice()) else {
         return Err(malformed(format!(
             "malformed frame: input ends within the length at byte {}",
@@ -24,7 +24,7 @@
             "malformed frame: length {len} is below a header's at byte 0"
         )));
     }
-    // Grows as bytes come in: a false length costs no memory.
+    // The buffer grows as bytes arrive: a false length allocates no memory.
     input.by_ref().take(len as u64 - 4).read_to_end(buf)?;
     if buf.len() < len {
         return Err(malformed(format!(
--- a/crates/coppercart/src/wire/record.rs
+++ b/crates/coppercart/src/wire/record.rs
@@ -7,7 +7,7 @@
 /// One record of a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// The records that follow are of this instance.
+    /// The following records belong to this instance.
     On(u16),
     /// The instance starts.
     Up {
@@ -16,70 +16,71 @@
         /// Its settings, as JSON.
         info: &'a [u8],
     },
-    /// The instance ends.
+    /// The instance stops.
     Exit,
-    /// The rows of a list of servers.
+    /// The entries of a server list.
     Rows {
-        /// The number of the list, to which a [`Record::Directory`] refers.
+        /// The number of the list; [`Record::Directory`] refers to it.
         list: u32,
         /// The servers.
         entries: Vec<ServerEntry>,
     },
-    /// A list of servers takes effect.
+    /// A server list takes effect.
     Directory {
-        /// How it applies.
+        /// How the list is applied.
         kind: ListKind,
         /// The number of the list.
         list: u32,
     },
-    /// A client has sent a request.
+    /// A client sent a request.
     Ingress(NewRequest),
     /// A streaming answer has begun.
     FirstByte {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0.
+        /// The index of the attempt, from 0.
         attempt: usize,
     },
     /// An attempt has ended; see [`Event::Answer`](crate::api::Event::Answer).
     Outcome {
         /// The request.
         id: RequestId,
-        /// The attempt, counted from 0.
+        /// The index of the attempt, from 0.
         attempt: usize,
-        /// The server that it went to.
+        /// The server that the attempt was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The time from its send to its end.
+        /// The time from the send to the end of the attempt.
         latency: Micros,
-        /// The request has its final answer.
+        /// Whether the request has its final answer.
         finished: bool,
-        /// What the server said of its load.
+        /// The load report that came with the answer.
         report: LoadReport,
     },
-    /// The client has gone.
+    /// The client disconnected.
     Vanished(RequestId),
-    /// The timer of this number has run out.
+    /// The timer with this token expired.
     Ring(u32),
     /// A probe has ended.
     Probed {
-        /// The server that was probed.
+        /// The probed server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The time that it took.
+        /// The duration of the probe.
         latency: Micros,
-        /// What the server said of its load.
+        /// The load report that came with the answer.
         report: LoadReport,
     },
-    /// Another sidecar has sent a message.
+    /// Another sidecar sent a message.
     Note {
-        /// The number of the other sidecar.
+        /// The number of the sending sidecar.
         from: u32,
-        /// The message.
+        /// The content of the message.
         data: &'a [u8],
     },
-    /// A code this build does not know; its size is known, so it is skipped.
+    /// A record with a code that this build does not know. It is skipped, since all records have
+    /// the same size.
     Unknown(u8),
 }
--- a/crates/coppercart/src/wire/reply.rs
+++ b/crates/coppercart/src/wire/reply.rs
@@ -3,7 +3,7 @@
 use super::codes::{ACTION, EVERYONE, REPLY_HEADER, action};
 use crate::api::{Action, Micros};
 
-/// Builds one reply. Records and tail grow apart and are joined by [`Reply::finish`].
+/// Builds one reply. Records and tail are collected separately; [`Reply::finish`] joins them.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -20,45 +20,47 @@
         self.count += 1;
     }
 
-    fn in_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
-        let at = self.tail.len() as u32;
+    fn append_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
+        let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(bytes);
-        join(&at.to_le_bytes(), &(bytes.len() as u32).to_le_bytes())
+        join(&offset.to_le_bytes(), &(bytes.len() as u32).to_le_bytes())
     }
 
-    /// The actions that follow are this instance's.
-    pub fn at(&mut self, instance: u16) {
+    /// Starts the actions of an instance.
+    pub fn select_instance(&mut self, instance: u16) {
         self.push(action::AT, &instance.to_le_bytes());
     }
 
-    /// The decision code has failed.
+    /// Reports that the decision code failed.
     pub fn fault(&mut self, text: &str) {
-        let field = self.in_tail(text.as_bytes());
+        let field = self.append_tail(text.as_bytes());
         self.push(action::FAULT, &field);
     }
 
-    /// Adds an action of the instance that [`Reply::at`] named last.
-    pub fn action(&mut self, a: &Action) {
-        match a {
-            // There it is out at once.
+    /// Adds an action of the instance that [`Reply::select_instance`] named last.
+    pub fn action(&mut self, action: &Action) {
+        match action {
+            // The simulator writes each attempt at once, so `commit_within` always holds.
             Action::Send { id, server, timeout, commit_within: _ } => {
                 let head: [u8; 14] = join(&id.0.to_le_bytes(), &server.0.to_le_bytes()[..6]);
-                let rec: [u8; 18] = join(&head, &span(*timeout).to_le_bytes());
-                self.push(action::CALL_OUT, &rec);
+                let record: [u8; 18] = join(&head, &wire_duration(*timeout).to_le_bytes());
+                self.push(action::CALL_OUT, &record);
             }
             Action::Cancel { id, attempt } => {
-                let n = u16::try_from(*attempt).unwrap_or(u16::MAX);
-                let rec: [u8; 10] = join(&id.0.to_le_bytes(), &n.to_le_bytes());
-                self.push(action::CANCEL, &rec);
+                let index = u16::try_from(*attempt).unwrap_or(u16::MAX);
+                let record: [u8; 10] = join(&id.0.to_le_bytes(), &index.to_le_bytes());
+                self.push(action::CANCEL, &record);
             }
             Action::Refuse { id, retry_after } => {
-                let rec: [u8; 12] = join(&id.0.to_le_bytes(), &span(*retry_after).to_le_bytes());
-                self.push(action::DENY, &rec);
+                let record: [u8; 12] =
+                    join(&id.0.to_le_bytes(), &wire_duration(*retry_after).to_le_bytes());
+                self.push(action::DENY, &record);
             }
             Action::Fail { id } => self.push(action::SURRENDER, &id.0.to_le_bytes()),
             Action::Timer { delay, token } => {
-                let rec: [u8; 8] = join(&span(*delay).to_le_bytes(), &token.to_le_bytes());
-                self.push(action::SCHEDULE, &rec);
+                let record: [u8; 8] =
+                    join(&wire_duration(*delay).to_le_bytes(), &token.to_le_bytes());
+                self.push(action::SCHEDULE, &record);
             }
             Action::Probe { server } => self.push(action::CHECK, &server.0.to_le_bytes()[..6]),
             Action::CloseIdle { server } => {
@@ -67,18 +69,18 @@
             Action::Subscribe => self.push(action::SUBSCRIBE, &[1]),
             Action::FetchList => self.push(action::RESOLVE, &[]),
             Action::Tell { peer, data } => {
-                let field = self.in_tail(data);
-                let rec: [u8; 12] = join(&peer.to_le_bytes(), &field);
-                self.push(action::TELL, &rec);
+                let field = self.append_tail(data);
+                let record: [u8; 12] = join(&peer.to_le_bytes(), &field);
+                self.push(action::TELL, &record);
             }
             Action::Log { text } => {
-                let field = self.in_tail(text.as_bytes());
+                let field = self.append_tail(text.as_bytes());
                 self.push(action::EMIT, &field);
             }
         }
     }
 
-    /// Appends the whole frame to `out` and starts anew.
+    /// Appends the whole frame to `out` and resets the builder.
     pub fn finish(&mut self, out: &mut Vec<u8>) {
         let len = REPLY_HEADER + self.records.len() + self.tail.len();
         out.extend_from_slice(&(len as u32).to_le_bytes());
@@ -89,12 +91,12 @@
     }
 }
 
-/// Every peer, as [`Action::Tell`] names it.
+/// The peer number in [`Action::Tell`] that addresses all peers.
 pub const ALL_PEERS: u32 = EVERYONE;
 
-/// A span of time as the wire holds it: what does not fit is cut.
-fn span(t: Micros) -> u32 {
-    u32::try_from(t).unwrap_or(u32::MAX)
+/// A duration as the wire format encodes it; longer durations are capped.
+fn wire_duration(duration: Micros) -> u32 {
+    u32::try_from(duration).unwrap_or(u32::MAX)
 }
 
 fn join<const N: usize>(a: &[u8], b: &[u8]) -> [u8; N] {
--- a/crates/coppercart/tests/it/wire.rs
+++ b/crates/coppercart/tests/it/wire.rs
@@ -79,7 +79,7 @@
         ]
     );
     let mut reply = Reply::default();
-    reply.at(3);
+    reply.select_instance(3);
     reply.action(&Action::Send {
         id: RequestId(CALL),
         server: ServerId(SERVER),
@@ -87,7 +87,7 @@
         commit_within: 80_000,
     });
     reply.action(&Action::Timer { delay: 500_000, token: 77 });
-    reply.at(5);
+    reply.select_instance(5);
     reply.action(&Action::Log { text: "two servers known".into() });
     let mut out = Vec::new();
     reply.finish(&mut out);
@@ -153,7 +153,7 @@
 #[test]
 fn tell_puts_its_bytes_in_the_tail() {
     let mut reply = Reply::default();
-    reply.at(3);
+    reply.select_instance(3);
     reply.action(&Action::Tell { peer: coppercart::wire::ALL_PEERS, data: b"hi 7".to_vec() });
     let mut out = Vec::new();
     reply.finish(&mut out);
@@ -168,14 +168,14 @@
 fn faults_are_named_with_their_place() {
     let mut short = batch(&["0b 0300"], &[]);
     short.truncate(30);
-    assert_eq!(Batch::new(&short).unwrap_err().at, 0);
+    assert_eq!(Batch::new(&short).unwrap_err().offset, 0);
     let mut many = batch(&["0b 0300"], &[]);
     many[12] = 9;
-    assert_eq!(Batch::new(&many).unwrap_err().at, 12);
+    assert_eq!(Batch::new(&many).unwrap_err().offset, 12);
     let outside = batch(&["0b 0300", "08 00000000 05000000 02000000"], b"hi");
     let found: Vec<_> = Batch::new(&outside).unwrap().records().collect();
     let error = found[1].as_ref().unwrap_err();
-    assert_eq!(error.at, 16 + 40 + 5);
+    assert_eq!(error.offset, 16 + 40 + 5);
     assert!(error.to_string().contains("outside the tail"), "{error}");
 }
 
--- a/crates/coppercart/tests/unit/average.rs
+++ b/crates/coppercart/tests/unit/average.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn a_span_counts_once_it_is_over() {
-    let mut average = Average::default();
+    let mut average = SpanAverage::default();
     average.add(100, 10, 1.0);
     average.add(109, 10, 2.0);
-    assert_eq!(average.last, None);
+    assert_eq!(average.last_mean, None);
     average.add(110, 10, 6.0);
-    assert_eq!(average.last, Some(3.0));
+    assert_eq!(average.last_mean, Some(3.0));
     average.add(111, 10, 50.0);
-    assert_eq!(average.last, Some(3.0), "the new span is not over");
+    assert_eq!(average.last_mean, Some(3.0), "the new span is not over");
 }
--- a/crates/coppercart/tests/unit/capacity.rs
+++ b/crates/coppercart/tests/unit/capacity.rs
@@ -6,12 +6,12 @@
 fn what_is_gone_is_forgotten_in_time() {
     let mut capacity = Capacity::default();
     capacity.observe(100, 1000, 4.0);
-    assert_eq!(capacity.share_left(), 1.0);
+    assert_eq!(capacity.remaining_share(), 1.0);
     capacity.observe(200, 1000, 1.0);
-    let left = capacity.share_left();
+    let left = capacity.remaining_share();
     assert!((0.25..0.3).contains(&left), "{left}");
     capacity.observe(60_000, 1000, 1.0);
-    assert!(capacity.share_left() > 0.99);
+    assert!(capacity.remaining_share() > 0.99);
 }
 
 #[test]
@@ -19,17 +19,17 @@
     let mut capacity = Capacity::default();
     capacity.observe(0, 1000, 1.0);
     capacity.observe(1, 1000, 5.0);
-    assert_eq!(capacity.share_left(), 1.0);
+    assert_eq!(capacity.remaining_share(), 1.0);
 }
 
 #[test]
 fn a_time_without_servers_forgets_nothing() {
     let mut capacity = Capacity::default();
-    assert_eq!(capacity.share_left(), 1.0, "nothing is known yet");
+    assert_eq!(capacity.remaining_share(), 1.0, "nothing is known yet");
     capacity.observe(0, 1000, 4.0);
     capacity.observe(1, 1000, 0.0);
     capacity.observe(90_000, 1000, 0.0);
     capacity.observe(90_001, 1000, 1.0);
-    let left = capacity.share_left();
+    let left = capacity.remaining_share();
     assert!((0.25..0.26).contains(&left), "{left}");
 }
