--- a/crates/coppercart/src/decide/learning.rs
+++ b/crates/coppercart/src/decide/learning.rs
@@ -49,8 +49,8 @@
             return;
         }
         match outcome {
-            // An attempt that its hedge overtook is cancelled. Without this, its server would not
-            // be blamed.
+            // An attempt that its hedge overtook is cancelled. Without this, nothing would be
+            // learned from it.
             Outcome::Cancelled if unresponsive => {}
             Outcome::NeverSent | Outcome::Cancelled => return,
             Outcome::Served | Outcome::Error | Outcome::Full => {
@@ -170,7 +170,7 @@
         if let Some(load) = load {
             let s = &mut self.servers[slot];
             (s.load, s.reported_at) = (load, now);
-            self.usual_load += mean_weight * (load / s.power - self.usual_load);
+            self.mean_load += mean_weight * (load / s.power - self.mean_load);
         }
         let s = &mut self.servers[slot];
         let Some(queue) = queue else {
@@ -196,8 +196,8 @@
         s.chips = (s.chips + minted).min(MAX_CHIPS);
     }
 
-    /// Scales the weight of a sample down above [`LOW_RATE_PER_S`]; `quiet` is the full weight.
-    pub(super) fn sample_weight(&self, quiet: f64) -> f64 {
-        quiet * (LOW_RATE_PER_S / self.rate.max(LOW_RATE_PER_S))
+    /// Returns the weight of one more answer: `full_weight` up to [`LOW_RATE_PER_S`], less above.
+    pub(super) fn sample_weight(&self, full_weight: f64) -> f64 {
+        full_weight * (LOW_RATE_PER_S / self.rate.max(LOW_RATE_PER_S))
     }
 }
--- a/crates/coppercart/src/decide/mod.rs
+++ b/crates/coppercart/src/decide/mod.rs
@@ -30,10 +30,11 @@
 mod timers;
 pub mod view;
 
-/// Attempts of a request that servers refuse as full, if the settings allow as many.
+/// The maximum number of attempts of a request that servers refuse as full, if the settings allow as
+/// many.
 const MAX_ATTEMPTS_WHEN_FULL: usize = 4;
-/// The weight of one answer in a running mean, for a sidecar with little traffic: it gets that many
-/// answers within some seconds.
+/// The weight of one answer in a running mean at a sidecar with little traffic: the mean covers the
+/// answers of some seconds.
 const MEAN_SAMPLE_WEIGHT: f64 = 0.15;
 /// The request rate up to which samples have their full weight. Running means should forget by
 /// time: above this rate each answer weighs less, or the means would follow every single answer.
@@ -92,8 +93,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
+    /// Sent, without an outcome so far.
     InFlight,
+    /// Ended; the outcome proves that the request never ran.
     NeverRan,
+    /// Ended; the request may have run.
     MayHaveRun,
 }
 
@@ -139,9 +143,13 @@
 
 #[derive(Clone, Copy, Debug)]
 enum TimerKind {
+    /// Half of the aim has passed: hedge if the request was overtaken.
     EarlyHedge(RequestId),
+    /// The aim has passed: hedge if the server has been silent since the send.
     LateHedge(RequestId),
+    /// The deadline has passed.
     Deadline(RequestId),
+    /// The wait before the next subscription is over.
     Subscribe,
 }
 
@@ -177,7 +185,7 @@
     class_stats: Vec<ClassStats>,
     lateness: Lateness,
     /// Running mean of the reported loads, each divided by its server's power.
-    usual_load: f64,
+    mean_load: f64,
     retry_budget: f64,
     subscribe_failures: u32,
     queue_column: Option<usize>,
@@ -217,7 +225,7 @@
             next_token: 0,
             class_stats: Vec::new(),
             lateness: Lateness::default(),
-            usual_load: 0.0,
+            mean_load: 0.0,
             retry_budget: 1.0,
             subscribe_failures: 0,
             queue_column: None,
--- a/crates/coppercart/src/decide/picking.rs
+++ b/crates/coppercart/src/decide/picking.rs
@@ -194,6 +194,6 @@
         let load = s.load / (s.power * self.warmth(s));
         let crossing = if self.is_remote(s) { self.settings.prices.cross_zone } else { 0.0 };
         let price_factor = (CROSS_ZONE_COST_EXPONENT * crossing).exp();
-        (1.0 + freshness * load + (1.0 - freshness) * self.usual_load) * s.slowness * price_factor
+        (1.0 + freshness * load + (1.0 - freshness) * self.mean_load) * s.slowness * price_factor
     }
 }
--- a/crates/coppercart/src/decide/subsets.rs
+++ b/crates/coppercart/src/decide/subsets.rs
@@ -8,7 +8,7 @@
 /// The minimum size of a sidecar's subset: with two failing servers there must still be a choice,
 /// and the load of all subsets together must even out over the servers.
 const MIN_SUBSET_SIZE: usize = 5;
-/// The maximum cost of the open connections of all subsets, in points of the result.
+/// The maximum cost of the open connections of all subsets, in points of the score.
 const MAX_CONNECTION_COST: f64 = 0.05;
 const RING_POINTS_PER_SERVER: f64 = 16.0;
 /// With fewer servers than this in its own zone, a sidecar maps keys to servers of all zones.
--- a/crates/coppercart/src/decide/view/snapshot.rs
+++ b/crates/coppercart/src/decide/view/snapshot.rs
@@ -77,7 +77,7 @@
             next_token,
             class_stats,
             lateness,
-            usual_load,
+            mean_load,
             retry_budget,
             subscribe_failures,
             queue_column,
@@ -104,7 +104,7 @@
             .hash(hasher);
         bits([*ranked_at_rate, *remote_share, *initial_remote_share, *min_remote_share])
             .hash(hasher);
-        bits([side_load[0], side_load[1], *rate, *usual_load, *retry_budget]).hash(hasher);
+        bits([side_load[0], side_load[1], *rate, *mean_load, *retry_budget]).hash(hasher);
         let mut open: Vec<_> = requests.iter().collect();
         open.sort_unstable_by_key(|(id, _)| **id);
         open.len().hash(hasher);
