--- a/crates/coppercart/tests/it/adapter.rs
+++ b/crates/coppercart/tests/it/adapter.rs
@@ -16,19 +16,19 @@
 }
 
 fn record(fields: &[&[u8]]) -> Vec<u8> {
-    let mut r: Vec<u8> = fields.concat();
-    r.resize(40, 0);
-    r
+    let mut record: Vec<u8> = fields.concat();
+    record.resize(40, 0);
+    record
 }
 
 fn frame(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let len = 16 + 40 * records.len() + tail.len();
-    let mut f = (len as u32).to_le_bytes().to_vec();
-    f.extend(1_000_000u64.to_le_bytes());
-    f.extend((records.len() as u32).to_le_bytes());
-    f.extend(records.concat());
-    f.extend_from_slice(tail);
-    f
+    let mut frame = (len as u32).to_le_bytes().to_vec();
+    frame.extend(1_000_000u64.to_le_bytes());
+    frame.extend((records.len() as u32).to_le_bytes());
+    frame.extend(records.concat());
+    frame.extend_from_slice(tail);
+    frame
 }
 
 fn on(instance: u16) -> Vec<u8> {
@@ -40,7 +40,7 @@
     record(&[&[0], &7u64.to_le_bytes(), &0u32.to_le_bytes(), &len])
 }
 
-fn complaint(out: &Output) -> String {
+fn error_line(out: &Output) -> String {
     assert_eq!(out.status.code(), Some(1));
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn end_of_input_is_a_clean_end() {
+fn end_of_input_exits_cleanly() {
     let out = run(&[]);
     assert_eq!(out.status.code(), Some(0));
     let out = run(&frame(&[], &[]));
@@ -57,33 +57,33 @@
 }
 
 #[test]
-fn malformed_frames_end_with_one_plain_line_and_no_reply() {
-    let cut = &frame(&[on(3)], &[])[..30];
-    let out = run(cut);
-    assert!(complaint(&out).contains("input ends at byte 30"));
+fn malformed_frames_exit_with_one_error_line_and_no_reply() {
+    let truncated = &frame(&[on(3)], &[])[..30];
+    let out = run(truncated);
+    assert!(error_line(&out).contains("input ends at byte 30"));
     assert!(out.stdout.is_empty());
     let undefined = frame(&[on(3), record(&[&[1], &[0; 5], &[4]])], &[]);
     let out = run(&undefined);
-    assert!(complaint(&out).contains("list"));
+    assert!(error_line(&out).contains("list"));
     assert!(out.stdout.is_empty());
 }
 
 #[test]
-fn settings_that_cannot_serve_are_a_fault_that_names_the_key() {
+fn invalid_settings_are_a_fault_that_names_the_key() {
     let mut json = millethook_testkit::settings_json();
     json["me"] = 9.into();
     for (text, key) in [(json.to_string(), "me"), ("nonsense".into(), "settings")] {
         let out = run(&frame(&[on(3), up(&text)], text.as_bytes()));
-        assert!(complaint(&out).contains(key));
+        assert!(error_line(&out).contains(key));
         let reply = String::from_utf8_lossy(&out.stdout).into_owned();
         assert!(reply.contains(key), "FAULT carries the text: {reply:?}");
     }
 }
 
 #[test]
-fn unknown_records_are_skipped_and_told_once() {
-    let odd = record(&[&[77]]);
-    let out = run(&frame(&[on(3), odd.clone(), odd], &[]));
+fn unknown_records_are_skipped_and_logged_once() {
+    let unknown = record(&[&[77]]);
+    let out = run(&frame(&[on(3), unknown.clone(), unknown], &[]));
     assert_eq!(out.status.code(), Some(0));
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(text.matches("77").count(), 1, "{text}");
--- a/crates/coppercart/tests/it/cold.rs
+++ b/crates/coppercart/tests/it/cold.rs
@@ -12,44 +12,46 @@
 const SLOTS: f64 = 2.0;
 const WORK: Micros = 30 * MS;
 /// The share of the fleet's full capacity that is asked for.
-const LOAD: f64 = 0.6;
+const UTILIZATION: f64 = 0.6;
 const SERVERS: u64 = 20;
-const SECONDS: u64 = 20;
+const DURATION_S: u64 = 20;
 
 /// What is due: when, at which sidecar, the request (MAX: news of servers), its server, and the queue it reports.
-type Due = Reverse<(Micros, usize, u64, u64, usize)>;
+type DueEvent = Reverse<(Micros, usize, u64, u64, usize)>;
 
 /// A fleet of sidecars, each deciding for itself, and what each server is sent.
 struct Fleet {
-    sidecars: Vec<Bench>,
+    sidecars: Vec<Harness>,
     random: Random,
-    due: BinaryHeap<Due>,
+    due: BinaryHeap<DueEvent>,
     /// When each server was sent something, within the time that the settings name.
     sent: Vec<VecDeque<Micros>>,
     started: Vec<Micros>,
     /// The most that a cold server got, over what it bears.
-    peak: f64,
+    peak_overload: f64,
     rules: (f64, Micros, f64, Micros),
 }
 
 impl Fleet {
     fn new(size: u32) -> Fleet {
-        let of = |me: u32| -> Settings {
+        let settings_of = |me: u32| -> Settings {
             settings(|s| {
                 s["instances"] = size.into();
                 s["me"] = me.into();
             })
         };
         let servers: Vec<_> = (0..SERVERS).map(server).collect();
-        let r = of(0).rules;
+        let rules = settings_of(0).rules;
         Fleet {
-            sidecars: (0..size).map(|me| Bench::new(of(me), u64::from(me), &servers)).collect(),
+            sidecars: (0..size)
+                .map(|me| Harness::new(settings_of(me), u64::from(me), &servers))
+                .collect(),
             random: Random::new(u64::from(size)),
             due: BinaryHeap::new(),
             sent: vec![VecDeque::new(); SERVERS as usize],
             started: vec![0; SERVERS as usize],
-            peak: 0.0,
-            rules: (r.fall_multiple, r.tip_after, r.cold_share, r.cold),
+            peak_overload: 0.0,
+            rules: (rules.fall_multiple, rules.tip_after, rules.cold_share, rules.cold),
         }
     }
 
@@ -64,7 +66,7 @@
     }
 
     /// Servers start anew now; each sidecar hears of it up to `late` later.
-    fn start(&mut self, which: &[u64], now: Micros, late: Micros) {
+    fn restart(&mut self, which: &[u64], now: Micros, late: Micros) {
         for &n in which {
             self.started[n as usize] = now;
             self.sent[n as usize].clear();
@@ -75,7 +77,7 @@
         }
     }
 
-    fn follow(&mut self, i: usize, now: Micros, actions: Vec<Action>) {
+    fn apply_actions(&mut self, i: usize, now: Micros, actions: Vec<Action>) {
         let (multiple, window, _, cold) = self.rules;
         for action in actions {
             let Action::Send { id, server, .. } = action else { continue };
@@ -85,45 +87,45 @@
             while log.front().is_some_and(|&at| at + window <= now) {
                 log.pop_front();
             }
-            let got = log.len() as f64;
+            let received = log.len() as f64;
             if self.started[n] > 0 && now - self.started[n] < cold {
-                let can = SLOTS * self.warmth(n, now) * window as f64 / WORK as f64;
-                let allowed = multiple * can;
-                let bears = allowed + 2.0 * allowed.sqrt() + 2.0;
-                self.peak = self.peak.max(got / bears);
+                let possible = SLOTS * self.warmth(n, now) * window as f64 / WORK as f64;
+                let allowed = multiple * possible;
+                let tolerated = allowed + 2.0 * allowed.sqrt() + 2.0;
+                self.peak_overload = self.peak_overload.max(received / tolerated);
             }
             // As long as it takes there by now, longer where much has come.
             let capacity = SLOTS * self.warmth(n, now) / WORK as f64;
-            let used = (got / window as f64 / capacity).min(0.95);
-            let takes = WORK as f64 / self.warmth(n, now) / (1.0 - used);
-            let takes = takes * -(1.0 - self.random.uniform()).ln();
+            let used = (received / window as f64 / capacity).min(0.95);
+            let duration = WORK as f64 / self.warmth(n, now) / (1.0 - used);
+            let duration = duration * -(1.0 - self.random.uniform()).ln();
             let queue = (SLOTS * used / (1.0 - used)) as usize;
-            self.due.push(Reverse((now + takes as Micros, i, id.0, server.0, queue)));
+            self.due.push(Reverse((now + duration as Micros, i, id.0, server.0, queue)));
         }
     }
 
     /// Servers go now, and each sidecar hears of it at once.
-    fn go(&mut self, which: &[u64], now: Micros) {
+    fn remove(&mut self, which: &[u64], now: Micros) {
         let gone: Vec<_> = which.iter().map(|&n| with_health(n, Health::Gone)).collect();
-        for bench in &mut self.sidecars {
-            bench.now = now;
-            bench.servers(ListKind::Changes, &gone);
+        for harness in &mut self.sidecars {
+            harness.now = now;
+            harness.servers(ListKind::Changes, &gone);
         }
     }
 
     /// Plays on; `cold` are the servers that each sidecar is told of when its time has come.
-    fn play(&mut self, from: Micros, to: Micros, cold: &[u64]) {
-        let total = LOAD * SERVERS as f64 * SLOTS / WORK as f64;
+    fn run(&mut self, from: Micros, to: Micros, cold: &[u64]) {
+        let arrival_rate = UTILIZATION * SERVERS as f64 * SLOTS / WORK as f64;
         let mut now = from;
         loop {
-            now += (-(1.0 - self.random.uniform()).ln() / total) as Micros;
+            now += (-(1.0 - self.random.uniform()).ln() / arrival_rate) as Micros;
             while let Some(&Reverse((at, i, id, server, queue))) = self.due.peek() {
                 if at > now.min(to) {
                     break;
                 }
                 self.due.pop();
-                let bench = &mut self.sidecars[i];
-                bench.now = at;
+                let harness = &mut self.sidecars[i];
+                harness.now = at;
                 let actions = if id == u64::MAX {
                     let started = &self.started;
                     let entry = |&n: &u64| ServerEntry {
@@ -131,12 +133,12 @@
                         ..crate::common::server(n)
                     };
                     let entries: Vec<_> = cold.iter().map(entry).collect();
-                    bench.servers(ListKind::Changes, &entries)
+                    harness.servers(ListKind::Changes, &entries)
                 } else {
                     let id = RequestId(id);
-                    bench.answer(id, 0, ServerId(server), Outcome::Served, queue as f32)
+                    harness.answer(id, 0, ServerId(server), Outcome::Served, queue as f32)
                 };
-                self.follow(i, at, actions);
+                self.apply_actions(i, at, actions);
             }
             if now > to {
                 return;
@@ -144,7 +146,7 @@
             let i = (self.random.uniform() * self.sidecars.len() as f64) as usize;
             self.sidecars[i].now = now;
             let (_, actions) = self.sidecars[i].request(0);
-            self.follow(i, now, actions);
+            self.apply_actions(i, now, actions);
         }
     }
 }
@@ -153,16 +155,20 @@
 /// 20, 30 or 300 of them, whether one server starts, a quarter of them together, or a zone returns, and where each
 /// hears of it up to a second late.
 #[test]
-fn the_sum_of_all_sidecars_pushes_no_cold_server_over() {
+fn all_sidecars_together_do_not_overload_a_cold_server() {
     for size in [20, 30, 300] {
         let zone: Vec<u64> = (0..SERVERS).filter(|n| n % 2 == 0).collect();
         for (cold, late) in [(vec![3], 0), (vec![0, 1, 2, 3, 4], 0), (zone, 0), (vec![3, 4], S)] {
             let mut fleet = Fleet::new(size);
-            fleet.play(START, START + 5 * S, &[]);
-            fleet.start(&cold, START + 5 * S, late);
-            fleet.play(START + 5 * S, START + SECONDS * S, &cold);
-            assert!(fleet.peak > 0.0, "no cold server was sent anything");
-            assert!(fleet.peak < 1.0, "{size}, {cold:?}, {late}: {:.2}", fleet.peak);
+            fleet.run(START, START + 5 * S, &[]);
+            fleet.restart(&cold, START + 5 * S, late);
+            fleet.run(START + 5 * S, START + DURATION_S * S, &cold);
+            assert!(fleet.peak_overload > 0.0, "no cold server was sent anything");
+            assert!(
+                fleet.peak_overload < 1.0,
+                "{size}, {cold:?}, {late}: {:.2}",
+                fleet.peak_overload
+            );
         }
     }
 }
@@ -170,31 +176,35 @@
 /// Rule 4 binds as well where no other server is left to take the load: one that starts as all others go, or some
 /// seconds after them, is sent no more than its settings allow, and still is sent something.
 #[test]
-fn a_cold_server_that_is_left_alone_is_not_pushed_over() {
+fn a_cold_server_without_other_servers_is_not_overloaded() {
     for size in [1, 2, 20, 300] {
-        for alone_for in [0, 2 * S] {
+        for gap_before_start in [0, 2 * S] {
             let mut fleet = Fleet::new(size);
             let others: Vec<u64> = (1..SERVERS).collect();
-            fleet.play(START, START + 5 * S, &[]);
-            fleet.go(&others, START + 5 * S);
-            fleet.play(START + 5 * S, START + 5 * S + alone_for, &[]);
-            fleet.start(&[0], START + 5 * S + alone_for, 0);
-            fleet.play(START + 5 * S + alone_for, START + SECONDS * S, &[0]);
-            assert!(fleet.peak > 0.0, "the cold server was sent nothing");
-            assert!(fleet.peak < 1.0, "{size}, {alone_for}: {:.2}", fleet.peak);
+            fleet.run(START, START + 5 * S, &[]);
+            fleet.remove(&others, START + 5 * S);
+            fleet.run(START + 5 * S, START + 5 * S + gap_before_start, &[]);
+            fleet.restart(&[0], START + 5 * S + gap_before_start, 0);
+            fleet.run(START + 5 * S + gap_before_start, START + DURATION_S * S, &[0]);
+            assert!(fleet.peak_overload > 0.0, "the cold server was sent nothing");
+            assert!(
+                fleet.peak_overload < 1.0,
+                "{size}, {gap_before_start}: {:.2}",
+                fleet.peak_overload
+            );
         }
     }
 }
 
 /// Where warm servers can take the load, none of it is turned away for a cold one's sake.
 #[test]
-fn beside_warm_servers_a_cold_one_costs_no_request() {
+fn no_request_is_refused_for_a_cold_server_beside_warm_ones() {
     let list: Vec<_> = (0..SERVERS).map(server).collect();
-    let mut bench = Bench::new(settings(|_| {}), 1, &list);
+    let mut harness = Harness::new(settings(|_| {}), 1, &list);
     let gone: Vec<_> = (10..SERVERS).map(|n| with_health(n, Health::Gone)).collect();
-    bench.servers(ListKind::Changes, &gone);
-    bench.servers(ListKind::Changes, &[ServerEntry { started: START, ..server(0) }]);
+    harness.servers(ListKind::Changes, &gone);
+    harness.servers(ListKind::Changes, &[ServerEntry { started: START, ..server(0) }]);
     for _ in 0..200 {
-        assert!(bench.round(0, 0.0).is_some());
+        assert!(harness.round(0, 0.0).is_some());
     }
 }
--- a/crates/coppercart/tests/it/common/fleet/mod.rs
+++ b/crates/coppercart/tests/it/common/fleet/mod.rs
@@ -10,46 +10,46 @@
 
 use super::{MS, START, server};
 
-mod plan;
+mod scenario;
 
-pub use plan::*;
+pub use scenario::*;
 
-/// How long a full server takes to say so.
-const REFUSAL: Micros = MS;
+/// How long a full server duration to say so.
+const REFUSAL_DELAY: Micros = MS;
 
 /// What stands between clients and servers.
-pub trait Decide {
+pub trait LoadBalancer {
     fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>);
 }
 
-impl Decide for Balancer {
+impl LoadBalancer for Balancer {
     fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         Balancer::handle(self, now, event, out);
     }
 }
 
-enum Due {
+enum SimEvent {
     Arrival,
-    Ask { operation: u64 },
+    SendRequest { operation: u64 },
     Outcome { request: u64, attempt: usize, outcome: Outcome },
     WorkDone { server: u64, request: u64, attempt: usize },
     Timer { balancer: usize, token: u32 },
     Report { server: u64 },
-    ReportSeen { server: u64, report: LoadReport },
+    ReportVisible { server: u64, report: LoadReport },
     HangEnds,
 }
 
 #[derive(Default)]
-struct ServerState {
+struct SimServer {
     waiting: VecDeque<(u64, usize)>,
     working: usize,
-    seen: LoadReport,
+    visible_report: LoadReport,
 }
 
 struct Operation {
     class: usize,
     balancer: usize,
-    tries: u32,
+    requests_sent: u32,
 }
 
 struct SentAttempt {
@@ -58,8 +58,8 @@
     work: Micros,
 }
 
-struct Try {
-    began: Micros,
+struct ClientRequest {
+    started: Micros,
     operation: u64,
     /// None: it has ended.
     attempts: Vec<Option<SentAttempt>>,
@@ -67,91 +67,95 @@
 }
 
 pub struct Fleet {
-    plan: Plan,
-    balancers: Vec<Box<dyn Decide>>,
+    scenario: Scenario,
+    balancers: Vec<Box<dyn LoadBalancer>>,
     now: Micros,
     random: Pcg64Mcg,
-    due: BTreeMap<(Micros, u64), Due>,
+    events: BTreeMap<(Micros, u64), SimEvent>,
     scheduled: u64,
-    servers: Vec<ServerState>,
+    servers: Vec<SimServer>,
     operations: Vec<Operation>,
-    tries: HashMap<u64, Try>,
+    requests: HashMap<u64, ClientRequest>,
     /// By the number of the span since the start.
-    counts: Vec<Counts>,
+    counts: Vec<IntervalCounts>,
 }
 
 impl Fleet {
     /// `seed` fixes all that is random here.
-    pub fn new(plan: Plan, balancers: Vec<Box<dyn Decide>>, seed: u64) -> Fleet {
-        let spans = (plan.end - START).div_ceil(SPAN) as usize + 1;
+    pub fn new(scenario: Scenario, balancers: Vec<Box<dyn LoadBalancer>>, seed: u64) -> Fleet {
+        let intervals = (scenario.end - START).div_ceil(INTERVAL) as usize + 1;
         let mut fleet = Fleet {
             balancers,
             now: START,
             random: Pcg64Mcg::seed_from_u64(seed),
-            due: BTreeMap::new(),
+            events: BTreeMap::new(),
             scheduled: 0,
-            servers: (0..plan.servers).map(|_| ServerState::default()).collect(),
+            servers: (0..scenario.servers).map(|_| SimServer::default()).collect(),
             operations: Vec::new(),
-            tries: HashMap::new(),
-            counts: vec![Counts::default(); spans],
-            plan,
+            requests: HashMap::new(),
+            counts: vec![IntervalCounts::default(); intervals],
+            scenario,
         };
-        fleet.later(0, Due::Arrival);
-        if let Some(hang) = &fleet.plan.hang {
-            fleet.later(hang.time.end - START, Due::HangEnds);
+        fleet.schedule(0, SimEvent::Arrival);
+        if let Some(hang) = &fleet.scenario.hang {
+            fleet.schedule(hang.time.end - START, SimEvent::HangEnds);
         }
-        if let Some(reports) = fleet.plan.reports.clone() {
-            for server in 0..fleet.plan.servers {
-                let wait = (fleet.uniform() * reports.period as f64) as Micros;
-                fleet.later(wait, Due::Report { server });
+        if let Some(reports) = fleet.scenario.reports.clone() {
+            for server in 0..fleet.scenario.servers {
+                let delay = (fleet.uniform() * reports.period as f64) as Micros;
+                fleet.schedule(delay, SimEvent::Report { server });
             }
         }
         fleet
     }
 
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         let list: Vec<_> =
-            (0..self.plan.servers).map(|n| ServerEntry { zone: 0, ..server(n) }).collect();
+            (0..self.scenario.servers).map(|n| ServerEntry { zone: 0, ..server(n) }).collect();
         for balancer in 0..self.balancers.len() {
             self.event(balancer, Event::Servers { kind: ListKind::Remembered, entries: &list });
         }
-        while let Some(((at, _), due)) = self.due.pop_first() {
-            if at > self.plan.end {
+        while let Some(((at, _), event)) = self.events.pop_first() {
+            if at > self.scenario.end {
                 return;
             }
             self.now = at;
-            match due {
-                Due::Arrival => self.arrival(),
-                Due::Ask { operation } => self.ask(operation),
-                Due::Outcome { request, attempt, outcome } => {
-                    self.outcome(request, attempt, outcome);
+            match event {
+                SimEvent::Arrival => self.on_arrival(),
+                SimEvent::SendRequest { operation } => self.send_request(operation),
+                SimEvent::Outcome { request, attempt, outcome } => {
+                    self.on_outcome(request, attempt, outcome);
                 }
-                Due::WorkDone { server, request, attempt } => {
+                SimEvent::WorkDone { server, request, attempt } => {
                     self.servers[server as usize].working -= 1;
-                    self.outcome(request, attempt, Outcome::Served);
-                    self.work(server);
+                    self.on_outcome(request, attempt, Outcome::Served);
+                    self.start_work(server);
+                }
+                SimEvent::Timer { balancer, token } => self.event(balancer, Event::Timer { token }),
+                SimEvent::Report { server } => self.on_report(server),
+                SimEvent::ReportVisible { server, report } => {
+                    self.servers[server as usize].visible_report = report
+                }
+                SimEvent::HangEnds => {
+                    (0..self.scenario.servers).for_each(|server| self.start_work(server))
                 }
-                Due::Timer { balancer, token } => self.event(balancer, Event::Timer { token }),
-                Due::Report { server } => self.take_report(server),
-                Due::ReportSeen { server, report } => self.servers[server as usize].seen = report,
-                Due::HangEnds => (0..self.plan.servers).for_each(|server| self.work(server)),
             }
         }
     }
 
     /// What happened in the spans that begin within `time`.
-    pub fn spans(&self, time: Range<Micros>) -> &[Counts] {
-        let span = |at: Micros| ((at - START) / SPAN) as usize;
-        &self.counts[span(time.start)..span(time.end)]
+    pub fn intervals(&self, time: Range<Micros>) -> &[IntervalCounts] {
+        let interval = |at: Micros| ((at - START) / INTERVAL) as usize;
+        &self.counts[interval(time.start)..interval(time.end)]
     }
 
-    fn later(&mut self, wait: Micros, due: Due) {
+    fn schedule(&mut self, delay: Micros, event: SimEvent) {
         self.scheduled += 1;
-        self.due.insert((self.now + wait, self.scheduled), due);
+        self.events.insert((self.now + delay, self.scheduled), event);
     }
 
-    fn count(&mut self) -> &mut Counts {
-        &mut self.counts[((self.now - START) / SPAN) as usize]
+    fn count(&mut self) -> &mut IntervalCounts {
+        &mut self.counts[((self.now - START) / INTERVAL) as usize]
     }
 
     fn uniform(&mut self) -> f64 {
@@ -163,49 +167,52 @@
     }
 
     /// One of `0..n`; nothing is drawn where there is one.
-    fn one_of(&mut self, n: usize) -> usize {
+    fn random_index(&mut self, n: usize) -> usize {
         if n == 1 { 0 } else { (self.uniform() * n as f64) as usize }
     }
 
-    fn class(&mut self) -> usize {
-        if self.plan.classes.len() == 1 {
+    fn random_class(&mut self) -> usize {
+        if self.scenario.classes.len() == 1 {
             return 0;
         }
-        let mut left = self.uniform();
-        let found = self.plan.classes.iter().position(|class| {
-            left -= class.share;
-            left < 0.0
+        let mut remaining = self.uniform();
+        let index = self.scenario.classes.iter().position(|class| {
+            remaining -= class.share;
+            remaining < 0.0
         });
-        found.unwrap_or(0)
+        index.unwrap_or(0)
     }
 
-    fn arrival(&mut self) {
-        let began = self.plan.arrivals.iter().rfind(|arrivals| arrivals.0 <= self.now);
-        let mean = began.expect("the plan begins at the start").1;
+    fn on_arrival(&mut self) {
+        let phase = self.scenario.arrivals.iter().rfind(|arrivals| arrivals.0 <= self.now);
+        let mean = phase.expect("an arrival phase begins at the start").1;
         let gap = self.exponential(mean);
-        self.later(gap, Due::Arrival);
-        let class = self.class();
-        let balancer = self.one_of(self.balancers.len());
-        self.operations.push(Operation { class, balancer, tries: 0 });
+        self.schedule(gap, SimEvent::Arrival);
+        let class = self.random_class();
+        let balancer = self.random_index(self.balancers.len());
+        self.operations.push(Operation { class, balancer, requests_sent: 0 });
         self.count().operations += 1;
-        self.ask(self.operations.len() as u64 - 1);
+        self.send_request(self.operations.len() as u64 - 1);
     }
 
-    fn ask(&mut self, operation: u64) {
+    fn send_request(&mut self, operation: u64) {
         let request = self.scheduled + 1;
         self.scheduled += 1;
-        let began = self.now;
-        self.tries.insert(request, Try { began, operation, attempts: Vec::new(), ended: false });
-        self.count().asked += 1;
+        let started = self.now;
+        self.requests.insert(
+            request,
+            ClientRequest { started, operation, attempts: Vec::new(), ended: false },
+        );
+        self.count().client_requests += 1;
         let state = &mut self.operations[operation as usize];
-        state.tries += 1;
+        state.requests_sent += 1;
         let (balancer, class) = (state.balancer, state.class);
         let request = NewRequest {
             id: RequestId(request),
             class,
             tenant: 0,
             key: 0,
-            time_left: self.plan.classes[class].patience,
+            time_left: self.scenario.classes[class].client_timeout,
             work_hint: None,
             client_retry: false,
         };
@@ -220,11 +227,13 @@
                 Action::Send { id, server, timeout, .. } => self.send(id.0, server, timeout),
                 Action::Cancel { id, attempt } => {
                     let outcome = Outcome::Cancelled;
-                    self.later(0, Due::Outcome { request: id.0, attempt, outcome });
+                    self.schedule(0, SimEvent::Outcome { request: id.0, attempt, outcome });
+                }
+                Action::Refuse { id, retry_after } => self.on_unserved(id.0, retry_after),
+                Action::Fail { id } => self.on_unserved(id.0, 0),
+                Action::Timer { delay, token } => {
+                    self.schedule(delay, SimEvent::Timer { balancer, token })
                 }
-                Action::Refuse { id, retry_after } => self.unserved(id.0, retry_after),
-                Action::Fail { id } => self.unserved(id.0, 0),
-                Action::Timer { delay, token } => self.later(delay, Due::Timer { balancer, token }),
                 _ => {}
             }
         }
@@ -232,73 +241,73 @@
 
     fn send(&mut self, request: u64, server: ServerId, timeout: Micros) {
         self.count().attempts += 1;
-        let state = self.tries.get_mut(&request).expect("asked");
+        let state = self.requests.get_mut(&request).expect("the request was sent");
         state.attempts.push(Some(SentAttempt { server, sent: self.now, work: 0 }));
         let attempt = state.attempts.len() - 1;
-        let full = self.servers[server.0 as usize].waiting.len() >= self.plan.queue;
-        let (wait, outcome) =
-            if full { (REFUSAL, Outcome::Full) } else { (timeout, Outcome::TimedOut) };
-        self.later(wait, Due::Outcome { request, attempt, outcome });
+        let full = self.servers[server.0 as usize].waiting.len() >= self.scenario.queue;
+        let (delay, outcome) =
+            if full { (REFUSAL_DELAY, Outcome::Full) } else { (timeout, Outcome::TimedOut) };
+        self.schedule(delay, SimEvent::Outcome { request, attempt, outcome });
         if !full {
             self.servers[server.0 as usize].waiting.push_back((request, attempt));
-            self.work(server.0);
+            self.start_work(server.0);
         }
     }
 
     /// A server begins with what waits, in order, whether or not anybody still waits for it.
-    fn work(&mut self, server: u64) {
-        let hangs = |hang: &Hang| hang.servers.contains(&server) && hang.time.contains(&self.now);
-        if self.plan.hang.as_ref().is_some_and(hangs) {
+    fn start_work(&mut self, server: u64) {
+        let is_hung = |hang: &Hang| hang.servers.contains(&server) && hang.time.contains(&self.now);
+        if self.scenario.hang.as_ref().is_some_and(is_hung) {
             return;
         }
-        while self.servers[server as usize].working < self.plan.cores {
+        while self.servers[server as usize].working < self.scenario.cores {
             let next = self.servers[server as usize].waiting.pop_front();
             let Some((request, attempt)) = next else { return };
             self.servers[server as usize].working += 1;
-            let class = self.operations[self.tries[&request].operation as usize].class;
-            let takes = self.exponential(self.plan.classes[class].work);
-            let state = self.tries.get_mut(&request).expect("asked");
+            let class = self.operations[self.requests[&request].operation as usize].class;
+            let duration = self.exponential(self.scenario.classes[class].work);
+            let state = self.requests.get_mut(&request).expect("the request was sent");
             if let Some(sent) = &mut state.attempts[attempt] {
-                sent.work = takes;
+                sent.work = duration;
             }
-            self.add_busy(takes);
-            self.later(takes, Due::WorkDone { server, request, attempt });
+            self.add_busy(duration);
+            self.schedule(duration, SimEvent::WorkDone { server, request, attempt });
         }
     }
 
-    /// Counts a core's time from now on in the spans that it lies in.
-    fn add_busy(&mut self, takes: Micros) {
-        let (mut at, end) = (self.now - START, self.now - START + takes);
+    /// IntervalCounts a core's time from now on in the spans that it lies in.
+    fn add_busy(&mut self, duration: Micros) {
+        let (mut at, end) = (self.now - START, self.now - START + duration);
         while at < end {
-            let span = at / SPAN;
-            let until = end.min((span + 1) * SPAN);
-            if let Some(counts) = self.counts.get_mut(span as usize) {
+            let interval = at / INTERVAL;
+            let until = end.min((interval + 1) * INTERVAL);
+            if let Some(counts) = self.counts.get_mut(interval as usize) {
                 counts.busy += until - at;
             }
             at = until;
         }
     }
 
-    fn take_report(&mut self, server: u64) {
-        let Some(reports) = self.plan.reports.clone() else { return };
+    fn on_report(&mut self, server: u64) {
+        let Some(reports) = self.scenario.reports.clone() else { return };
         let state = &self.servers[server as usize];
         let waiting = state.waiting.len();
         let values = [waiting as f32, (waiting + state.working) as f32];
         let report = LoadReport(values.into_iter().collect());
-        self.later(reports.delay, Due::ReportSeen { server, report });
-        self.later(reports.period, Due::Report { server });
+        self.schedule(reports.delay, SimEvent::ReportVisible { server, report });
+        self.schedule(reports.period, SimEvent::Report { server });
     }
 
-    fn outcome(&mut self, request: u64, attempt: usize, outcome: Outcome) {
-        let Some(state) = self.tries.get_mut(&request) else { return };
+    fn on_outcome(&mut self, request: u64, attempt: usize, outcome: Outcome) {
+        let Some(state) = self.requests.get_mut(&request) else { return };
         let Some(sent) = state.attempts[attempt].take() else { return };
         let served = outcome == Outcome::Served && !state.ended;
         state.ended |= served;
-        let (began, operation, finished) = (state.began, state.operation as usize, state.ended);
+        let (started, operation, finished) = (state.started, state.operation as usize, state.ended);
         if served {
-            self.served(began, operation, sent.work);
+            self.on_served(started, operation, sent.work);
         }
-        let seen = self.servers[sent.server.0 as usize].seen.clone();
+        let report = self.servers[sent.server.0 as usize].visible_report.clone();
         let answered = matches!(outcome, Outcome::Served | Outcome::Full);
         let event = Event::Answer {
             id: RequestId(request),
@@ -307,14 +316,14 @@
             outcome,
             latency: self.now - sent.sent,
             finished,
-            report: if answered { seen } else { LoadReport::default() },
+            report: if answered { report } else { LoadReport::default() },
         };
         self.event(self.operations[operation].balancer, event);
     }
 
-    fn served(&mut self, began: Micros, operation: usize, work: Micros) {
+    fn on_served(&mut self, started: Micros, operation: usize, work: Micros) {
         let class = self.operations[operation].class;
-        let in_time = self.now - began <= self.plan.classes[class].aim;
+        let in_time = self.now - started <= self.scenario.classes[class].aim;
         let counts = self.count();
         counts.served += 1;
         counts.in_time += u64::from(in_time);
@@ -322,21 +331,24 @@
     }
 
     /// The client has no answer, and asks once more.
-    fn unserved(&mut self, request: u64, retry_after: Micros) {
-        let state = self.tries.get_mut(&request).expect("asked");
+    fn on_unserved(&mut self, request: u64, retry_after: Micros) {
+        let state = self.requests.get_mut(&request).expect("the request was sent");
         if std::mem::replace(&mut state.ended, true) {
             return;
         }
         let operation = state.operation;
         self.count().refused += 1;
-        if self.operations[operation as usize].tries >= self.plan.tries {
+        if self.operations[operation as usize].requests_sent >= self.scenario.max_client_attempts {
             return;
         }
-        if self.plan.pause + retry_after == 0 {
-            return self.ask(operation);
+        if self.scenario.retry_pause + retry_after == 0 {
+            return self.send_request(operation);
         }
-        let pause = self.exponential(self.plan.pause);
-        let heeds = retry_after > 0 && self.uniform() < self.plan.honour;
-        self.later(if heeds { retry_after } else { pause }, Due::Ask { operation });
+        let retry_pause = self.exponential(self.scenario.retry_pause);
+        let complies = retry_after > 0 && self.uniform() < self.scenario.retry_after_compliance;
+        self.schedule(
+            if complies { retry_after } else { retry_pause },
+            SimEvent::SendRequest { operation },
+        );
     }
 }
--- a/crates/coppercart/tests/it/common/fleet/plan.rs
+++ b/crates/coppercart/tests/it/common/fleet/scenario.rs
@@ -6,8 +6,8 @@
 
 use crate::common::S;
 
-/// The span of one [`Counts`].
-pub const SPAN: Micros = S / 2;
+/// The span of one [`IntervalCounts`].
+pub const INTERVAL: Micros = S / 2;
 
 /// A class of requests, at the same place in the settings.
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
     /// The mean work of a request, exponential.
     pub work: Micros,
     /// How long a client waits for each of its tries.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// An answer within this time of its try's beginning is in time.
     pub aim: Micros,
 }
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub servers: u64,
     /// Requests that a server works on at once.
     pub cores: usize,
@@ -47,11 +47,11 @@
     /// The mean time between two operations, from each of these times on.
     pub arrivals: Vec<(Micros, Micros)>,
     /// Tries of a client.
-    pub tries: u32,
+    pub max_client_attempts: u32,
     /// The mean time between two tries, exponential; 0: one comes right after the other.
-    pub pause: Micros,
+    pub retry_pause: Micros,
     /// The share of clients that wait as long as a refusal says.
-    pub honour: f64,
+    pub retry_after_compliance: f64,
     pub reports: Option<Reports>,
     pub hang: Option<Hang>,
     pub end: Micros,
@@ -59,9 +59,9 @@
 
 /// What happened in one span of time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct IntervalCounts {
     pub operations: u64,
-    pub asked: u64,
+    pub client_requests: u64,
     pub refused: u64,
     pub attempts: u64,
     pub served: u64,
--- a/crates/coppercart/tests/it/common/mod.rs
+++ b/crates/coppercart/tests/it/common/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// One balancer under test.
-pub struct Bench {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Micros,
     pub out: Vec<Action>,
@@ -48,17 +48,17 @@
     pub key: u64,
 }
 
-impl Bench {
-    pub fn new(settings: Settings, seed: u64, servers: &[ServerEntry]) -> Bench {
-        let mut bench = Bench {
+impl Harness {
+    pub fn new(settings: Settings, seed: u64, servers: &[ServerEntry]) -> Harness {
+        let mut harness = Harness {
             balancer: Balancer::new(settings, seed, START),
             now: START,
             out: Vec::new(),
             next: 0,
             key: 0,
         };
-        bench.servers(ListKind::Remembered, servers);
-        bench
+        harness.servers(ListKind::Remembered, servers);
+        harness
     }
 
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
--- a/crates/coppercart/tests/it/decide/chips.rs
+++ b/crates/coppercart/tests/it/decide/chips.rs
@@ -5,47 +5,47 @@
 use crate::common::*;
 
 /// Rounds of 20 ms until a first capacity exists: the floor of four, as queues are empty.
-fn with_capacity(seed: u64) -> Bench {
-    let mut b = Bench::new(settings(|_| {}), seed, &[server(0), server(2)]);
+fn with_capacity(seed: u64) -> Harness {
+    let mut harness = Harness::new(settings(|_| {}), seed, &[server(0), server(2)]);
     for _ in 0..3200 {
-        b.round(0, 0.0);
+        harness.round(0, 0.0);
     }
-    b
+    harness
 }
 
 /// Sends one request and answers it with a queue that depends on the server.
-fn round_by(b: &mut Bench, queue: impl Fn(ServerId) -> f32) -> ServerId {
-    let (id, out) = b.request(0);
+fn round_by(harness: &mut Harness, queue: impl Fn(ServerId) -> f32) -> ServerId {
+    let (id, out) = harness.request(0);
     let to = sent(&out).expect("sent");
-    b.now += 20 * MS;
-    b.answer(id, 0, to, Outcome::Served, queue(to));
+    harness.now += 20 * MS;
+    harness.answer(id, 0, to, Outcome::Served, queue(to));
     to
 }
 
 #[test]
-fn a_report_past_capacity_wipes_chips_until_the_reset_interval() {
-    let mut b = with_capacity(1);
+fn a_report_above_capacity_clears_chips_until_the_reset_interval() {
+    let mut harness = with_capacity(1);
     let busy = |s: ServerId| if s == ServerId(0) { 50.0 } else { 0.0 };
-    while round_by(&mut b, busy) != ServerId(0) {}
+    while round_by(&mut harness, busy) != ServerId(0) {}
     // ResetInterval is the longest deadline, 1.5 s here, at up to 20 requests a second, and less in
     // proportion at these 50.
-    let wiped = b.now;
+    let wiped = harness.now;
     let mut to_busy = 0;
-    while b.now < wiped + 500 * MS {
-        to_busy += u32::from(round_by(&mut b, busy) == ServerId(0));
+    while harness.now < wiped + 500 * MS {
+        to_busy += u32::from(round_by(&mut harness, busy) == ServerId(0));
     }
     assert_eq!(to_busy, 0, "a wiped server got sends while another held chips");
-    b.now = wiped + 700 * MS;
+    harness.now = wiped + 700 * MS;
     // With something out at the other one, our own count speaks for it.
-    let tried = (0..8).any(|_| sent(&b.request(0).1) == Some(ServerId(0)));
+    let tried = (0..8).any(|_| sent(&harness.request(0).1) == Some(ServerId(0)));
     assert!(tried, "after ResetInterval the server is tried again");
 }
 
 #[test]
-fn before_a_first_capacity_nothing_counts_as_past_it() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
+fn no_report_clears_chips_before_the_capacity_is_known() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &[server(0), server(2)]);
     let busy = |s: ServerId| if s == ServerId(0) { 50.0 } else { 0.0 };
-    let to_busy = (0..100).filter(|_| round_by(&mut b, busy) == ServerId(0)).count();
+    let to_busy = (0..100).filter(|_| round_by(&mut harness, busy) == ServerId(0)).count();
     assert!(to_busy > 0, "it still holds chips");
 }
 
@@ -55,16 +55,16 @@
 #[test]
 fn a_server_without_chips_gets_a_request_only_when_no_other_qualifies() {
     for seed in 0..10 {
-        let mut b = with_capacity(seed);
+        let mut harness = with_capacity(seed);
         // Past 0.8 x 4 but not past 4: no chip, no wipe. Server 2 goes on minting.
         let by = |s: ServerId| if s == ServerId(0) { 3.6 } else { 0.0 };
-        let end = b.now + 1400 * MS;
+        let end = harness.now + 1400 * MS;
         let mut late_sends = 0;
         let mut rounds = 0;
-        while b.now < end {
+        while harness.now < end {
             rounds += 1;
             // The 16 chips a server can hold are spent after 16 sends at most.
-            late_sends += u32::from(round_by(&mut b, by) == ServerId(0));
+            late_sends += u32::from(round_by(&mut harness, by) == ServerId(0));
         }
         assert!(late_sends <= 16, "{late_sends} of {rounds} sends for 16 chips at most");
     }
--- a/crates/coppercart/tests/it/decide/mod.rs
+++ b/crates/coppercart/tests/it/decide/mod.rs
@@ -1,7 +1,7 @@
 //! The mechanism and each failure found, driven through `handle`.
 
 mod chips;
-mod copies;
+mod hedges;
 mod overload;
 mod requests;
 mod selection;
--- a/crates/coppercart/tests/it/decide/overload.rs
+++ b/crates/coppercart/tests/it/decide/overload.rs
@@ -7,34 +7,34 @@
 /// Found in overload: a single late answer at a quiet sidecar shed what the fleet could serve.
 #[test]
 fn one_late_answer_does_not_shed_the_best_class() {
-    let mut b = Bench::new(settings(|_| {}), 2, &[server(0), server(2), server(4)]);
+    let mut harness = Harness::new(settings(|_| {}), 2, &[server(0), server(2), server(4)]);
     for _ in 0..5 {
-        b.round(0, 0.0);
+        harness.round(0, 0.0);
     }
-    let (id, out) = b.request(0);
+    let (id, out) = harness.request(0);
     let to = sent(&out).expect("sent");
-    b.now += S;
-    b.answer(id, 0, to, Outcome::TimedOut, 0.0);
+    harness.now += S;
+    harness.answer(id, 0, to, Outcome::TimedOut, 0.0);
     for _ in 0..10 {
-        let (_, out) = b.request(2);
+        let (_, out) = harness.request(2);
         assert!(!refused(&out));
     }
 }
 
 /// Load shedding: when all servers are late, what earns least for its work is refused first.
 #[test]
-fn overload_sheds_the_class_that_earns_least() {
+fn overload_sheds_the_class_of_the_lowest_value_first() {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 2, &servers);
+    let mut harness = Harness::new(settings(|_| {}), 2, &servers);
     let (mut cheap, mut dear) = (0, 0);
     for i in 0..300 {
         let class = if i % 2 == 0 { 0 } else { 2 };
-        let (id, out) = b.request(class);
+        let (id, out) = harness.request(class);
         match sent(&out) {
             Some(to) => {
                 let latency = 170 * MS;
-                b.now += 20 * MS;
-                b.event(Event::Answer {
+                harness.now += 20 * MS;
+                harness.event(Event::Answer {
                     id,
                     attempt: 0,
                     server: to,
@@ -55,36 +55,36 @@
 /// Found where queues are short: each refusal as full counted as a late answer, and half of the
 /// requests were refused at the door while other servers had room.
 #[test]
-fn refusals_as_full_elsewhere_do_not_shed() {
+fn refusals_as_full_do_not_cause_shedding() {
     let servers: Vec<_> = (0..8).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 3, &servers);
+    let mut harness = Harness::new(settings(|_| {}), 3, &servers);
     for _ in 0..200 {
-        let (id, out) = b.request(0);
+        let (id, out) = harness.request(0);
         let first = sent(&out).expect("not shed");
-        b.now += MS;
-        let out = b.answer(id, 0, first, Outcome::Full, 0.0);
+        harness.now += MS;
+        let out = harness.answer(id, 0, first, Outcome::Full, 0.0);
         let second = sent(&out).expect("tried elsewhere");
-        b.now += 20 * MS;
-        b.answer(id, 1, second, Outcome::Served, 0.0);
+        harness.now += 20 * MS;
+        harness.answer(id, 1, second, Outcome::Served, 0.0);
     }
 }
 
 /// Found with rough hints of work: heavy requests made the fleet look full.
 #[test]
-fn announced_work_is_no_overload() {
+fn announced_work_does_not_cause_shedding() {
     let servers: Vec<_> = (0..8).map(server).collect();
     let shed = |hinted: bool| {
-        let mut b = Bench::new(settings(|_| {}), 4, &servers);
+        let mut harness = Harness::new(settings(|_| {}), 4, &servers);
         let mut shed = 0;
         for i in 0..2000 {
             let (work, latency) = if i % 4 == 0 { (80 * MS, 190 * MS) } else { (10 * MS, 60 * MS) };
-            let (id, out) = b.request_with(0, hinted.then_some(work));
-            b.now += 50 * MS;
+            let (id, out) = harness.request_with(0, hinted.then_some(work));
+            harness.now += 50 * MS;
             let Some(to) = sent(&out) else {
                 shed += 1;
                 continue;
             };
-            b.event(Event::Answer {
+            harness.event(Event::Answer {
                 id,
                 attempt: 0,
                 server: to,
@@ -103,20 +103,20 @@
 /// Found where there is one class only: half of its requests were refused for the sake of none,
 /// while answers took three fifths of their aim.
 #[test]
-fn equals_are_not_shed_early() {
+fn classes_of_the_highest_value_are_not_shed_early() {
     let servers: Vec<_> = (0..8).map(server).collect();
     let shed = |class: usize| {
-        let mut b = Bench::new(settings(|_| {}), 4, &servers);
+        let mut harness = Harness::new(settings(|_| {}), 4, &servers);
         let mut shed = 0;
         for _ in 0..400 {
-            let (id, out) = b.request(class);
+            let (id, out) = harness.request(class);
             let latency = if class == 0 { 125 * MS } else { 190 * MS };
-            b.now += 50 * MS;
+            harness.now += 50 * MS;
             let Some(to) = sent(&out) else {
                 shed += 1;
                 continue;
             };
-            b.event(Event::Answer {
+            harness.event(Event::Answer {
                 id,
                 attempt: 0,
                 server: to,
@@ -136,31 +136,31 @@
 /// server refuses what comes next at once. That counted as an answer that had overtaken what waits there, which is then
 /// taken for a fault of its own connection. With this alone mended, the day's share went from 0.18 to 0.49 (one play).
 #[test]
-fn refusals_of_full_servers_do_not_hide_how_late_the_others_are() {
+fn refusals_of_full_servers_do_not_hide_unanswered_attempts() {
     let servers: Vec<_> = (0..4).map(|n| server(2 * n)).collect();
     let three = |s: &mut serde_json::Value| s["limits"]["maxAttempts"] = 3.into();
-    let mut b = Bench::new(settings(three), 3, &servers);
+    let mut harness = Harness::new(settings(three), 3, &servers);
     let mut waiting: std::collections::VecDeque<(Micros, RequestId, usize, ServerId)> =
         Default::default();
     let (mut asked, mut shed) = (0, 0);
     for n in 0..300 {
-        b.now += 10 * MS;
-        while waiting.front().is_some_and(|(due, ..)| *due <= b.now) {
+        harness.now += 10 * MS;
+        while waiting.front().is_some_and(|(due, ..)| *due <= harness.now) {
             let Some((_, id, attempt, to)) = waiting.pop_front() else { break };
-            b.answer(id, attempt, to, Outcome::TimedOut, 0.0);
+            harness.answer(id, attempt, to, Outcome::TimedOut, 0.0);
         }
-        let (id, mut out) = b.request(0);
+        let (id, mut out) = harness.request(0);
         asked += u64::from(n >= 200);
         shed += u64::from(n >= 200 && sent(&out).is_none());
         let mut attempt = 0;
         // Two of three are refused by each server that they are sent to, the third waits until its time is over.
         while let Some(to) = sent(&out) {
             if n % 3 == 0 {
-                waiting.push_back((b.now + 150 * MS, id, attempt, to));
+                waiting.push_back((harness.now + 150 * MS, id, attempt, to));
                 break;
             }
-            b.now += MS;
-            out = b.answer(id, attempt, to, Outcome::Full, 0.0);
+            harness.now += MS;
+            out = harness.answer(id, attempt, to, Outcome::Full, 0.0);
             attempt += 1;
         }
     }
--- a/crates/coppercart/tests/it/decide/requests.rs
+++ b/crates/coppercart/tests/it/decide/requests.rs
@@ -8,8 +8,8 @@
 fn the_same_events_give_the_same_actions() {
     let servers: Vec<_> = (0..5).map(server).collect();
     let run = |seed| {
-        let mut b = Bench::new(settings(|_| {}), seed, &servers);
-        (0..200).map(|i| b.round(i % 3, (i % 7) as f32)).collect::<Vec<_>>()
+        let mut harness = Harness::new(settings(|_| {}), seed, &servers);
+        (0..200).map(|i| harness.round(i % 3, (i % 7) as f32)).collect::<Vec<_>>()
     };
     assert_eq!(run(7), run(7));
     assert_ne!(run(7), run(8));
@@ -17,37 +17,37 @@
 
 #[test]
 fn a_request_refused_as_full_goes_elsewhere_at_once() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
+    let mut harness = Harness::new(settings(|_| {}), 1, &[server(0), server(2)]);
     for class in 0..3 {
-        let (id, out) = b.request(class);
+        let (id, out) = harness.request(class);
         let first = sent(&out).expect("sent");
-        let again = b.answer(id, 0, first, Outcome::Full, 0.0);
+        let again = harness.answer(id, 0, first, Outcome::Full, 0.0);
         let second = sent(&again).expect("sent again, it never ran");
         assert_ne!(first, second);
-        b.answer(id, 1, second, Outcome::Served, 0.0);
-        b.now += 3 * S;
+        harness.answer(id, 1, second, Outcome::Served, 0.0);
+        harness.now += 3 * S;
     }
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_only_fails() {
+fn an_unsafe_request_that_may_have_run_is_failed() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut] {
-        let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(2)]);
-        let (id, out) = b.request(2);
+        let mut harness = Harness::new(settings(|_| {}), 1, &[server(0), server(2)]);
+        let (id, out) = harness.request(2);
         let to = sent(&out).expect("sent");
-        let out = b.answer(id, 0, to, outcome, 0.0);
+        let out = harness.answer(id, 0, to, outcome, 0.0);
         assert!(sent(&out).is_none() && !refused(&out) && failed(&out));
     }
 }
 
 #[test]
-fn a_keyed_request_is_repeated_in_its_group_only() {
+fn a_keyed_request_is_retried_only_in_its_dedup_scope() {
     for seed in 0..20 {
         let servers: Vec<_> = (0..8).map(server).collect();
-        let mut b = Bench::new(settings(|_| {}), seed, &servers);
-        let (id, out) = b.request(1);
+        let mut harness = Harness::new(settings(|_| {}), seed, &servers);
+        let (id, out) = harness.request(1);
         let first = sent(&out).expect("sent");
-        let out = b.answer(id, 0, first, Outcome::Reset, 0.0);
+        let out = harness.answer(id, 0, first, Outcome::Reset, 0.0);
         match sent(&out) {
             Some(second) => assert_eq!(first.0 % 2, second.0 % 2, "another zone"),
             None => assert!(failed(&out), "its group is not all: no refusal"),
@@ -56,21 +56,21 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_repeated_after_its_window() {
+fn a_keyed_request_is_not_retried_after_its_window() {
     let servers: Vec<_> = (0..8).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 3, &servers);
-    let (id, out) = b.request(1);
+    let mut harness = Harness::new(settings(|_| {}), 3, &servers);
+    let (id, out) = harness.request(1);
     let first = sent(&out).expect("sent");
-    b.now += 701 * MS;
-    let out = b.answer(id, 0, first, Outcome::Reset, 0.0);
+    harness.now += 701 * MS;
+    let out = harness.answer(id, 0, first, Outcome::Reset, 0.0);
     assert!(sent(&out).is_none() && failed(&out));
 }
 
 #[test]
-fn no_server_at_all_is_a_refusal() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[]);
+fn requests_are_refused_without_servers() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &[]);
     for class in 0..3 {
-        let (_, out) = b.request(class);
+        let (_, out) = harness.request(class);
         assert!(refused(&out));
     }
 }
@@ -78,25 +78,26 @@
 /// A late request is waited for, as it may still earn something; when nothing more can come of it, its
 /// final answer is given in the same breath: refused if trying again is harmless, else failed.
 #[test]
-fn a_late_request_is_neither_called_off_nor_held_back() {
+fn a_late_request_stays_open_until_its_last_attempt_ends() {
     for (class, aim) in [(0, 200 * MS), (1, 300 * MS), (2, 300 * MS)] {
         let told = settings(|s| {
             s["limits"]["retryAfter"] = true.into();
             s["limits"]["maxRetryAfter"] = (2 * S).into();
         });
-        let mut b = Bench::new(told, 1, &[server(0)]);
-        let (id, out) = b.request(class);
+        let mut harness = Harness::new(told, 1, &[server(0)]);
+        let (id, out) = harness.request(class);
         // Each look sets the next one; those up to the aim bring nothing else.
-        let (mut looks, began, mut out) = (0, b.now, out);
-        while let Some((delay, token)) = timer(&out).filter(|(d, _)| b.now + d <= began + aim) {
-            b.now += delay;
-            out = b.event(Event::Timer { token });
+        let (mut looks, began, mut out) = (0, harness.now, out);
+        while let Some((delay, token)) = timer(&out).filter(|(d, _)| harness.now + d <= began + aim)
+        {
+            harness.now += delay;
+            out = harness.event(Event::Timer { token });
             assert!(out.iter().all(|a| matches!(a, Action::Timer { .. })), "{out:?}");
             looks += 1;
         }
-        assert!(looks >= 2 && b.now == began + aim, "{looks} looks up to the aim");
-        b.now += 100 * MS;
-        let out = b.answer(id, 0, ServerId(0), Outcome::Reset, 0.0);
+        assert!(looks >= 2 && harness.now == began + aim, "{looks} looks up to the aim");
+        harness.now += 100 * MS;
+        let out = harness.answer(id, 0, ServerId(0), Outcome::Reset, 0.0);
         assert_eq!((refused(&out), failed(&out)), (class == 0, class != 0), "{out:?}");
         let wait = out.iter().find_map(|a| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
@@ -116,17 +117,17 @@
 
 /// A server is not silent, and its answers are not late, while a long one is under way.
 #[test]
-fn a_long_answer_under_way_is_not_waited_for() {
-    let mut b = Bench::new(settings(|_| {}), 7, &[server(0)]);
+fn a_streaming_answer_does_not_count_as_waiting() {
+    let mut harness = Harness::new(settings(|_| {}), 7, &[server(0)]);
     for n in 0..20 {
-        let (id, out) = b.request(0);
+        let (id, out) = harness.request(0);
         assert_eq!(sent(&out), Some(ServerId(0)), "request {n}");
-        b.now += 20 * MS;
-        b.event(Event::FirstByte { id, attempt: 0 });
-        b.now += 600 * MS;
+        harness.now += 20 * MS;
+        harness.event(Event::FirstByte { id, attempt: 0 });
+        harness.now += 600 * MS;
         let mut set = timer(&out);
         while let Some((_, token)) = set {
-            let out = b.event(Event::Timer { token });
+            let out = harness.event(Event::Timer { token });
             assert!(out.iter().all(|a| matches!(a, Action::Timer { .. })), "{out:?}");
             set = timer(&out);
         }
@@ -136,13 +137,13 @@
 /// Found by the bench's drill: an attempt was called off at its aim in the instant in which its
 /// stream began. A stream has no deadline, so the request never got its final answer.
 #[test]
-fn a_stream_that_was_called_off_still_ends() {
-    let mut b =
-        Bench::new(settings(|s| s["classes"][2]["streaming"] = true.into()), 1, &[server(0)]);
-    let (id, out) = b.request(2);
+fn a_cancelled_stream_still_ends() {
+    let mut harness =
+        Harness::new(settings(|s| s["classes"][2]["streaming"] = true.into()), 1, &[server(0)]);
+    let (id, out) = harness.request(2);
     let to = sent(&out).expect("sent");
-    b.event(Event::FirstByte { id, attempt: 0 });
-    b.now += 4 * MS;
-    let out = b.answer(id, 0, to, Outcome::Cancelled, 0.0);
+    harness.event(Event::FirstByte { id, attempt: 0 });
+    harness.now += 4 * MS;
+    let out = harness.answer(id, 0, to, Outcome::Cancelled, 0.0);
     assert_eq!(out, vec![Action::Fail { id }]);
 }
--- a/crates/coppercart/tests/it/decide/selection.rs
+++ b/crates/coppercart/tests/it/decide/selection.rs
@@ -8,51 +8,51 @@
 /// Slow start: many sidecars counted together, each assuming the others do likewise. A cold
 /// server's share of sends must stay under the multiple of its present capacity's share.
 #[test]
-fn all_sidecars_together_spare_a_cold_server() {
+fn all_sidecars_together_limit_the_sends_to_a_cold_server() {
     let n = 10;
     let mut cold = server(n);
     cold.started = START;
     let (mut to_cold, mut all) = (0, 0);
     for seed in 0..300 {
         let servers: Vec<_> = (0..n).map(server).collect();
-        let mine = settings(|s| {
+        let settings = settings(|s| {
             s["instances"] = 300.into();
             s["me"] = seed.into();
         });
-        let mut b = Bench::new(mine, seed, &servers);
+        let mut harness = Harness::new(settings, seed, &servers);
         for _ in 0..10 {
-            b.round(0, 1.0);
+            harness.round(0, 1.0);
         }
-        b.now = START + S;
-        b.servers(ListKind::Changes, &[cold.clone()]);
+        harness.now = START + S;
+        harness.servers(ListKind::Changes, &[cold.clone()]);
         for _ in 0..10 {
             all += 1;
-            to_cold += u32::from(b.round(0, 1.0) == Some(cold.id));
+            to_cold += u32::from(harness.round(0, 1.0) == Some(cold.id));
         }
     }
     let share = f64::from(to_cold) / f64::from(all);
     // Present capacity is 0.2 to 0.25 of a server's; ten others are warm; the multiple is 3.
-    let due = 0.25 / 10.25;
-    assert!(share < 2.5 * due, "share {share}, due {due}");
-    assert!(share > 0.2 * due, "it must warm up: {share}");
+    let expected_share = 0.25 / 10.25;
+    assert!(share < 2.5 * expected_share, "share {share}, expected_share {expected_share}");
+    assert!(share > 0.2 * expected_share, "it must warm up: {share}");
 }
 
 /// Found with slow servers that still answer: they kept most of their share, and made it late.
 #[test]
-fn a_server_slower_than_its_peers_is_passed_over() {
+fn a_server_slower_than_the_others_is_avoided() {
     let servers: Vec<_> = (0..4).map(server).collect();
-    let mut b = Bench::new(settings(|_| {}), 4, &servers);
+    let mut harness = Harness::new(settings(|_| {}), 4, &servers);
     let slow = ServerId(0);
     let mut to_slow = 0;
     for i in 0..400 {
-        let (id, out) = b.request(0);
+        let (id, out) = harness.request(0);
         let to = sent(&out).expect("sent");
         if i >= 200 {
             to_slow += u32::from(to == slow);
         }
         let latency = if to == slow { 90 * MS } else { 20 * MS };
-        b.now += latency;
-        b.event(Event::Answer {
+        harness.now += latency;
+        harness.event(Event::Answer {
             id,
             attempt: 0,
             server: to,
@@ -68,23 +68,23 @@
 /// Found where open connections cost: four or more of each sidecar's stayed open, and servers
 /// outside of its subset kept one each after a single retry.
 #[test]
-fn dear_connections_are_few_and_closed() {
+fn expensive_connections_are_few_and_closed() {
     let servers: Vec<_> = (0..30).map(server).collect();
-    let dear = settings(|s| {
+    let expensive_connections = settings(|s| {
         s["instances"] = 600.into();
         s["prices"] = serde_json::json!({"connection": 0.075});
     });
-    let mut b = Bench::new(dear, 5, &servers);
+    let mut harness = Harness::new(expensive_connections, 5, &servers);
     let mut kept = std::collections::BTreeSet::new();
     for _ in 0..100 {
-        let (id, out) = b.request(0);
+        let (id, out) = harness.request(0);
         let to = sent(&out).expect("sent");
-        b.now += 20 * MS;
-        let out = b.answer(id, 0, to, Outcome::Served, 0.0);
+        harness.now += 20 * MS;
+        let out = harness.answer(id, 0, to, Outcome::Served, 0.0);
         if !out.contains(&Action::CloseIdle { server: to }) {
             kept.insert(to.0);
         }
-        b.now += 2 * S;
+        harness.now += 2 * S;
     }
     // 0.05 x 100 x 30 servers / (0.075 x 600 instances) = 3.3
     assert!(kept.len() <= 3, "{kept:?}");
@@ -96,13 +96,14 @@
 fn a_cold_server_gets_no_retry() {
     for seed in 0..50 {
         let cold = ServerEntry { started: START - S, ..server(0) };
-        let mut b = Bench::new(settings(|_| {}), seed, &[cold.clone(), server(1), server(2)]);
-        let (id, mut out) = b.request(0);
+        let mut harness =
+            Harness::new(settings(|_| {}), seed, &[cold.clone(), server(1), server(2)]);
+        let (id, mut out) = harness.request(0);
         for attempt in 0.. {
             let Some(to) = sent(&out) else { break };
             assert!(attempt == 0 || to != cold.id, "attempt {attempt} went to the cold server");
-            b.now += MS;
-            out = b.answer(id, attempt, to, Outcome::Full, 0.0);
+            harness.now += MS;
+            out = harness.answer(id, attempt, to, Outcome::Full, 0.0);
         }
     }
 }
@@ -110,103 +111,103 @@
 /// Found where servers are warm for keys they met lately: a key wandered over the whole fleet.
 /// Most sidecars send it to one server; a hot one, met again at once, goes anywhere.
 #[test]
-fn a_key_goes_home_unless_it_is_hot() {
+fn a_key_goes_to_its_server_unless_it_is_hot() {
     let servers: Vec<_> = (0..16).map(server).collect();
-    let most_at_one = |warm: bool, times: u64| {
-        let mut met = std::collections::BTreeMap::new();
+    let largest_share = |warm: bool, times: u64| {
+        let mut sends = std::collections::BTreeMap::new();
         for me in 0..60 {
-            let mine = settings(|s| {
+            let settings = settings(|s| {
                 s["instances"] = 60.into();
                 s["me"] = me.into();
                 s["familyInfo"] = serde_json::json!({"warmKeys": warm});
             });
-            let mut b = Bench::new(mine, me, &servers);
+            let mut harness = Harness::new(settings, me, &servers);
             for _ in 0..times {
-                let (id, out) = b.request_for(77);
+                let (id, out) = harness.request_for(77);
                 let to = sent(&out).expect("sent");
-                b.now += S;
-                b.answer(id, 0, to, Outcome::Served, 0.0);
-                *met.entry(to).or_insert(0_u64) += 1;
+                harness.now += S;
+                harness.answer(id, 0, to, Outcome::Served, 0.0);
+                *sends.entry(to).or_insert(0_u64) += 1;
             }
         }
-        *met.values().max().expect("some were sent") as f64 / (60 * times) as f64
+        *sends.values().max().expect("some were sent") as f64 / (60 * times) as f64
     };
-    assert!(most_at_one(true, 1) > 0.9, "{}", most_at_one(true, 1));
-    assert!(most_at_one(false, 1) < 0.3, "{}", most_at_one(false, 1));
-    assert!(most_at_one(true, 40) < 0.3, "{}", most_at_one(true, 40));
+    assert!(largest_share(true, 1) > 0.9, "{}", largest_share(true, 1));
+    assert!(largest_share(false, 1) < 0.3, "{}", largest_share(false, 1));
+    assert!(largest_share(true, 40) < 0.3, "{}", largest_share(true, 40));
 }
 
 /// Found with five zones: each far server had a low weight, but all of them together were drawn
 /// for a third of the picks, and won the ties of idle days.
 #[test]
-fn idle_days_stay_at_home() {
+fn low_load_stays_in_its_zone() {
     let servers: Vec<_> =
         (0..40).map(|n| ServerEntry { zone: u8::from(n >= 8), ..server(n) }).collect();
-    let priced = settings(|s| s["prices"] = serde_json::json!({"crossZone": 0.08}));
-    let mut b = Bench::new(priced, 6, &servers);
-    let mut far = 0;
+    let settings = settings(|s| s["prices"] = serde_json::json!({"crossZone": 0.08}));
+    let mut harness = Harness::new(settings, 6, &servers);
+    let mut remote = 0;
     for _ in 0..1000 {
-        let to = b.round(0, 0.0).expect("sent");
-        far += u32::from(to.0 >= 8);
+        let to = harness.round(0, 0.0).expect("sent");
+        remote += u32::from(to.0 >= 8);
     }
-    assert!(far < 60, "{far} of 1000 crossed");
+    assert!(remote < 60, "{remote} of 1000 crossed");
 }
 
 /// A busy sidecar hears some hundred answers before what it does about them shows. A moment's
 /// slowness at home must not send all of its load away, and back a moment later.
 #[test]
-fn the_share_that_crosses_does_not_follow_each_of_many_answers() {
+fn the_cross_zone_share_does_not_follow_single_answers() {
     let list: Vec<_> = (0..6).map(server).collect();
-    let mut b =
-        Bench::new(settings(|s| s["prices"] = serde_json::json!({"crossZone": 0.06})), 6, &list);
+    let mut harness =
+        Harness::new(settings(|s| s["prices"] = serde_json::json!({"crossZone": 0.06})), 6, &list);
     // 300 requests a second, each answered before the next but one.
-    let round = |b: &mut Bench, home: Micros| {
-        let (id, out) = b.request(0);
+    let round = |harness: &mut Harness, local_latency: Micros| {
+        let (id, out) = harness.request(0);
         let server = sent(&out)?;
-        b.now += 3_300;
-        let far = server.0 % 2 == 1;
-        b.event(Event::Answer {
+        harness.now += 3_300;
+        let remote = server.0 % 2 == 1;
+        harness.event(Event::Answer {
             id,
             attempt: 0,
             server,
             outcome: Outcome::Served,
-            latency: if far { 20 * MS } else { home },
+            latency: if remote { 20 * MS } else { local_latency },
             finished: true,
             report: report(0.0),
         });
-        Some(far)
+        Some(remote)
     };
-    let crossed = |b: &mut Bench, n: usize, home: Micros| {
-        (0..n).filter(|_| round(b, home) == Some(true)).count()
+    let crossed = |harness: &mut Harness, n: usize, local_latency: Micros| {
+        (0..n).filter(|_| round(harness, local_latency) == Some(true)).count()
     };
-    crossed(&mut b, 3000, 20 * MS);
-    let calm = crossed(&mut b, 300, 20 * MS);
+    crossed(&mut harness, 3000, 20 * MS);
+    let calm = crossed(&mut harness, 300, 20 * MS);
     assert!(calm < 60, "{calm} of 300 crossed before");
-    let after = crossed(&mut b, 100, 150 * MS);
+    let after = crossed(&mut harness, 100, 150 * MS);
     assert!(after < 30, "{after} of 100 crossed within a third of a second");
 }
 
 /// How steeply a slow server is passed over follows from the settings.
 #[test]
-fn the_slow_exponent_tells_how_often_a_slow_server_is_met() {
+fn the_slow_exponent_sets_how_often_a_slow_server_is_chosen() {
     let to_slow = |exponent: f64| {
         let with =
             |json: &mut serde_json::Value| json["failover"] = json!({"slowExponent": exponent});
         let servers: Vec<_> = (0..4).map(server).collect();
-        let mut b = Bench::new(settings(with), 4, &servers);
+        let mut harness = Harness::new(settings(with), 4, &servers);
         let mut slow = 0;
         let mut open: Vec<(Micros, RequestId, ServerId, Micros)> = Vec::new();
         for _ in 0..4000 {
-            let (id, out) = b.request(0);
+            let (id, out) = harness.request(0);
             let server = sent(&out).expect("sent");
             slow += u32::from(server == ServerId(0));
             let latency = if server == ServerId(0) { 90 * MS } else { 20 * MS };
-            open.push((b.now + latency, id, server, latency));
-            b.now += 2 * MS;
-            while let Some(at) = open.iter().position(|(due, ..)| *due <= b.now) {
+            open.push((harness.now + latency, id, server, latency));
+            harness.now += 2 * MS;
+            while let Some(at) = open.iter().position(|(due, ..)| *due <= harness.now) {
                 let (_, id, server, latency) = open.swap_remove(at);
                 let (outcome, report) = (Outcome::Served, report(0.0));
-                b.event(Event::Answer {
+                harness.event(Event::Answer {
                     id,
                     attempt: 0,
                     server,
--- a/crates/coppercart/tests/it/decide/servers.rs
+++ b/crates/coppercart/tests/it/decide/servers.rs
@@ -5,36 +5,36 @@
 use crate::common::*;
 
 #[test]
-fn a_drained_server_gets_nothing() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0), server(1)]);
-    b.servers(ListKind::Changes, &[with_health(0, Health::Draining)]);
+fn a_draining_server_gets_no_requests() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &[server(0), server(1)]);
+    harness.servers(ListKind::Changes, &[with_health(0, Health::Draining)]);
     for _ in 0..50 {
-        assert_eq!(b.round(0, 0.0), Some(ServerId(1)));
+        assert_eq!(harness.round(0, 0.0), Some(ServerId(1)));
     }
-    b.servers(ListKind::Whole, &[server(2)]);
+    harness.servers(ListKind::Whole, &[server(2)]);
     for _ in 0..50 {
-        assert_eq!(b.round(0, 0.0), Some(ServerId(2)));
+        assert_eq!(harness.round(0, 0.0), Some(ServerId(2)));
     }
 }
 
 #[test]
-fn a_hung_server_draws_one_trial_at_a_time() {
-    let mut b = Bench::new(settings(|_| {}), 5, &[server(0), server(2), server(4)]);
+fn a_hung_server_gets_one_trial_at_a_time() {
+    let mut harness = Harness::new(settings(|_| {}), 5, &[server(0), server(2), server(4)]);
     let hung = ServerId(0);
     let (mut lost, mut open) = (0, Vec::new());
     for _ in 0..400 {
-        let (id, out) = b.request(0);
+        let (id, out) = harness.request(0);
         let Some(to) = sent(&out) else { continue };
         if to == hung {
             lost += 1;
-            open.push((id, b.now));
+            open.push((id, harness.now));
         } else {
-            b.now += 10 * MS;
-            b.answer(id, 0, to, Outcome::Served, 0.0);
+            harness.now += 10 * MS;
+            harness.answer(id, 0, to, Outcome::Served, 0.0);
         }
-        while open.first().is_some_and(|&(_, at)| b.now >= at + S) {
+        while open.first().is_some_and(|&(_, at)| harness.now >= at + S) {
             let (id, _) = open.remove(0);
-            b.answer(id, 0, hung, Outcome::TimedOut, 0.0);
+            harness.answer(id, 0, hung, Outcome::TimedOut, 0.0);
         }
     }
     assert!(lost <= 6, "{lost} of 400 went to a hung server");
@@ -42,33 +42,35 @@
 
 /// What the fleet says of a server counts until somebody is answered there, and never empties the list.
 #[test]
-fn what_others_say_takes_a_server_away_and_no_more() {
+fn verdicts_remove_servers_and_never_add_one() {
     let servers: Vec<_> = [0, 2, 4, 6].map(server).to_vec();
-    let of = |b: &mut Bench| (0..60).filter(|_| b.round(0, 0.0) == Some(ServerId(0))).count();
-    let stands = |b: &mut Bench, n, standing| {
-        b.event(Event::Stands { server: ServerId(n), standing });
+    let of = |harness: &mut Harness| {
+        (0..60).filter(|_| harness.round(0, 0.0) == Some(ServerId(0))).count()
     };
-    let mut b = Bench::new(settings(|_| {}), 5, &servers);
-    stands(&mut b, 0, ServerVerdict::Leaving);
-    assert_eq!(of(&mut b), 0, "its drain was heard before the list says so");
-    stands(&mut b, 0, ServerVerdict::Trusted);
-    assert!(of(&mut b) > 0, "the list never said so");
-    b.servers(ListKind::Changes, &[with_health(0, Health::Draining)]);
-    stands(&mut b, 0, ServerVerdict::Trusted);
-    assert_eq!(of(&mut b), 0, "others add nothing that the own list has not named");
+    let stands = |harness: &mut Harness, n, standing| {
+        harness.event(Event::Stands { server: ServerId(n), standing });
+    };
+    let mut harness = Harness::new(settings(|_| {}), 5, &servers);
+    stands(&mut harness, 0, ServerVerdict::Leaving);
+    assert_eq!(of(&mut harness), 0, "its drain was heard before the list says so");
+    stands(&mut harness, 0, ServerVerdict::Trusted);
+    assert!(of(&mut harness) > 0, "the list never said so");
+    harness.servers(ListKind::Changes, &[with_health(0, Health::Draining)]);
+    stands(&mut harness, 0, ServerVerdict::Trusted);
+    assert_eq!(of(&mut harness), 0, "others add nothing that the own list has not named");
     // Nobody was answered there for long, as far as this one knows.
-    let mut b = Bench::new(settings(|_| {}), 5, &servers);
-    stands(&mut b, 0, ServerVerdict::Suspected);
-    let (id, _) = b.request(0);
-    b.event(Event::ClientGone { id });
-    assert!((0..5).all(|_| b.round(0, 0.0) != Some(ServerId(0))));
+    let mut harness = Harness::new(settings(|_| {}), 5, &servers);
+    stands(&mut harness, 0, ServerVerdict::Suspected);
+    let (id, _) = harness.request(0);
+    harness.event(Event::ClientGone { id });
+    assert!((0..5).all(|_| harness.round(0, 0.0) != Some(ServerId(0))));
     // One that lies of all servers.
-    let mut b = Bench::new(settings(|_| {}), 5, &servers);
+    let mut harness = Harness::new(settings(|_| {}), 5, &servers);
     for n in [0, 2, 4, 6] {
-        stands(&mut b, n, ServerVerdict::Suspected);
-        stands(&mut b, n, ServerVerdict::Leaving);
+        stands(&mut harness, n, ServerVerdict::Suspected);
+        stands(&mut harness, n, ServerVerdict::Leaving);
     }
-    assert!((0..60).all(|_| b.round(0, 0.0).is_some()));
+    assert!((0..60).all(|_| harness.round(0, 0.0).is_some()));
 }
 
 /// What callers saw: while one sidecar tried a dead server, requests of the others still went there and waited for
@@ -77,14 +79,14 @@
 /// With the first verdict's time over it was used again until the next repeat came. Seen in `lease-cuts` with seeds 1 to
 /// 16: attempts of sidecars that did not own the trial, long after the last cut and restart.
 #[test]
-fn a_verdict_that_is_repeated_goes_on_to_hold() {
+fn a_repeated_verdict_stays_in_effect() {
     let servers: Vec<_> = [0, 2, 4, 6].map(server).to_vec();
-    let mut b = Bench::new(settings(|_| {}), 5, &servers);
+    let mut harness = Harness::new(settings(|_| {}), 5, &servers);
     for _ in 0..40 {
-        b.event(Event::Stands { server: ServerId(0), standing: ServerVerdict::Suspected });
+        harness.event(Event::Stands { server: ServerId(0), standing: ServerVerdict::Suspected });
         // A round takes 20 ms, so repeats come well within the time that a verdict holds.
         for _ in 0..12 {
-            assert_ne!(b.round(0, 0.0), Some(ServerId(0)), "at {} us", b.now);
+            assert_ne!(harness.round(0, 0.0), Some(ServerId(0)), "at {} us", harness.now);
         }
     }
 }
@@ -92,32 +94,32 @@
 /// Found on a quiet stretch: an attempt called off left its server marked silent for ever, and
 /// sidecar after sidecar ran out of servers.
 #[test]
-fn a_cancelled_copy_does_not_silence_its_server() {
-    let mut b = Bench::new(settings(|_| {}), 1, &[server(0)]);
-    let (id, out) = b.request(0);
+fn a_cancelled_attempt_does_not_make_its_server_silent() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &[server(0)]);
+    let (id, out) = harness.request(0);
     let to = sent(&out).expect("sent");
-    b.event(Event::ClientGone { id });
-    b.now += 5 * MS;
-    b.answer(id, 0, to, Outcome::Cancelled, 0.0);
-    b.now += 10 * S;
-    assert_eq!(b.round(0, 0.0), Some(to));
+    harness.event(Event::ClientGone { id });
+    harness.now += 5 * MS;
+    harness.answer(id, 0, to, Outcome::Cancelled, 0.0);
+    harness.now += 10 * S;
+    assert_eq!(harness.round(0, 0.0), Some(to));
 }
 
 /// Discovery: a sidecar that has lost its subscription asks again, and never in the same instant.
 #[test]
-fn a_failed_subscription_is_renewed_later() {
+fn a_failed_subscription_is_renewed_after_a_delay() {
     for seed in 0..20 {
         let asked = settings(|s| s["discovery"] = "on_request".into());
-        let mut b = Bench::new(asked, seed, &[server(0)]);
+        let mut harness = Harness::new(asked, seed, &[server(0)]);
         for _ in 0..8 {
-            let out = b.servers(ListKind::Failed, &[]);
+            let out = harness.servers(ListKind::Failed, &[]);
             let Some(Action::Timer { delay, token }) = out.first() else {
                 panic!("no timer: {out:?}");
             };
             // However often it failed: a call that hangs for 2 s, this wait and one that takes 2 s are 6 s.
             assert!((S / 4..=2 * S).contains(delay), "{delay}");
-            b.now += delay;
-            let again = b.event(Event::Timer { token: *token });
+            harness.now += delay;
+            let again = harness.event(Event::Timer { token: *token });
             assert!(again.contains(&Action::Subscribe));
         }
     }
@@ -126,66 +128,66 @@
 /// Where networks reset connections now and then, a pause for each reset would leave too
 /// few servers. Only a second failure in a row makes a server wait.
 #[test]
-fn a_lone_reset_is_no_reason_for_a_pause() {
-    let mut b = Bench::new(settings(|_| {}), 2, &[server(0), server(2)]);
+fn a_single_reset_does_not_eject_a_server() {
+    let mut harness = Harness::new(settings(|_| {}), 2, &[server(0), server(2)]);
     for _ in 0..2 {
-        let reset = (0..50).any(|_| reset_if_to(&mut b, ServerId(0)));
+        let reset = (0..50).any(|_| reset_if_to(&mut harness, ServerId(0)));
         assert!(reset, "it is still met");
     }
     // Far less than the pause goes by.
-    assert!((0..10).all(|_| !reset_if_to(&mut b, ServerId(0))), "it waits");
+    assert!((0..10).all(|_| !reset_if_to(&mut harness, ServerId(0))), "it waits");
 }
 
 /// One request, reset if it goes to `server`, answered if not; tells which.
-fn reset_if_to(b: &mut Bench, server: ServerId) -> bool {
-    let (id, out) = b.request(0);
+fn reset_if_to(harness: &mut Harness, server: ServerId) -> bool {
+    let (id, out) = harness.request(0);
     let to = sent(&out).expect("sent");
-    b.now += MS;
+    harness.now += MS;
     let outcome = if to == server { Outcome::Reset } else { Outcome::Served };
-    b.answer(id, 0, to, outcome, 0.0);
+    harness.answer(id, 0, to, outcome, 0.0);
     to == server
 }
 
 /// Where the network spoils answers of all servers alike, leaving out each that fails leaves
 /// out all. What could still be served is not refused for it.
 #[test]
-fn with_all_servers_left_out_requests_are_still_sent() {
-    let mut b = Bench::new(settings(|_| {}), 3, &[server(0), server(2), server(4)]);
+fn requests_are_sent_while_all_servers_are_ejected() {
+    let mut harness = Harness::new(settings(|_| {}), 3, &[server(0), server(2), server(4)]);
     for n in 0..40 {
-        let (id, out) = b.request(2);
+        let (id, out) = harness.request(2);
         assert!(sent(&out).is_some(), "request {n}");
-        b.now += MS;
-        b.answer(id, 0, sent(&out).expect("sent"), Outcome::Reset, 0.0);
+        harness.now += MS;
+        harness.answer(id, 0, sent(&out).expect("sent"), Outcome::Reset, 0.0);
     }
 }
 
 /// A busy sidecar has many attempts out at one server, and what ends one ends them all. They
 /// are one failure, and the server is met again at once.
 #[test]
-fn attempts_that_fail_together_are_one_failure() {
-    let mut b = Bench::new(settings(|_| {}), 4, &[server(0), server(2)]);
-    let out: Vec<_> = (0..20).map(|_| b.request(2)).collect();
-    b.now += 10 * MS;
+fn attempts_that_fail_together_count_as_one_failure() {
+    let mut harness = Harness::new(settings(|_| {}), 4, &[server(0), server(2)]);
+    let out: Vec<_> = (0..20).map(|_| harness.request(2)).collect();
+    harness.now += 10 * MS;
     for (id, out) in &out {
         let to = sent(out).expect("sent");
         let lost = to == ServerId(0);
-        b.answer(*id, 0, to, if lost { Outcome::Reset } else { Outcome::Served }, 0.0);
+        harness.answer(*id, 0, to, if lost { Outcome::Reset } else { Outcome::Served }, 0.0);
     }
     assert!(out.iter().filter(|(_, out)| sent(out) == Some(ServerId(0))).count() > 2);
-    assert!((0..20).any(|_| reset_if_to(&mut b, ServerId(0))));
+    assert!((0..20).any(|_| reset_if_to(&mut harness, ServerId(0))));
 }
 
 /// Where answers are spoilt now and then at all servers alike, single trials after each would
 /// leave that server's share to the others.
 #[test]
-fn a_lone_reset_asks_for_no_single_trial() {
-    let mut b = Bench::new(settings(|_| {}), 5, &[server(0), server(2)]);
+fn a_single_reset_does_not_limit_a_server_to_one_trial() {
+    let mut harness = Harness::new(settings(|_| {}), 5, &[server(0), server(2)]);
     let to = |out: &[Action]| sent(out).expect("sent");
-    let first: Vec<_> = (0..20).map(|_| b.request(2)).collect();
-    b.now += MS;
+    let first: Vec<_> = (0..20).map(|_| harness.request(2)).collect();
+    harness.now += MS;
     let (id, _) = first.iter().find(|(_, out)| to(out) == ServerId(0)).expect("one goes there");
-    b.answer(*id, 0, ServerId(0), Outcome::Reset, 0.0);
+    harness.answer(*id, 0, ServerId(0), Outcome::Reset, 0.0);
     // The others are still out there.
-    let met = (0..20).filter(|_| to(&b.request(2).1) == ServerId(0)).count();
+    let met = (0..20).filter(|_| to(&harness.request(2).1) == ServerId(0)).count();
     assert!(met > 4, "{met} of 20");
 }
--- a/crates/coppercart/tests/it/main.rs
+++ b/crates/coppercart/tests/it/main.rs
@@ -6,7 +6,7 @@
 mod common;
 mod decide;
 mod replay;
-mod retune;
 mod rules;
+mod settings_update;
 mod swing;
 mod wire;
--- a/crates/coppercart/tests/it/replay.rs
+++ b/crates/coppercart/tests/it/replay.rs
@@ -16,52 +16,52 @@
 const SERVERS: u64 = 24;
 /// Requests of one stream, and how many lie between two digests.
 const REQUESTS: usize = 4000;
-const EVERY: usize = 1000;
+const DIGEST_INTERVAL: usize = 1000;
 
 /// What is to happen, and when.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Timer(u32),
-    Answer { id: RequestId, attempt: usize, server: ServerId, sent: Micros, how: u8 },
+    Answer { id: RequestId, attempt: usize, server: ServerId, sent: Micros, outcome_draw: u8 },
     FirstByte { id: RequestId, attempt: usize },
     Gone(RequestId),
 }
 
-struct World {
-    bench: Bench,
+struct Replay {
+    harness: Harness,
     rng: Pcg64Mcg,
-    due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    order: u64,
+    due: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
+    sequence: u64,
     attempts: std::collections::HashMap<RequestId, usize>,
     digest: u64,
     text: String,
 }
 
-impl World {
-    fn new(settings: Settings, seed: u64) -> World {
+impl Replay {
+    fn new(settings: Settings, seed: u64) -> Replay {
         let list: Vec<_> = (0..SERVERS).map(server).collect();
-        World {
-            bench: Bench::new(settings, seed, &list),
+        Replay {
+            harness: Harness::new(settings, seed, &list),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
             due: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             attempts: Default::default(),
             digest: 0xcbf2_9ce4_8422_2325,
             text: String::new(),
         }
     }
 
-    fn below(&mut self, n: u64) -> u64 {
+    fn random_below(&mut self, n: u64) -> u64 {
         self.rng.next_u64() % n
     }
 
-    fn later(&mut self, delay: Micros, due: Due) {
-        self.order += 1;
-        self.due.push(Reverse((self.bench.now + delay, self.order, due)));
+    fn schedule(&mut self, delay: Micros, due: ScheduledEvent) {
+        self.sequence += 1;
+        self.due.push(Reverse((self.harness.now + delay, self.sequence, due)));
     }
 
     /// Takes the actions into the digest and has the world follow them.
-    fn follow(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             // What timers are set is how the decisions look again, not what they decide.
             if !matches!(action, Action::Timer { .. }) {
@@ -76,21 +76,26 @@
                 }
             }
             match action {
-                Action::Timer { delay, token } => self.later(delay, Due::Timer(token)),
+                Action::Timer { delay, token } => {
+                    self.schedule(delay, ScheduledEvent::Timer(token))
+                }
                 Action::Send { id, server, .. } => {
                     let attempt = self.attempts.entry(id).or_default();
                     let n = *attempt;
                     *attempt += 1;
-                    let how = self.below(100) as u8;
+                    let outcome_draw = self.random_below(100) as u8;
                     let slow = 1 + server.0 % 5;
-                    let takes = 5 * MS + self.below(40 * MS * slow);
-                    let sent = self.bench.now;
-                    if how == 99 {
-                        self.later(takes / 2, Due::FirstByte { id, attempt: n });
+                    let latency = 5 * MS + self.random_below(40 * MS * slow);
+                    let sent = self.harness.now;
+                    if outcome_draw == 99 {
+                        self.schedule(latency / 2, ScheduledEvent::FirstByte { id, attempt: n });
                     }
                     // Some are never answered.
-                    if how != 98 {
-                        self.later(takes, Due::Answer { id, attempt: n, server, sent, how });
+                    if outcome_draw != 98 {
+                        self.schedule(
+                            latency,
+                            ScheduledEvent::Answer { id, attempt: n, server, sent, outcome_draw },
+                        );
                     }
                 }
                 _ => {}
@@ -98,13 +103,13 @@
         }
     }
 
-    fn happen(&mut self, due: Due) {
+    fn dispatch(&mut self, due: ScheduledEvent) {
         let event = match due {
-            Due::Timer(token) => Event::Timer { token },
-            Due::Gone(id) => Event::ClientGone { id },
-            Due::FirstByte { id, attempt } => Event::FirstByte { id, attempt },
-            Due::Answer { id, attempt, server, sent, how } => {
-                let outcome = match how {
+            ScheduledEvent::Timer(token) => Event::Timer { token },
+            ScheduledEvent::Gone(id) => Event::ClientGone { id },
+            ScheduledEvent::FirstByte { id, attempt } => Event::FirstByte { id, attempt },
+            ScheduledEvent::Answer { id, attempt, server, sent, outcome_draw } => {
+                let outcome = match outcome_draw {
                     0..=4 => Outcome::Full,
                     5 | 6 => Outcome::Error,
                     7 | 8 => Outcome::Reset,
@@ -114,13 +119,13 @@
                     _ => Outcome::Served,
                 };
                 let report = report((self.rng.next_u64() % 30) as f32);
-                let latency = self.bench.now - sent;
+                let latency = self.harness.now - sent;
                 let finished = outcome == Outcome::Served;
                 Event::Answer { id, attempt, server, outcome, latency, finished, report }
             }
         };
-        let actions = self.bench.event(event);
-        self.follow(actions);
+        let actions = self.harness.event(event);
+        self.apply_actions(actions);
     }
 
     fn run_until(&mut self, end: Micros) {
@@ -129,18 +134,18 @@
                 break;
             }
             let Some(Reverse((at, _, due))) = self.due.pop() else { break };
-            self.bench.now = at;
-            self.happen(due);
+            self.harness.now = at;
+            self.dispatch(due);
         }
-        self.bench.now = end;
+        self.harness.now = end;
     }
 
-    fn list_changes(&mut self) {
-        let n = self.below(SERVERS + 8);
-        let health = [Health::Ready, Health::Draining, Health::Gone][self.below(3) as usize];
-        let started = if self.below(2) == 0 { self.bench.now } else { 0 };
+    fn change_list(&mut self) {
+        let n = self.random_below(SERVERS + 8);
+        let health = [Health::Ready, Health::Draining, Health::Gone][self.random_below(3) as usize];
+        let started = if self.random_below(2) == 0 { self.harness.now } else { 0 };
         let entry = ServerEntry { started, ..with_health(n, health) };
-        let kind = match self.below(12) {
+        let kind = match self.random_below(12) {
             0 => ListKind::Failed,
             1 => ListKind::Whole,
             _ => ListKind::Changes,
@@ -150,30 +155,30 @@
             ListKind::Failed => Vec::new(),
             _ => vec![entry],
         };
-        let actions = self.bench.servers(kind, &list);
-        self.follow(actions);
+        let actions = self.harness.servers(kind, &list);
+        self.apply_actions(actions);
     }
 
-    fn play(mut self) -> Vec<u64> {
+    fn run(mut self) -> Vec<u64> {
         let mut digests = Vec::new();
         for n in 1..=REQUESTS {
             // Busy and quiet stretches take turns.
             let gap = if (n / 500) % 2 == 0 { 8 * MS } else { 120 * MS };
-            let gap = self.below(gap);
-            self.run_until(self.bench.now + gap);
+            let gap = self.random_below(gap);
+            self.run_until(self.harness.now + gap);
             if n % 40 == 0 {
-                self.list_changes();
+                self.change_list();
             }
-            let class = self.below(3) as usize;
-            self.bench.key = self.below(60);
-            let hint = (self.below(4) == 0).then(|| 1 + self.rng.next_u64() % 50_000);
-            let (id, actions) = self.bench.request_with(class, hint);
-            self.follow(actions);
-            if self.below(25) == 0 {
-                let wait = self.below(60 * MS);
-                self.later(wait, Due::Gone(id));
+            let class = self.random_below(3) as usize;
+            self.harness.key = self.random_below(60);
+            let hint = (self.random_below(4) == 0).then(|| 1 + self.rng.next_u64() % 50_000);
+            let (id, actions) = self.harness.request_with(class, hint);
+            self.apply_actions(actions);
+            if self.random_below(25) == 0 {
+                let wait = self.random_below(60 * MS);
+                self.schedule(wait, ScheduledEvent::Gone(id));
             }
-            if n % EVERY == 0 {
+            if n % DIGEST_INTERVAL == 0 {
                 digests.push(self.digest);
             }
         }
@@ -181,18 +186,23 @@
     }
 }
 
-fn check(name: &str, settings: Settings, seed: u64, expected: [u64; REQUESTS / EVERY]) {
-    let got = World::new(settings, seed).play();
+fn assert_digests(
+    name: &str,
+    settings: Settings,
+    seed: u64,
+    expected: [u64; REQUESTS / DIGEST_INTERVAL],
+) {
+    let got = Replay::new(settings, seed).run();
     assert_eq!(got, expected, "{name}: now {got:#x?}");
 }
 
 #[test]
-fn the_plain_stream_brings_the_same_actions() {
-    check("plain", settings(|_| {}), 7, PLAIN);
+fn plain_events_give_the_recorded_actions() {
+    assert_digests("plain", settings(|_| {}), 7, PLAIN);
 }
 
 #[test]
-fn the_stream_with_prices_and_asked_discovery_brings_the_same_actions() {
+fn events_with_prices_and_discovery_on_request_give_the_recorded_actions() {
     let priced = settings(|s| {
         s["prices"] = serde_json::json!({"crossZone": 0.05, "connection": 0.2});
         s["discovery"] = "on_request".into();
@@ -201,18 +211,18 @@
         s["weightKind"] = "nominal".into();
         s["worthBy"] = "request".into();
     });
-    check("priced", priced, 11, PRICED);
+    assert_digests("priced", priced, 11, PRICED);
 }
 
 #[test]
-fn the_stream_with_warm_keys_and_streams_brings_the_same_actions() {
+fn events_with_warm_keys_and_streams_give_the_recorded_actions() {
     let warm = settings(|s| {
         s["familyInfo"] = serde_json::json!({"warmKeys": true});
         s["limits"]["mayDuplicate"] = false.into();
         s["limits"]["cancel"] = false.into();
         s["classes"][0]["streaming"] = true.into();
     });
-    check("warm", warm, 13, WARM);
+    assert_digests("warm", warm, 13, WARM);
 }
 
 const PLAIN: [u64; 4] =
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -22,11 +22,11 @@
     Whole { mask: u8 },
     Gone { which: usize },
     Failed,
-    Stands { server: u64, standing: ServerVerdict },
+    Verdict { server: u64, standing: ServerVerdict },
 }
 
 #[derive(Debug)]
-struct Sent {
+struct SentAttempt {
     server: ServerId,
     zone: u8,
     at: Micros,
@@ -36,25 +36,25 @@
 }
 
 #[derive(Debug)]
-struct Book {
+struct RequestRecord {
     class: usize,
     deadline: Micros,
-    finals: usize,
+    final_answers: usize,
     gone: bool,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
 }
 
-struct World {
+struct Checker {
     balancer: Balancer,
     now: Micros,
-    books: BTreeMap<RequestId, Book>,
+    requests: BTreeMap<RequestId, RequestRecord>,
     timers: BTreeSet<(Micros, u32)>,
     healthy: BTreeSet<ServerId>,
     may_duplicate: bool,
     max_attempts: usize,
 }
 
-impl World {
+impl Checker {
     fn event(&mut self, event: Event<'_>) {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
@@ -70,46 +70,52 @@
                 assert!(self.healthy.contains(&server), "rule 3: {server:?}");
                 let zone = (server.0 % 2) as u8;
                 let may_duplicate = self.may_duplicate;
-                let b = self.books.get_mut(&id).expect("a known request");
-                assert!(b.finals == 0 && !b.gone, "rule 1: sent after the end");
-                assert!(b.sent.len() < self.max_attempts);
+                let request = self.requests.get_mut(&id).expect("a known request");
+                assert!(request.final_answers == 0 && !request.gone, "rule 1: sent after the end");
+                assert!(request.sent.len() < self.max_attempts);
                 if !may_duplicate {
-                    assert!(b.sent.iter().all(|s| !s.out), "two attempts out");
+                    assert!(request.sent.iter().all(|s| !s.out), "two open attempts");
                 }
-                match CLASSES[b.class].0 {
-                    "unsafe" => assert!(b.sent.iter().all(|s| s.never_ran), "rule 2"),
+                match CLASSES[request.class].0 {
+                    "unsafe" => assert!(request.sent.iter().all(|s| s.never_ran), "rule 2"),
                     "keyed" => {
                         // All have to be out within the window of the first.
-                        let first = b.sent.iter().filter(|s| !s.never_ran).map(|s| s.at).min();
+                        let first =
+                            request.sent.iter().filter(|s| !s.never_ran).map(|s| s.at).min();
                         let end = self.now + commit_within;
-                        assert!(end <= first.unwrap_or(self.now) + WINDOW, "rule 2: out too late");
-                        for s in b.sent.iter().filter(|s| !s.never_ran) {
-                            assert_eq!(s.zone, zone, "rule 2: another group");
-                            assert!(self.now - s.at <= WINDOW, "rule 2: window over");
+                        assert!(
+                            end <= first.unwrap_or(self.now) + WINDOW,
+                            "rule 2: sent after the window"
+                        );
+                        for s in request.sent.iter().filter(|s| !s.never_ran) {
+                            assert_eq!(s.zone, zone, "rule 2: another deduplication scope");
+                            assert!(self.now - s.at <= WINDOW, "rule 2: the window has passed");
                         }
                     }
                     _ => {}
                 }
-                let left = b.deadline - self.now;
-                let wait = if timeout == 0 { left } else { timeout.min(left) };
-                b.sent.push(Sent {
+                let left = request.deadline - self.now;
+                let delay = if timeout == 0 { left } else { timeout.min(left) };
+                request.sent.push(SentAttempt {
                     server,
                     zone,
                     at: self.now,
                     out: true,
                     never_ran: false,
-                    due: self.now + wait,
+                    due: self.now + delay,
                 });
             }
             Action::Refuse { id, .. } => {
-                let b = self.books.get_mut(&id).expect("a known request");
-                let harmless = CLASSES[b.class].1 || b.sent.iter().all(|s| s.never_ran);
+                let request = self.requests.get_mut(&id).expect("a known request");
+                let harmless = CLASSES[request.class].1 || request.sent.iter().all(|s| s.never_ran);
                 assert!(harmless, "rule 2: refused what may have run");
-                b.finals += 1;
+                request.final_answers += 1;
+            }
+            Action::Fail { id } => {
+                self.requests.get_mut(&id).expect("a known request").final_answers += 1
             }
-            Action::Fail { id } => self.books.get_mut(&id).expect("a known request").finals += 1,
             Action::Cancel { id, attempt } => {
-                assert!(attempt < self.books[&id].sent.len(), "an attempt never made");
+                assert!(attempt < self.requests[&id].sent.len(), "an attempt that was never sent");
             }
             Action::Timer { delay, token } => {
                 self.timers.insert((self.now + delay.max(1), token));
@@ -119,16 +125,16 @@
     }
 
     fn outcome(&mut self, id: RequestId, attempt: usize, outcome: Outcome, queue: f32) {
-        let b = self.books.get_mut(&id).expect("a known request");
-        let s = &mut b.sent[attempt];
+        let request = self.requests.get_mut(&id).expect("a known request");
+        let s = &mut request.sent[attempt];
         s.out = false;
         s.never_ran = outcome.never_ran();
         let (server, latency) = (s.server, self.now - s.at);
         let served = outcome == Outcome::Served;
-        if served && b.finals == 0 && !b.gone {
-            b.finals = 1;
+        if served && request.final_answers == 0 && !request.gone {
+            request.final_answers = 1;
         }
-        let finished = b.finals > 0 || b.gone;
+        let finished = request.final_answers > 0 || request.gone;
         self.event(Event::Answer {
             id,
             attempt,
@@ -145,10 +151,10 @@
         loop {
             let timer = self.timers.first().map(|&(at, _)| at);
             let timeout = self
-                .books
+                .requests
                 .iter()
-                .flat_map(|(id, b)| {
-                    let open = b.sent.iter().enumerate().filter(|(_, s)| s.out);
+                .flat_map(|(id, request)| {
+                    let open = request.sent.iter().enumerate().filter(|(_, s)| s.out);
                     open.map(move |(n, s)| (s.due, *id, n))
                 })
                 .min();
@@ -168,17 +174,20 @@
                 }
                 _ => break,
             }
-            self.ended_in_time();
+            self.check_final_answers();
         }
         self.now = to;
-        self.ended_in_time();
+        self.check_final_answers();
     }
 
-    fn ended_in_time(&self) {
-        for (id, b) in &self.books {
-            assert!(b.finals <= 1, "rule 1: {id:?} ended twice");
-            let late = self.now > b.deadline + SLACK;
-            assert!(!late || b.finals == 1 || b.gone, "rule 1: {id:?} lost");
+    fn check_final_answers(&self) {
+        for (id, request) in &self.requests {
+            assert!(request.final_answers <= 1, "rule 1: {id:?} ended twice");
+            let late = self.now > request.deadline + SLACK;
+            assert!(
+                !late || request.final_answers == 1 || request.gone,
+                "rule 1: {id:?} got no final answer"
+            );
         }
     }
 
@@ -186,12 +195,12 @@
         match *step {
             Step::Request { class, left } => {
                 let id = RequestId(n);
-                self.books.insert(
+                self.requests.insert(
                     id,
-                    Book {
+                    RequestRecord {
                         class,
                         deadline: self.now + left,
-                        finals: 0,
+                        final_answers: 0,
                         gone: false,
                         sent: Vec::new(),
                     },
@@ -208,10 +217,10 @@
             }
             Step::Outcome { which, how, queue } => {
                 let open: Vec<_> = self
-                    .books
+                    .requests
                     .iter()
-                    .flat_map(|(id, b)| {
-                        let out = b.sent.iter().enumerate().filter(|(_, s)| s.out);
+                    .flat_map(|(id, request)| {
+                        let out = request.sent.iter().enumerate().filter(|(_, s)| s.out);
                         out.map(move |(n, _)| (*id, n))
                     })
                     .collect();
@@ -250,17 +259,17 @@
             }
             Step::Gone { which } => {
                 let open: Vec<_> = self
-                    .books
+                    .requests
                     .iter()
-                    .filter(|(_, b)| b.finals == 0 && !b.gone)
+                    .filter(|(_, request)| request.final_answers == 0 && !request.gone)
                     .map(|(id, _)| *id)
                     .collect();
                 if let Some(&id) = open.get(which) {
-                    self.books.get_mut(&id).expect("listed above").gone = true;
+                    self.requests.get_mut(&id).expect("listed above").gone = true;
                     self.event(Event::ClientGone { id });
                 }
             }
-            Step::Stands { server: s, standing } => {
+            Step::Verdict { server: s, standing } => {
                 let server = ServerId(s);
                 self.event(Event::Stands { server, standing });
             }
@@ -281,7 +290,7 @@
         1 => any::<u8>().prop_map(|mask| Step::Whole { mask }),
         1 => (0..4usize).prop_map(|which| Step::Gone { which }),
         1 => Just(Step::Failed),
-        2 => (0..6u64, 0..3u8).prop_map(|(server, standing)| Step::Stands {
+        2 => (0..6u64, 0..3u8).prop_map(|(server, standing)| Step::Verdict {
             server,
             standing: [ServerVerdict::Trusted, ServerVerdict::Suspected, ServerVerdict::Leaving][usize::from(standing)],
         }),
@@ -292,34 +301,34 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn rules_hold_on_any_sequence(
+    fn rules_hold_for_any_event_sequence(
         steps in prop::collection::vec(step(), 1..250),
         seed in any::<u64>(),
-        asked in any::<bool>(),
+        on_request in any::<bool>(),
         may_duplicate in any::<bool>(),
         max_attempts in 1..6usize,
     ) {
         let settings = settings(|s| {
-            s["discovery"] = if asked { "on_request" } else { "pushed" }.into();
+            s["discovery"] = if on_request { "on_request" } else { "pushed" }.into();
             s["limits"]["mayDuplicate"] = may_duplicate.into();
             s["limits"]["maxAttempts"] = max_attempts.into();
         });
-        let mut world = World {
+        let mut checker = Checker {
             balancer: Balancer::new(settings, seed, START),
             now: START,
-            books: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             healthy: BTreeSet::new(),
             may_duplicate,
             max_attempts,
         };
-        world.step(0, &Step::Whole { mask: 0b11_1111 });
+        checker.step(0, &Step::Whole { mask: 0b11_1111 });
         for (n, s) in steps.iter().enumerate() {
-            world.step(n as u64 + 1, s);
+            checker.step(n as u64 + 1, s);
         }
-        world.advance(world.now + 4 * S);
-        for (id, b) in &world.books {
-            prop_assert!(b.finals == 1 || b.gone, "rule 1: {:?} lost", id);
+        checker.advance(checker.now + 4 * S);
+        for (id, request) in &checker.requests {
+            prop_assert!(request.final_answers == 1 || request.gone, "rule 1: {:?} got no final answer", id);
         }
     }
 }
--- a/crates/coppercart/tests/it/retune.rs
+++ b/crates/coppercart/tests/it/settings_update.rs
@@ -10,23 +10,23 @@
     (0..4).map(server).collect()
 }
 
-impl Bench {
+impl Harness {
     /// Takes these settings, as an engine would at which nothing but open requests holds places.
-    fn retune(&mut self, new: Settings) {
+    fn update_settings(&mut self, new: Settings) {
         let balancer = &mut self.balancer;
-        let merged = balancer.settings().merged_with(new, |place| balancer.uses_class(place));
+        let merged = balancer.settings().merged_with(new, |index| balancer.uses_class(index));
         balancer.update_settings(merged);
     }
 
     /// The place of the class of this name that is in force.
-    fn place(&self, name: &str) -> usize {
+    fn index_of(&self, name: &str) -> usize {
         let classes = &self.balancer.settings().classes;
         classes.iter().position(|c| c.name == name && !c.retired).expect("a class in force")
     }
 }
 
 #[test]
-fn a_class_that_stays_keeps_its_place_and_one_that_changes_gets_a_new_one() {
+fn unchanged_classes_keep_their_index_and_changed_ones_get_a_new_one() {
     let old = settings(|_| {});
     let new = settings(|s| {
         let classes = s["classes"].as_array_mut().unwrap();
@@ -40,85 +40,85 @@
 }
 
 #[test]
-fn an_open_request_keeps_the_effect_that_it_came_under() {
-    let mut b = Bench::new(settings(|_| {}), 1, &servers());
-    let (order, out) = b.request(2);
+fn an_open_request_keeps_its_retry_safety() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &servers());
+    let (order, out) = harness.request(2);
     let to = sent(&out).expect("sent");
-    b.retune(settings(|s| s["classes"][2]["repeat"] = json!("idempotent")));
+    harness.update_settings(settings(|s| s["classes"][2]["repeat"] = json!("idempotent")));
     // It may have run: under the old rule it is not sent again, and not refused.
-    let out = b.answer(order, 0, to, Outcome::Reset, 0.0);
+    let out = harness.answer(order, 0, to, Outcome::Reset, 0.0);
     assert!(sent(&out).is_none() && failed(&out));
     // One that comes now is safe to repeat.
-    let class = b.place("order");
-    let (order, out) = b.request(class);
+    let class = harness.index_of("order");
+    let (order, out) = harness.request(class);
     let to = sent(&out).expect("sent");
-    let out = b.answer(order, 0, to, Outcome::Reset, 0.0);
+    let out = harness.answer(order, 0, to, Outcome::Reset, 0.0);
     assert!(sent(&out).is_some());
 }
 
 #[test]
-fn an_open_request_keeps_its_attempts() {
-    let mut b = Bench::new(settings(|_| {}), 1, &servers());
-    let (before, out) = b.request(0);
+fn an_open_request_keeps_its_attempt_limit() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &servers());
+    let (before, out) = harness.request(0);
     let first = sent(&out).expect("sent");
-    b.retune(settings(|s| s["limits"]["maxAttempts"] = json!(1)));
-    let (after, out) = b.request(0);
+    harness.update_settings(settings(|s| s["limits"]["maxAttempts"] = json!(1)));
+    let (after, out) = harness.request(0);
     let only = sent(&out).expect("sent");
-    assert!(sent(&b.answer(before, 0, first, Outcome::Full, 0.0)).is_some());
-    let out = b.answer(after, 0, only, Outcome::Full, 0.0);
+    assert!(sent(&harness.answer(before, 0, first, Outcome::Full, 0.0)).is_some());
+    let out = harness.answer(after, 0, only, Outcome::Full, 0.0);
     assert!(sent(&out).is_none() && refused(&out));
 }
 
 #[test]
-fn a_class_that_is_gone_is_not_measured_against() {
-    let mut b = Bench::new(settings(|_| {}), 1, &servers());
-    b.retune(settings(|s| {
+fn a_removed_class_has_no_value() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &servers());
+    harness.update_settings(settings(|s| {
         s["classes"].as_array_mut().unwrap().truncate(1);
     }));
-    let worth: Vec<_> = b.balancer.settings().classes.iter().map(|c| c.credit).collect();
-    assert_eq!(worth, [1.0, 0.0, 0.0]);
-    assert!(b.round(0, 0.0).is_some());
+    let values: Vec<_> = harness.balancer.settings().classes.iter().map(|c| c.credit).collect();
+    assert_eq!(values, [1.0, 0.0, 0.0]);
+    assert!(harness.round(0, 0.0).is_some());
 }
 
 #[test]
-fn places_are_used_again_once_nothing_is_open_there() {
-    let mut b = Bench::new(settings(|_| {}), 1, &servers());
+fn indexes_are_reused_once_no_request_is_open() {
+    let mut harness = Harness::new(settings(|_| {}), 1, &servers());
     for aim in 1..200u64 {
-        b.retune(settings(|s| s["classes"][0]["aim"] = json!(100_000 + aim)));
-        let class = b.place("look");
-        assert!(b.round(class, 0.0).is_some());
+        harness.update_settings(settings(|s| s["classes"][0]["aim"] = json!(100_000 + aim)));
+        let class = harness.index_of("look");
+        assert!(harness.round(class, 0.0).is_some());
     }
-    assert_eq!(b.balancer.settings().classes.len(), 3);
+    assert_eq!(harness.balancer.settings().classes.len(), 3);
 }
 
 proptest! {
     /// Whatever changes while requests are open, each of them ends once, and an unsafe one that may have
     /// run gets neither another attempt nor a refusal.
     #[test]
-    fn rules_hold_over_new_settings(
+    fn rules_hold_across_settings_updates(
         seed in any::<u64>(),
         steps in proptest::collection::vec((0usize..3, 0usize..6, 0usize..4), 1..60),
     ) {
-        let mut b = Bench::new(settings(|_| {}), seed, &servers());
+        let mut harness = Harness::new(settings(|_| {}), seed, &servers());
         // Each open attempt: its request, number, server, and whether the request is unsafe.
         let mut open: Vec<(RequestId, usize, ServerId, bool)> = Vec::new();
         let mut ended = std::collections::HashSet::new();
-        let unsafe_here = |b: &Bench, class: usize| {
-            b.balancer.settings().classes[class].repeat == coppercart::settings::RetrySafety::Unsafe
+        let is_unsafe_class = |harness: &Harness, class: usize| {
+            harness.balancer.settings().classes[class].repeat == coppercart::settings::RetrySafety::Unsafe
         };
         let names = ["look", "keep", "order"];
         for (class, outcome, change) in steps {
             if change == 0 {
-                let effects = ["idempotent", "deduplicated", "at_most_once"];
-                b.retune(settings(|s| {
-                    s["classes"][class]["repeat"] = json!(effects[outcome % 3]);
+                let retry_safeties = ["idempotent", "deduplicated", "at_most_once"];
+                harness.update_settings(settings(|s| {
+                    s["classes"][class]["repeat"] = json!(retry_safeties[outcome % 3]);
                     s["limits"]["maxAttempts"] = json!(1 + outcome);
                 }));
             }
-            b.now += 5 * MS;
-            let place = b.place(names[class]);
-            let is_unsafe = unsafe_here(&b, place);
-            let (id, out) = b.request(place);
+            harness.now += 5 * MS;
+            let index = harness.index_of(names[class]);
+            let is_unsafe = is_unsafe_class(&harness, index);
+            let (id, out) = harness.request(index);
             match sent(&out) {
                 Some(to) => open.push((id, 0, to, is_unsafe)),
                 None => prop_assert!(refused(&out) && ended.insert(id)),
@@ -129,7 +129,7 @@
                     Outcome::Served, Outcome::Error, Outcome::Full,
                     Outcome::Reset, Outcome::ConnectFailed, Outcome::Served,
                 ][outcome];
-                let out = b.answer(id, n, to, outcome, 0.0);
+                let out = harness.answer(id, n, to, outcome, 0.0);
                 let again = sent(&out);
                 if is_unsafe && !outcome.never_ran() {
                     prop_assert!(again.is_none() && !refused(&out));
--- a/crates/coppercart/tests/it/swing.rs
+++ b/crates/coppercart/tests/it/swing.rs
@@ -17,11 +17,11 @@
 const CORES: usize = 2;
 const SEEDS: Range<u64> = 1..9;
 /// Parts of what the servers can do that clients ask for, at first and from [`OVERLOAD`] on, before any asks again.
-const CALM_LOAD: f64 = 0.6;
-const OVERLOAD_LOAD: f64 = 1.2;
-const OVERLOAD: Micros = START + 10 * S;
+const INITIAL_UTILIZATION: f64 = 0.6;
+const OVERLOAD_UTILIZATION: f64 = 1.2;
+const OVERLOAD_START: Micros = START + 10 * S;
 /// Looked at from here on, when the beginning of the overload is long past.
-const STEADY: Range<Micros> = START + 16 * S..START + 50 * S;
+const MEASURED: Range<Micros> = START + 16 * S..START + 50 * S;
 
 /// A class of the site's.
 struct SiteClass {
@@ -70,9 +70,9 @@
                "dedupScope": "cell", "window": 1_500 * MS, "credit": self.credit, "lateWorth": 0.2})
     }
 
-    fn of_clients(&self) -> Class {
-        let patience = self.deadline * 3 / 5;
-        Class { share: self.share, work: self.work, patience, aim: self.aim }
+    fn client_class(&self) -> Class {
+        let client_timeout = self.deadline * 3 / 5;
+        Class { share: self.share, work: self.work, client_timeout, aim: self.aim }
     }
 }
 
@@ -90,105 +90,122 @@
 }
 
 /// The mean time between two operations that asks for this part of what the servers can do.
-fn gap(load: f64) -> Micros {
+fn arrival_interval(load: f64) -> Micros {
     let work: f64 = CLASSES.iter().map(|class| class.share * class.work as f64).sum();
     (work / (SERVERS as f64 * CORES as f64) / load) as Micros
 }
 
 /// Balancers of the decision module.
-fn balancers(seed: u64) -> Vec<Box<dyn Decide>> {
+fn balancers(seed: u64) -> Vec<Box<dyn LoadBalancer>> {
     let seed_of = |me: u32| seed + (u64::from(me) << 32);
-    let one = |me| Box::new(Balancer::new(balancer_settings(me), seed_of(me), START));
-    (0..BALANCERS).map(|me| one(me) as Box<dyn Decide>).collect()
+    let balancer = |me| Box::new(Balancer::new(balancer_settings(me), seed_of(me), START));
+    (0..BALANCERS).map(|me| balancer(me) as Box<dyn LoadBalancer>).collect()
 }
 
 /// What shows that the bounds can be kept: it knows only what is out by itself, and the number that may be. Six times
 /// one at a server of two cores leave four that wait, for some quarter of a second.
 #[derive(Default)]
-struct FixedLimit {
-    out: Vec<usize>,
+struct FixedConcurrencyLimit {
+    in_flight: Vec<usize>,
     next: usize,
 }
 
-const LIMIT: usize = 1;
+const MAX_IN_FLIGHT: usize = 1;
 
-impl Decide for FixedLimit {
+impl LoadBalancer for FixedConcurrencyLimit {
     fn handle(&mut self, _: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Servers { entries, .. } => self.out = vec![0; entries.len()],
-            Event::Answer { server, .. } => self.out[server.0 as usize] -= 1,
-            Event::Request(NewRequest { id, time_left: left, .. }) => {
+            Event::Servers { entries, .. } => self.in_flight = vec![0; entries.len()],
+            Event::Answer { server, .. } => self.in_flight[server.0 as usize] -= 1,
+            Event::Request(NewRequest { id, time_left, .. }) => {
                 self.next += 1;
-                let servers = (0..self.out.len()).map(|n| (self.next + n) % self.out.len());
-                let least = servers.min_by_key(|&n| self.out[n]).expect("servers are listed");
-                if self.out[least] >= LIMIT {
+                let servers =
+                    (0..self.in_flight.len()).map(|n| (self.next + n) % self.in_flight.len());
+                let least_loaded =
+                    servers.min_by_key(|&n| self.in_flight[n]).expect("servers are listed");
+                if self.in_flight[least_loaded] >= MAX_IN_FLIGHT {
                     return actions.push(Action::Refuse { id, retry_after: S });
                 }
-                self.out[least] += 1;
-                let server = ServerId(least as u64);
-                actions.push(Action::Send { id, server, timeout: left, commit_within: left });
+                self.in_flight[least_loaded] += 1;
+                let server = ServerId(least_loaded as u64);
+                actions.push(Action::Send {
+                    id,
+                    server,
+                    timeout: time_left,
+                    commit_within: time_left,
+                });
             }
             _ => {}
         }
     }
 }
 
-fn fixed_limits(_: u64) -> Vec<Box<dyn Decide>> {
-    (0..BALANCERS).map(|_| Box::new(FixedLimit::default()) as Box<dyn Decide>).collect()
+fn fixed_concurrency_limits(_: u64) -> Vec<Box<dyn LoadBalancer>> {
+    (0..BALANCERS)
+        .map(|_| Box::new(FixedConcurrencyLimit::default()) as Box<dyn LoadBalancer>)
+        .collect()
 }
 
-fn play(seed: u64, balancers: Vec<Box<dyn Decide>>) -> Fleet {
-    let plan = Plan {
+fn simulate(seed: u64, balancers: Vec<Box<dyn LoadBalancer>>) -> Fleet {
+    let scenario = Scenario {
         servers: SERVERS,
         cores: CORES,
         queue: 960,
-        classes: CLASSES.iter().map(SiteClass::of_clients).collect(),
-        arrivals: vec![(START, gap(CALM_LOAD)), (OVERLOAD, gap(OVERLOAD_LOAD))],
-        tries: 3,
-        pause: 300 * MS,
-        honour: 0.8,
+        classes: CLASSES.iter().map(SiteClass::client_class).collect(),
+        arrivals: vec![
+            (START, arrival_interval(INITIAL_UTILIZATION)),
+            (OVERLOAD_START, arrival_interval(OVERLOAD_UTILIZATION)),
+        ],
+        max_client_attempts: 3,
+        retry_pause: 300 * MS,
+        retry_after_compliance: 0.8,
         reports: Some(Reports { period: 900 * MS, delay: 250 * MS }),
         hang: None,
-        end: STEADY.end,
+        end: MEASURED.end,
     };
-    let mut fleet = Fleet::new(plan, balancers, seed);
-    fleet.play();
+    let mut fleet = Fleet::new(scenario, balancers, seed);
+    fleet.run();
     fleet
 }
 
-/// The time of all cores within one [`SPAN`].
-const ABLE: Micros = SPAN * SERVERS * CORES as Micros;
+/// The time of all cores within one [`INTERVAL`].
+const CORE_TIME: Micros = INTERVAL * SERVERS * CORES as Micros;
 /// A day on which 0.2 and more of what can be served is lost counts as lost
 /// (docs/incidents/open-days-that-lose-a-quarter.md).
-const LEAST_USEFUL: f64 = 0.8;
+const MIN_USEFUL_SHARE: f64 = 0.8;
 /// Servers may stand idle beside refusals for about the longest time that a request may take in time; a balancer that
 /// looks at answers cannot know sooner that the queues are gone.
-const MOST_IDLE: Micros = S;
+const MAX_IDLE_TIME: Micros = S;
 /// Cores that are busy for less than this part of the time stand idle.
-const IDLE: f64 = 0.5;
+const MIN_BUSY_SHARE: f64 = 0.5;
 
 /// Asserts of all seeds at once, so that a failure tells of each.
-fn assert_all(balancers: fn(u64) -> Vec<Box<dyn Decide>>, found: fn(&Fleet) -> (bool, String)) {
-    let all = SEEDS.map(|seed| (seed, found(&play(seed, balancers(seed)))));
-    let failed = all.filter(|(_, (well, _))| !well);
-    let told: Vec<String> =
+fn assert_all(
+    balancers: fn(u64) -> Vec<Box<dyn LoadBalancer>>,
+    measure: fn(&Fleet) -> (bool, String),
+) {
+    let all = SEEDS.map(|seed| (seed, measure(&simulate(seed, balancers(seed)))));
+    let failed = all.filter(|(_, (ok, _))| !ok);
+    let messages: Vec<String> =
         failed.map(|(seed, (_, text))| format!("seed {seed}: {text}")).collect();
-    assert!(told.is_empty(), "{}", told.join("; "));
+    assert!(messages.is_empty(), "{}", messages.join("; "));
 }
 
 /// Work counts if its answer came within the aim of its try.
 fn useful(fleet: &Fleet) -> (bool, String) {
-    let spans = fleet.spans(STEADY);
-    let useful: Micros = spans.iter().map(|span| span.useful).sum();
-    let share = useful as f64 / (ABLE * spans.len() as Micros) as f64;
-    (share >= LEAST_USEFUL, format!("{share:.2} in time"))
+    let intervals = fleet.intervals(MEASURED);
+    let useful: Micros = intervals.iter().map(|interval| interval.useful).sum();
+    let share = useful as f64 / (CORE_TIME * intervals.len() as Micros) as f64;
+    (share >= MIN_USEFUL_SHARE, format!("{share:.2} in time"))
 }
 
 fn idle(fleet: &Fleet) -> (bool, String) {
-    let wasted = |span: &Counts| span.refused > 0 && (span.busy as f64) < IDLE * ABLE as f64;
-    let runs = fleet.spans(STEADY).split(|span| !wasted(span));
-    let longest = runs.map(|run| run.len() as Micros * SPAN).max().unwrap_or(0);
-    (longest <= MOST_IDLE, format!("idle for {:.1} s", longest as f64 / S as f64))
+    let is_wasted = |interval: &IntervalCounts| {
+        interval.refused > 0 && (interval.busy as f64) < MIN_BUSY_SHARE * CORE_TIME as f64
+    };
+    let runs = fleet.intervals(MEASURED).split(|interval| !is_wasted(interval));
+    let longest = runs.map(|run| run.len() as Micros * INTERVAL).max().unwrap_or(0);
+    (longest <= MAX_IDLE_TIME, format!("idle for {:.1} s", longest as f64 / S as f64))
 }
 
 /// What callers saw: on short days of an overload 0.42 to 0.77 of the worth was served, beside 0.85 to 0.93 of a policy
@@ -205,7 +222,7 @@
 }
 
 #[test]
-fn a_fixed_limit_keeps_both_bounds() {
-    assert_all(fixed_limits, useful);
-    assert_all(fixed_limits, idle);
+fn a_fixed_concurrency_limit_meets_both_bounds() {
+    assert_all(fixed_concurrency_limits, useful);
+    assert_all(fixed_concurrency_limits, idle);
 }
--- a/crates/coppercart/tests/it/wire.rs
+++ b/crates/coppercart/tests/it/wire.rs
@@ -36,7 +36,7 @@
 }
 
 const SERVER: u64 = u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0xc3, 0x2b, 0, 0]);
-const CALL: u64 = u64::from_le_bytes([0xc4, 0x91, 0x3a, 0x5d, 0x9f, 0x96, 0x05, 0]);
+const REQUEST: u64 = u64::from_le_bytes([0xc4, 0x91, 0x3a, 0x5d, 0x9f, 0x96, 0x05, 0]);
 
 #[test]
 fn empty_batch_and_reply() {
@@ -65,7 +65,7 @@
         [
             Record::On(3),
             Record::Ingress(NewRequest {
-                id: RequestId(CALL),
+                id: RequestId(REQUEST),
                 class: 0,
                 tenant: 0,
                 key: 0x91f0_3b7c_55d2_0a64,
@@ -81,7 +81,7 @@
     let mut reply = Reply::default();
     reply.select_instance(3);
     reply.action(&Action::Send {
-        id: RequestId(CALL),
+        id: RequestId(REQUEST),
         server: ServerId(SERVER),
         timeout: 80_000,
         commit_within: 80_000,
@@ -139,7 +139,7 @@
     assert_eq!(
         records[1],
         Record::Outcome {
-            id: RequestId(CALL),
+            id: RequestId(REQUEST),
             attempt: 0,
             server: ServerId(SERVER),
             outcome: Outcome::Served,
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn faults_are_named_with_their_place() {
+fn errors_give_the_offset_of_the_fault() {
     let mut short = batch(&["0b 0300"], &[]);
     short.truncate(30);
     assert_eq!(Batch::new(&short).unwrap_err().offset, 0);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_length_alone_costs_no_memory() {
+fn a_length_alone_allocates_no_memory() {
     let mut input: &[u8] = &bytes("ffffffff 0000");
     let mut buf = Vec::new();
     let error = read_frame(&mut input, &mut buf).unwrap_err();
--- a/crates/coppercart/tests/unit/average.rs
+++ b/crates/coppercart/tests/unit/average.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_span_counts_once_it_is_over() {
+fn mean_updates_when_a_span_completes() {
     let mut average = SpanAverage::default();
     average.add(100, 10, 1.0);
     average.add(109, 10, 2.0);
--- a/crates/coppercart/tests/unit/capacity.rs
+++ b/crates/coppercart/tests/unit/capacity.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_gone_is_forgotten_in_time() {
+fn lost_capacity_is_forgotten_over_time() {
     let mut capacity = Capacity::default();
     capacity.observe(100, 1000, 4.0);
     assert_eq!(capacity.remaining_share(), 1.0);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn more_capacity_is_the_usual_one_at_once() {
+fn added_capacity_raises_the_peak_at_once() {
     let mut capacity = Capacity::default();
     capacity.observe(0, 1000, 1.0);
     capacity.observe(1, 1000, 5.0);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_time_without_servers_forgets_nothing() {
+fn nothing_is_forgotten_while_there_are_no_servers() {
     let mut capacity = Capacity::default();
     assert_eq!(capacity.remaining_share(), 1.0, "nothing is known yet");
     capacity.observe(0, 1000, 4.0);
--- a/crates/coppercart/tests/unit/lateness.rs
+++ b/crates/coppercart/tests/unit/lateness.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_latest_third_does_not_count_and_what_is_felt_fades() {
+fn the_latest_third_is_ignored_and_lateness_decays() {
     let mut lateness = Lateness::default();
     for slot in 0..9 {
         lateness.observe(1_000, 100, slot, if slot < 3 { 1.0 } else { 0.0 });
--- a/crates/coppercart/tests/unit/weighted.rs
+++ b/crates/coppercart/tests/unit/weighted.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 #[test]
-fn each_member_has_its_share_of_the_interval() {
+fn each_slot_is_selected_in_proportion_to_its_weight() {
     let draws = WeightedSlots { slots: vec![7, 8, 9], sums: vec![1.0, 1.0, 4.0] };
     let drawn: Vec<usize> = (0..8).map(|i| draws.select(f64::from(i) / 8.0)).collect();
     assert_eq!(drawn, [7, 7, 9, 9, 9, 9, 9, 9], "a member of no weight is never drawn");
 }
 
 #[test]
-fn sums_run_over_the_members_in_their_order() {
+fn running_sums_follow_the_slot_order() {
     let draws = WeightedSlots { slots: vec![2, 0, 5], sums: Vec::new() };
     assert_eq!(draws.running_sums(|slot| slot as f64 + 1.0), [3.0, 4.0, 10.0]);
 }
