--- a/crates/coppercart/src/decide/shedding.rs
+++ b/crates/coppercart/src/decide/shedding.rs
@@ -20,10 +20,12 @@
 impl Balancer {
     /// The value of a class per unit of work.
     fn value_density(&self, class: usize) -> f64 {
-        let settings = &self.settings.classes[class];
+        let class_settings = &self.settings.classes[class];
         match self.settings.worth_by {
-            WorthUnit::Work => settings.credit,
-            WorthUnit::Request => settings.credit / self.class_stats[class].base_latency.max(1.0),
+            WorthUnit::Work => class_settings.credit,
+            WorthUnit::Request => {
+                class_settings.credit / self.class_stats[class].base_latency.max(1.0)
+            }
         }
     }
 
