--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -27,7 +27,7 @@
 use crate::facts::Caught;
 use crate::mutant::{self, Mutant};
 
-pub use checkout::{Checkout, Look};
+pub use checkout::{Checkout, SocketState};
 pub use counts::{Counts, Ended};
 pub use limits::{Limits, Reuse};
 pub use matching::Matching;
@@ -66,7 +66,7 @@
         &mut self,
         key: K,
         now: Instant,
-        mut look: impl FnMut(&C) -> Look,
+        mut look: impl FnMut(&C) -> SocketState,
     ) -> Checkout<C> {
         let server = self.servers.entry(key).or_default();
         server.gone = false;
@@ -87,21 +87,24 @@
             let Some(found) = server.resting.remove(at) else { break };
             self.resting -= 1;
             let rested = now.saturating_duration_since(found.since);
-            let looked =
-                if mutant::is(Mutant::NoLook) { Look::Quiet } else { look(&found.connection) };
+            let looked = if mutant::is(Mutant::NoLook) {
+                SocketState::Quiet
+            } else {
+                look(&found.connection)
+            };
             match looked {
-                Look::Quiet if rested < retire || mutant::is(Mutant::NeverTooOld) => {
+                SocketState::Quiet if rested < retire || mutant::is(Mutant::NeverTooOld) => {
                     server.facts.rested_in_silence(rested);
                     server.use_one();
                     return Checkout::Reuse(found.connection, rested);
                 }
-                Look::Quiet => self.ended.retired += 1,
-                Look::Moved => self.ended.given_up += 1,
-                Look::Closed => {
+                SocketState::Quiet => self.ended.retired += 1,
+                SocketState::AddressChanged => self.ended.given_up += 1,
+                SocketState::Closed => {
                     server.facts.closed_idle(rested, now);
                     self.ended.closed += 1;
                 }
-                Look::Stray => {
+                SocketState::StrayBytes => {
                     server.facts.stray_bytes(rested, now);
                     self.ended.stray += 1;
                 }
@@ -273,7 +276,7 @@
     }
 
     /// Looks at every connection at rest and drops those that are of no more use. Returns how many.
-    pub fn watch(&mut self, now: Instant, mut look: impl FnMut(&C) -> Look) -> usize {
+    pub fn watch(&mut self, now: Instant, mut look: impl FnMut(&C) -> SocketState) -> usize {
         let (limits, ended) = (self.limits, &mut self.ended);
         let mut dropped = 0;
         for server in self.servers.values_mut() {
@@ -283,16 +286,16 @@
             server.resting.retain(|resting| {
                 let rested = now.saturating_duration_since(resting.since);
                 match look(&resting.connection) {
-                    Look::Quiet if rested < retire || mutant::is(Mutant::NotRetired) => {
+                    SocketState::Quiet if rested < retire || mutant::is(Mutant::NotRetired) => {
                         return true;
                     }
-                    Look::Quiet => ended.retired += 1,
-                    Look::Moved => ended.given_up += 1,
-                    Look::Closed => {
+                    SocketState::Quiet => ended.retired += 1,
+                    SocketState::AddressChanged => ended.given_up += 1,
+                    SocketState::Closed => {
                         facts.closed_idle(rested, now);
                         ended.closed += 1;
                     }
-                    Look::Stray => {
+                    SocketState::StrayBytes => {
                         facts.stray_bytes(rested, now);
                         ended.stray += 1;
                     }
--- a/crates/millethook-connect/src/pool/checkout.rs
+++ b/crates/millethook-connect/src/pool/checkout.rs
@@ -4,7 +4,7 @@
 
 /// How a connection at rest looks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum SocketState {
     /// Open and silent.
     Quiet,
     /// The server has closed or reset it.
--- a/crates/millethook-connect/tests/common/record.rs
+++ b/crates/millethook-connect/tests/common/record.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use millethook_connect::pool::Look;
+use millethook_connect::pool::SocketState;
 
 /// What a connection does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     pub server: u8,
     pub state: State,
     /// What a look at its socket finds.
-    pub look: Look,
+    pub look: SocketState,
     /// It was opened ahead of need, and no request has had it.
     pub spare: bool,
 }
@@ -44,7 +44,7 @@
     }
 
     /// What a look at its socket finds.
-    pub fn look(&self) -> Look {
+    pub fn look(&self) -> SocketState {
         self.record.borrow()[&self.id].look
     }
 }
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use millethook_connect::pool::{Checkout, FORGET_AFTER, Limits, Look, Pool, Reuse};
+use millethook_connect::pool::{Checkout, FORGET_AFTER, Limits, Pool, Reuse, SocketState};
 
 use super::record::{Connection, Entry, Record, State};
 use super::script::{SERVERS, Step};
@@ -85,8 +85,8 @@
             Step::Spare(server) => return self.spare(server),
             Step::Released(n) => return self.released(n),
             Step::Discarded(n, stray) => self.discarded(n, stray),
-            Step::ServerCloses(n) => self.socket_shows(n, Look::Closed),
-            Step::StrayBytes(n) => self.socket_shows(n, Look::Stray),
+            Step::ServerCloses(n) => self.socket_shows(n, SocketState::Closed),
+            Step::StrayBytes(n) => self.socket_shows(n, SocketState::StrayBytes),
             Step::Moved(server) => self.moved(server),
             Step::Watch => return self.watch(),
             Step::GiveUp => return self.give_up(),
@@ -133,7 +133,7 @@
         let record = self.record.clone();
         let found = self.pool.checkout(server, now, |connection| {
             let look = connection.look();
-            if let (Look::Stray, State::Resting { since, .. }) =
+            if let (SocketState::StrayBytes, State::Resting { since, .. }) =
                 (look, record.borrow()[&connection.id].state)
             {
                 stray = Some((now - since, now));
@@ -180,7 +180,10 @@
             return Err("a connection is handed out that carries a request".to_owned());
         };
         rule(entry.server == server, "a connection is handed out for its own server")?;
-        rule(entry.look == Look::Quiet, "a connection is handed out though its socket has ended")?;
+        rule(
+            entry.look == SocketState::Quiet,
+            "a connection is handed out though its socket has ended",
+        )?;
         rule(rested == self.now - since, "it is told how long a connection has rested")?;
         rule(rested >= quarantine, "a connection is handed out in its quarantine")?;
         rule(rested < LIMITS.idle.mul_f64(IDLE_SHARE), "a connection is handed out too late")?;
@@ -201,7 +204,7 @@
     /// A new connection, which is in use or rests.
     fn connect(&mut self, server: u8, state: State, spare: bool) -> Connection {
         self.next_id += 1;
-        let entry = Entry { server, state, look: Look::Quiet, spare };
+        let entry = Entry { server, state, look: SocketState::Quiet, spare };
         Connection::open(self.next_id, entry, &self.record)
     }
 
@@ -287,7 +290,7 @@
     }
 
     /// Something comes on a connection that rests.
-    fn socket_shows(&mut self, n: u16, look: Look) {
+    fn socket_shows(&mut self, n: u16, look: SocketState) {
         let resting = self.resting(None);
         let Some((id, _)) = resting.get(usize::from(n) % resting.len().max(1)) else { return };
         if let Some(entry) = self.record.borrow_mut().get_mut(id) {
@@ -297,7 +300,7 @@
 
     fn moved(&mut self, server: u8) {
         for entry in self.record.borrow_mut().values_mut().filter(|entry| entry.server == server) {
-            entry.look = Look::Moved;
+            entry.look = SocketState::AddressChanged;
         }
     }
 
@@ -307,7 +310,9 @@
         let record = self.record.clone();
         let dropped = self.pool.watch(now, |connection| {
             let entry = record.borrow()[&connection.id];
-            if let (Look::Stray, State::Resting { since, .. }) = (entry.look, entry.state) {
+            if let (SocketState::StrayBytes, State::Resting { since, .. }) =
+                (entry.look, entry.state)
+            {
                 stray.push((entry.server, now - since));
             }
             entry.look
@@ -322,7 +327,8 @@
         let young = self.resting(None).iter().all(|(_, since)| now - *since < limit);
         rule(young, "what has rested for long is retired")?;
         let resting = |entry: &&Entry| matches!(entry.state, State::Resting { .. });
-        let well = self.record.borrow().values().filter(resting).all(|e| e.look == Look::Quiet);
+        let well =
+            self.record.borrow().values().filter(resting).all(|e| e.look == SocketState::Quiet);
         rule(well, "what has ended at rest is dropped")
     }
 
--- a/crates/millethook-connect/tests/matching.rs
+++ b/crates/millethook-connect/tests/matching.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use millethook_connect::answers::Variety;
-use millethook_connect::pool::{Checkout, Limits, Look, Matching, Pool, Reuse};
+use millethook_connect::pool::{Checkout, Limits, Matching, Pool, Reuse, SocketState};
 use millethook_connect::request::Persistence;
 
 const MS: Duration = Duration::from_millis(1);
@@ -76,6 +76,6 @@
     assert_eq!(persistence(&pool, Matching::End, false), Persistence::KeepAlive);
     assert_eq!(persistence(&pool, Matching::End, true), Persistence::Close);
     assert!(!pool.needs_new(KEY, Matching::End, now));
-    let looked = |_: &u32| Look::Quiet;
+    let looked = |_: &u32| SocketState::Quiet;
     assert_eq!(pool.checkout(KEY, now + MS, looked), Checkout::Reuse(2, MS));
 }
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use millethook_connect::pool::{Checkout, Counts, Ended, FORGET_AFTER, Limits, Look, Pool, Reuse};
+use millethook_connect::pool::{
+    Checkout, Counts, Ended, FORGET_AFTER, Limits, Pool, Reuse, SocketState,
+};
 use proptest::prelude::*;
 
 const MS: Duration = Duration::from_millis(1);
@@ -11,8 +13,8 @@
     Limits { per_server: 4, opening: 2, spare: 1, idle: 1000 * MS }
 }
 
-fn quiet(_: &u32) -> Look {
-    Look::Quiet
+fn quiet(_: &u32) -> SocketState {
+    SocketState::Quiet
 }
 
 /// Opens connection `n` to server 0, and lets it go at `now`.
@@ -75,7 +77,7 @@
     let (mut pool, now) = (Pool::new(limits(), Reuse::Unlimited), Instant::now() + 1000 * MS);
     rested(&mut pool, 1, now);
     rested(&mut pool, 2, now);
-    let stray = |n: &u32| if *n == 2 { Look::Stray } else { Look::Quiet };
+    let stray = |n: &u32| if *n == 2 { SocketState::StrayBytes } else { SocketState::Quiet };
     assert_eq!(pool.checkout(0, now + 10 * MS, stray), Checkout::Open, "nor the other one");
     assert!(pool.answers_need_proof(0, now + 10 * MS));
     pool.opened(0, Some(MS));
@@ -93,7 +95,7 @@
     rested(&mut pool, 1, now);
     // Its answers can be proven, so that its connections are used again all the same.
     pool.end_was_asked(0, true, now);
-    assert_eq!(pool.watch(now + 3 * MS, |_| Look::Stray), 1);
+    assert_eq!(pool.watch(now + 3 * MS, |_| SocketState::StrayBytes), 1);
     rested(&mut pool, 2, now + 100 * MS);
     let at = now + 100 * MS;
     assert_eq!(pool.checkout(0, at + 11 * MS, quiet), Checkout::Open);
@@ -131,9 +133,9 @@
     // Its answers can be proven, so that stray bytes on one connection do not end the others' use.
     pool.end_was_asked(0, true, now);
     let look = |n: &u32| match n {
-        3 => Look::Closed,
-        2 => Look::Stray,
-        _ => Look::Quiet,
+        3 => SocketState::Closed,
+        2 => SocketState::StrayBytes,
+        _ => SocketState::Quiet,
     };
     assert_eq!(pool.checkout(0, now + 20 * MS, look), Checkout::Reuse(1, 20 * MS));
     assert_eq!(pool.ended(), Ended { closed: 1, stray: 1, retired: 0, given_up: 0 });
@@ -148,7 +150,7 @@
     for n in 2..=3 {
         let at = now + n * 1000 * MS;
         rested(&mut pool, n, at);
-        assert_eq!(pool.watch(at + 300 * MS, |_| Look::Closed), 1);
+        assert_eq!(pool.watch(at + 300 * MS, |_| SocketState::Closed), 1);
     }
     let at = now + 4000 * MS;
     rested(&mut pool, 4, at);
@@ -259,7 +261,7 @@
         for op in ops {
             match op {
                 Op::Pass(tenths) => now += MS * u32::from(tenths) / 10,
-                Op::Checkout(k) => match pool.checkout(k, now, |_| Look::Quiet) {
+                Op::Checkout(k) => match pool.checkout(k, now, |_| SocketState::Quiet) {
                     Checkout::Open => opening[usize::from(k)] += 1,
                     Checkout::Reuse((n, since), rested) => {
                         prop_assert_eq!(rested, now - since);
@@ -289,9 +291,9 @@
                 },
                 Op::Spare(k) => spares[usize::from(k)] += usize::from(pool.spare(k)),
                 Op::Watch(of) => drop(pool.watch(now, |(n, _)| match (n + u32::from(of)) % 4 {
-                    0 => Look::Closed,
-                    1 => Look::Stray,
-                    _ => Look::Quiet,
+                    0 => SocketState::Closed,
+                    1 => SocketState::StrayBytes,
+                    _ => SocketState::Quiet,
                 })),
                 Op::GiveUp => drop(pool.give_up_one()),
                 Op::Close(k, gone) => pool.close_idle(k, gone),
--- a/crates/millethook-engine/src/upstream/connection.rs
+++ b/crates/millethook-engine/src/upstream/connection.rs
@@ -13,7 +13,7 @@
 use coppercart::api::ServerId;
 use millethook_connect::Exchange;
 use millethook_connect::answers::{CarriedAnswers, Fingerprint};
-use millethook_connect::pool::Look;
+use millethook_connect::pool::SocketState;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
@@ -102,9 +102,9 @@
     ///
     /// Danger: the server may have closed it, or sent something unasked, since the event loop last
     /// heard of it. One look at the socket itself, right before use, is the surest that there is.
-    pub fn look(&self, dial: SocketAddr) -> Look {
+    pub fn look(&self, dial: SocketAddr) -> SocketState {
         if self.dial != dial {
-            return Look::Moved;
+            return SocketState::AddressChanged;
         }
         self.shared.add(|calls| &mut calls.looks);
         self.peek(|look| look())
@@ -112,27 +112,27 @@
 
     /// The same for the watch, which is told through `cx` when that changes. It costs a system call
     /// only where something happened.
-    pub fn watched(&self, cx: &mut Context<'_>) -> Look {
+    pub fn watched(&self, cx: &mut Context<'_>) -> SocketState {
         while self.socket.poll_read_ready(cx).is_ready() {
             // Forgets a readiness that was for bytes which are read by now.
             let looked = self.peek(|look| self.socket.try_io(Interest::READABLE, look));
-            if looked != Look::Quiet {
+            if looked != SocketState::Quiet {
                 return looked;
             }
         }
-        Look::Quiet
+        SocketState::Quiet
     }
 
     fn peek(
         &self,
         with: impl FnOnce(&mut dyn FnMut() -> io::Result<usize>) -> io::Result<usize>,
-    ) -> Look {
+    ) -> SocketState {
         let mut byte = [MaybeUninit::uninit()];
         match with(&mut || SockRef::from(&self.socket).peek(&mut byte)) {
-            Ok(0) => Look::Closed,
-            Ok(_) => Look::Stray,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Look::Quiet,
-            Err(_) => Look::Closed,
+            Ok(0) => SocketState::Closed,
+            Ok(_) => SocketState::StrayBytes,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => SocketState::Quiet,
+            Err(_) => SocketState::Closed,
         }
     }
 
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -18,7 +18,9 @@
 use coppercart::api::{Outcome, ServerId};
 use millethook_connect::Begins;
 use millethook_connect::answers::{FingerprintKey, SeenAnswers};
-use millethook_connect::pool::{Checkout, Counts, Ended, Limits, Look, Matching, Pool, Reuse};
+use millethook_connect::pool::{
+    Checkout, Counts, Ended, Limits, Matching, Pool, Reuse, SocketState,
+};
 use rustc_hash::FxHashMap;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::task::spawn_local;
@@ -123,7 +125,7 @@
                 () = sleep_until(next.into()) => {
                     next = Instant::now() + SWEEP;
                     let mut pool = self.pool.borrow_mut();
-                    pool.watch(Instant::now(), |_| Look::Quiet);
+                    pool.watch(Instant::now(), |_| SocketState::Quiet);
                     pool.next_span();
                     // Those that nobody holds or waits for.
                     self.turns.borrow_mut().retain(|_, turns| Arc::strong_count(turns) > 1);
@@ -161,9 +163,9 @@
         // From now on the watch is woken by what happens on it.
         let watcher = self.watcher.borrow().clone();
         let looked = connection.watched(&mut std::task::Context::from_waker(&watcher));
-        if looked != Look::Quiet {
+        if looked != SocketState::Quiet {
             drop(connection);
-            return self.discarded(server, looked == Look::Stray);
+            return self.discarded(server, looked == SocketState::StrayBytes);
         }
         let has_room = {
             let mut pool = self.pool.borrow_mut();
@@ -348,7 +350,7 @@
             };
             let watcher = upstream.watcher.borrow().clone();
             let mut cx = std::task::Context::from_waker(&watcher);
-            let opened = opened.filter(|(c, _)| c.watched(&mut cx) == Look::Quiet);
+            let opened = opened.filter(|(c, _)| c.watched(&mut cx) == SocketState::Quiet);
             upstream.pool.borrow_mut().opened_spare(server, opened, Instant::now());
             if let Some((_, waiters)) = upstream.waiting.borrow().get(&server) {
                 waiters.rested.notify_one();
