--- a/crates/millethook-connect/src/facts.rs
+++ b/crates/millethook-connect/src/facts.rs
@@ -47,11 +47,11 @@
 
 /// What a connection was caught with while it was in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Caught {
+pub enum ConnectionFault {
     /// It broke on trial.
-    Break,
+    Broken,
     /// Bytes came that belong to no request, or to an earlier one.
-    Stray,
+    StrayBytes,
 }
 
 /// What is known of one server's connections.
@@ -177,10 +177,10 @@
     }
 
     /// A connection was caught in use, and is of no more use.
-    pub fn caught(&mut self, what: Caught, now: Instant) {
+    pub fn record_fault(&mut self, what: ConnectionFault, now: Instant) {
         match what {
-            Caught::Break => self.broke = Some(now),
-            Caught::Stray => {
+            ConnectionFault::Broken => self.broke = Some(now),
+            ConnectionFault::StrayBytes => {
                 self.strayed = Some(now);
                 // What the next request calls forth says nothing of how long to wait for it.
                 self.stray_bytes(Duration::ZERO, now);
--- a/crates/millethook-connect/src/facts/tests.rs
+++ b/crates/millethook-connect/src/facts/tests.rs
@@ -97,12 +97,12 @@
     let now = Instant::now();
     let later = now + CAUGHT_FOR;
     let mut breaks = proven();
-    breaks.caught(Caught::Break, now);
+    breaks.record_fault(ConnectionFault::Broken, now);
     assert_eq!(breaks.trial(Some(MS), false, now), Some(TRIAL));
     assert_eq!(breaks.trial(Some(MS), true, now), None);
     assert_eq!(breaks.trial(Some(MS), false, later), None);
     let mut strays = proven();
-    strays.caught(Caught::Stray, now);
+    strays.record_fault(ConnectionFault::StrayBytes, now);
     strays.used_quietly();
     assert_eq!(strays.trial(Some(MS), true, now), Some(TRIAL));
     assert_eq!(strays.trial(None, true, now), None, "nothing was asked on it before");
--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -24,7 +24,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::facts::Caught;
+use crate::facts::ConnectionFault;
 use crate::mutant::{self, Mutant};
 
 pub use checkout::{Checkout, SocketState};
@@ -242,9 +242,9 @@
     }
 
     /// A connection was caught in use, and is of no more use.
-    pub fn caught(&mut self, key: K, what: Caught, now: Instant) {
+    pub fn record_fault(&mut self, key: K, what: ConnectionFault, now: Instant) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.facts.caught(what, now);
+            server.facts.record_fault(what, now);
         }
     }
 
--- a/crates/millethook-connect/src/pool/checkout.rs
+++ b/crates/millethook-connect/src/pool/checkout.rs
@@ -10,9 +10,9 @@
     /// The server has closed or reset it.
     Closed,
     /// Bytes have come that nobody asked for.
-    Stray,
+    StrayBytes,
     /// It leads to where its server no longer is.
-    Moved,
+    AddressChanged,
 }
 
 /// What is to be had for a request.
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -15,7 +15,7 @@
 use http::{HeaderMap, StatusCode};
 use millethook_connect::answers::{Fingerprint, Variety};
 use millethook_connect::exchange::turns_away;
-use millethook_connect::facts::Caught;
+use millethook_connect::facts::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::{Begins, Event, Exchange, Execution, ResponseHead};
 use tokio::task::spawn_local;
@@ -261,8 +261,12 @@
         if let Some(trial) = trial {
             event = timeout(trial, running.event(false)).await.ok();
             if event.as_ref().is_some_and(Result::is_err) {
-                let caught = if running.begun() { Caught::Stray } else { Caught::Break };
-                self.pool.borrow_mut().caught(server, caught, Instant::now());
+                let caught = if running.begun() {
+                    ConnectionFault::StrayBytes
+                } else {
+                    ConnectionFault::Broken
+                };
+                self.pool.borrow_mut().record_fault(server, caught, Instant::now());
             }
             running.exchange.commit();
         }
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -21,7 +21,7 @@
 use coppercart::api::ServerId;
 use http::StatusCode;
 use millethook_connect::answers::{Fingerprint, SeenAnswers};
-use millethook_connect::facts::Caught;
+use millethook_connect::facts::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::request::Persistence;
 use millethook_connect::response::is_other_answer;
@@ -137,7 +137,7 @@
     /// The last answer that equalled an earlier one was no answer to its request: the server is caught with a copy.
     pub(super) fn was_copy(&self, server: ServerId, class: Option<usize>) {
         self.note(class, SeenAnswers::was_copy);
-        self.pool.borrow_mut().caught(server, Caught::Stray, Instant::now());
+        self.pool.borrow_mut().record_fault(server, ConnectionFault::StrayBytes, Instant::now());
     }
 
     /// Takes note of an answer to a request of a class.
@@ -157,7 +157,11 @@
         let other = is_other_answer(connection.buf.clone(), status, body);
         if other {
             let server = running.lease.server();
-            self.pool.borrow_mut().caught(server, Caught::Stray, Instant::now());
+            self.pool.borrow_mut().record_fault(
+                server,
+                ConnectionFault::StrayBytes,
+                Instant::now(),
+            );
         }
         other
     }
