--- a/crates/millethook-connect/src/lib.rs
+++ b/crates/millethook-connect/src/lib.rs
@@ -6,15 +6,15 @@
 //! - [`request`]: a request as it goes to servers, encoded once for all its attempts.
 //! - [`response`]: answers, read as their bytes come (RFC 9112).
 //! - [`exchange`]: one request and its answer on one connection.
-//! - [`facts`]: what a server was seen to do with its connections.
+//! - [`observations`]: what a server was seen to do with its connections.
 //! - [`pool`]: the connections of all servers, and which of them may be used.
 #![forbid(unsafe_code)]
 
 pub mod answers;
 pub mod contract;
 pub mod exchange;
-pub mod facts;
 pub mod mutant;
+pub mod observations;
 pub mod pool;
 pub mod request;
 pub mod response;
--- a/crates/millethook-connect/src/facts.rs
+++ b/crates/millethook-connect/src/observations.rs
@@ -56,7 +56,7 @@
 
 /// What is known of one server's connections.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct ServerObservations {
     /// The shortest handshake.
     handshake: Option<Duration>,
     /// How late after an answer stray bytes came, at the latest, and when that was last seen.
@@ -80,7 +80,7 @@
     closed: Option<Instant>,
 }
 
-impl Facts {
+impl ServerObservations {
     /// A handshake took so long.
     pub fn connected(&mut self, took: Duration) {
         self.handshake = Some(self.handshake.map_or(took, |known| known.min(took)));
--- a/crates/millethook-connect/src/facts/check.rs
+++ b/crates/millethook-connect/src/observations/check.rs
@@ -5,11 +5,12 @@
 use millethook_machine::Violation;
 
 use super::{
-    Facts, IDLE_SHARE, LEAST_IDLE, LONGEST_QUARANTINE, LONGEST_TRIAL, SHORTEST_QUARANTINE, TRIAL,
+    IDLE_SHARE, LEAST_IDLE, LONGEST_QUARANTINE, LONGEST_TRIAL, SHORTEST_QUARANTINE,
+    ServerObservations, TRIAL,
 };
 
-impl Facts {
-    /// Checks every invariant of these facts; `told` is how long servers say that they keep an idle connection.
+impl ServerObservations {
+    /// Checks every invariant of these observations; `told` is how long servers say that they keep an idle connection.
     ///
     /// # Errors
     /// The first invariant that does not hold, with the values that break it.
--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -24,8 +24,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::facts::ConnectionFault;
 use crate::mutant::{self, Mutant};
+use crate::observations::ConnectionFault;
 
 pub use checkout::{Checkout, SocketState};
 pub use counts::{Counts, Ended};
@@ -70,7 +70,7 @@
     ) -> Checkout<C> {
         let server = self.servers.entry(key).or_default();
         server.gone = false;
-        let retire = server.facts.retire_after(self.limits.idle, now);
+        let retire = server.observations.retire_after(self.limits.idle, now);
         let mut at = server.resting.len();
         while at > 0 {
             if !server.may_reuse(self.reuse, now) {
@@ -94,18 +94,18 @@
             };
             match looked {
                 SocketState::Quiet if rested < retire || mutant::is(Mutant::NeverTooOld) => {
-                    server.facts.rested_in_silence(rested);
+                    server.observations.rested_in_silence(rested);
                     server.use_one();
                     return Checkout::Reuse(found.connection, rested);
                 }
                 SocketState::Quiet => self.ended.retired += 1,
                 SocketState::AddressChanged => self.ended.given_up += 1,
                 SocketState::Closed => {
-                    server.facts.closed_idle(rested, now);
+                    server.observations.closed_idle(rested, now);
                     self.ended.closed += 1;
                 }
                 SocketState::StrayBytes => {
-                    server.facts.stray_bytes(rested, now);
+                    server.observations.stray_bytes(rested, now);
                     self.ended.stray += 1;
                 }
             }
@@ -157,7 +157,7 @@
             server.opening = server.opening.saturating_sub(1);
         }
         if let Some(took) = took {
-            server.facts.connected(took);
+            server.observations.connected(took);
             server.use_one();
         }
         self.forget(key);
@@ -171,7 +171,7 @@
         if let Some((connection, took)) =
             opened.filter(|_| !server.gone || mutant::is(Mutant::SpareToGone))
         {
-            server.facts.connected(took);
+            server.observations.connected(took);
             server.resting.push_back(IdleConnection {
                 connection,
                 since: now,
@@ -188,7 +188,7 @@
         server.in_use = server.in_use.saturating_sub(1);
         let kept = !server.gone && server.may_reuse(self.reuse, now);
         if kept || mutant::is(Mutant::ReleasedToGone) {
-            let quarantined_until = now + server.facts.quarantine(now);
+            let quarantined_until = now + server.observations.quarantine(now);
             server.resting.push_back(IdleConnection { connection, since: now, quarantined_until });
             self.resting += 1;
         }
@@ -202,7 +202,7 @@
             server.in_use = server.in_use.saturating_sub(1);
         }
         if stray {
-            server.facts.stray_bytes(Duration::ZERO, now);
+            server.observations.stray_bytes(Duration::ZERO, now);
             self.ended.stray += 1;
         }
         self.forget(key);
@@ -230,7 +230,7 @@
     }
 
     /// How long a request is on trial, on a connection that has rested so long (None: that is new).
-    /// `repeatable`: run twice, it does no harm. See [`crate::facts::Facts::trial`].
+    /// `repeatable`: run twice, it does no harm. See [`crate::observations::ServerObservations::trial`].
     pub fn trial(
         &self,
         key: K,
@@ -238,20 +238,20 @@
         repeatable: bool,
         now: Instant,
     ) -> Option<Duration> {
-        self.servers.get(&key)?.facts.trial(rested, repeatable, now)
+        self.servers.get(&key)?.observations.trial(rested, repeatable, now)
     }
 
     /// A connection was caught in use, and is of no more use.
     pub fn record_fault(&mut self, key: K, what: ConnectionFault, now: Instant) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.facts.record_fault(what, now);
+            server.observations.record_fault(what, now);
         }
     }
 
     /// A connection that had carried an answer before has carried another one, and nothing beside it.
     pub fn used_quietly(&mut self, key: K) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.facts.used_quietly();
+            server.observations.used_quietly();
         }
     }
 
@@ -265,13 +265,13 @@
     /// Whether the server announces the end of a connection where a request asks for it, as its last answer to such a
     /// request showed.
     pub fn announces_end(&self, key: K, now: Instant) -> bool {
-        self.servers.get(&key).is_some_and(|server| server.facts.announces_end(now))
+        self.servers.get(&key).is_some_and(|server| server.observations.announces_end(now))
     }
 
     /// A request that asked for its connection's end was answered; `announced`: the answer's head says that it ends.
     pub fn end_was_asked(&mut self, key: K, announced: bool, now: Instant) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.facts.end_was_asked(announced, now);
+            server.observations.end_was_asked(announced, now);
         }
     }
 
@@ -280,8 +280,8 @@
         let (limits, ended) = (self.limits, &mut self.ended);
         let mut dropped = 0;
         for server in self.servers.values_mut() {
-            let retire = server.facts.retire_after(limits.idle, now);
-            let facts = &mut server.facts;
+            let retire = server.observations.retire_after(limits.idle, now);
+            let observations = &mut server.observations;
             let before = server.resting.len();
             server.resting.retain(|resting| {
                 let rested = now.saturating_duration_since(resting.since);
@@ -292,11 +292,11 @@
                     SocketState::Quiet => ended.retired += 1,
                     SocketState::AddressChanged => ended.given_up += 1,
                     SocketState::Closed => {
-                        facts.closed_idle(rested, now);
+                        observations.closed_idle(rested, now);
                         ended.closed += 1;
                     }
                     SocketState::StrayBytes => {
-                        facts.stray_bytes(rested, now);
+                        observations.stray_bytes(rested, now);
                         ended.stray += 1;
                     }
                 }
--- a/crates/millethook-connect/src/pool/check.rs
+++ b/crates/millethook-connect/src/pool/check.rs
@@ -63,7 +63,9 @@
         for resting in &self.resting {
             let quarantine = resting.quarantined_until.checked_duration_since(resting.since);
             rule(
-                quarantine.is_some_and(|quarantine| quarantine <= crate::facts::LONGEST_QUARANTINE),
+                quarantine.is_some_and(|quarantine| {
+                    quarantine <= crate::observations::LONGEST_QUARANTINE
+                }),
                 "a quarantine has an end",
                 &|| format!("{quarantine:?} long"),
             )?;
@@ -77,6 +79,6 @@
             "connections at rest stand in the order in which they came to rest",
             counts,
         )?;
-        self.facts.check(limits.idle, now)
+        self.observations.check(limits.idle, now)
     }
 }
--- a/crates/millethook-connect/src/pool/server.rs
+++ b/crates/millethook-connect/src/pool/server.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use super::Reuse;
-use crate::facts::Facts;
 use crate::mutant::{self, Mutant};
+use crate::observations::ServerObservations;
 
 #[derive(Debug)]
 pub(super) struct IdleConnection<C> {
@@ -27,7 +27,7 @@
     /// The most in use at once in this span and in the last one.
     pub(super) peak: usize,
     pub(super) last_peak: usize,
-    pub(super) facts: Facts,
+    pub(super) observations: ServerObservations,
 }
 
 impl<C> Default for Server<C> {
@@ -40,7 +40,7 @@
             unused: 0,
             peak: 0,
             last_peak: 0,
-            facts: Facts::default(),
+            observations: ServerObservations::default(),
         }
     }
 }
@@ -53,13 +53,13 @@
     /// Whether a connection that has carried an answer may carry a request.
     pub(super) fn may_reuse(&self, reuse: Reuse, now: Instant) -> bool {
         !self.answers_need_proof(reuse, now)
-            || self.facts.announces_end(now)
+            || self.observations.announces_end(now)
             || mutant::is(Mutant::ReusedUnproven)
     }
 
     /// Whether an answer on a used connection has to be proven its request's own.
     pub(super) fn answers_need_proof(&self, reuse: Reuse, now: Instant) -> bool {
-        reuse == Reuse::Proven || self.facts.answers_need_proof(now)
+        reuse == Reuse::Proven || self.observations.answers_need_proof(now)
     }
 
     pub(super) fn use_one(&mut self) {
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -15,7 +15,7 @@
 use http::{HeaderMap, StatusCode};
 use millethook_connect::answers::{Fingerprint, Variety};
 use millethook_connect::exchange::turns_away;
-use millethook_connect::facts::ConnectionFault;
+use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::{Begins, Event, Exchange, Execution, ResponseHead};
 use tokio::task::spawn_local;
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -21,7 +21,7 @@
 use coppercart::api::ServerId;
 use http::StatusCode;
 use millethook_connect::answers::{Fingerprint, SeenAnswers};
-use millethook_connect::facts::ConnectionFault;
+use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::request::Persistence;
 use millethook_connect::response::is_other_answer;
