--- a/crates/millethook-connect/src/pool/matching.rs
+++ b/crates/millethook-connect/src/pool/matching.rs
@@ -13,25 +13,25 @@
     /// It is taken on trust.
     Trust,
     /// It differs from each answer that the connection has carried.
-    Content,
+    DistinctContent,
     /// It announces the end of the connection, which its request has asked for.
-    End,
+    AnnouncedClose,
     /// There is no such answer: the request goes out on a new connection.
-    First,
+    NewConnection,
 }
 
 impl<K: Copy + Eq + Hash, C> Pool<K, C> {
     /// How the answer to a request to a server is told from others; `variety`: that of the answers of its class.
     pub fn matching(&self, key: K, variety: Variety, now: Instant) -> Matching {
         if self.answers_need_proof(key, now) {
-            return Matching::End;
+            return Matching::AnnouncedClose;
         }
         match (variety, self.reuse) {
-            (Variety::Distinct, _) => Matching::Content,
+            (Variety::Distinct, _) => Matching::DistinctContent,
             (Variety::Unknown | Variety::Alike, Reuse::Unlimited) => Matching::Trust,
             // Its connection is of use to later requests.
-            (Variety::Unknown, _) => Matching::First,
-            (Variety::Alike, _) => Matching::End,
+            (Variety::Unknown, _) => Matching::NewConnection,
+            (Variety::Alike, _) => Matching::AnnouncedClose,
         }
     }
 
@@ -39,16 +39,18 @@
     /// server itself is in doubt, [`Pool::checkout`] gives up what rests instead.
     pub fn needs_new(&self, key: K, matching: Matching, now: Instant) -> bool {
         match matching {
-            Matching::Trust | Matching::Content => false,
-            Matching::End => !self.answers_need_proof(key, now) && !self.announces_end(key, now),
-            Matching::First => true,
+            Matching::Trust | Matching::DistinctContent => false,
+            Matching::AnnouncedClose => {
+                !self.answers_need_proof(key, now) && !self.announces_end(key, now)
+            }
+            Matching::NewConnection => true,
         }
     }
 
     /// What a request on a connection to a server says of that connection. Where the end has to be announced, all but the
     /// first request on a connection ask for it, and so does each one to a server that is not known to announce it.
     pub fn persistence(&self, key: K, matching: Matching, used: bool, now: Instant) -> Persistence {
-        if matching == Matching::End && (used || !self.announces_end(key, now)) {
+        if matching == Matching::AnnouncedClose && (used || !self.announces_end(key, now)) {
             Persistence::Close
         } else {
             Persistence::KeepAlive
--- a/crates/millethook-connect/tests/matching.rs
+++ b/crates/millethook-connect/tests/matching.rs
@@ -23,12 +23,12 @@
 
 #[test]
 fn answers_are_compared_where_they_differ() {
-    use Matching::{Content, End, First, Trust};
+    use Matching::{AnnouncedClose, DistinctContent, NewConnection, Trust};
     let now = Instant::now();
     let table = [
-        (Reuse::Compared, [Content, First, End]),
-        (Reuse::Unlimited, [Content, Trust, Trust]),
-        (Reuse::Proven, [End, End, End]),
+        (Reuse::Compared, [DistinctContent, NewConnection, AnnouncedClose]),
+        (Reuse::Unlimited, [DistinctContent, Trust, Trust]),
+        (Reuse::Proven, [AnnouncedClose, AnnouncedClose, AnnouncedClose]),
     ];
     for (reuse, expected) in table {
         let mut pool = full(Reuse::Compared, now);
@@ -37,7 +37,7 @@
         assert_eq!(varieties.map(|variety| pool.matching(KEY, variety, now)), expected, "{reuse}");
         // A server that has sent stray bytes.
         pool.discarded(KEY, true, now);
-        assert_eq!(pool.matching(KEY, Variety::Distinct, now), End, "{reuse}");
+        assert_eq!(pool.matching(KEY, Variety::Distinct, now), AnnouncedClose, "{reuse}");
     }
 }
 
@@ -46,9 +46,12 @@
 fn a_request_that_needs_a_new_connection_gets_one_though_all_are_at_rest() {
     let now = Instant::now();
     let mut pool = full(Reuse::Compared, now);
-    assert!(pool.needs_new(KEY, Matching::First, now));
-    assert!(pool.needs_new(KEY, Matching::End, now), "nobody knows whether it announces ends");
-    assert!(!pool.needs_new(KEY, Matching::Content, now));
+    assert!(pool.needs_new(KEY, Matching::NewConnection, now));
+    assert!(
+        pool.needs_new(KEY, Matching::AnnouncedClose, now),
+        "nobody knows whether it announces ends"
+    );
+    assert!(!pool.needs_new(KEY, Matching::DistinctContent, now));
     assert_eq!(pool.checkout_new(KEY), Checkout::Open);
     assert_eq!((pool.counts().opening, pool.counts().resting), (1, 2));
     assert_eq!(pool.ended().given_up, 1);
@@ -64,18 +67,18 @@
     let mut pool = full(Reuse::Compared, now);
     let persistence =
         |pool: &Pool<u8, u32>, matching, used| pool.persistence(KEY, matching, used, now);
-    for matching in [Matching::Trust, Matching::Content, Matching::First] {
+    for matching in [Matching::Trust, Matching::DistinctContent, Matching::NewConnection] {
         assert_eq!(persistence(&pool, matching, true), Persistence::KeepAlive);
     }
     assert_eq!(
-        persistence(&pool, Matching::End, false),
+        persistence(&pool, Matching::AnnouncedClose, false),
         Persistence::Close,
         "to learn whether it announces it"
     );
     pool.end_was_asked(KEY, true, now);
-    assert_eq!(persistence(&pool, Matching::End, false), Persistence::KeepAlive);
-    assert_eq!(persistence(&pool, Matching::End, true), Persistence::Close);
-    assert!(!pool.needs_new(KEY, Matching::End, now));
+    assert_eq!(persistence(&pool, Matching::AnnouncedClose, false), Persistence::KeepAlive);
+    assert_eq!(persistence(&pool, Matching::AnnouncedClose, true), Persistence::Close);
+    assert!(!pool.needs_new(KEY, Matching::AnnouncedClose, now));
     let looked = |_: &u32| SocketState::Quiet;
     assert_eq!(pool.checkout(KEY, now + MS, looked), Checkout::Reuse(2, MS));
 }
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -142,7 +142,7 @@
         };
         // Answers of the class count as equal from now on, unless this one turns out to be a copy, whose server is caught: so
         // this happens once in hundreds of answers, or once a minute at a server.
-        let on_new = || Matching::First;
+        let on_new = || Matching::NewConnection;
         let again = self.try_once(at, class, request, &gate, until, &on_new).await;
         match again {
             // The first one may have run, whatever became of this one.
@@ -240,7 +240,7 @@
         let trial = trial.filter(|trial| *trial <= left / TRIAL_SHARE);
         // The server may have been caught while a connection was waited for.
         let matching = if self.pool.borrow().answers_need_proof(server, now) {
-            Matching::End
+            Matching::AnnouncedClose
         } else {
             matching
         };
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -102,8 +102,8 @@
         held: &Held,
     ) -> Verdict {
         let answer = self.fingerprints.fingerprint(status, held.bytes());
-        let is_compared =
-            running.matching == Matching::Content && running.persistence == Persistence::KeepAlive;
+        let is_compared = running.matching == Matching::DistinctContent
+            && running.persistence == Persistence::KeepAlive;
         if is_compared && running.lease.has_carried(answer) {
             self.note(class, SeenAnswers::equal);
             return Verdict::Copy(answer);
