--- a/crates/millethook-connect/src/answers.rs
+++ b/crates/millethook-connect/src/answers.rs
@@ -13,7 +13,7 @@
 use rustc_hash::FxHashMap;
 
 /// The bytes of a body by which answers are compared, from its first one on. A long answer is passed on behind them.
-pub const COMPARED: usize = 4 << 10;
+pub const COMPARED_BODY_BYTES: usize = 4 << 10;
 /// The most answers that a connection carries. All of them are remembered: a copy of one that was forgotten would pass.
 const MOST_CARRIED: usize = 256;
 /// The answers of a class that are remembered: no fewer than one connection carries, so that answers that are rightly
@@ -24,7 +24,7 @@
 const DIFFERING: usize = 4;
 const DIFFERING_AGAIN: usize = RECENT;
 
-/// A keyed hash of an answer's status and of the first [`COMPARED`] bytes of its body. Two answers that differ there have
+/// A keyed hash of an answer's status and of the first [`COMPARED_BODY_BYTES`] bytes of its body. Two answers that differ there have
 /// the same one in one of 2^64 cases; then a right answer is refused, and never a wrong one taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fingerprint(u64);
@@ -34,9 +34,9 @@
 pub struct FingerprintKey(RandomState);
 
 impl FingerprintKey {
-    /// That of an answer, `body` being all of its body or at least its first [`COMPARED`] bytes.
+    /// That of an answer, `body` being all of its body or at least its first [`COMPARED_BODY_BYTES`] bytes.
     pub fn fingerprint(&self, status: StatusCode, body: &[u8]) -> Fingerprint {
-        let compared = &body[..body.len().min(COMPARED)];
+        let compared = &body[..body.len().min(COMPARED_BODY_BYTES)];
         Fingerprint(self.0.hash_one((status.as_u16(), compared)))
     }
 }
--- a/crates/millethook-connect/tests/answers.rs
+++ b/crates/millethook-connect/tests/answers.rs
@@ -2,7 +2,7 @@
 
 use http::StatusCode;
 use millethook_connect::answers::{
-    COMPARED, CarriedAnswers, Fingerprint, FingerprintKey, SeenAnswers, Variety,
+    COMPARED_BODY_BYTES, CarriedAnswers, Fingerprint, FingerprintKey, SeenAnswers, Variety,
 };
 
 fn answer(key: &FingerprintKey, body: &str) -> Fingerprint {
@@ -26,7 +26,7 @@
 #[test]
 fn answers_differ_by_status_and_by_the_first_bytes_of_their_bodies() {
     let key = FingerprintKey::default();
-    let long = |last: &str| "-".repeat(COMPARED) + last;
+    let long = |last: &str| "-".repeat(COMPARED_BODY_BYTES) + last;
     assert_eq!(answer(&key, "a"), answer(&key, "a"));
     assert_ne!(answer(&key, "a"), answer(&key, "b"));
     assert_ne!(answer(&key, "a"), key.fingerprint(StatusCode::CREATED, b"a"));
--- a/crates/millethook-engine/src/upstream/attempt/held.rs
+++ b/crates/millethook-engine/src/upstream/attempt/held.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use millethook_connect::answers::COMPARED;
+use millethook_connect::answers::COMPARED_BODY_BYTES;
 use millethook_connect::{Event, ResponseHead};
 
 use super::collected::Collected;
@@ -15,14 +15,14 @@
 /// An answer that does not say how long it is, is passed on once so many bytes of it have come over such a part of
 /// the aim: it may well be a long one, whose first bytes are waited for. Short answers and quick ones are held to their
 /// end, as what is passed on can be repeated nowhere.
-const SLOW_ANSWER: usize = COMPARED;
+const SLOW_ANSWER: usize = COMPARED_BODY_BYTES;
 const SLOW_SHARE: u32 = 8;
 
 /// What is held of an answer.
 pub(super) enum Held {
     /// All of its body.
     Whole(Bytes),
-    /// The first [`COMPARED`] bytes of a long one, or more.
+    /// The first [`COMPARED_BODY_BYTES`] bytes of a long one, or more.
     Long(Bytes),
 }
 
@@ -49,7 +49,7 @@
         let (mut held, begun) = (Collected::default(), Instant::now());
         loop {
             let is_long = match head.length {
-                Some(length) => length > WHOLE as u64 && held.len() >= COMPARED,
+                Some(length) => length > WHOLE as u64 && held.len() >= COMPARED_BODY_BYTES,
                 None => {
                     let is_slow = || begun.elapsed() > request.aim / SLOW_SHARE;
                     held.len() > WHOLE || (held.len() >= SLOW_ANSWER && is_slow())
