--- a/crates/millethook-connect/src/answers.rs
+++ b/crates/millethook-connect/src/answers.rs
@@ -111,13 +111,13 @@
     }
 
     /// Two answers of a class were equal.
-    pub fn equal(&mut self, class: C) {
-        self.classes.entry(class).or_default().equal();
+    pub fn record_equal(&mut self, class: C) {
+        self.classes.entry(class).or_default().record_equal();
     }
 
     /// The last two answers of a class that were equal have turned out to be one and its copy.
-    pub fn was_copy(&mut self, class: C) {
-        self.classes.entry(class).or_default().was_copy();
+    pub fn record_copy(&mut self, class: C) {
+        self.classes.entry(class).or_default().record_copy();
     }
 }
 
@@ -154,7 +154,7 @@
     /// A request got this answer from `server`, and it was its own.
     fn observe(&mut self, answer: Fingerprint, server: S) {
         if self.recent.iter().any(|(earlier, _)| *earlier == answer) {
-            return self.equal();
+            return self.record_equal();
         }
         self.differing = self.differing.saturating_add(1);
         self.same_server |= self.recent.iter().any(|(_, earlier)| *earlier == server);
@@ -165,14 +165,14 @@
     }
 
     /// Two answers were equal.
-    fn equal(&mut self) {
+    fn record_equal(&mut self) {
         *self =
             History { alike: true, recent: std::mem::take(&mut self.recent), ..History::default() };
     }
 
     /// The last two answers that were equal have turned out to be one and its copy. Answers were taken to differ until
     /// then, and are again.
-    fn was_copy(&mut self) {
+    fn record_copy(&mut self) {
         self.alike = false;
         self.same_server = true;
         self.differing = DIFFERING;
--- a/crates/millethook-connect/tests/answers.rs
+++ b/crates/millethook-connect/tests/answers.rs
@@ -98,8 +98,8 @@
 fn a_copy_says_nothing_of_the_answers_of_a_class() {
     let (key, mut answers) = (FingerprintKey::default(), SeenAnswers::default());
     differing(&mut answers, &key, 0, 4);
-    answers.equal(CLASS);
+    answers.record_equal(CLASS);
     assert_eq!(answers.variety(CLASS, true), Variety::Alike);
-    answers.was_copy(CLASS);
+    answers.record_copy(CLASS);
     assert_eq!(answers.variety(CLASS, false), Variety::Distinct);
 }
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -105,7 +105,7 @@
         let is_compared = running.matching == Matching::DistinctContent
             && running.persistence == Persistence::KeepAlive;
         if is_compared && running.lease.has_carried(answer) {
-            self.note(class, SeenAnswers::equal);
+            self.note(class, SeenAnswers::record_equal);
             return Verdict::Copy(answer);
         }
         if let Held::Whole(body) = held
@@ -136,7 +136,7 @@
 
     /// The last answer that equalled an earlier one was no answer to its request: the server is caught with a copy.
     pub(super) fn was_copy(&self, server: ServerId, class: Option<usize>) {
-        self.note(class, SeenAnswers::was_copy);
+        self.note(class, SeenAnswers::record_copy);
         self.pool.borrow_mut().record_fault(server, ConnectionFault::StrayBytes, Instant::now());
     }
 
