--- a/crates/millethook-connect/src/request.rs
+++ b/crates/millethook-connect/src/request.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, Method, Uri};
 
 /// The most pieces that are written at once.
-pub const PIECES: usize = 8;
+pub const MAX_IO_SLICES: usize = 8;
 
 /// How long the caller still waits, in whole milliseconds. Each attempt has its own figure.
 pub static TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
@@ -149,7 +149,7 @@
         &'a self,
         head: &'a [u8],
         (from, to): (usize, usize),
-        out: &mut [IoSlice<'a>; PIECES],
+        out: &mut [IoSlice<'a>; MAX_IO_SLICES],
     ) -> usize {
         let (mut at, mut n) = (0, 0);
         for piece in std::iter::once(head).chain(self.body.iter().map(|piece| &**piece)) {
--- a/crates/millethook-connect/src/request/tests.rs
+++ b/crates/millethook-connect/src/request/tests.rs
@@ -53,7 +53,7 @@
     let chunked = framed(Framing::Chunked);
     assert!(text(&chunked, "x").contains("transfer-encoding: chunked\r\n"));
     assert!(!text(&chunked, "x").contains("content-length"));
-    let mut out = [IoSlice::new(&[]); PIECES];
+    let mut out = [IoSlice::new(&[]); MAX_IO_SLICES];
     let n = chunked.slices(&[], (0, chunked.body_len()), &mut out);
     let got: Vec<u8> = out[..n].iter().flat_map(|s| s.to_vec()).collect();
     assert_eq!(got, b"2\r\nab\r\n3\r\ncde\r\n");
@@ -67,7 +67,7 @@
     let (head, all) = (b"HEAD", b"HEADabcde");
     for from in 0..=all.len() {
         for to in from..=all.len() {
-            let mut out = [IoSlice::new(&[]); PIECES];
+            let mut out = [IoSlice::new(&[]); MAX_IO_SLICES];
             let n = request.slices(head, (from, to), &mut out);
             let got: Vec<u8> = out[..n].iter().flat_map(|s| s.to_vec()).collect();
             assert_eq!(got, &all[from..to], "{from}..{to}");
--- a/crates/millethook-engine/src/upstream/attempt/running.rs
+++ b/crates/millethook-engine/src/upstream/attempt/running.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use millethook_connect::answers::Fingerprint;
 use millethook_connect::pool::Matching;
-use millethook_connect::request::{LAST_CHUNK, PIECES, Persistence, chunk};
+use millethook_connect::request::{LAST_CHUNK, MAX_IO_SLICES, Persistence, chunk};
 use millethook_connect::{EncodedRequest, Event, Exchange, Execution, Failure, Progress};
 use smallvec::SmallVec;
 use tokio::sync::mpsc;
@@ -200,7 +200,7 @@
         if from == to {
             return;
         }
-        let mut slices = [IoSlice::new(&[]); PIECES];
+        let mut slices = [IoSlice::new(&[]); MAX_IO_SLICES];
         let n = match following {
             Some(following) if from >= following.at => following.slices(from, &mut slices),
             _ => encoded.slices(head, (from, to), &mut slices),
@@ -215,7 +215,7 @@
 
 impl Following {
     /// What lies from `from` on.
-    fn slices<'a>(&'a self, from: usize, out: &mut [IoSlice<'a>; PIECES]) -> usize {
+    fn slices<'a>(&'a self, from: usize, out: &mut [IoSlice<'a>; MAX_IO_SLICES]) -> usize {
         let (mut at, mut n) = (self.at, 0);
         for piece in &self.pieces {
             let skip = from.saturating_sub(at).min(piece.len());
