--- a/crates/millethook-connect/src/exchange.rs
+++ b/crates/millethook-connect/src/exchange.rs
@@ -138,7 +138,9 @@
         // A server may turn a request away before it could have begun with it. All else is not
         // for this request.
         match event {
-            Ok(Some(Event::Head(head))) if turns_away(&head) => Ok(Some(Event::Head(head))),
+            Ok(Some(Event::Head(head))) if is_unprocessed_rejection(&head) => {
+                Ok(Some(Event::Head(head)))
+            }
             Ok(Some(Event::Head(_))) | Err(_) => Err(Failure::Stray),
             Ok(other) => Ok(other),
         }
@@ -189,7 +191,7 @@
 }
 
 /// Whether an answer says that its request was turned away unseen.
-pub fn turns_away(head: &ResponseHead) -> bool {
+pub fn is_unprocessed_rejection(head: &ResponseHead) -> bool {
     matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && head.headers.get("x-unprocessed").is_some_and(|v| v == "1")
 }
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -14,7 +14,7 @@
 use coppercart::api::{LoadReport, Outcome, ServerId};
 use http::{HeaderMap, StatusCode};
 use millethook_connect::answers::{Fingerprint, Variety};
-use millethook_connect::exchange::turns_away;
+use millethook_connect::exchange::is_unprocessed_rejection;
 use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::{Begins, Event, Exchange, Execution, ResponseHead};
@@ -303,7 +303,8 @@
         for skipped in 0..=MOST_SKIPPED {
             let report = self.report(&head);
             if !is_served(self.config.begins, head.status) {
-                let outcome = if turns_away(&head) { Outcome::Full } else { Outcome::Error };
+                let outcome =
+                    if is_unprocessed_rejection(&head) { Outcome::Full } else { Outcome::Error };
                 spawn_local(discard(running));
                 return Ok(AttemptOutcome::end(outcome, report));
             }
