--- a/crates/millethook-connect/src/response.rs
+++ b/crates/millethook-connect/src/response.rs
@@ -198,7 +198,7 @@
 
 /// Whether bytes that came behind an answer begin another one that differs from it, so that the bytes do not tell which
 /// of the two was asked for. A second copy of the answer, noise, and a head that is cut short do not count.
-pub fn is_other_answer(mut behind: BytesMut, status: StatusCode, body: &[u8]) -> bool {
+pub fn is_different_answer(mut behind: BytesMut, status: StatusCode, body: &[u8]) -> bool {
     let mut decoder = Decoder::default();
     match decoder.next(&mut behind) {
         Ok(Some(Event::Head(head))) if head.status == status => {}
--- a/crates/millethook-connect/tests/response.rs
+++ b/crates/millethook-connect/tests/response.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use http::StatusCode;
-use millethook_connect::response::{Decoder, Event, LONGEST_HEAD, Malformed, is_other_answer};
+use millethook_connect::response::{Decoder, Event, LONGEST_HEAD, Malformed, is_different_answer};
 use proptest::prelude::*;
 
 /// What an answer comes to that arrives in pieces that end at `cuts`: status, body, whether its
@@ -137,7 +137,7 @@
 /// Guards against a copy of an earlier answer that is served because the true one behind it was taken for noise.
 #[test]
 fn only_an_answer_that_differs_is_another_one() {
-    let other = |behind: &str| is_other_answer(behind.into(), StatusCode::OK, b"fine");
+    let other = |behind: &str| is_different_answer(behind.into(), StatusCode::OK, b"fine");
     assert!(other("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"));
     assert!(other("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\noth"), "as far as it has come");
     assert!(other("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nfi"));
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -24,7 +24,7 @@
 use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::request::Persistence;
-use millethook_connect::response::is_other_answer;
+use millethook_connect::response::is_different_answer;
 use millethook_connect::{Event, Execution, ResponseHead};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -154,7 +154,7 @@
     /// Whether another answer that differs stands behind this one. The server is caught with it.
     fn is_contradicted(&self, running: &mut Running, status: StatusCode, body: &[u8]) -> bool {
         let Some(connection) = running.lease.connection() else { return true };
-        let other = is_other_answer(connection.buf.clone(), status, body);
+        let other = is_different_answer(connection.buf.clone(), status, body);
         if other {
             let server = running.lease.server();
             self.pool.borrow_mut().record_fault(
