--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -151,7 +151,7 @@
 
     /// A handshake that [`Checkout::Open`] allowed has come to an end: how long it took, if it came
     /// up. Its connection is in use from now on.
-    pub fn opened(&mut self, key: K, took: Option<Duration>) {
+    pub fn handshake_finished(&mut self, key: K, took: Option<Duration>) {
         let Some(server) = self.servers.get_mut(&key) else { return };
         if took.is_some() || !mutant::is(Mutant::FailedStillOpening) {
             server.opening = server.opening.saturating_sub(1);
@@ -165,7 +165,12 @@
 
     /// A handshake that [`Pool::spare`] allowed has come to an end: its connection, if it came up, and
     /// how long it took. It is idle, and has no quarantine.
-    pub fn opened_spare(&mut self, key: K, opened: Option<(C, Duration)>, now: Instant) {
+    pub fn spare_handshake_finished(
+        &mut self,
+        key: K,
+        opened: Option<(C, Duration)>,
+        now: Instant,
+    ) {
         let Some(server) = self.servers.get_mut(&key) else { return };
         server.opening = server.opening.saturating_sub(1);
         if let Some((connection, took)) =
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -213,7 +213,7 @@
             return;
         }
         self.owner(server).opening -= 1;
-        self.pool.opened(server, up.then_some(MS));
+        self.pool.handshake_finished(server, up.then_some(MS));
         if up {
             let connection = self.connect(server, State::InUse, false);
             self.owner(server).in_use.push(connection);
@@ -244,7 +244,7 @@
         // Nothing was asked on it before, so it has no quarantine.
         let state = State::Resting { since: now, quarantine: Duration::ZERO };
         let opened = up.then(|| (self.connect(server, state, true), MS));
-        self.pool.opened_spare(server, opened, now);
+        self.pool.spare_handshake_finished(server, opened, now);
         let kept = self.record.borrow().contains_key(&self.next_id);
         rule(!up || kept != gone, "a spare connection rests, unless its server has left")
     }
--- a/crates/millethook-connect/tests/matching.rs
+++ b/crates/millethook-connect/tests/matching.rs
@@ -15,7 +15,7 @@
     let mut pool = Pool::new(limits, reuse);
     for _ in 0..limits.per_server {
         assert_eq!(pool.checkout_new(KEY), Checkout::Open);
-        pool.opened(KEY, Some(MS));
+        pool.handshake_finished(KEY, Some(MS));
     }
     (0..limits.per_server as u32).for_each(|n| pool.release(KEY, n, now));
     pool
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -20,7 +20,7 @@
 /// Opens connection `n` to server 0, and lets it go at `now`.
 fn rested(pool: &mut Pool<u8, u32>, n: u32, now: Instant) {
     assert_eq!(pool.checkout(0, now - 50 * MS, quiet), Checkout::Open);
-    pool.opened(0, Some(MS));
+    pool.handshake_finished(0, Some(MS));
     pool.release(0, n, now);
 }
 
@@ -29,7 +29,7 @@
     let (mut pool, now) = (Pool::new(limits(), Reuse::Unlimited), Instant::now() + 1000 * MS);
     rested(&mut pool, 1, now);
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
-    pool.opened(0, None);
+    pool.handshake_finished(0, None);
     assert_eq!(pool.checkout(0, now + MS, quiet), Checkout::Reuse(1, MS));
     assert_eq!(pool.counts(), Counts { opening: 0, in_use: 1, resting: 0 });
 }
@@ -63,7 +63,7 @@
     assert!(pool.answers_need_proof(0, now));
     assert_eq!(pool.checkout(0, now + 10 * MS, quiet), Checkout::Open);
     assert_eq!(pool.counts().resting, 0, "nothing is known of the server");
-    pool.opened(0, Some(MS));
+    pool.handshake_finished(0, Some(MS));
     pool.set_reuse(Reuse::Unlimited);
     pool.release(0, 2, now);
     assert_eq!(pool.checkout(0, now + 10 * MS, quiet), Checkout::Reuse(2, 10 * MS));
@@ -80,7 +80,7 @@
     let stray = |n: &u32| if *n == 2 { SocketState::StrayBytes } else { SocketState::Quiet };
     assert_eq!(pool.checkout(0, now + 10 * MS, stray), Checkout::Open, "nor the other one");
     assert!(pool.answers_need_proof(0, now + 10 * MS));
-    pool.opened(0, Some(MS));
+    pool.handshake_finished(0, Some(MS));
     pool.release(0, 3, now + 20 * MS);
     assert_eq!(pool.counts(), Counts::default());
     let later = now + 10 * MS + MINUTE;
@@ -109,7 +109,7 @@
     for _ in 0..3 {
         // None is out of quarantine by then, so another one opens.
         assert_eq!(pool.checkout(0, now - 100 * MS, quiet), Checkout::Open);
-        pool.opened(0, Some(MS));
+        pool.handshake_finished(0, Some(MS));
     }
     for n in 1..=3 {
         pool.release(0, n, now + n * MS);
@@ -125,7 +125,7 @@
     let (mut pool, now) = (Pool::new(limits(), Reuse::Unlimited), Instant::now() + 1000 * MS);
     for _ in 0..3 {
         assert_eq!(pool.checkout(0, now - 100 * MS, quiet), Checkout::Open);
-        pool.opened(0, Some(MS));
+        pool.handshake_finished(0, Some(MS));
     }
     for n in 1..=3 {
         pool.release(0, n, now);
@@ -162,7 +162,7 @@
 fn a_server_without_connections_is_forgotten() {
     let (mut pool, now) = (Pool::<u8, u32>::new(limits(), Reuse::Unlimited), Instant::now());
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
-    pool.opened(0, None);
+    pool.handshake_finished(0, None);
     for _ in 1..FORGET_AFTER {
         pool.next_span();
     }
@@ -179,11 +179,11 @@
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Wait(None), "two handshakes at once");
     assert_eq!(pool.checkout(1, now, quiet), Checkout::Open, "another server has its own");
     for _ in 0..2 {
-        pool.opened(0, Some(MS));
+        pool.handshake_finished(0, Some(MS));
         assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
     }
     for _ in 0..2 {
-        pool.opened(0, Some(MS));
+        pool.handshake_finished(0, Some(MS));
     }
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Wait(None), "four in all");
     pool.release(0, 1, now);
@@ -195,14 +195,14 @@
     let (mut pool, now) = (Pool::<u8, u32>::new(limits(), Reuse::Unlimited), Instant::now());
     assert!(!pool.spare(0), "nothing is in use");
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
-    pool.opened(0, Some(MS));
+    pool.handshake_finished(0, Some(MS));
     assert!(pool.spare(0));
     assert!(!pool.spare(0), "one at a time");
-    pool.opened_spare(0, Some((7, MS)), now);
+    pool.spare_handshake_finished(0, Some((7, MS)), now);
     assert!(!pool.spare(0), "one is left");
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Reuse(7, Duration::ZERO));
     assert!(pool.spare(0), "two are in use, as never before");
-    pool.opened_spare(0, None, now);
+    pool.spare_handshake_finished(0, None, now);
     pool.next_span();
     assert!(!pool.spare(0), "two were in use in the last span, too");
 }
@@ -212,7 +212,7 @@
     let (mut pool, now) = (Pool::<u8, u32>::new(limits(), Reuse::Unlimited), Instant::now());
     for _ in 0..2 {
         assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
-        pool.opened(0, Some(MS));
+        pool.handshake_finished(0, Some(MS));
     }
     pool.release(0, 1, now);
     pool.close_idle(0, true);
@@ -272,7 +272,7 @@
                 },
                 Op::Opened(k, up) if opening[usize::from(k)] > 0 => {
                     opening[usize::from(k)] -= 1;
-                    pool.opened(k, up.then_some(MS));
+                    pool.handshake_finished(k, up.then_some(MS));
                     if up {
                         next += 1;
                         used[usize::from(k)].push(next);
@@ -281,7 +281,7 @@
                 Op::Opened(k, up) if spares[usize::from(k)] > 0 => {
                     spares[usize::from(k)] -= 1;
                     next += 1;
-                    pool.opened_spare(k, up.then_some(((next, now), MS)), now);
+                    pool.spare_handshake_finished(k, up.then_some(((next, now), MS)), now);
                 }
                 Op::Release(k) => if let Some(n) = used[usize::from(k)].pop() {
                     pool.release(k, (n, now), now);
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -351,7 +351,7 @@
             let watcher = upstream.watcher.borrow().clone();
             let mut cx = std::task::Context::from_waker(&watcher);
             let opened = opened.filter(|(c, _)| c.watched(&mut cx) == SocketState::Quiet);
-            upstream.pool.borrow_mut().opened_spare(server, opened, Instant::now());
+            upstream.pool.borrow_mut().spare_handshake_finished(server, opened, Instant::now());
             if let Some((_, waiters)) = upstream.waiting.borrow().get(&server) {
                 waiters.rested.notify_one();
             }
@@ -382,7 +382,7 @@
 
 impl Drop for Opening<'_> {
     fn drop(&mut self) {
-        self.upstream.pool.borrow_mut().opened(self.server, self.took);
+        self.upstream.pool.borrow_mut().handshake_finished(self.server, self.took);
         self.upstream.room(self.server);
     }
 }
