--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -163,7 +163,7 @@
         self.forget(key);
     }
 
-    /// A handshake that [`Pool::spare`] allowed has come to an end: its connection, if it came up, and
+    /// A handshake that [`Pool::start_spare`] allowed has come to an end: its connection, if it came up, and
     /// how long it took. It is idle, and has no quarantine.
     pub fn spare_handshake_finished(
         &mut self,
@@ -222,7 +222,7 @@
 
     /// Whether a connection is to be opened ahead of need: more of the server's are in use than ever
     /// in the last span, and none is left. It counts as opening from now on.
-    pub fn spare(&mut self, key: K) -> bool {
+    pub fn start_spare(&mut self, key: K) -> bool {
         let limits = self.limits;
         let Some(server) = self.servers.get_mut(&key) else { return false };
         let rising = server.in_use > server.last_peak
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -221,7 +221,7 @@
     }
 
     fn spare(&mut self, server: u8) -> Result<(), String> {
-        if !self.pool.spare(server) {
+        if !self.pool.start_spare(server) {
             return Ok(());
         }
         let all = self.all(server);
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -193,18 +193,18 @@
 #[test]
 fn a_spare_is_opened_while_use_rises_and_only_then() {
     let (mut pool, now) = (Pool::<u8, u32>::new(limits(), Reuse::Unlimited), Instant::now());
-    assert!(!pool.spare(0), "nothing is in use");
+    assert!(!pool.start_spare(0), "nothing is in use");
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
     pool.handshake_finished(0, Some(MS));
-    assert!(pool.spare(0));
-    assert!(!pool.spare(0), "one at a time");
+    assert!(pool.start_spare(0));
+    assert!(!pool.start_spare(0), "one at a time");
     pool.spare_handshake_finished(0, Some((7, MS)), now);
-    assert!(!pool.spare(0), "one is left");
+    assert!(!pool.start_spare(0), "one is left");
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Reuse(7, Duration::ZERO));
-    assert!(pool.spare(0), "two are in use, as never before");
+    assert!(pool.start_spare(0), "two are in use, as never before");
     pool.spare_handshake_finished(0, None, now);
     pool.next_span();
-    assert!(!pool.spare(0), "two were in use in the last span, too");
+    assert!(!pool.start_spare(0), "two were in use in the last span, too");
 }
 
 #[test]
@@ -289,7 +289,7 @@
                 Op::Discard(k, stray) => if used[usize::from(k)].pop().is_some() {
                     pool.discarded(k, stray, now);
                 },
-                Op::Spare(k) => spares[usize::from(k)] += usize::from(pool.spare(k)),
+                Op::Spare(k) => spares[usize::from(k)] += usize::from(pool.start_spare(k)),
                 Op::Watch(of) => drop(pool.watch(now, |(n, _)| match (n + u32::from(of)) % 4 {
                     0 => SocketState::Closed,
                     1 => SocketState::StrayBytes,
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -331,7 +331,7 @@
 
     /// Opens a connection ahead of need, where a rise shows.
     fn spare(self: &Rc<Upstream>, server: ServerId, dial: SocketAddr) {
-        if self.config.limits.spare == 0 || !self.pool.borrow_mut().spare(server) {
+        if self.config.limits.spare == 0 || !self.pool.borrow_mut().start_spare(server) {
             return;
         }
         let upstream = self.clone();
