--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -201,7 +201,7 @@
     }
 
     /// A connection in use is gone. `stray`: bytes came right behind an answer.
-    pub fn discarded(&mut self, key: K, stray: bool, now: Instant) {
+    pub fn discard(&mut self, key: K, stray: bool, now: Instant) {
         let Some(server) = self.servers.get_mut(&key) else { return };
         if !mutant::is(Mutant::DiscardedStillInUse) {
             server.in_use = server.in_use.saturating_sub(1);
@@ -281,7 +281,7 @@
     }
 
     /// Looks at every connection at rest and drops those that are of no more use. Returns how many.
-    pub fn watch(&mut self, now: Instant, mut look: impl FnMut(&C) -> SocketState) -> usize {
+    pub fn sweep_idle(&mut self, now: Instant, mut look: impl FnMut(&C) -> SocketState) -> usize {
         let (limits, ended) = (self.limits, &mut self.ended);
         let mut dropped = 0;
         for server in self.servers.values_mut() {
@@ -323,7 +323,7 @@
     }
 
     /// Drops the connection that came to rest first, of all servers. False: none rests.
-    pub fn give_up_one(&mut self) -> bool {
+    pub fn evict_oldest_idle(&mut self) -> bool {
         let oldest = self.servers.values_mut().filter(|server| !server.resting.is_empty());
         let oldest = oldest.min_by_key(|server| server.resting.front().map(|r| r.since));
         let found = oldest.is_some_and(|server| {
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -282,7 +282,7 @@
     fn discarded(&mut self, n: u16, stray: bool) {
         let Some((server, connection)) = self.take_in_use(n) else { return };
         drop(connection);
-        self.pool.discarded(server, stray, self.now);
+        self.pool.discard(server, stray, self.now);
         if stray {
             self.owner(server).strayed = Some(self.now);
         }
@@ -308,7 +308,7 @@
         let (before, now) = (self.record.borrow().len(), self.now);
         let mut stray: Vec<(u8, Duration)> = Vec::new();
         let record = self.record.clone();
-        let dropped = self.pool.watch(now, |connection| {
+        let dropped = self.pool.sweep_idle(now, |connection| {
             let entry = record.borrow()[&connection.id];
             if let (SocketState::StrayBytes, State::Resting { since, .. }) =
                 (entry.look, entry.state)
@@ -335,7 +335,7 @@
     fn give_up(&mut self) -> Result<(), String> {
         let resting = self.resting(None);
         let oldest = resting.iter().map(|(_, since)| *since).min();
-        let dropped = self.pool.give_up_one();
+        let dropped = self.pool.evict_oldest_idle();
         self.ended += u64::from(dropped);
         rule(dropped == oldest.is_some(), "one that rests is given up")?;
         let left = self.resting(None);
--- a/crates/millethook-connect/tests/matching.rs
+++ b/crates/millethook-connect/tests/matching.rs
@@ -36,7 +36,7 @@
         let varieties = [Variety::Distinct, Variety::Unknown, Variety::Alike];
         assert_eq!(varieties.map(|variety| pool.matching(KEY, variety, now)), expected, "{reuse}");
         // A server that has sent stray bytes.
-        pool.discarded(KEY, true, now);
+        pool.discard(KEY, true, now);
         assert_eq!(pool.matching(KEY, Variety::Distinct, now), AnnouncedClose, "{reuse}");
     }
 }
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -95,7 +95,7 @@
     rested(&mut pool, 1, now);
     // Its answers can be proven, so that its connections are used again all the same.
     pool.end_was_asked(0, true, now);
-    assert_eq!(pool.watch(now + 3 * MS, |_| SocketState::StrayBytes), 1);
+    assert_eq!(pool.sweep_idle(now + 3 * MS, |_| SocketState::StrayBytes), 1);
     rested(&mut pool, 2, now + 100 * MS);
     let at = now + 100 * MS;
     assert_eq!(pool.checkout(0, at + 11 * MS, quiet), Checkout::Open);
@@ -115,9 +115,9 @@
         pool.release(0, n, now + n * MS);
     }
     assert_eq!(pool.checkout(0, now + 10 * MS, quiet), Checkout::Reuse(3, 7 * MS));
-    assert!(pool.give_up_one());
+    assert!(pool.evict_oldest_idle());
     assert_eq!(pool.checkout(0, now + 10 * MS, quiet), Checkout::Reuse(2, 8 * MS));
-    assert!(!pool.give_up_one());
+    assert!(!pool.evict_oldest_idle());
 }
 
 #[test]
@@ -145,12 +145,12 @@
 fn connections_retire_ahead_of_a_limit_that_is_learned() {
     let (mut pool, now) = (Pool::new(limits(), Reuse::Unlimited), Instant::now() + 1000 * MS);
     rested(&mut pool, 1, now);
-    assert_eq!(pool.watch(now + 699 * MS, quiet), 0);
-    assert_eq!(pool.watch(now + 700 * MS, quiet), 1, "told: 1 s");
+    assert_eq!(pool.sweep_idle(now + 699 * MS, quiet), 0);
+    assert_eq!(pool.sweep_idle(now + 700 * MS, quiet), 1, "told: 1 s");
     for n in 2..=3 {
         let at = now + n * 1000 * MS;
         rested(&mut pool, n, at);
-        assert_eq!(pool.watch(at + 300 * MS, |_| SocketState::Closed), 1);
+        assert_eq!(pool.sweep_idle(at + 300 * MS, |_| SocketState::Closed), 1);
     }
     let at = now + 4000 * MS;
     rested(&mut pool, 4, at);
@@ -287,15 +287,15 @@
                     pool.release(k, (n, now), now);
                 },
                 Op::Discard(k, stray) => if used[usize::from(k)].pop().is_some() {
-                    pool.discarded(k, stray, now);
+                    pool.discard(k, stray, now);
                 },
                 Op::Spare(k) => spares[usize::from(k)] += usize::from(pool.start_spare(k)),
-                Op::Watch(of) => drop(pool.watch(now, |(n, _)| match (n + u32::from(of)) % 4 {
+                Op::Watch(of) => drop(pool.sweep_idle(now, |(n, _)| match (n + u32::from(of)) % 4 {
                     0 => SocketState::Closed,
                     1 => SocketState::StrayBytes,
                     _ => SocketState::Quiet,
                 })),
-                Op::GiveUp => drop(pool.give_up_one()),
+                Op::GiveUp => drop(pool.evict_oldest_idle()),
                 Op::Close(k, gone) => pool.close_idle(k, gone),
                 Op::Opened(..) => {}
             }
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -108,7 +108,7 @@
     async fn watch(self: Rc<Upstream>) {
         poll_fn(|cx| {
             self.watcher.replace(cx.waker().clone());
-            self.pool.borrow_mut().watch(Instant::now(), |connection| connection.watched(cx));
+            self.pool.borrow_mut().sweep_idle(Instant::now(), |connection| connection.watched(cx));
             Poll::<()>::Pending
         })
         .await;
@@ -120,12 +120,12 @@
         loop {
             tokio::select! {
                 () = self.sockets.servers.wanted() => {
-                    self.pool.borrow_mut().give_up_one();
+                    self.pool.borrow_mut().evict_oldest_idle();
                 }
                 () = sleep_until(next.into()) => {
                     next = Instant::now() + SWEEP;
                     let mut pool = self.pool.borrow_mut();
-                    pool.watch(Instant::now(), |_| SocketState::Quiet);
+                    pool.sweep_idle(Instant::now(), |_| SocketState::Quiet);
                     pool.next_span();
                     // Those that nobody holds or waits for.
                     self.turns.borrow_mut().retain(|_, turns| Arc::strong_count(turns) > 1);
@@ -183,7 +183,7 @@
             }
             // Danger: what waits for a socket alone would not see that all of them rest.
             None if self.starved.get() > 0 => {
-                self.pool.borrow_mut().give_up_one();
+                self.pool.borrow_mut().evict_oldest_idle();
             }
             None => {}
         }
@@ -194,7 +194,7 @@
     }
 
     fn discarded(&self, server: ServerId, stray: bool) {
-        self.pool.borrow_mut().discarded(server, stray, Instant::now());
+        self.pool.borrow_mut().discard(server, stray, Instant::now());
         self.room(server);
     }
 
@@ -305,7 +305,7 @@
         self.starved.set(self.starved.get() + 1);
         let _starved = Starved(&self.starved);
         // A connection at rest, here or with another engine of the budget, makes room.
-        if !self.pool.borrow_mut().give_up_one() {
+        if !self.pool.borrow_mut().evict_oldest_idle() {
             self.sockets.servers.want();
         }
         let left = until.saturating_duration_since(Instant::now());
@@ -316,7 +316,7 @@
                 permit = &mut taken => return permit.map(Some).ok_or(Outcome::Moot),
                 () = waiting.at.rested.notified() => {
                     if needs_new {
-                        self.pool.borrow_mut().give_up_one();
+                        self.pool.borrow_mut().evict_oldest_idle();
                         continue;
                     }
                     // Danger: whoever left for nothing would free a handshake's place, wake the next
