--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -35,7 +35,7 @@
 
 /// After so many spans without a connection what is known of a server is forgotten. Without this, the pool would grow
 /// with each new server: one that has left may be asked for once more by a request that was decided on before.
-pub const FORGET_AFTER: u32 = 240;
+pub const FORGET_AFTER_WINDOWS: u32 = 240;
 
 /// The connections of all servers.
 #[derive(Debug)]
@@ -314,11 +314,11 @@
     }
 
     /// Ends a span over which peaks are taken, and forgets servers that had no connection for long.
-    pub fn next_span(&mut self) {
+    pub fn start_next_window(&mut self) {
         self.servers.retain(|_, server| {
             server.last_peak = std::mem::replace(&mut server.peak, server.in_use);
             server.unused = if server.all() == 0 { server.unused + 1 } else { 0 };
-            server.unused < FORGET_AFTER || mutant::is(Mutant::NeverForgotten)
+            server.unused < FORGET_AFTER_WINDOWS || mutant::is(Mutant::NeverForgotten)
         });
     }
 
--- a/crates/millethook-connect/src/pool/check.rs
+++ b/crates/millethook-connect/src/pool/check.rs
@@ -6,7 +6,7 @@
 use millethook_machine::Violation;
 
 use super::server::Server;
-use super::{FORGET_AFTER, Limits, Pool};
+use super::{FORGET_AFTER_WINDOWS, Limits, Pool};
 
 impl<K: Copy + Eq + Hash + std::fmt::Debug, C> Pool<K, C> {
     /// Checks every invariant of the pool. Nothing in the running product calls it: it looks at each connection.
@@ -51,7 +51,7 @@
             counts,
         )?;
         rule(
-            self.unused < FORGET_AFTER,
+            self.unused < FORGET_AFTER_WINDOWS,
             "a server that has no connection is forgotten in time",
             &|| format!("{} spans without one", self.unused),
         )?;
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use millethook_connect::pool::{Checkout, FORGET_AFTER, Limits, Pool, Reuse, SocketState};
+use millethook_connect::pool::{Checkout, FORGET_AFTER_WINDOWS, Limits, Pool, Reuse, SocketState};
 
 use super::record::{Connection, Entry, Record, State};
 use super::script::{SERVERS, Step};
@@ -353,12 +353,12 @@
 
     fn spans(&mut self, spans: u16) {
         for _ in 0..spans {
-            self.pool.next_span();
+            self.pool.start_next_window();
             for server in 0..SERVERS {
                 let unused = self.all(server) == 0;
                 let owner = self.owner(server);
                 owner.unused_spans = if unused { owner.unused_spans + 1 } else { 0 };
-                owner.forgotten |= owner.unused_spans >= FORGET_AFTER;
+                owner.forgotten |= owner.unused_spans >= FORGET_AFTER_WINDOWS;
             }
         }
     }
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use millethook_connect::pool::{
-    Checkout, Counts, Ended, FORGET_AFTER, Limits, Pool, Reuse, SocketState,
+    Checkout, Counts, Ended, FORGET_AFTER_WINDOWS, Limits, Pool, Reuse, SocketState,
 };
 use proptest::prelude::*;
 
@@ -163,11 +163,11 @@
     let (mut pool, now) = (Pool::<u8, u32>::new(limits(), Reuse::Unlimited), Instant::now());
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
     pool.handshake_finished(0, None);
-    for _ in 1..FORGET_AFTER {
-        pool.next_span();
+    for _ in 1..FORGET_AFTER_WINDOWS {
+        pool.start_next_window();
     }
     assert_eq!(pool.known_servers(), 1);
-    pool.next_span();
+    pool.start_next_window();
     assert_eq!(pool.known_servers(), 0);
 }
 
@@ -203,7 +203,7 @@
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Reuse(7, Duration::ZERO));
     assert!(pool.start_spare(0), "two are in use, as never before");
     pool.spare_handshake_finished(0, None, now);
-    pool.next_span();
+    pool.start_next_window();
     assert!(!pool.start_spare(0), "two were in use in the last span, too");
 }
 
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -126,7 +126,7 @@
                     next = Instant::now() + SWEEP;
                     let mut pool = self.pool.borrow_mut();
                     pool.sweep_idle(Instant::now(), |_| SocketState::Quiet);
-                    pool.next_span();
+                    pool.start_next_window();
                     // Those that nobody holds or waits for.
                     self.turns.borrow_mut().retain(|_, turns| Arc::strong_count(turns) > 1);
                 }
