--- a/crates/millethook-connect/src/exchange.rs
+++ b/crates/millethook-connect/src/exchange.rs
@@ -176,7 +176,7 @@
     }
 
     /// Whether the answer's head has come and says that the connection ends behind it.
-    pub fn announces_end(&self) -> bool {
+    pub fn announces_close(&self) -> bool {
         self.decoder.has_head() && !self.decoder.keeps_alive()
     }
 
--- a/crates/millethook-connect/src/exchange/tests.rs
+++ b/crates/millethook-connect/src/exchange/tests.rs
@@ -130,7 +130,7 @@
     for (text, announced) in [(OK, false), (&closes, true), ("HTTP/1.1 200", false)] {
         let mut exchange = at(Begins::Head, 13);
         let _ = exchange.read(&mut BytesMut::from(text)).expect("no failure");
-        assert_eq!(exchange.announces_end(), announced, "{text:?}");
+        assert_eq!(exchange.announces_close(), announced, "{text:?}");
     }
 }
 
--- a/crates/millethook-connect/src/observations.rs
+++ b/crates/millethook-connect/src/observations.rs
@@ -68,7 +68,7 @@
     /// stray bytes came since.
     proven: bool,
     /// Its last answer to a request that asked for the connection's end announced that end.
-    announces_end: bool,
+    announces_close: bool,
     /// When an answer to such a request came last that did not. Some servers announce ends with some answers only.
     unannounced: Option<Instant>,
     /// How often in a row a connection was silent for as long as a server that nothing is known of is
@@ -114,7 +114,7 @@
     }
 
     /// A connection that had carried an answer before has carried another one, and nothing beside it.
-    pub fn used_quietly(&mut self) {
+    pub fn record_clean_reuse(&mut self) {
         self.proven = true;
     }
 
@@ -131,13 +131,13 @@
 
     /// Whether the server announces the end of a connection where a request asks for it, and has done so each time of
     /// late.
-    pub fn announces_end(&self, now: Instant) -> bool {
-        self.announces_end && !is_recent(self.unannounced, now)
+    pub fn announces_close(&self, now: Instant) -> bool {
+        self.announces_close && !is_recent(self.unannounced, now)
     }
 
     /// A request that asked for its connection's end was answered; `announced`: the answer's head says that it ends.
-    pub fn end_was_asked(&mut self, announced: bool, now: Instant) {
-        self.announces_end = announced;
+    pub fn record_close_request(&mut self, announced: bool, now: Instant) {
+        self.announces_close = announced;
         if !announced {
             self.unannounced = Some(now);
         }
--- a/crates/millethook-connect/src/observations/tests.rs
+++ b/crates/millethook-connect/src/observations/tests.rs
@@ -103,7 +103,7 @@
     assert_eq!(breaks.trial(Some(MS), false, later), None);
     let mut strays = proven();
     strays.record_fault(ConnectionFault::StrayBytes, now);
-    strays.used_quietly();
+    strays.record_clean_reuse();
     assert_eq!(strays.trial(Some(MS), true, now), Some(TRIAL));
     assert_eq!(strays.trial(None, true, now), None, "nothing was asked on it before");
     assert!(strays.answers_in_doubt(now) && !strays.answers_in_doubt(later));
@@ -114,13 +114,13 @@
 #[test]
 fn an_announced_end_counts_again_a_minute_after_one_that_was_missing() {
     let (mut observations, now) = (ServerObservations::default(), Instant::now());
-    assert!(!observations.announces_end(now), "nothing is known");
-    observations.end_was_asked(true, now);
-    assert!(observations.announces_end(now));
-    observations.end_was_asked(false, now);
-    observations.end_was_asked(true, now + MS);
-    assert!(!observations.announces_end(now + MS));
-    assert!(observations.announces_end(now + CAUGHT_FOR));
+    assert!(!observations.announces_close(now), "nothing is known");
+    observations.record_close_request(true, now);
+    assert!(observations.announces_close(now));
+    observations.record_close_request(false, now);
+    observations.record_close_request(true, now + MS);
+    assert!(!observations.announces_close(now + MS));
+    assert!(observations.announces_close(now + CAUGHT_FOR));
 }
 
 /// Guards against another request's answer from a server of which nothing is known yet, or that has sent stray bytes.
@@ -131,7 +131,7 @@
         assert!(observations.answers_in_doubt(now));
         assert_eq!(observations.trial(Some(Duration::ZERO), true, now), Some(TRIAL));
         assert_eq!(observations.trial(None, true, now), None, "no earlier answer can come on it");
-        observations.used_quietly();
+        observations.record_clean_reuse();
         assert!(!observations.answers_in_doubt(now));
         assert_eq!(observations.trial(Some(Duration::ZERO), true, now), None);
     };
--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -254,9 +254,9 @@
     }
 
     /// A connection that had carried an answer before has carried another one, and nothing beside it.
-    pub fn used_quietly(&mut self, key: K) {
+    pub fn record_clean_reuse(&mut self, key: K) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.observations.used_quietly();
+            server.observations.record_clean_reuse();
         }
     }
 
@@ -269,14 +269,14 @@
 
     /// Whether the server announces the end of a connection where a request asks for it, as its last answer to such a
     /// request showed.
-    pub fn announces_end(&self, key: K, now: Instant) -> bool {
-        self.servers.get(&key).is_some_and(|server| server.observations.announces_end(now))
+    pub fn announces_close(&self, key: K, now: Instant) -> bool {
+        self.servers.get(&key).is_some_and(|server| server.observations.announces_close(now))
     }
 
     /// A request that asked for its connection's end was answered; `announced`: the answer's head says that it ends.
-    pub fn end_was_asked(&mut self, key: K, announced: bool, now: Instant) {
+    pub fn record_close_request(&mut self, key: K, announced: bool, now: Instant) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.observations.end_was_asked(announced, now);
+            server.observations.record_close_request(announced, now);
         }
     }
 
--- a/crates/millethook-connect/src/pool/matching.rs
+++ b/crates/millethook-connect/src/pool/matching.rs
@@ -41,7 +41,7 @@
         match matching {
             Matching::Trust | Matching::DistinctContent => false,
             Matching::AnnouncedClose => {
-                !self.answers_need_proof(key, now) && !self.announces_end(key, now)
+                !self.answers_need_proof(key, now) && !self.announces_close(key, now)
             }
             Matching::NewConnection => true,
         }
@@ -50,7 +50,7 @@
     /// What a request on a connection to a server says of that connection. Where the end has to be announced, all but the
     /// first request on a connection ask for it, and so does each one to a server that is not known to announce it.
     pub fn persistence(&self, key: K, matching: Matching, used: bool, now: Instant) -> Persistence {
-        if matching == Matching::AnnouncedClose && (used || !self.announces_end(key, now)) {
+        if matching == Matching::AnnouncedClose && (used || !self.announces_close(key, now)) {
             Persistence::Close
         } else {
             Persistence::KeepAlive
--- a/crates/millethook-connect/src/pool/server.rs
+++ b/crates/millethook-connect/src/pool/server.rs
@@ -53,7 +53,7 @@
     /// Whether a connection that has carried an answer may carry a request.
     pub(super) fn may_reuse(&self, reuse: Reuse, now: Instant) -> bool {
         !self.answers_need_proof(reuse, now)
-            || self.observations.announces_end(now)
+            || self.observations.announces_close(now)
             || mutant::is(Mutant::ReusedUnproven)
     }
 
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -16,7 +16,7 @@
 /// For so long after stray bytes a quarantine is at least twice their lateness.
 const STRAY_BYTES_REMEMBERED: Duration = Duration::from_secs(60);
 /// The server that announces the end of a connection where a request asks for it; the others do not.
-const ANNOUNCES_END: u8 = 0;
+const ANNOUNCES_CLOSE: u8 = 0;
 /// The share of its idle limit for which a connection may rest and be used.
 const IDLE_SHARE: f64 = 0.7;
 
@@ -141,7 +141,7 @@
             }
             look
         });
-        self.pool.end_was_asked(server, server == ANNOUNCES_END, now);
+        self.pool.record_close_request(server, server == ANNOUNCES_CLOSE, now);
         self.ended += (before - self.record.borrow().len()) as u64;
         (self.owner(server).stray, self.owner(server).strayed) = (stray, strayed);
         match found {
@@ -197,7 +197,7 @@
     /// Whether what has carried an answer may be used again.
     fn may_reuse(&self, server: u8) -> bool {
         let strayed = self.owners[usize::from(server)].strayed;
-        server == ANNOUNCES_END
+        server == ANNOUNCES_CLOSE
             || strayed.is_none_or(|seen| self.now - seen >= STRAY_BYTES_REMEMBERED)
     }
 
--- a/crates/millethook-connect/tests/matching.rs
+++ b/crates/millethook-connect/tests/matching.rs
@@ -75,7 +75,7 @@
         Persistence::Close,
         "to learn whether it announces it"
     );
-    pool.end_was_asked(KEY, true, now);
+    pool.record_close_request(KEY, true, now);
     assert_eq!(persistence(&pool, Matching::AnnouncedClose, false), Persistence::KeepAlive);
     assert_eq!(persistence(&pool, Matching::AnnouncedClose, true), Persistence::Close);
     assert!(!pool.needs_new(KEY, Matching::AnnouncedClose, now));
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -40,15 +40,15 @@
     let (mut pool, now) = (Pool::new(limits(), Reuse::Proven), Instant::now() + 1000 * MS);
     rested(&mut pool, 1, now);
     assert_eq!(pool.counts().resting, 0, "nothing is known of the server");
-    assert!(!pool.announces_end(0, now));
+    assert!(!pool.announces_close(0, now));
     rested(&mut pool, 2, now);
-    pool.end_was_asked(0, true, now);
-    assert!(pool.announces_end(0, now));
+    pool.record_close_request(0, true, now);
+    assert!(pool.announces_close(0, now));
     for n in 3..5 {
         rested(&mut pool, n, now);
     }
     assert_eq!(pool.counts().resting, 2, "kept from now on");
-    pool.end_was_asked(0, false, now);
+    pool.record_close_request(0, false, now);
     assert_eq!(pool.checkout(0, now + 10 * MS, quiet), Checkout::Open);
     assert_eq!(pool.counts().resting, 0, "no more");
     assert_eq!(pool.check(now), Ok(()));
@@ -94,7 +94,7 @@
     let (mut pool, now) = (Pool::new(limits(), Reuse::Unlimited), Instant::now() + 1000 * MS);
     rested(&mut pool, 1, now);
     // Its answers can be proven, so that its connections are used again all the same.
-    pool.end_was_asked(0, true, now);
+    pool.record_close_request(0, true, now);
     assert_eq!(pool.sweep_idle(now + 3 * MS, |_| SocketState::StrayBytes), 1);
     rested(&mut pool, 2, now + 100 * MS);
     let at = now + 100 * MS;
@@ -131,7 +131,7 @@
         pool.release(0, n, now);
     }
     // Its answers can be proven, so that stray bytes on one connection do not end the others' use.
-    pool.end_was_asked(0, true, now);
+    pool.record_close_request(0, true, now);
     let look = |n: &u32| match n {
         3 => SocketState::Closed,
         2 => SocketState::StrayBytes,
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -85,10 +85,14 @@
         if running.persistence == Persistence::KeepAlive {
             return true;
         }
-        let announced = running.exchange.announces_end();
+        let announced = running.exchange.announces_close();
         // Before that the server has not seen what the request asks for.
         if running.exchange.execution() == Execution::MayHaveRun {
-            self.pool.borrow_mut().end_was_asked(running.lease.server(), announced, Instant::now());
+            self.pool.borrow_mut().record_close_request(
+                running.lease.server(),
+                announced,
+                Instant::now(),
+            );
         }
         announced || !running.lease.is_used()
     }
@@ -199,7 +203,7 @@
     /// Closes the connection once the server has ended its side. The side that ends first keeps the port occupied for a
     /// minute or more, and of ports to one server a client has some 28,000.
     async fn close_after_server(mut self) {
-        if self.exchange.announces_end() {
+        if self.exchange.announces_close() {
             self.server_end(SERVER_END).await;
         }
         self.lease.close();
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -190,7 +190,7 @@
     }
 
     fn used_quietly(&self, server: ServerId) {
-        self.pool.borrow_mut().used_quietly(server);
+        self.pool.borrow_mut().record_clean_reuse(server);
     }
 
     fn discarded(&self, server: ServerId, stray: bool) {
