--- a/crates/millethook-connect/src/exchange.rs
+++ b/crates/millethook-connect/src/exchange.rs
@@ -101,7 +101,7 @@
     }
 
     /// Whether bytes are held back, and all before them are out.
-    pub fn on_trial(&self) -> bool {
+    pub fn is_holding(&self) -> bool {
         let (from, to) = self.writable();
         self.held && !self.early && !self.write_failed && from == to
     }
--- a/crates/millethook-connect/src/exchange/tests.rs
+++ b/crates/millethook-connect/src/exchange/tests.rs
@@ -81,9 +81,9 @@
     for (begins, held_at) in [(Begins::Head, 9), (Begins::Whole, 12)] {
         let mut exchange = Exchange::new(begins, 10, 3, true);
         assert_eq!(exchange.writable(), (0, held_at));
-        assert!(!exchange.on_trial());
+        assert!(!exchange.is_holding());
         exchange.wrote(held_at);
-        assert!(exchange.on_trial());
+        assert!(exchange.is_holding());
         assert_eq!(exchange.execution(), Execution::NeverRan);
         exchange.commit();
         assert_eq!(exchange.writable(), (held_at, 13));
--- a/crates/millethook-connect/src/observations.rs
+++ b/crates/millethook-connect/src/observations.rs
@@ -195,7 +195,7 @@
     /// connection is new, has rested, or is one of a server whose connections broke on trial. And whether bytes come
     /// that were not asked for: those would be served as the answer to a request of any class, so all used connections
     /// are tried of a server that was caught with some, or has not yet proven to send none.
-    pub fn trial(
+    pub fn hold_time(
         &self,
         rested: Option<Duration>,
         repeatable: bool,
--- a/crates/millethook-connect/src/observations/check.rs
+++ b/crates/millethook-connect/src/observations/check.rs
@@ -38,7 +38,7 @@
         for (rested, repeatable) in
             [(None, false), (None, true), (Some(told.max(LONGEST_TRIAL)), false)]
         {
-            let trial = self.trial(rested, repeatable, now);
+            let trial = self.hold_time(rested, repeatable, now);
             rule(
                 trial.is_none_or(|trial| (TRIAL..=LONGEST_TRIAL).contains(&trial)),
                 "a trial has an end",
--- a/crates/millethook-connect/src/observations/tests.rs
+++ b/crates/millethook-connect/src/observations/tests.rs
@@ -76,8 +76,12 @@
 fn new_and_rested_connections_are_tried() {
     let (mut observations, now) = (proven(), Instant::now());
     let trial = |observations: &ServerObservations, rested: Option<u32>| {
-        assert_eq!(observations.trial(rested.map(|ms| ms * MS), true, now), None, "harmless twice");
-        observations.trial(rested.map(|ms| ms * MS), false, now)
+        assert_eq!(
+            observations.hold_time(rested.map(|ms| ms * MS), true, now),
+            None,
+            "harmless twice"
+        );
+        observations.hold_time(rested.map(|ms| ms * MS), false, now)
     };
     assert_eq!(trial(&observations, Some(0)), None);
     assert_eq!(trial(&observations, Some(1)), None);
@@ -98,16 +102,16 @@
     let later = now + CAUGHT_FOR;
     let mut breaks = proven();
     breaks.record_fault(ConnectionFault::Broken, now);
-    assert_eq!(breaks.trial(Some(MS), false, now), Some(TRIAL));
-    assert_eq!(breaks.trial(Some(MS), true, now), None);
-    assert_eq!(breaks.trial(Some(MS), false, later), None);
+    assert_eq!(breaks.hold_time(Some(MS), false, now), Some(TRIAL));
+    assert_eq!(breaks.hold_time(Some(MS), true, now), None);
+    assert_eq!(breaks.hold_time(Some(MS), false, later), None);
     let mut strays = proven();
     strays.record_fault(ConnectionFault::StrayBytes, now);
     strays.record_clean_reuse();
-    assert_eq!(strays.trial(Some(MS), true, now), Some(TRIAL));
-    assert_eq!(strays.trial(None, true, now), None, "nothing was asked on it before");
+    assert_eq!(strays.hold_time(Some(MS), true, now), Some(TRIAL));
+    assert_eq!(strays.hold_time(None, true, now), None, "nothing was asked on it before");
     assert!(strays.answers_in_doubt(now) && !strays.answers_in_doubt(later));
-    assert_eq!(strays.trial(Some(MS), true, later), None);
+    assert_eq!(strays.hold_time(Some(MS), true, later), None);
 }
 
 /// Guards against unsafe requests that fail again and again at a server which announces ends with some answers only.
@@ -129,11 +133,15 @@
     let now = Instant::now();
     let proves_itself = |observations: &mut ServerObservations| {
         assert!(observations.answers_in_doubt(now));
-        assert_eq!(observations.trial(Some(Duration::ZERO), true, now), Some(TRIAL));
-        assert_eq!(observations.trial(None, true, now), None, "no earlier answer can come on it");
+        assert_eq!(observations.hold_time(Some(Duration::ZERO), true, now), Some(TRIAL));
+        assert_eq!(
+            observations.hold_time(None, true, now),
+            None,
+            "no earlier answer can come on it"
+        );
         observations.record_clean_reuse();
         assert!(!observations.answers_in_doubt(now));
-        assert_eq!(observations.trial(Some(Duration::ZERO), true, now), None);
+        assert_eq!(observations.hold_time(Some(Duration::ZERO), true, now), None);
     };
     let mut observations = ServerObservations::default();
     proves_itself(&mut observations);
--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -235,15 +235,15 @@
     }
 
     /// How long a request is on trial, on a connection that has rested so long (None: that is new).
-    /// `repeatable`: run twice, it does no harm. See [`crate::observations::ServerObservations::trial`].
-    pub fn trial(
+    /// `repeatable`: run twice, it does no harm. See [`crate::observations::ServerObservations::hold_time`].
+    pub fn hold_time(
         &self,
         key: K,
         rested: Option<Duration>,
         repeatable: bool,
         now: Instant,
     ) -> Option<Duration> {
-        self.servers.get(&key)?.observations.trial(rested, repeatable, now)
+        self.servers.get(&key)?.observations.hold_time(rested, repeatable, now)
     }
 
     /// A connection was caught in use, and is of no more use.
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -236,7 +236,7 @@
         // Danger: a connection that has rested may be reset by the first bytes written to it, and so may
         // a new one whose server has nobody to serve it. What must not run twice could then be sent
         // nowhere else, had all of it been written.
-        let trial = self.pool.borrow().trial(server, rested, request.repeatable, now);
+        let trial = self.pool.borrow().hold_time(server, rested, request.repeatable, now);
         let trial = trial.filter(|trial| *trial <= left / TRIAL_SHARE);
         // The server may have been caught while a connection was waited for.
         let matching = if self.pool.borrow().answers_need_proof(server, now) {
