--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -360,7 +360,7 @@
     /// The connections of all servers, by state.
     pub fn counts(&self) -> Counts {
         let sum = |of: fn(&Server<C>) -> usize| self.servers.values().map(of).sum();
-        Counts { opening: sum(|s| s.opening), in_use: sum(|s| s.in_use), resting: self.resting }
+        Counts { opening: sum(|s| s.opening), in_use: sum(|s| s.in_use), idle: self.resting }
     }
 
     /// Why connections ended.
--- a/crates/millethook-connect/src/pool/counts.rs
+++ b/crates/millethook-connect/src/pool/counts.rs
@@ -8,7 +8,7 @@
     /// With a request, or with an answer that is being discarded.
     pub in_use: usize,
     /// Idle, those in quarantine among them.
-    pub resting: usize,
+    pub idle: usize,
 }
 
 /// Why connections ended, in numbers since the start.
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -380,7 +380,7 @@
         let in_use = sum(|owner| owner.in_use.len());
         rule(counts.opening == opening, "handshakes are those of the owner")?;
         rule(counts.in_use == in_use, "connections in use are those of the owner")?;
-        rule(counts.resting == self.resting(None).len(), "connections at rest are those open")?;
+        rule(counts.idle == self.resting(None).len(), "connections at rest are those open")?;
         let ended = self.pool.ended();
         let ended = ended.closed + ended.stray + ended.retired + ended.given_up;
         rule(ended == self.ended, "each connection that ended at rest is counted once")?;
--- a/crates/millethook-connect/tests/matching.rs
+++ b/crates/millethook-connect/tests/matching.rs
@@ -53,11 +53,11 @@
     );
     assert!(!pool.needs_new(KEY, Matching::DistinctContent, now));
     assert_eq!(pool.checkout_new(KEY), Checkout::Open);
-    assert_eq!((pool.counts().opening, pool.counts().resting), (1, 2));
+    assert_eq!((pool.counts().opening, pool.counts().idle), (1, 2));
     assert_eq!(pool.ended().given_up, 1);
     assert_eq!(pool.checkout_new(KEY), Checkout::Open);
     assert_eq!(pool.checkout_new(KEY), Checkout::Wait(None), "two handshakes at once");
-    assert_eq!(pool.counts().resting, 1, "nothing is given up in vain");
+    assert_eq!(pool.counts().idle, 1, "nothing is given up in vain");
     assert_eq!(pool.check(now), Ok(()));
 }
 
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -31,7 +31,7 @@
     assert_eq!(pool.checkout(0, now, quiet), Checkout::Open);
     pool.handshake_finished(0, None);
     assert_eq!(pool.checkout(0, now + MS, quiet), Checkout::Reuse(1, MS));
-    assert_eq!(pool.counts(), Counts { opening: 0, in_use: 1, resting: 0 });
+    assert_eq!(pool.counts(), Counts { opening: 0, in_use: 1, idle: 0 });
 }
 
 /// Guards against an earlier answer on a connection whose requests' answers cannot be told apart.
@@ -39,7 +39,7 @@
 fn where_answers_are_proven_only_a_server_that_announces_ends_has_its_connections_kept() {
     let (mut pool, now) = (Pool::new(limits(), Reuse::Proven), Instant::now() + 1000 * MS);
     rested(&mut pool, 1, now);
-    assert_eq!(pool.counts().resting, 0, "nothing is known of the server");
+    assert_eq!(pool.counts().idle, 0, "nothing is known of the server");
     assert!(!pool.announces_close(0, now));
     rested(&mut pool, 2, now);
     pool.record_close_request(0, true, now);
@@ -47,10 +47,10 @@
     for n in 3..5 {
         rested(&mut pool, n, now);
     }
-    assert_eq!(pool.counts().resting, 2, "kept from now on");
+    assert_eq!(pool.counts().idle, 2, "kept from now on");
     pool.record_close_request(0, false, now);
     assert_eq!(pool.checkout(0, now + 10 * MS, quiet), Checkout::Open);
-    assert_eq!(pool.counts().resting, 0, "no more");
+    assert_eq!(pool.counts().idle, 0, "no more");
     assert_eq!(pool.check(now), Ok(()));
 }
 
@@ -62,7 +62,7 @@
     pool.set_reuse(Reuse::Proven);
     assert!(pool.answers_need_proof(0, now));
     assert_eq!(pool.checkout(0, now + 10 * MS, quiet), Checkout::Open);
-    assert_eq!(pool.counts().resting, 0, "nothing is known of the server");
+    assert_eq!(pool.counts().idle, 0, "nothing is known of the server");
     pool.handshake_finished(0, Some(MS));
     pool.set_reuse(Reuse::Unlimited);
     pool.release(0, 2, now);
@@ -216,9 +216,9 @@
     }
     pool.release(0, 1, now);
     pool.close_idle(0, true);
-    assert_eq!((pool.counts().resting, pool.known_servers()), (0, 1));
+    assert_eq!((pool.counts().idle, pool.known_servers()), (0, 1));
     pool.release(0, 2, now);
-    assert_eq!((pool.counts().resting, pool.known_servers()), (0, 0));
+    assert_eq!((pool.counts().idle, pool.known_servers()), (0, 0));
 }
 
 #[derive(Clone, Debug)]
