--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -70,7 +70,7 @@
     ) -> Checkout<C> {
         let server = self.servers.entry(key).or_default();
         server.gone = false;
-        let retire = server.observations.retire_after(self.limits.idle, now);
+        let retire = server.observations.retire_after(self.limits.idle_timeout, now);
         let mut at = server.resting.len();
         while at > 0 {
             if !server.may_reuse(self.reuse, now) {
@@ -285,7 +285,7 @@
         let (limits, ended) = (self.limits, &mut self.ended);
         let mut dropped = 0;
         for server in self.servers.values_mut() {
-            let retire = server.observations.retire_after(limits.idle, now);
+            let retire = server.observations.retire_after(limits.idle_timeout, now);
             let observations = &mut server.observations;
             let before = server.resting.len();
             server.resting.retain(|resting| {
--- a/crates/millethook-connect/src/pool/check.rs
+++ b/crates/millethook-connect/src/pool/check.rs
@@ -79,6 +79,6 @@
             "connections at rest stand in the order in which they came to rest",
             counts,
         )?;
-        self.observations.check(limits.idle, now)
+        self.observations.check(limits.idle_timeout, now)
     }
 }
--- a/crates/millethook-connect/src/pool/limits.rs
+++ b/crates/millethook-connect/src/pool/limits.rs
@@ -59,11 +59,11 @@
     /// The most that are opened ahead of need, for each server.
     pub spare: usize,
     /// How long servers keep a connection at rest, as they say.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { per_server: 1024, opening: 8, spare: 0, idle: Duration::from_secs(10) }
+        Limits { per_server: 1024, opening: 8, spare: 0, idle_timeout: Duration::from_secs(10) }
     }
 }
--- a/crates/millethook-connect/tests/common/world.rs
+++ b/crates/millethook-connect/tests/common/world.rs
@@ -8,7 +8,8 @@
 use super::script::{SERVERS, Step};
 
 const MS: Duration = Duration::from_millis(1);
-const LIMITS: Limits = Limits { per_server: 4, opening: 3, spare: 2, idle: Duration::from_secs(3) };
+const LIMITS: Limits =
+    Limits { per_server: 4, opening: 3, spare: 2, idle_timeout: Duration::from_secs(3) };
 /// A quarantine has at least this length.
 const SHORTEST_QUARANTINE: Duration = Duration::from_micros(100);
 /// And at most this one.
@@ -186,7 +187,10 @@
         )?;
         rule(rested == self.now - since, "it is told how long a connection has rested")?;
         rule(rested >= quarantine, "a connection is handed out in its quarantine")?;
-        rule(rested < LIMITS.idle.mul_f64(IDLE_SHARE), "a connection is handed out too late")?;
+        rule(
+            rested < LIMITS.idle_timeout.mul_f64(IDLE_SHARE),
+            "a connection is handed out too late",
+        )?;
         rule(self.may_reuse(server), "a connection is handed out soon after stray bytes")?;
         (entry.state, entry.spare) = (State::InUse, false);
         drop(record);
@@ -323,7 +327,7 @@
         }
         self.ended += dropped as u64;
         rule(before - self.record.borrow().len() == dropped, "it is told how many were dropped")?;
-        let limit = LIMITS.idle.mul_f64(IDLE_SHARE);
+        let limit = LIMITS.idle_timeout.mul_f64(IDLE_SHARE);
         let young = self.resting(None).iter().all(|(_, since)| now - *since < limit);
         rule(young, "what has rested for long is retired")?;
         let resting = |entry: &&Entry| matches!(entry.state, State::Resting { .. });
--- a/crates/millethook-connect/tests/pool.rs
+++ b/crates/millethook-connect/tests/pool.rs
@@ -10,7 +10,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn limits() -> Limits {
-    Limits { per_server: 4, opening: 2, spare: 1, idle: 1000 * MS }
+    Limits { per_server: 4, opening: 2, spare: 1, idle_timeout: 1000 * MS }
 }
 
 fn quiet(_: &u32) -> SocketState {
@@ -265,7 +265,7 @@
                     Checkout::Open => opening[usize::from(k)] += 1,
                     Checkout::Reuse((n, since), rested) => {
                         prop_assert_eq!(rested, now - since);
-                        prop_assert!(rested < limits().idle);
+                        prop_assert!(rested < limits().idle_timeout);
                         used[usize::from(k)].push(n);
                     }
                     Checkout::Wait(_) => {}
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -145,7 +145,7 @@
                 begins: config.begins,
                 connect_timeout: Duration::from_micros(limits.connect_timeout),
                 limits: Limits {
-                    idle: Duration::from_micros(limits.conn_idle),
+                    idle_timeout: Duration::from_micros(limits.conn_idle),
                     ..config.connections
                 },
                 reuse: config.reuse.unwrap_or_else(|| usual_reuse(&config.settings)),
