--- a/crates/millethook-connect/src/exchange.rs
+++ b/crates/millethook-connect/src/exchange.rs
@@ -57,25 +57,25 @@
         }
     }
 
-    /// More of the body follows: [`Exchange::extend`] counts it as it comes, and the request is not whole
-    /// before [`Exchange::finish`].
-    pub fn follow(&mut self) {
+    /// More of the body follows: [`Exchange::extend_body`] counts it as it comes, and the request is not whole
+    /// before [`Exchange::finish_body`].
+    pub fn expect_more_body(&mut self) {
         self.open = true;
     }
 
     /// Whether all that there is of the request is out, and more may follow.
-    pub fn wants_more(&self) -> bool {
+    pub fn needs_more_body(&self) -> bool {
         let out = self.written == self.head + self.body;
         self.open && out && !self.held && !self.early && !self.write_failed
     }
 
     /// So many bytes more of the body are there.
-    pub fn extend(&mut self, n: usize) {
+    pub fn extend_body(&mut self, n: usize) {
         self.body += n;
     }
 
     /// No more bytes follow.
-    pub fn finish(&mut self) {
+    pub fn finish_body(&mut self) {
         self.open = false;
     }
 
--- a/crates/millethook-connect/src/exchange/tests.rs
+++ b/crates/millethook-connect/src/exchange/tests.rs
@@ -96,17 +96,17 @@
 fn a_body_that_follows_is_whole_at_its_end_only() {
     for (begins, early) in [(Begins::Head, true), (Begins::Whole, false)] {
         let mut exchange = Exchange::new(begins, 10, 3, false);
-        exchange.follow();
+        exchange.expect_more_body();
         exchange.wrote(13);
-        assert!(exchange.wants_more());
+        assert!(exchange.needs_more_body());
         assert_eq!(exchange.progress(), Progress::PartOfBody);
         assert_eq!(exchange.execution() == Execution::MayHaveRun, early);
-        exchange.extend(4);
-        assert!(!exchange.wants_more());
+        exchange.extend_body(4);
+        assert!(!exchange.needs_more_body());
         assert_eq!(exchange.writable(), (13, 17));
         exchange.wrote(4);
-        assert!(exchange.wants_more());
-        exchange.finish();
+        assert!(exchange.needs_more_body());
+        exchange.finish_body();
         assert_eq!(exchange.progress(), Progress::Whole);
         assert_eq!(exchange.execution(), Execution::MayHaveRun);
         assert_eq!(head(exchange.read(&mut BytesMut::from(OK))), Some(200));
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -250,7 +250,7 @@
         let body = request.encoded.body_len();
         let mut exchange = Exchange::new(self.config.begins, head.len(), body, trial.is_some());
         if request.upload.is_some() {
-            exchange.follow();
+            exchange.expect_more_body();
         }
         let figures = (!request.own_page).then(|| self.figures.clone());
         let message = (request.clone(), head);
--- a/crates/millethook-engine/src/upstream/attempt/running.rs
+++ b/crates/millethook-engine/src/upstream/attempt/running.rs
@@ -112,7 +112,7 @@
             }
             loop {
                 write(cx, connection, exchange, &request.encoded, head, following);
-                if !exchange.wants_more() {
+                if !exchange.needs_more_body() {
                     break;
                 }
                 match poll_follow(cx, exchange, request, following) {
@@ -178,7 +178,7 @@
     pub fn caller_gone(&self) -> bool {
         let following = self.following.as_ref();
         following.is_some_and(|f| f.rest.is_closed() && f.rest.is_empty())
-            && self.exchange.wants_more()
+            && self.exchange.needs_more_body()
     }
 
     pub fn begun(&mut self) -> bool {
@@ -252,7 +252,7 @@
         Some(Piece::Data(data)) if chunked => following.pieces.extend(chunk(data)),
         Some(Piece::Data(data)) => following.pieces.push(data),
         Some(Piece::End) => {
-            exchange.finish();
+            exchange.finish_body();
             if chunked {
                 following.pieces.push(LAST_CHUNK);
             }
@@ -260,6 +260,6 @@
         None => return Poll::Ready(Followed::Gone),
     }
     following.at = written;
-    exchange.extend(following.pieces.iter().map(Bytes::len).sum());
+    exchange.extend_body(following.pieces.iter().map(Bytes::len).sum());
     Poll::Ready(Followed::Changed)
 }
