--- a/crates/millethook-connect/src/exchange.rs
+++ b/crates/millethook-connect/src/exchange.rs
@@ -150,12 +150,12 @@
     ///
     /// # Errors
     /// There is no whole answer.
-    pub fn closed(&mut self, buf: &BytesMut) -> Result<Event, Failure> {
-        self.decoder.closed().map_err(|_| self.broken(buf))
+    pub fn on_eof(&mut self, buf: &BytesMut) -> Result<Event, Failure> {
+        self.decoder.on_eof().map_err(|_| self.failure_on_break(buf))
     }
 
     /// The connection broke: what to make of it, `buf` being what is not yet used of an answer.
-    pub fn broken(&self, buf: &BytesMut) -> Failure {
+    pub fn failure_on_break(&self, buf: &BytesMut) -> Failure {
         let begun = self.answer_begun(buf);
         if begun { Failure::Malformed(Malformed::Truncated) } else { Failure::Closed }
     }
@@ -171,8 +171,8 @@
     }
 
     /// Whether the whole answer has come.
-    pub fn answer_is_whole(&self) -> bool {
-        self.decoder.is_whole()
+    pub fn answer_is_complete(&self) -> bool {
+        self.decoder.is_complete()
     }
 
     /// Whether the answer's head has come and says that the connection ends behind it.
--- a/crates/millethook-connect/src/exchange/tests.rs
+++ b/crates/millethook-connect/src/exchange/tests.rs
@@ -56,7 +56,7 @@
         for written in 0..=13 {
             let mut exchange = at(begins, written);
             exchange.write_failed();
-            assert_eq!(exchange.closed(&BytesMut::new()), Err(Failure::Closed));
+            assert_eq!(exchange.on_eof(&BytesMut::new()), Err(Failure::Closed));
             let ran = exchange.execution() == Execution::MayHaveRun;
             assert_eq!(ran, written >= commit, "{begins}: {written}");
         }
--- a/crates/millethook-connect/src/response.rs
+++ b/crates/millethook-connect/src/response.rs
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     /// The answer is not whole.
-    pub fn closed(&mut self) -> Result<Event, Malformed> {
+    pub fn on_eof(&mut self) -> Result<Event, Malformed> {
         match self.state {
             State::UntilClose => {
                 self.state = State::Done;
@@ -164,13 +164,13 @@
     }
 
     /// Whether the whole answer has come.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == State::Done
     }
 
     /// Whether the whole answer has come, and its connection may carry another one.
     pub fn reusable(&self) -> bool {
-        self.is_whole() && self.keep_alive
+        self.is_complete() && self.keep_alive
     }
 
     /// Reads a head, and goes on with what it says of the body.
--- a/crates/millethook-connect/tests/response.rs
+++ b/crates/millethook-connect/tests/response.rs
@@ -28,7 +28,7 @@
         }
     }
     if end && !ended {
-        ended = decoder.closed()? == Event::End;
+        ended = decoder.on_eof()? == Event::End;
     }
     assert!(ended || !end);
     Ok((status, body, decoder.reusable(), buf.to_vec()))
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -188,7 +188,7 @@
     /// Reads to the end of an answer that belongs to an earlier request; the head of the one behind it.
     async fn next_head(&mut self) -> Result<ResponseHead, Broken> {
         let mut left = WHOLE;
-        while !self.exchange.answer_is_whole() {
+        while !self.exchange.answer_is_complete() {
             if let Event::Data(piece) = self.event(false).await? {
                 left = left.checked_sub(piece.len()).ok_or(Broken)?;
             }
--- a/crates/millethook-engine/src/upstream/attempt/running.rs
+++ b/crates/millethook-engine/src/upstream/attempt/running.rs
@@ -138,11 +138,13 @@
         match connection.poll_read(cx) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Ok(0)) => {
-                let end = exchange.closed(&connection.buf).map(Step::Event);
+                let end = exchange.on_eof(&connection.buf).map(Step::Event);
                 return Poll::Ready(end);
             }
             Poll::Ready(Ok(_)) => {}
-            Poll::Ready(Err(_)) => return Poll::Ready(Err(exchange.broken(&connection.buf))),
+            Poll::Ready(Err(_)) => {
+                return Poll::Ready(Err(exchange.failure_on_break(&connection.buf)));
+            }
         }
         let event = exchange.read(&mut connection.buf)?;
         Poll::Ready(Ok(event.map_or(Step::Progress, Step::Event)))
