--- a/crates/millethook-connect/src/contract.rs
+++ b/crates/millethook-connect/src/contract.rs
@@ -48,7 +48,7 @@
     /// The whole head, not the last byte of the body.
     PartOfBody,
     /// All of it.
-    Whole,
+    Complete,
 }
 
 impl Progress {
@@ -58,7 +58,7 @@
             0 => Progress::Connected,
             n if n < head => Progress::PartOfHead,
             n if n < head + body => Progress::PartOfBody,
-            _ => Progress::Whole,
+            _ => Progress::Complete,
         }
     }
 }
--- a/crates/millethook-connect/src/exchange.rs
+++ b/crates/millethook-connect/src/exchange.rs
@@ -114,7 +114,7 @@
     /// How far the request has come.
     pub fn progress(&self) -> Progress {
         match Progress::of(self.written, self.head, self.body) {
-            Progress::Whole if self.open => Progress::PartOfBody,
+            Progress::Complete if self.open => Progress::PartOfBody,
             progress => progress,
         }
     }
@@ -184,7 +184,7 @@
     /// keeps it open, and no byte has come beyond the answer.
     pub fn reusable(&self, buf: &BytesMut) -> bool {
         self.decoder.reusable()
-            && self.progress() == Progress::Whole
+            && self.progress() == Progress::Complete
             && buf.is_empty()
             && !self.early
     }
--- a/crates/millethook-connect/src/exchange/tests.rs
+++ b/crates/millethook-connect/src/exchange/tests.rs
@@ -107,7 +107,7 @@
         exchange.wrote(4);
         assert!(exchange.needs_more_body());
         exchange.finish_body();
-        assert_eq!(exchange.progress(), Progress::Whole);
+        assert_eq!(exchange.progress(), Progress::Complete);
         assert_eq!(exchange.execution(), Execution::MayHaveRun);
         assert_eq!(head(exchange.read(&mut BytesMut::from(OK))), Some(200));
     }
--- a/crates/millethook-connect/src/request.rs
+++ b/crates/millethook-connect/src/request.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// All of it is here.
-    Whole,
+    Complete,
     /// More follows, up to so many bytes in all.
     Length(u64),
     /// More follows, and nobody knows how much.
@@ -67,7 +67,7 @@
     /// Encodes a request. Fields in [`OWNED`] are not copied from `headers` but made anew, `host` with the value that
     /// stands there first: the body is whole, and its length is known.
     pub fn new(method: &Method, target: &Uri, headers: &HeaderMap, body: Vec<Bytes>) -> Self {
-        Self::framed(method, target, headers, body, Framing::Whole)
+        Self::framed(method, target, headers, body, Framing::Complete)
     }
 
     /// The same for a body of which `body` may be the first part only.
@@ -99,8 +99,8 @@
         // RFC 9110, section 8.6: one without a body says so where its method could have one.
         // Writing to a vector does not fail.
         let _ = match framing {
-            Framing::Whole if body_len == 0 && *method == Method::GET => Ok(()),
-            Framing::Whole => write!(head, "content-length: {body_len}\r\n"),
+            Framing::Complete if body_len == 0 && *method == Method::GET => Ok(()),
+            Framing::Complete => write!(head, "content-length: {body_len}\r\n"),
             Framing::Length(all) => write!(head, "content-length: {all}\r\n"),
             Framing::Chunked => write!(head, "transfer-encoding: chunked\r\n"),
         };
--- a/crates/millethook-connect/tests/contract.rs
+++ b/crates/millethook-connect/tests/contract.rs
@@ -11,7 +11,7 @@
         (Progress::Connected, NeverRan, NeverRan),
         (Progress::PartOfHead, NeverRan, NeverRan),
         (Progress::PartOfBody, MayHaveRun, NeverRan),
-        (Progress::Whole, MayHaveRun, MayHaveRun),
+        (Progress::Complete, MayHaveRun, MayHaveRun),
     ];
     for (progress, head, whole) in table {
         assert_eq!(Begins::Head.execution(progress), head, "{progress:?} under head");
@@ -27,9 +27,9 @@
     assert_eq!(of(0), Progress::Connected);
     assert_eq!((of(1), of(9)), (Progress::PartOfHead, Progress::PartOfHead));
     assert_eq!((of(10), of(12)), (Progress::PartOfBody, Progress::PartOfBody));
-    assert_eq!(of(13), Progress::Whole);
+    assert_eq!(of(13), Progress::Complete);
     // Without a body the head's last byte is the request's.
-    assert_eq!(Progress::of(10, 10, 0), Progress::Whole);
+    assert_eq!(Progress::of(10, 10, 0), Progress::Complete);
     assert_eq!(Progress::of(9, 10, 0), Progress::PartOfHead);
 }
 
--- a/crates/millethook-connect/tests/request.rs
+++ b/crates/millethook-connect/tests/request.rs
@@ -38,7 +38,7 @@
 fn what_the_encoder_owns_stands_once_whatever_the_caller_wrote() {
     let uri = Uri::from_static("/order");
     for times in 0..3 {
-        for framing in [Framing::Whole, Framing::Length(70_000), Framing::Chunked] {
+        for framing in [Framing::Complete, Framing::Length(70_000), Framing::Chunked] {
             let body = vec![Bytes::from_static(b"abc")];
             let headers = callers(times);
             let request = EncodedRequest::framed(&Method::POST, &uri, &headers, body, framing);
@@ -50,7 +50,7 @@
             let (length, coding) =
                 (values(&fields, "content-length"), values(&fields, "transfer-encoding"));
             match framing {
-                Framing::Whole => assert!(length == ["3"] && coding.is_empty(), "{told}"),
+                Framing::Complete => assert!(length == ["3"] && coding.is_empty(), "{told}"),
                 Framing::Length(_) => assert!(length == ["70000"] && coding.is_empty(), "{told}"),
                 Framing::Chunked => assert!(length.is_empty() && coding == ["chunked"], "{told}"),
             }
--- a/crates/millethook-engine/src/upstream/attempt/running.rs
+++ b/crates/millethook-engine/src/upstream/attempt/running.rs
@@ -125,7 +125,7 @@
                     Poll::Pending => break,
                 }
             }
-            if exchange.progress() == Progress::Whole {
+            if exchange.progress() == Progress::Complete {
                 *message = None;
                 if let Some(figures) = figures {
                     figures.attempt_written();
--- a/crates/millethook-http/src/answer.rs
+++ b/crates/millethook-http/src/answer.rs
@@ -31,7 +31,7 @@
 ) -> AttemptRequest {
     let target = head.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
     let (upload, framing) = upload.unzip();
-    let framing = framing.unwrap_or(Framing::Whole);
+    let framing = framing.unwrap_or(Framing::Complete);
     let headers = passed_on(head.headers);
     AttemptRequest {
         encoded: EncodedRequest::framed(&head.method, &target, &headers, body, framing),
