--- a/crates/millethook-connect/src/answers.rs
+++ b/crates/millethook-connect/src/answers.rs
@@ -1,10 +1,10 @@
-//! What answers are compared by: those that a connection has carried, and those that a class was seen to get.
+//! Fingerprints of answers, the answers that a connection has carried, and the answers that each class was seen to get.
 //!
-//! An answer does not name its request (RFC 9112, section 9.3.2: order alone tells), and a second copy of one may come
-//! once the next request on its connection has begun. Such a copy has the status and the body of an answer that came
-//! before it. Where each answer that a connection has carried was its request's own, one that equals none of them is no
-//! copy of any, and so its request's own, too. That tells nothing where answers are rightly equal: [`SeenAnswers`] learns
-//! where they are not.
+//! An answer does not identify its request; only their order relates them (RFC 9112, section 9.3.2). A second copy of
+//! an answer may come after the next request on its connection has begun. Such a copy has the status and the body of
+//! an earlier answer. If each answer on a connection so far belonged to its request, an answer that equals none of
+//! them is no copy and belongs to its request, too. This proves nothing where answers to different requests are
+//! legitimately equal. [`SeenAnswers`] learns for which classes answers differ.
 
 use std::collections::VecDeque;
 use std::hash::{BuildHasher, Hash, RandomState};
@@ -12,29 +12,33 @@
 use http::StatusCode;
 use rustc_hash::FxHashMap;
 
-/// The bytes of a body by which answers are compared, from its first one on. A long answer is passed on behind them.
+/// The number of bytes at the start of a body by which answers are compared. A long answer may be forwarded once they
+/// have come.
 pub const COMPARED_BODY_BYTES: usize = 4 << 10;
-/// The most answers that a connection carries. All of them are remembered: a copy of one that was forgotten would pass.
-const MOST_CARRIED: usize = 256;
-/// The answers of a class that are remembered: no fewer than one connection carries, so that answers that are rightly
-/// equal are mostly seen on two connections before they are seen on one.
-const RECENT: usize = MOST_CARRIED;
-/// After so many answers in a row that differ from all recent ones, a class's answers are taken to differ: at first, if one
-/// of them came from a server that had answered before, and behind two equal ones.
-const DIFFERING: usize = 4;
-const DIFFERING_AGAIN: usize = RECENT;
-
-/// A keyed hash of an answer's status and of the first [`COMPARED_BODY_BYTES`] bytes of its body. Two answers that differ there have
-/// the same one in one of 2^64 cases; then a right answer is refused, and never a wrong one taken.
+/// The maximum number of answers that a connection carries. All of them are remembered, since a copy of a forgotten one
+/// would be accepted.
+const MAX_CARRIED_ANSWERS: usize = 256;
+/// The number of a class's answers that are remembered. It is no less than what one connection carries, so that
+/// legitimately equal answers are mostly seen on two connections before they are seen on the same one.
+const MAX_RECENT_ANSWERS: usize = MAX_CARRIED_ANSWERS;
+/// A class's answers are taken to differ after this many consecutive answers that differ from all recent ones, if one
+/// of them came from a server that had answered before.
+const MIN_DISTINCT: usize = 4;
+/// The same after two equal answers.
+const MIN_DISTINCT_AFTER_EQUAL: usize = MAX_RECENT_ANSWERS;
+
+/// A keyed hash of an answer's status and of the first [`COMPARED_BODY_BYTES`] of its body. Two answers that differ
+/// there have the same hash with a probability of 1 in 2^64. A collision refuses a correct answer and never accepts a
+/// wrong one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fingerprint(u64);
 
-/// The key of fingerprints. Without it servers could choose bodies that collide.
+/// The secret key of the fingerprints. Without it servers could choose bodies that collide.
 #[derive(Clone, Debug, Default)]
 pub struct FingerprintKey(RandomState);
 
 impl FingerprintKey {
-    /// That of an answer, `body` being all of its body or at least its first [`COMPARED_BODY_BYTES`] bytes.
+    /// Returns the fingerprint of an answer. `body` is its body, or at least the first [`COMPARED_BODY_BYTES`] of it.
     pub fn fingerprint(&self, status: StatusCode, body: &[u8]) -> Fingerprint {
         let compared = &body[..body.len().min(COMPARED_BODY_BYTES)];
         Fingerprint(self.0.hash_one((status.as_u16(), compared)))
@@ -46,135 +50,147 @@
 pub struct CarriedAnswers(Vec<Fingerprint>);
 
 impl CarriedAnswers {
-    /// Whether it has carried none.
+    /// Whether the connection has carried no answer.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether it has carried an answer that equals this one.
+    /// Whether the connection has carried an answer that equals this one.
     pub fn contains(&self, answer: Fingerprint) -> bool {
         self.0.contains(&answer)
     }
 
-    /// It has carried this one, too.
+    /// Adds an answer that the connection has carried.
     pub fn add(&mut self, answer: Fingerprint) {
         if !self.contains(answer) {
             self.0.push(answer);
         }
     }
 
-    /// Whether there is no room for another one.
+    /// Whether the connection has carried the maximum number of answers.
     pub fn is_full(&self) -> bool {
-        self.0.len() >= MOST_CARRIED
+        self.0.len() >= MAX_CARRIED_ANSWERS
     }
 }
 
-/// Whether the answers of a class tell its requests apart.
+/// Whether different requests of a class get different answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variety {
-    /// Too few were seen, and no two equal ones.
+    /// Too few answers were seen, and no two equal ones.
     Unknown,
-    /// No two of many were equal.
+    /// No two of many answers were equal.
     Distinct,
-    /// Two were equal, and too few came since.
+    /// Two answers were equal, and too few came since.
     Alike,
 }
 
-/// What was seen of the answers of all classes `C`, at all servers `S`. Whether bodies differ is a property of the
-/// application and its class.
+/// The answers that were seen, for each class `C` and from all servers `S` together: whether bodies differ depends on
+/// the application and the class, not on the server.
 #[derive(Debug)]
 pub struct SeenAnswers<C, S> {
-    classes: FxHashMap<C, History<S>>,
-    all: History<S>,
+    classes: FxHashMap<C, AnswerHistory<S>>,
+    all: AnswerHistory<S>,
 }
 
 impl<C, S> Default for SeenAnswers<C, S> {
     fn default() -> SeenAnswers<C, S> {
-        SeenAnswers { classes: FxHashMap::default(), all: History::default() }
+        SeenAnswers { classes: FxHashMap::default(), all: AnswerHistory::default() }
     }
 }
 
 impl<C: Copy + Eq + Hash, S: Copy + PartialEq> SeenAnswers<C, S> {
-    /// Whether the answers of a class tell its requests apart. Until enough of them were seen, those of all classes count
-    /// where a request that runs twice does no harm (`repeatable`): a mistake costs a repeat there.
+    /// Whether the answers of a class differ. Until enough of them were seen, the answers of all classes decide for a
+    /// request that may run twice without harm (`repeatable`), where a wrong guess costs only a retry.
     pub fn variety(&self, class: C, repeatable: bool) -> Variety {
-        match self.classes.get(&class).map_or(Variety::Unknown, History::variety) {
+        match self.classes.get(&class).map_or(Variety::Unknown, AnswerHistory::variety) {
             Variety::Unknown if repeatable => self.all.variety(),
             own => own,
         }
     }
 
-    /// A request of a class got this answer from `server`, and it was its own.
+    /// Records that a request of a class got this answer from `server`, and that the answer belonged to it.
     pub fn observe(&mut self, class: C, answer: Fingerprint, server: S) {
         self.classes.entry(class).or_default().observe(answer, server);
         self.all.observe(answer, server);
     }
 
-    /// Two answers of a class were equal.
+    /// Records that two answers of a class were equal.
     pub fn record_equal(&mut self, class: C) {
         self.classes.entry(class).or_default().record_equal();
     }
 
-    /// The last two answers of a class that were equal have turned out to be one and its copy.
+    /// Records that the last two equal answers of a class have turned out to be an answer and its copy.
     pub fn record_copy(&mut self, class: C) {
         self.classes.entry(class).or_default().record_copy();
     }
 }
 
-/// What was seen of answers, at all servers `S`: of one class, or of all.
+/// The answers that were seen from all servers `S`, of one class or of all classes.
 #[derive(Debug)]
-struct History<S> {
-    /// The latest and their servers, the oldest one first.
+struct AnswerHistory<S> {
+    /// The latest answers and their servers, the oldest first.
     recent: VecDeque<(Fingerprint, S)>,
-    /// How many came in a row that differ from all recent ones.
-    differing: usize,
-    /// One of them came from a server that had answered before. Without this, a server's name in its answers would tell
-    /// requests apart.
-    same_server: bool,
-    /// Two equal ones came before those.
-    alike: bool,
+    /// The number of consecutive answers that differ from all recent ones.
+    distinct_in_a_row: usize,
+    /// One of them came from a server that had answered before. Without this condition, answers that differ only by
+    /// their server's name would count as distinct.
+    has_repeated_server: bool,
+    /// Two equal answers came before them.
+    had_equal: bool,
 }
 
-impl<S> Default for History<S> {
-    fn default() -> History<S> {
-        History { recent: VecDeque::new(), differing: 0, same_server: false, alike: false }
+impl<S> Default for AnswerHistory<S> {
+    fn default() -> AnswerHistory<S> {
+        AnswerHistory {
+            recent: VecDeque::new(),
+            distinct_in_a_row: 0,
+            has_repeated_server: false,
+            had_equal: false,
+        }
     }
 }
 
-impl<S: Copy + PartialEq> History<S> {
-    /// Whether answers tell requests apart.
+impl<S: Copy + PartialEq> AnswerHistory<S> {
+    /// Whether the answers differ.
     fn variety(&self) -> Variety {
-        let (few, wanted) = match self.alike {
-            true => (Variety::Alike, DIFFERING_AGAIN),
-            false => (Variety::Unknown, DIFFERING),
+        let (too_few, needed) = match self.had_equal {
+            true => (Variety::Alike, MIN_DISTINCT_AFTER_EQUAL),
+            false => (Variety::Unknown, MIN_DISTINCT),
         };
-        if self.same_server && self.differing >= wanted { Variety::Distinct } else { few }
+        if self.has_repeated_server && self.distinct_in_a_row >= needed {
+            Variety::Distinct
+        } else {
+            too_few
+        }
     }
 
-    /// A request got this answer from `server`, and it was its own.
+    /// Records that a request got this answer from `server`, and that the answer belonged to it.
     fn observe(&mut self, answer: Fingerprint, server: S) {
         if self.recent.iter().any(|(earlier, _)| *earlier == answer) {
             return self.record_equal();
         }
-        self.differing = self.differing.saturating_add(1);
-        self.same_server |= self.recent.iter().any(|(_, earlier)| *earlier == server);
-        if self.recent.len() == RECENT {
+        self.distinct_in_a_row = self.distinct_in_a_row.saturating_add(1);
+        self.has_repeated_server |= self.recent.iter().any(|(_, earlier)| *earlier == server);
+        if self.recent.len() == MAX_RECENT_ANSWERS {
             self.recent.pop_front();
         }
         self.recent.push_back((answer, server));
     }
 
-    /// Two answers were equal.
+    /// Records that two answers were equal.
     fn record_equal(&mut self) {
-        *self =
-            History { alike: true, recent: std::mem::take(&mut self.recent), ..History::default() };
+        *self = AnswerHistory {
+            had_equal: true,
+            recent: std::mem::take(&mut self.recent),
+            ..AnswerHistory::default()
+        };
     }
 
-    /// The last two answers that were equal have turned out to be one and its copy. Answers were taken to differ until
-    /// then, and are again.
+    /// Records that the last two equal answers have turned out to be an answer and its copy. Answers are taken to
+    /// differ again, as they were before.
     fn record_copy(&mut self) {
-        self.alike = false;
-        self.same_server = true;
-        self.differing = DIFFERING;
+        self.had_equal = false;
+        self.has_repeated_server = true;
+        self.distinct_in_a_row = MIN_DISTINCT;
     }
 }
--- a/crates/millethook-connect/src/contract.rs
+++ b/crates/millethook-connect/src/contract.rs
@@ -1,17 +1,16 @@
-//! What is known of a request from how much of it was sent.
+//! Whether a request may have run, given how much of it was sent.
 //!
-//! No HTTP server can begin with a request whose head has not ended: until then it knows neither the
-//! header fields nor whether there is a body (RFC 9112, section 2.1). Most servers call their handler
-//! at that point and read the body later, or never. Some deployments promise more: their servers
-//! begin when the last byte has come.
+//! No HTTP server can start to process a request before the end of its head: until then it knows neither the header
+//! fields nor whether there is a body (RFC 9112, section 2.1). Most servers call their handler at that point and read
+//! the body later, or never. Some deployments promise more: their servers start when the last byte has come.
 
-/// When a server may begin with a request.
+/// When a server may begin to process a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Begins {
-    /// At the end of the head: any HTTP server.
+    /// At the end of the head. This holds for any HTTP server.
     #[default]
     Head,
-    /// At the last byte of the body. A promise of the deployment; HTTP does not make it.
+    /// At the last byte of the body. The deployment has to promise this; HTTP does not require it.
     Whole,
 }
 
@@ -36,28 +35,28 @@
     }
 }
 
-/// How much of a request the operating system has taken for its connection.
+/// How much of a request the operating system has accepted for its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
     /// There is no connection yet.
     NotConnected,
-    /// There is one, and no byte has gone out on it.
+    /// There is a connection, and no byte was written to it.
     Connected,
-    /// Some bytes of the head, not its last one.
+    /// Some bytes of the head, but not the last one.
     PartOfHead,
-    /// The whole head, not the last byte of the body.
+    /// The whole head, but not the last byte of the body.
     PartOfBody,
-    /// All of it.
+    /// The whole request.
     Complete,
 }
 
 impl Progress {
-    /// That of a request with a head of `head` and a body of `body` bytes, `written` of which are out.
-    pub fn of(written: usize, head: usize, body: usize) -> Progress {
+    /// Returns the progress of a request with these lengths of head and body in bytes, of which `written` are written.
+    pub fn of(written: usize, head_len: usize, body_len: usize) -> Progress {
         match written {
             0 => Progress::Connected,
-            n if n < head => Progress::PartOfHead,
-            n if n < head + body => Progress::PartOfBody,
+            n if n < head_len => Progress::PartOfHead,
+            n if n < head_len + body_len => Progress::PartOfBody,
             _ => Progress::Complete,
         }
     }
@@ -66,33 +65,32 @@
 /// Whether a request may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// No server can have begun with it.
+    /// No server can have begun to process it.
     NeverRan,
-    /// A server may have begun with it.
+    /// A server may have begun to process it.
     MayHaveRun,
 }
 
 impl Begins {
-    /// The one place that says what a broken attempt has proven. Whoever stops at `progress`, for
-    /// whatever reason, knows this and no more.
+    /// Whether a request may have run if its attempt ended at `progress`, for any reason. No other code decides this.
     pub fn execution(self, progress: Progress) -> Execution {
-        let last_safe = match self {
+        let last_unrun = match self {
             Begins::Head => Progress::PartOfHead,
             Begins::Whole => Progress::PartOfBody,
         };
-        if progress <= last_safe { Execution::NeverRan } else { Execution::MayHaveRun }
+        if progress <= last_unrun { Execution::NeverRan } else { Execution::MayHaveRun }
     }
 
-    /// The commit point: once so many bytes of a request are out, it may have run.
-    pub fn commit_point(self, head: usize, body: usize) -> usize {
+    /// The commit point: the number of written bytes from which on a request may have run.
+    pub fn commit_point(self, head_len: usize, body_len: usize) -> usize {
         match self {
-            Begins::Head => head,
-            Begins::Whole => head + body,
+            Begins::Head => head_len,
+            Begins::Whole => head_len + body_len,
         }
     }
 
-    /// Whether bytes that come when a request has got so far may be its answer. What comes earlier
-    /// was made for another request, or for none.
+    /// Whether bytes that come at this progress may be the answer to the request. Earlier bytes belong to another
+    /// request or to none.
     pub fn may_answer(self, progress: Progress) -> bool {
         self.execution(progress) == Execution::MayHaveRun
     }
--- a/crates/millethook-connect/src/exchange/tests.rs
+++ b/crates/millethook-connect/src/exchange/tests.rs
@@ -1,18 +1,18 @@
-//! One request and its answer, byte by byte.
+//! Exchanges, checked for each number of written bytes.
 
 use super::*;
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-const AWAY: &str = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+const REJECTED: &str = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// An exchange of which so many bytes of a head of 10 and a body of 3 are out.
-fn at(begins: Begins, written: usize) -> Exchange {
+/// An exchange with a head of 10 bytes and a body of 3, of which `written` bytes are written.
+fn exchange_after(begins: Begins, written: usize) -> Exchange {
     let mut exchange = Exchange::new(begins, 10, 3, false);
     exchange.wrote(written);
     exchange
 }
 
-fn head(result: Result<Option<Event>, Failure>) -> Option<u16> {
+fn head_status(result: Result<Option<Event>, Failure>) -> Option<u16> {
     match result {
         Ok(Some(Event::Head(head))) => Some(head.status.as_u16()),
         _ => None,
@@ -20,19 +20,19 @@
 }
 
 #[test]
-fn an_answer_counts_from_the_commit_point_on() {
+fn bytes_before_the_commit_point_are_no_answer() {
     for (begins, commit) in [(Begins::Head, 10), (Begins::Whole, 13)] {
         for written in 0..=13 {
-            let mut exchange = at(begins, written);
+            let mut exchange = exchange_after(begins, written);
             let read = exchange.read(&mut BytesMut::from(OK));
             let execution = exchange.execution();
             if written >= commit {
-                assert_eq!(head(read), Some(200), "{begins}: {written}");
+                assert_eq!(head_status(read), Some(200), "{begins}: {written}");
                 assert_eq!(execution, Execution::MayHaveRun);
             } else {
-                assert_eq!(read, Err(Failure::Stray), "{begins}: {written}");
+                assert_eq!(read, Err(Failure::StrayBytes), "{begins}: {written}");
                 assert_eq!(execution, Execution::NeverRan);
-                // Nothing goes out any more, so that stays true.
+                // Nothing more is written, so the request cannot run later.
                 assert_eq!(exchange.writable(), (written, written));
             }
         }
@@ -40,21 +40,21 @@
 }
 
 #[test]
-fn a_request_is_turned_away_at_any_point() {
+fn an_unprocessed_rejection_is_accepted_at_any_point() {
     for begins in [Begins::Head, Begins::Whole] {
         for written in 0..=13 {
-            let mut exchange = at(begins, written);
-            assert_eq!(head(exchange.read(&mut BytesMut::from(AWAY))), Some(503));
+            let mut exchange = exchange_after(begins, written);
+            assert_eq!(head_status(exchange.read(&mut BytesMut::from(REJECTED))), Some(503));
             assert!(!exchange.reusable(&BytesMut::new()));
         }
     }
 }
 
 #[test]
-fn what_breaks_proves_what_was_written() {
+fn a_broken_exchange_may_have_run_only_from_the_commit_point_on() {
     for (begins, commit) in [(Begins::Head, 10), (Begins::Whole, 13)] {
         for written in 0..=13 {
-            let mut exchange = at(begins, written);
+            let mut exchange = exchange_after(begins, written);
             exchange.write_failed();
             assert_eq!(exchange.on_eof(&BytesMut::new()), Err(Failure::Closed));
             let ran = exchange.execution() == Execution::MayHaveRun;
@@ -65,19 +65,19 @@
 
 #[test]
 fn an_early_answer_is_read_after_a_failed_write() {
-    let mut exchange = at(Begins::Head, 11);
+    let mut exchange = exchange_after(Begins::Head, 11);
     exchange.write_failed();
     assert_eq!(exchange.writable(), (11, 11));
     let mut buf = BytesMut::from(OK);
-    assert_eq!(head(exchange.read(&mut buf)), Some(200));
+    assert_eq!(head_status(exchange.read(&mut buf)), Some(200));
     assert!(matches!(exchange.read(&mut buf), Ok(Some(Event::Data(_)))));
     assert_eq!(exchange.read(&mut buf), Ok(Some(Event::End)));
-    // The body is not out: the connection is given up.
+    // The body was not written completely, so the connection cannot be reused.
     assert!(!exchange.reusable(&buf));
 }
 
 #[test]
-fn a_trial_holds_what_could_make_it_run() {
+fn a_held_request_stops_before_the_commit_point() {
     for (begins, held_at) in [(Begins::Head, 9), (Begins::Whole, 12)] {
         let mut exchange = Exchange::new(begins, 10, 3, true);
         assert_eq!(exchange.writable(), (0, held_at));
@@ -88,12 +88,12 @@
         exchange.commit();
         assert_eq!(exchange.writable(), (held_at, 13));
     }
-    // Without a body both hold the head's last byte.
+    // Without a body both settings hold the last byte of the head.
     assert_eq!(Exchange::new(Begins::Whole, 10, 0, true).writable(), (0, 9));
 }
 
 #[test]
-fn a_body_that_follows_is_whole_at_its_end_only() {
+fn a_streamed_body_is_complete_only_at_its_end() {
     for (begins, early) in [(Begins::Head, true), (Begins::Whole, false)] {
         let mut exchange = Exchange::new(begins, 10, 3, false);
         exchange.expect_more_body();
@@ -109,26 +109,26 @@
         exchange.finish_body();
         assert_eq!(exchange.progress(), Progress::Complete);
         assert_eq!(exchange.execution(), Execution::MayHaveRun);
-        assert_eq!(head(exchange.read(&mut BytesMut::from(OK))), Some(200));
+        assert_eq!(head_status(exchange.read(&mut BytesMut::from(OK))), Some(200));
     }
 }
 
 #[test]
-fn bytes_beyond_the_answer_end_a_connection() {
+fn bytes_behind_the_answer_prevent_reuse() {
     for (text, reusable) in [(OK.to_owned(), true), (format!("{OK}x"), false)] {
-        let mut exchange = at(Begins::Head, 13);
+        let mut exchange = exchange_after(Begins::Head, 13);
         let mut buf = BytesMut::from(&*text);
         while exchange.read(&mut buf).expect("an answer").is_some() {}
         assert_eq!(exchange.reusable(&buf), reusable, "{text:?}");
     }
 }
 
-/// Guards against an earlier answer that is taken for that of a request which asked for the connection's end.
+/// Guards against taking an earlier answer for that of a request which asked to close the connection.
 #[test]
-fn only_a_head_that_has_come_announces_the_end() {
+fn only_a_complete_head_announces_the_close() {
     let closes = OK.replacen("\r\n", "\r\nConnection: close\r\n", 1);
     for (text, announced) in [(OK, false), (&closes, true), ("HTTP/1.1 200", false)] {
-        let mut exchange = at(Begins::Head, 13);
+        let mut exchange = exchange_after(Begins::Head, 13);
         let _ = exchange.read(&mut BytesMut::from(text)).expect("no failure");
         assert_eq!(exchange.announces_close(), announced, "{text:?}");
     }
@@ -136,10 +136,10 @@
 
 #[test]
 fn an_answer_to_an_earlier_request_is_skipped() {
-    let mut exchange = at(Begins::Head, 13);
+    let mut exchange = exchange_after(Begins::Head, 13);
     let mut buf = BytesMut::from(format!("{OK}{OK}").as_str());
     for _ in 0..2 {
-        assert_eq!(head(exchange.read(&mut buf)), Some(200));
+        assert_eq!(head_status(exchange.read(&mut buf)), Some(200));
         while exchange.read(&mut buf).expect("an answer").is_some() {}
         exchange.skip_answer();
     }
@@ -148,15 +148,15 @@
 
 #[test]
 fn an_interim_answer_before_the_commit_point_changes_nothing() {
-    let mut exchange = at(Begins::Whole, 11);
+    let mut exchange = exchange_after(Begins::Whole, 11);
     let mut buf = BytesMut::from("HTTP/1.1 100 Continue\r\n");
     assert_eq!(exchange.read(&mut buf), Ok(None));
-    // What it is cannot be told yet, so nothing more goes out.
+    // The head is incomplete, so it is not known to be an interim answer, and nothing more is written.
     assert_eq!(exchange.writable(), (11, 11));
     buf.extend_from_slice(b"\r\n");
     assert_eq!(exchange.read(&mut buf), Ok(None));
     assert_eq!(exchange.writable(), (11, 13));
     exchange.wrote(2);
     buf.extend_from_slice(OK.as_bytes());
-    assert_eq!(head(exchange.read(&mut buf)), Some(200));
+    assert_eq!(head_status(exchange.read(&mut buf)), Some(200));
 }
--- a/crates/millethook-connect/src/lib.rs
+++ b/crates/millethook-connect/src/lib.rs
@@ -1,13 +1,13 @@
-//! Connections to HTTP/1.1 servers as state machines: bytes and times are handed in, decisions come
-//! out, and nothing here touches a socket or a clock.
+//! Connections to HTTP/1.1 servers as state machines. Callers pass in bytes and times and get decisions; nothing here
+//! uses a socket or a clock.
 //!
-//! - [`answers`]: what answers are compared by, so that a second copy of one is not taken for another one.
-//! - [`contract`]: what is known of a request from how much of it was sent.
-//! - [`request`]: a request as it goes to servers, encoded once for all its attempts.
-//! - [`response`]: answers, read as their bytes come (RFC 9112).
+//! - [`answers`]: fingerprints of answers, by which a second copy of an earlier answer is recognized.
+//! - [`contract`]: whether a request may have run, given how much of it was sent.
+//! - [`request`]: a request to a server, encoded once for all its attempts.
+//! - [`response`]: an incremental decoder of answers (RFC 9112).
 //! - [`exchange`]: one request and its answer on one connection.
-//! - [`observations`]: what a server was seen to do with its connections.
-//! - [`pool`]: the connections of all servers, and which of them may be used.
+//! - [`observations`]: what was observed of a server's connections.
+//! - [`pool`]: the connection pool of all servers.
 #![forbid(unsafe_code)]
 
 pub mod answers;
--- a/crates/millethook-connect/src/mutant.rs
+++ b/crates/millethook-connect/src/mutant.rs
@@ -1,46 +1,46 @@
-//! Rules that tests remove one by one, to show that each is needed (`--features mutants`).
+//! Mutants: rules that tests disable one by one to show that each is covered (`--features mutants`).
 
 millethook_machine::mutants! {
-    /// A connection is handed out before its quarantine is over.
+    /// A connection is handed out before the end of its quarantine.
     NoQuarantine,
-    /// Late stray bytes do not make quarantines longer.
-    StrayBytesForgotten,
-    /// A quarantine is as long as stray bytes were late, whatever that is.
-    EndlessQuarantine,
-    /// A connection is handed out without a look at its socket.
-    NoLook,
-    /// A connection is handed out however long it has rested.
-    NeverTooOld,
-    /// What has rested for long is kept.
-    NotRetired,
-    /// Handshakes with a server are not bounded.
-    AnyHandshakes,
-    /// Connections to a server are not bounded.
-    AnyConnections,
-    /// A handshake that failed is counted on.
+    /// Late stray bytes do not lengthen quarantines.
+    StrayBytesIgnored,
+    /// A quarantine follows the lag of stray bytes without limits.
+    UnboundedQuarantine,
+    /// A connection is handed out without a check of its socket.
+    SocketNotChecked,
+    /// A connection is handed out after any idle time.
+    ExpiredHandedOut,
+    /// Connections are kept after their maximum idle time.
+    ExpiredKept,
+    /// Handshakes with a server are not limited.
+    UnboundedHandshakes,
+    /// Connections to a server are not limited.
+    UnboundedConnections,
+    /// A failed handshake is still counted as opening.
     FailedStillOpening,
-    /// A connection that was discarded is counted on.
+    /// A discarded connection is still counted as in use.
     DiscardedStillInUse,
-    /// A connection that is given up is counted on.
-    GivenUpStillCounted,
-    /// The connection that came to rest last is given up.
-    YoungestGivenUp,
-    /// A connection to a server that has left rests when it is released.
-    ReleasedToGone,
-    /// A connection that was opened ahead of need to a server that has left rests.
-    SpareToGone,
-    /// Connections at rest stay when their server leaves.
-    RestingOfGone,
+    /// An evicted connection is still counted as idle.
+    EvictedStillCounted,
+    /// The connection that became idle last is evicted.
+    NewestEvicted,
+    /// A released connection is kept although its server was removed.
+    ReleasedAfterRemoval,
+    /// A new spare connection is kept although its server was removed.
+    SpareAfterRemoval,
+    /// Idle connections are kept when their server is removed.
+    IdleKeptAfterRemoval,
     /// Servers without connections are never forgotten.
-    NeverForgotten,
-    /// Connections that are opened ahead of need are not bounded.
-    AnySpares,
-    /// A connection is opened ahead of need beside one at rest.
-    SpareBesideResting,
+    UnusedServersKept,
+    /// Spare connections are not limited.
+    UnboundedSpares,
+    /// A spare connection is opened although another one is idle.
+    SpareDespiteIdle,
     /// An idle limit is learned from a server that closes each connection at once.
-    LimitOfEndingServer,
-    /// A connection that has carried an answer is used again though its server sent stray bytes lately.
-    ReusedUnproven,
-    /// An unsafe request on a connection in doubt is not tried.
-    NoTrial,
+    IdleLimitFromRestart,
+    /// A connection that has carried an answer is reused although its server recently sent stray bytes.
+    ReusedWithoutProof,
+    /// An unsafe request is not held on a new or idle connection.
+    NoHold,
 }
--- a/crates/millethook-connect/src/observations.rs
+++ b/crates/millethook-connect/src/observations.rs
@@ -1,4 +1,4 @@
-//! What a server was seen to do with its connections, and what follows from it for their use.
+//! What was observed of a server's connections, and the quarantines, idle times and hold times that follow from it.
 
 mod check;
 
@@ -6,213 +6,225 @@
 
 use crate::mutant::{self, Mutant};
 
-/// How long a connection is in quarantine after an answer, where nothing is known of its server. Without it, a second
-/// copy of an answer, or noise behind it, that comes once the next request is out would be taken for
-/// that one's answer. A server that writes both in one go, or one right after the other, has done so by
-/// then. It costs no request time: another connection is used meanwhile.
-const QUARANTINE: Duration = Duration::from_millis(1);
-/// It rests for so much shorter with each so many connections that were used again in silence.
-const TRUST_IN: f64 = 16.0;
-/// But for no shorter than this: some turns of the processor between two writes.
-const SHORTEST_QUARANTINE: Duration = Duration::from_micros(100);
-/// It rests for so many times the latest that stray bytes were seen to come.
-const QUARANTINE_MARGIN: u32 = 4;
-/// And for no longer than this.
-pub(crate) const LONGEST_QUARANTINE: Duration = Duration::from_millis(200);
-/// Seen no more for so long, a server's lateness with stray bytes counts half.
-const STRAY_HALF_LIFE: Duration = Duration::from_secs(60);
-/// The share of a server's idle limit up to which a connection is used. Beyond it, what is
-/// written in the instant in which the server closes would be lost as a reset.
-const IDLE_SHARE: f64 = 0.7;
-/// Two idle times that differ by this factor at most are taken for one limit.
-const ALIKE: f64 = 1.5;
-/// Idle limits below this are not believed: servers keep connections for seconds, and what closes sooner
-/// is a server that ends.
-const LEAST_IDLE: Duration = Duration::from_millis(200);
-/// Closes that follow each other so quickly are one event. A server that restarts closes all
-/// its connections, however long they have rested, which would be taken for a limit.
-const AT_ONCE: Duration = Duration::from_millis(100);
-/// After so long a limit is believed to be twice what was seen. Without this, no connection would rest
-/// long enough to disprove a wrong limit, and each request would open one for ever. A right limit is seen again.
-const IDLE_DOUBLES: Duration = Duration::from_secs(60);
-/// How long a request is on trial at least: two turns of a timer of milliseconds.
-const TRIAL: Duration = Duration::from_millis(2);
-/// And at most, as it is part of the answer time.
-const LONGEST_TRIAL: Duration = Duration::from_millis(4);
-/// A handshake takes one round trip; so many of them are what a reset needs to come back.
-const TRIAL_ROUNDS: u32 = 2;
-
-/// How long a server that was caught stays in doubt.
-const CAUGHT_FOR: Duration = Duration::from_secs(60);
-
-/// What a connection was caught with while it was in use.
+/// The quarantine of a connection after an answer while nothing is known of its server. Without it, a second copy of
+/// the answer or noise behind it that comes after the next request was sent would be taken for the next answer. A
+/// server that writes both at once, or one directly after the other, has done so within this time. Requests do not wait
+/// for it, since they use another connection meanwhile.
+const DEFAULT_QUARANTINE: Duration = Duration::from_millis(1);
+/// Reuses without stray bytes that shorten the quarantine by one step: to 1/2 of the default after this many, to 1/3
+/// after twice as many, and so on.
+const QUIET_REUSES_PER_STEP: f64 = 16.0;
+/// The minimum quarantine. A server may be descheduled a few times between two writes.
+const MIN_QUARANTINE: Duration = Duration::from_micros(100);
+/// The quarantine is at least this multiple of the longest lag of stray bytes.
+const STRAY_LAG_MULTIPLE: u32 = 4;
+/// The maximum quarantine.
+pub(crate) const MAX_QUARANTINE: Duration = Duration::from_millis(200);
+/// The time without stray bytes after which the longest lag counts half.
+const STRAY_LAG_HALF_LIFE: Duration = Duration::from_secs(60);
+/// The share of a server's idle limit after which a connection is not used any more. Closer to the limit, a request
+/// that is written while the server closes the connection would be lost to a reset.
+const IDLE_LIMIT_SHARE: f64 = 0.7;
+/// Two idle times whose ratio is at most this are taken for the same limit.
+const MAX_IDLE_LIMIT_RATIO: f64 = 1.5;
+/// Shorter idle times before a close are not taken for a limit: servers keep idle connections for seconds, and one
+/// that closes them sooner is shutting down.
+const MIN_IDLE_LIMIT: Duration = Duration::from_millis(200);
+/// Closes within this interval count as one event. Without it, the closes of a restarting server, which closes all its
+/// connections whatever their idle time, would be taken for an idle limit.
+const SAME_EVENT_INTERVAL: Duration = Duration::from_millis(100);
+/// The time after which the learned limit is doubled. Without this, no connection would be idle long enough to disprove
+/// a wrong limit, and each request would open a new connection for ever. A correct limit is observed again.
+const IDLE_LIMIT_DOUBLING_TIME: Duration = Duration::from_secs(60);
+/// The minimum hold time of a request: two ticks of a millisecond timer.
+const MIN_HOLD: Duration = Duration::from_millis(2);
+/// The maximum hold time, since it adds to the response time.
+const MAX_HOLD: Duration = Duration::from_millis(4);
+/// The hold time in round trips, which is the time that a reset needs to come back. A handshake takes one round trip.
+const HOLD_ROUND_TRIPS: u32 = 2;
+/// How long a fault of a server's connections counts.
+const FAULT_TTL: Duration = Duration::from_secs(60);
+
+/// A fault of a connection in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionFault {
-    /// It broke on trial.
+    /// It broke while its request was held back.
     Broken,
     /// Bytes came that belong to no request, or to an earlier one.
     StrayBytes,
 }
 
-/// What is known of one server's connections.
+/// What was observed of the connections to one server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerObservations {
-    /// The shortest handshake.
-    handshake: Option<Duration>,
-    /// How late after an answer stray bytes came, at the latest, and when that was last seen.
-    stray: Option<(Duration, Instant)>,
-    /// When a connection was last caught with a break, and when with stray bytes.
-    broke: Option<Instant>,
-    strayed: Option<Instant>,
-    /// A connection that had carried an answer before has carried another one with nothing ahead of it or behind, and no
-    /// stray bytes came since.
+    /// The duration of the shortest handshake.
+    shortest_handshake: Option<Duration>,
+    /// The longest time between the end of an answer and stray bytes, and when stray bytes last came.
+    longest_stray_lag: Option<(Duration, Instant)>,
+    /// When the last fault of each kind was recorded.
+    last_break: Option<Instant>,
+    last_stray_fault: Option<Instant>,
+    /// A reused connection has carried another answer with no stray bytes before or behind it, and none came since.
     proven: bool,
-    /// Its last answer to a request that asked for the connection's end announced that end.
+    /// The last answer to a request that asked to close the connection announced the close.
     announces_close: bool,
-    /// When an answer to such a request came last that did not. Some servers announce ends with some answers only.
-    unannounced: Option<Instant>,
-    /// How often in a row a connection was silent for as long as a server that nothing is known of is
-    /// given.
-    silent: u32,
-    /// The last two idle times after which the server closed a connection, the later one first, and
-    /// when that was.
-    closed_after: [Option<Duration>; 2],
-    closed: Option<Instant>,
+    /// When an answer to such a request last did not announce it. Some servers announce it with some answers only.
+    last_unannounced_close: Option<Instant>,
+    /// The number of consecutive reuses after at least [`DEFAULT_QUARANTINE`] without stray bytes.
+    quiet_reuses: u32,
+    /// The last two idle times after which the server closed a connection, the later one first, and the time of the
+    /// last such close.
+    idle_times_before_close: [Option<Duration>; 2],
+    last_idle_close: Option<Instant>,
 }
 
 impl ServerObservations {
-    /// A handshake took so long.
-    pub fn connected(&mut self, took: Duration) {
-        self.handshake = Some(self.handshake.map_or(took, |known| known.min(took)));
+    /// Records the duration of a handshake.
+    pub fn record_handshake(&mut self, duration: Duration) {
+        self.shortest_handshake =
+            Some(self.shortest_handshake.map_or(duration, |shortest| shortest.min(duration)));
     }
 
-    /// Bytes came that belong to no answer, so long after the last answer's end.
-    pub fn stray_bytes(&mut self, lag: Duration, now: Instant) {
-        if mutant::is(Mutant::StrayBytesForgotten) {
+    /// Records bytes that belong to no answer and came `lag` after the end of the last answer.
+    pub fn record_stray_bytes(&mut self, lag: Duration, now: Instant) {
+        if mutant::is(Mutant::StrayBytesIgnored) {
             return;
         }
-        let known = self.stray_lag(now).unwrap_or_default();
-        self.stray = Some((known.max(lag), now));
-        self.silent = 0;
+        let known_lag = self.stray_lag(now).unwrap_or_default();
+        self.longest_stray_lag = Some((known_lag.max(lag), now));
+        self.quiet_reuses = 0;
         self.proven = false;
     }
 
-    /// The server closed a connection that had rested for so long.
-    pub fn closed_idle(&mut self, rested: Duration, now: Instant) {
-        let before = self.closed.replace(now);
-        let at_once = before.is_some_and(|b| now.saturating_duration_since(b) < AT_ONCE);
-        if (rested >= LEAST_IDLE || mutant::is(Mutant::LimitOfEndingServer)) && !at_once {
-            self.closed_after = [Some(rested), self.closed_after[0]];
+    /// Records that the server closed a connection that had been idle for `idle_time`.
+    pub fn record_idle_close(&mut self, idle_time: Duration, now: Instant) {
+        let previous = self.last_idle_close.replace(now);
+        let same_event =
+            previous.is_some_and(|last| now.saturating_duration_since(last) < SAME_EVENT_INTERVAL);
+        if (idle_time >= MIN_IDLE_LIMIT || mutant::is(Mutant::IdleLimitFromRestart)) && !same_event
+        {
+            self.idle_times_before_close = [Some(idle_time), self.idle_times_before_close[0]];
         }
     }
 
-    /// A connection that had rested for so long was still good.
-    pub fn rested_in_silence(&mut self, rested: Duration) {
-        if rested >= QUARANTINE {
-            self.silent = self.silent.saturating_add(1);
+    /// Records that a connection was still usable after `idle_time`.
+    pub fn record_quiet_idle(&mut self, idle_time: Duration) {
+        if idle_time >= DEFAULT_QUARANTINE {
+            self.quiet_reuses = self.quiet_reuses.saturating_add(1);
         }
     }
 
-    /// A connection that had carried an answer before has carried another one, and nothing beside it.
+    /// Records that a reused connection has carried another answer and no stray bytes.
     pub fn record_clean_reuse(&mut self) {
         self.proven = true;
     }
 
-    /// Whether an answer on a used connection may be a second copy of an earlier one, as far as is known.
-    pub fn answers_in_doubt(&self, now: Instant) -> bool {
-        !self.proven || is_recent(self.strayed, now)
+    /// Whether an answer on a reused connection may be a second copy of an earlier one, as far as is known.
+    pub fn may_duplicate_answers(&self, now: Instant) -> bool {
+        !self.proven || is_recent(self.last_stray_fault, now)
     }
 
-    /// Whether the server has lately sent bytes that belong to no answer, so that an answer on a used connection has to
-    /// be proven its request's own.
+    /// Whether the server has recently sent stray bytes, so that an answer on a reused connection has to be proven to
+    /// belong to its request.
     pub fn answers_need_proof(&self, now: Instant) -> bool {
-        is_recent(self.stray.map(|(_, seen)| seen), now)
+        is_recent(self.longest_stray_lag.map(|(_, seen)| seen), now)
     }
 
-    /// Whether the server announces the end of a connection where a request asks for it, and has done so each time of
-    /// late.
+    /// Whether the server announces the close of a connection when a request asks for it, and has recently done so each
+    /// time.
     pub fn announces_close(&self, now: Instant) -> bool {
-        self.announces_close && !is_recent(self.unannounced, now)
+        self.announces_close && !is_recent(self.last_unannounced_close, now)
     }
 
-    /// A request that asked for its connection's end was answered; `announced`: the answer's head says that it ends.
+    /// Records an answer to a request that asked to close its connection. `announced`: the answer's head announces the
+    /// close.
     pub fn record_close_request(&mut self, announced: bool, now: Instant) {
         self.announces_close = announced;
         if !announced {
-            self.unannounced = Some(now);
+            self.last_unannounced_close = Some(now);
         }
     }
 
+    /// The longest lag of stray bytes, halved for each [`STRAY_LAG_HALF_LIFE`] since they last came.
     fn stray_lag(&self, now: Instant) -> Option<Duration> {
-        let (lag, seen) = self.stray?;
-        let halves = now.saturating_duration_since(seen).as_secs_f64();
-        Some(lag.mul_f64(0.5f64.powf(halves / STRAY_HALF_LIFE.as_secs_f64())))
+        let (lag, seen) = self.longest_stray_lag?;
+        let age_secs = now.saturating_duration_since(seen).as_secs_f64();
+        Some(lag.mul_f64(0.5f64.powf(age_secs / STRAY_LAG_HALF_LIFE.as_secs_f64())))
     }
 
-    /// How long a connection rests after an answer before it is used again.
+    /// How long a connection is in quarantine after an answer.
     pub fn quarantine(&self, now: Instant) -> Duration {
-        let trusted = QUARANTINE.div_f64(1.0 + f64::from(self.silent) / TRUST_IN);
-        let seen = self.stray_lag(now).map_or(Duration::ZERO, |lag| lag * QUARANTINE_MARGIN);
-        if mutant::is(Mutant::EndlessQuarantine) {
-            return seen.max(trusted);
+        let base =
+            DEFAULT_QUARANTINE.div_f64(1.0 + f64::from(self.quiet_reuses) / QUIET_REUSES_PER_STEP);
+        let from_stray = self.stray_lag(now).map_or(Duration::ZERO, |lag| lag * STRAY_LAG_MULTIPLE);
+        if mutant::is(Mutant::UnboundedQuarantine) {
+            return from_stray.max(base);
         }
-        seen.clamp(trusted.max(SHORTEST_QUARANTINE), LONGEST_QUARANTINE)
+        from_stray.clamp(base.max(MIN_QUARANTINE), MAX_QUARANTINE)
     }
 
-    /// How long the server keeps a connection at rest, as far as that was seen.
+    /// The learned time for which the server keeps an idle connection; None if it is not known.
     pub fn idle_limit(&self, now: Instant) -> Option<Duration> {
-        let ([Some(a), Some(b)], Some(seen)) = (self.closed_after, self.closed) else {
+        let ([Some(a), Some(b)], Some(seen)) = (self.idle_times_before_close, self.last_idle_close)
+        else {
             return None;
         };
         let (short, long) = (a.min(b), a.max(b));
-        let age = now.saturating_duration_since(seen).as_secs_f64() / IDLE_DOUBLES.as_secs_f64();
-        let alike = long.as_secs_f64() <= short.as_secs_f64() * ALIKE;
-        alike.then(|| short.mul_f64(2f64.powf(age.min(20.0))))
+        let doublings = now.saturating_duration_since(seen).as_secs_f64()
+            / IDLE_LIMIT_DOUBLING_TIME.as_secs_f64();
+        let agree = long.as_secs_f64() <= short.as_secs_f64() * MAX_IDLE_LIMIT_RATIO;
+        agree.then(|| short.mul_f64(2f64.powf(doublings.min(20.0))))
     }
 
-    /// How long a connection may rest and be used again, `told` being what servers say that they keep
-    /// one.
-    pub fn retire_after(&self, told: Duration, now: Instant) -> Duration {
-        self.idle_limit(now).map_or(told, |seen| seen.min(told)).mul_f64(IDLE_SHARE)
+    /// The idle time after which a connection is not used again. `advertised` is the configured time for which servers
+    /// keep one.
+    pub fn retire_after(&self, advertised: Duration, now: Instant) -> Duration {
+        self.idle_limit(now)
+            .map_or(advertised, |learned| learned.min(advertised))
+            .mul_f64(IDLE_LIMIT_SHARE)
     }
 
-    /// A connection was caught in use, and is of no more use.
-    pub fn record_fault(&mut self, what: ConnectionFault, now: Instant) {
-        match what {
-            ConnectionFault::Broken => self.broke = Some(now),
+    /// Records a fault of a connection in use.
+    pub fn record_fault(&mut self, fault: ConnectionFault, now: Instant) {
+        match fault {
+            ConnectionFault::Broken => self.last_break = Some(now),
             ConnectionFault::StrayBytes => {
-                self.strayed = Some(now);
-                // What the next request calls forth says nothing of how long to wait for it.
-                self.stray_bytes(Duration::ZERO, now);
+                self.last_stray_fault = Some(now);
+                // These bytes came in reaction to the next request, so their lag says nothing about a quarantine.
+                self.record_stray_bytes(Duration::ZERO, now);
             }
         }
     }
 
-    /// How long the last byte before the commit point is held back, on a connection that has rested
-    /// for so long (None: that is new). None: not at all.
+    /// How long to hold back the byte at a request's commit point, on a connection that was idle for `idle_time`
+    /// (None: a new connection); None: not at all. `repeatable`: the request may run twice without harm.
     ///
-    /// Two things are found out. Whether the connection breaks: that matters to what must not run twice, where a
-    /// connection is new, has rested, or is one of a server whose connections broke on trial. And whether bytes come
-    /// that were not asked for: those would be served as the answer to a request of any class, so all used connections
-    /// are tried of a server that was caught with some, or has not yet proven to send none.
+    /// The hold shows two things before the request can run:
+    ///
+    /// - Whether the connection breaks. This matters to requests that must not run twice, on a connection that is
+    ///   new, was idle for at least the hold time, or belongs to a server whose connections recently broke during a
+    ///   hold.
+    /// - Whether stray bytes come. They would be served as the answer to a request of any class, so every request on a
+    ///   reused connection is held if the server has recently sent some or has not yet been proven to send none.
     pub fn hold_time(
         &self,
-        rested: Option<Duration>,
+        idle_time: Option<Duration>,
         repeatable: bool,
         now: Instant,
     ) -> Option<Duration> {
-        let round = self.handshake.unwrap_or_default();
-        let trial = (round * TRIAL_ROUNDS).clamp(TRIAL, LONGEST_TRIAL);
-        let in_doubt = rested.is_none_or(|rested| rested >= trial) && !mutant::is(Mutant::NoTrial);
-        let may_break = in_doubt || is_recent(self.broke, now);
-        let may_stray = rested.is_some() && self.answers_in_doubt(now);
-        (may_stray || !repeatable && may_break).then_some(trial)
+        let round_trip = self.shortest_handshake.unwrap_or_default();
+        let hold = (round_trip * HOLD_ROUND_TRIPS).clamp(MIN_HOLD, MAX_HOLD);
+        let untested =
+            idle_time.is_none_or(|idle_time| idle_time >= hold) && !mutant::is(Mutant::NoHold);
+        let may_break = untested || is_recent(self.last_break, now);
+        let may_stray = idle_time.is_some() && self.may_duplicate_answers(now);
+        (may_stray || !repeatable && may_break).then_some(hold)
     }
 }
 
-/// Whether a server was caught lately.
-fn is_recent(caught: Option<Instant>, now: Instant) -> bool {
-    caught.is_some_and(|caught| now.saturating_duration_since(caught) < CAUGHT_FOR)
+/// Whether something was seen within the last [`FAULT_TTL`].
+fn is_recent(seen: Option<Instant>, now: Instant) -> bool {
+    seen.is_some_and(|seen| now.saturating_duration_since(seen) < FAULT_TTL)
 }
 
 #[cfg(test)]
--- a/crates/millethook-connect/src/observations/check.rs
+++ b/crates/millethook-connect/src/observations/check.rs
@@ -1,53 +1,54 @@
-//! Invariants of what is known of a server's connections.
+//! Invariants of the observations of a server.
 
 use std::time::{Duration, Instant};
 
 use millethook_machine::Violation;
 
 use super::{
-    IDLE_SHARE, LEAST_IDLE, LONGEST_QUARANTINE, LONGEST_TRIAL, SHORTEST_QUARANTINE,
-    ServerObservations, TRIAL,
+    IDLE_LIMIT_SHARE, MAX_HOLD, MAX_QUARANTINE, MIN_HOLD, MIN_IDLE_LIMIT, MIN_QUARANTINE,
+    ServerObservations,
 };
 
 impl ServerObservations {
-    /// Checks every invariant of these observations; `told` is how long servers say that they keep an idle connection.
+    /// Checks every invariant of these observations. `advertised` is the configured time for which servers keep an idle
+    /// connection.
     ///
     /// # Errors
-    /// The first invariant that does not hold, with the values that break it.
-    pub fn check(&self, told: Duration, now: Instant) -> Result<(), Violation> {
+    /// Returns the first invariant that is violated, with the offending values.
+    pub fn check(&self, advertised: Duration, now: Instant) -> Result<(), Violation> {
         let rule = Violation::unless;
         let quarantine = self.quarantine(now);
         rule(
-            (SHORTEST_QUARANTINE..=LONGEST_QUARANTINE).contains(&quarantine),
-            "a quarantine is neither nothing nor for ever",
+            (MIN_QUARANTINE..=MAX_QUARANTINE).contains(&quarantine),
+            "a quarantine is between its minimum and its maximum",
             &|| format!("{quarantine:?}"),
         )?;
-        let retire = self.retire_after(told, now);
+        let retire_after = self.retire_after(advertised, now);
         rule(
-            retire <= told.mul_f64(IDLE_SHARE),
-            "a connection is retired ahead of the limit that servers name",
-            &|| format!("after {retire:?} of {told:?}"),
+            retire_after <= advertised.mul_f64(IDLE_LIMIT_SHARE),
+            "a connection is retired before the configured idle limit",
+            &|| format!("after {retire_after:?} of {advertised:?}"),
         )?;
-        for limit in self.closed_after.iter().flatten() {
+        for limit in self.idle_times_before_close.iter().flatten() {
             rule(
-                *limit >= LEAST_IDLE,
-                "no idle limit is learned from a server that ends",
+                *limit >= MIN_IDLE_LIMIT,
+                "no idle limit is learned from a server that is shutting down",
                 &|| format!("{limit:?}"),
             )?;
         }
-        for (rested, repeatable) in
-            [(None, false), (None, true), (Some(told.max(LONGEST_TRIAL)), false)]
+        for (idle_time, repeatable) in
+            [(None, false), (None, true), (Some(advertised.max(MAX_HOLD)), false)]
         {
-            let trial = self.hold_time(rested, repeatable, now);
+            let hold = self.hold_time(idle_time, repeatable, now);
             rule(
-                trial.is_none_or(|trial| (TRIAL..=LONGEST_TRIAL).contains(&trial)),
-                "a trial has an end",
-                &|| format!("{trial:?}"),
+                hold.is_none_or(|hold| (MIN_HOLD..=MAX_HOLD).contains(&hold)),
+                "a hold time is between its minimum and its maximum",
+                &|| format!("{hold:?}"),
             )?;
             rule(
-                repeatable || trial.is_some(),
-                "an unsafe request is tried on a connection in doubt",
-                &|| format!("rested {rested:?}"),
+                repeatable || hold.is_some(),
+                "an unsafe request is held on a new or idle connection",
+                &|| format!("idle for {idle_time:?}"),
             )?;
         }
         Ok(())
--- a/crates/millethook-connect/src/pool.rs
+++ b/crates/millethook-connect/src/pool.rs
@@ -1,16 +1,17 @@
-//! The connections of all servers: which are opening, in use, in quarantine or idle, and which of them
-//! may be used.
+//! The connection pool of all servers: which connections are opening, in use, in quarantine or idle, and
+//! which of them a request may use.
 //!
-//! A connection's states, and what leads from one to the next:
+//! The states of a connection and the transitions between them:
 //!
 //! ```text
-//! opening --> in use --> quarantine --> idle --> in use (perhaps on trial) ...
+//! opening --> in use --> quarantine --> idle --> in use (the request may be held back at first) ...
 //!    |           |           |           |
-//!    +-----------+--> gone <-+-----------+   discarded, closed by the server, retired ahead of its
-//!                                            idle limit, given up for another server's request
+//!    +-----------+-> closed <+-----------+   discarded, closed by the server, retired before its
+//!                                            idle limit, evicted for another server's request
 //! ```
 //!
-//! The pool owns what rests; what is opening or in use is counted, and its owner tells the end.
+//! The pool owns idle connections and those in quarantine. It only counts connections that are opening or in
+//! use; their owner reports when they end.
 
 mod check;
 mod checkout;
@@ -33,79 +34,82 @@
 pub use matching::Matching;
 use server::{IdleConnection, Server};
 
-/// After so many spans without a connection what is known of a server is forgotten. Without this, the pool would grow
-/// with each new server: one that has left may be asked for once more by a request that was decided on before.
+/// After this many windows without a connection the pool forgets a server. Without this, the pool would grow
+/// with each new server: a request that was assigned before its server left may bring the server's entry back.
 pub const FORGET_AFTER_WINDOWS: u32 = 240;
 
-/// The connections of all servers.
+/// A pool of connections `C` to servers with the keys `K`.
 #[derive(Debug)]
 pub struct Pool<K, C> {
     servers: FxHashMap<K, Server<C>>,
     limits: Limits,
     reuse: Reuse,
-    resting: usize,
+    idle: usize,
     ended: Ended,
 }
 
 impl<K: Copy + Eq + Hash, C> Pool<K, C> {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(limits: Limits, reuse: Reuse) -> Pool<K, C> {
         let servers = FxHashMap::default();
-        Pool { servers, limits, reuse, resting: 0, ended: Ended::default() }
+        Pool { servers, limits, reuse, idle: 0, ended: Ended::default() }
     }
 
-    /// From now on connections are used for so many requests. Those that are open follow: no answer on them has announced
-    /// their end.
+    /// Sets how often connections are reused. This also applies to open connections, since no answer on them has
+    /// announced that they close.
     pub fn set_reuse(&mut self, reuse: Reuse) {
         self.reuse = reuse;
     }
 
-    /// A connection for a request: the one that came to rest last of those that are out of quarantine, so that
-    /// the others may grow old and be retired. `look` tells how it is at this moment.
+    /// Finds a connection for a request: the one that became idle last of those that are out of quarantine, so that
+    /// the others can reach their maximum idle time and be retired. `check_socket` reports the present state of a
+    /// connection's socket.
     pub fn checkout(
         &mut self,
         key: K,
         now: Instant,
-        mut look: impl FnMut(&C) -> SocketState,
+        mut check_socket: impl FnMut(&C) -> SocketState,
     ) -> Checkout<C> {
         let server = self.servers.entry(key).or_default();
-        server.gone = false;
-        let retire = server.observations.retire_after(self.limits.idle_timeout, now);
-        let mut at = server.resting.len();
-        while at > 0 {
+        server.removed = false;
+        let retire_after = server.observations.retire_after(self.limits.idle_timeout, now);
+        let mut index = server.idle.len();
+        while index > 0 {
             if !server.may_reuse(self.reuse, now) {
-                self.resting -= server.resting.len();
-                self.ended.given_up += server.resting.len() as u64;
-                server.resting.clear();
+                self.idle -= server.idle.len();
+                self.ended.given_up += server.idle.len() as u64;
+                server.idle.clear();
                 break;
             }
-            at -= 1;
-            let Some(found) = server.resting.get(at) else { break };
+            index -= 1;
+            let Some(found) = server.idle.get(index) else { break };
             if found.quarantined_until > now && !mutant::is(Mutant::NoQuarantine) {
                 continue;
             }
-            let Some(found) = server.resting.remove(at) else { break };
-            self.resting -= 1;
-            let rested = now.saturating_duration_since(found.since);
-            let looked = if mutant::is(Mutant::NoLook) {
+            let Some(found) = server.idle.remove(index) else { break };
+            self.idle -= 1;
+            let idle_time = now.saturating_duration_since(found.idle_since);
+            let state = if mutant::is(Mutant::SocketNotChecked) {
                 SocketState::Quiet
             } else {
-                look(&found.connection)
+                check_socket(&found.connection)
             };
-            match looked {
-                SocketState::Quiet if rested < retire || mutant::is(Mutant::NeverTooOld) => {
-                    server.observations.rested_in_silence(rested);
-                    server.use_one();
-                    return Checkout::Reuse(found.connection, rested);
+            match state {
+                SocketState::Quiet
+                    if idle_time < retire_after || mutant::is(Mutant::ExpiredHandedOut) =>
+                {
+                    server.observations.record_quiet_idle(idle_time);
+                    server.mark_in_use();
+                    return Checkout::Reuse(found.connection, idle_time);
                 }
                 SocketState::Quiet => self.ended.retired += 1,
                 SocketState::AddressChanged => self.ended.given_up += 1,
                 SocketState::Closed => {
-                    server.observations.closed_idle(rested, now);
+                    server.observations.record_idle_close(idle_time, now);
                     self.ended.closed += 1;
                 }
                 SocketState::StrayBytes => {
-                    server.observations.stray_bytes(rested, now);
+                    server.observations.record_stray_bytes(idle_time, now);
                     self.ended.stray += 1;
                 }
             }
@@ -116,55 +120,59 @@
         Checkout::Wait(self.quarantined_until(key))
     }
 
-    /// A new connection for a request whose answer has to be the first on its connection. Where a limit leaves no room, the
-    /// server's connection that came to rest first makes some.
+    /// Asks for a new connection, for a request whose answer has to be the first on its connection. If the server has
+    /// reached its limit of connections, the one that became idle first is closed to make room.
     pub fn checkout_new(&mut self, key: K) -> Checkout<C> {
         let server = self.servers.entry(key).or_default();
-        server.gone = false;
-        let is_full =
-            server.all() >= self.limits.per_server && server.opening < self.limits.opening;
-        if is_full && server.resting.pop_front().is_some() {
-            self.resting -= 1;
+        server.removed = false;
+        let is_full = server.connection_count() >= self.limits.per_server
+            && server.opening < self.limits.opening;
+        if is_full && server.idle.pop_front().is_some() {
+            self.idle -= 1;
             self.ended.given_up += 1;
         }
         if self.may_open(key) { Checkout::Open } else { Checkout::Wait(None) }
     }
 
-    /// Whether one more connection to a server may be opened; if so, it counts as opening from now on.
+    /// Whether one more connection to a server may be opened. If so, it is counted as opening.
     fn may_open(&mut self, key: K) -> bool {
         let server = self.servers.entry(key).or_default();
-        let may_open = server.opening < self.limits.opening || mutant::is(Mutant::AnyHandshakes);
-        let has_room = server.all() < self.limits.per_server || mutant::is(Mutant::AnyConnections);
+        let may_open =
+            server.opening < self.limits.opening || mutant::is(Mutant::UnboundedHandshakes);
+        let has_room = server.connection_count() < self.limits.per_server
+            || mutant::is(Mutant::UnboundedConnections);
         server.opening += usize::from(may_open && has_room);
         may_open && has_room
     }
 
-    /// Whether a server has fewer connections than it may have.
+    /// Whether a server has fewer connections than the limit.
     pub fn has_room(&self, key: K) -> bool {
-        self.servers.get(&key).is_none_or(|server| server.all() < self.limits.per_server)
+        self.servers
+            .get(&key)
+            .is_none_or(|server| server.connection_count() < self.limits.per_server)
     }
 
-    /// When the next of a server's connections at rest may be used; None: none rests.
+    /// The earliest time at which one of a server's idle connections may be used; None if none is idle.
     pub fn quarantined_until(&self, key: K) -> Option<Instant> {
-        self.servers.get(&key)?.resting.iter().map(|resting| resting.quarantined_until).min()
+        self.servers.get(&key)?.idle.iter().map(|entry| entry.quarantined_until).min()
     }
 
-    /// A handshake that [`Checkout::Open`] allowed has come to an end: how long it took, if it came
-    /// up. Its connection is in use from now on.
-    pub fn handshake_finished(&mut self, key: K, took: Option<Duration>) {
+    /// Reports the end of a handshake that [`Checkout::Open`] allowed, with its duration if it succeeded. Its
+    /// connection is then in use.
+    pub fn handshake_finished(&mut self, key: K, duration: Option<Duration>) {
         let Some(server) = self.servers.get_mut(&key) else { return };
-        if took.is_some() || !mutant::is(Mutant::FailedStillOpening) {
+        if duration.is_some() || !mutant::is(Mutant::FailedStillOpening) {
             server.opening = server.opening.saturating_sub(1);
         }
-        if let Some(took) = took {
-            server.observations.connected(took);
-            server.use_one();
+        if let Some(duration) = duration {
+            server.observations.record_handshake(duration);
+            server.mark_in_use();
         }
-        self.forget(key);
+        self.forget_if_removed(key);
     }
 
-    /// A handshake that [`Pool::start_spare`] allowed has come to an end: its connection, if it came up, and
-    /// how long it took. It is idle, and has no quarantine.
+    /// Reports the end of a handshake that [`Pool::start_spare`] allowed, with the connection and the duration if it
+    /// succeeded. The connection is idle without a quarantine.
     pub fn spare_handshake_finished(
         &mut self,
         key: K,
@@ -173,197 +181,221 @@
     ) {
         let Some(server) = self.servers.get_mut(&key) else { return };
         server.opening = server.opening.saturating_sub(1);
-        if let Some((connection, took)) =
-            opened.filter(|_| !server.gone || mutant::is(Mutant::SpareToGone))
+        if let Some((connection, duration)) =
+            opened.filter(|_| !server.removed || mutant::is(Mutant::SpareAfterRemoval))
         {
-            server.observations.connected(took);
-            server.resting.push_back(IdleConnection {
+            server.observations.record_handshake(duration);
+            server.idle.push_back(IdleConnection {
                 connection,
-                since: now,
+                idle_since: now,
                 quarantined_until: now,
             });
-            self.resting += 1;
+            self.idle += 1;
         }
-        self.forget(key);
+        self.forget_if_removed(key);
     }
 
-    /// A connection in use is whole again: it is in quarantine, and then idle.
+    /// Takes back a connection that can be reused. It is in quarantine first and then idle.
     pub fn release(&mut self, key: K, connection: C, now: Instant) {
         let Some(server) = self.servers.get_mut(&key) else { return };
         server.in_use = server.in_use.saturating_sub(1);
-        let kept = !server.gone && server.may_reuse(self.reuse, now);
-        if kept || mutant::is(Mutant::ReleasedToGone) {
+        let is_kept = !server.removed && server.may_reuse(self.reuse, now);
+        if is_kept || mutant::is(Mutant::ReleasedAfterRemoval) {
             let quarantined_until = now + server.observations.quarantine(now);
-            server.resting.push_back(IdleConnection { connection, since: now, quarantined_until });
-            self.resting += 1;
+            server.idle.push_back(IdleConnection {
+                connection,
+                idle_since: now,
+                quarantined_until,
+            });
+            self.idle += 1;
         }
-        self.forget(key);
+        self.forget_if_removed(key);
     }
 
-    /// A connection in use is gone. `stray`: bytes came right behind an answer.
+    /// Reports that a connection in use was closed. `stray`: bytes came directly behind an answer.
     pub fn discard(&mut self, key: K, stray: bool, now: Instant) {
         let Some(server) = self.servers.get_mut(&key) else { return };
         if !mutant::is(Mutant::DiscardedStillInUse) {
             server.in_use = server.in_use.saturating_sub(1);
         }
         if stray {
-            server.observations.stray_bytes(Duration::ZERO, now);
+            server.observations.record_stray_bytes(Duration::ZERO, now);
             self.ended.stray += 1;
         }
-        self.forget(key);
+        self.forget_if_removed(key);
     }
 
-    /// Forgets a server that has left once nothing of it is open.
-    fn forget(&mut self, key: K) {
-        if self.servers.get(&key).is_some_and(|server| server.gone && server.all() == 0) {
+    /// Forgets a removed server once it has no connection.
+    fn forget_if_removed(&mut self, key: K) {
+        if self
+            .servers
+            .get(&key)
+            .is_some_and(|server| server.removed && server.connection_count() == 0)
+        {
             self.servers.remove(&key);
         }
     }
 
-    /// Whether a connection is to be opened ahead of need: more of the server's are in use than ever
-    /// in the last span, and none is left. It counts as opening from now on.
+    /// Whether to open a spare connection ahead of need: more connections of the server are in use than at any time in
+    /// the last window, and none is idle. If so, it is counted as opening.
     pub fn start_spare(&mut self, key: K) -> bool {
         let limits = self.limits;
         let Some(server) = self.servers.get_mut(&key) else { return false };
-        let rising = server.in_use > server.last_peak
-            && (server.resting.is_empty() || mutant::is(Mutant::SpareBesideResting));
-        let most = if mutant::is(Mutant::AnySpares) { limits.opening } else { limits.spare };
-        let wanted =
-            rising && server.opening < most.min(limits.opening) && server.all() < limits.per_server;
-        server.opening += usize::from(wanted);
-        wanted
+        let use_rises = server.in_use > server.last_peak
+            && (server.idle.is_empty() || mutant::is(Mutant::SpareDespiteIdle));
+        let max_spares =
+            if mutant::is(Mutant::UnboundedSpares) { limits.opening } else { limits.spare };
+        let is_wanted = use_rises
+            && server.opening < max_spares.min(limits.opening)
+            && server.connection_count() < limits.per_server;
+        server.opening += usize::from(is_wanted);
+        is_wanted
     }
 
-    /// How long a request is on trial, on a connection that has rested so long (None: that is new).
-    /// `repeatable`: run twice, it does no harm. See [`crate::observations::ServerObservations::hold_time`].
+    /// How long to hold back the byte at a request's commit point on a connection that was idle for `idle_time` (None:
+    /// a new connection); None: not at all. `repeatable`: the request may run twice without harm. See
+    /// [`crate::observations::ServerObservations::hold_time`].
     pub fn hold_time(
         &self,
         key: K,
-        rested: Option<Duration>,
+        idle_time: Option<Duration>,
         repeatable: bool,
         now: Instant,
     ) -> Option<Duration> {
-        self.servers.get(&key)?.observations.hold_time(rested, repeatable, now)
+        self.servers.get(&key)?.observations.hold_time(idle_time, repeatable, now)
     }
 
-    /// A connection was caught in use, and is of no more use.
-    pub fn record_fault(&mut self, key: K, what: ConnectionFault, now: Instant) {
+    /// Records a fault of a connection in use, which cannot be used any more.
+    pub fn record_fault(&mut self, key: K, fault: ConnectionFault, now: Instant) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.observations.record_fault(what, now);
+            server.observations.record_fault(fault, now);
         }
     }
 
-    /// A connection that had carried an answer before has carried another one, and nothing beside it.
+    /// Records that a reused connection has carried another answer and no stray bytes.
     pub fn record_clean_reuse(&mut self, key: K) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.observations.record_clean_reuse();
         }
     }
 
-    /// Whether an answer on a used connection has to be proven its request's own: always, or as the server has sent stray
-    /// bytes lately.
+    /// Whether it has to be proven that an answer on a reused connection belongs to its request: always with
+    /// [`Reuse::Proven`], otherwise if the server has recently sent stray bytes.
     pub fn answers_need_proof(&self, key: K, now: Instant) -> bool {
         let server = self.servers.get(&key);
         server.is_some_and(|server| server.answers_need_proof(self.reuse, now))
     }
 
-    /// Whether the server announces the end of a connection where a request asks for it, as its last answer to such a
-    /// request showed.
+    /// Whether the server announces the close of a connection when a request asks for it, according to its last answer
+    /// to such a request.
     pub fn announces_close(&self, key: K, now: Instant) -> bool {
         self.servers.get(&key).is_some_and(|server| server.observations.announces_close(now))
     }
 
-    /// A request that asked for its connection's end was answered; `announced`: the answer's head says that it ends.
+    /// Records an answer to a request that asked to close its connection. `announced`: the answer's head announces the
+    /// close.
     pub fn record_close_request(&mut self, key: K, announced: bool, now: Instant) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.observations.record_close_request(announced, now);
         }
     }
 
-    /// Looks at every connection at rest and drops those that are of no more use. Returns how many.
-    pub fn sweep_idle(&mut self, now: Instant, mut look: impl FnMut(&C) -> SocketState) -> usize {
+    /// Checks every idle connection and drops those that cannot be used any more. Returns how many were dropped.
+    pub fn sweep_idle(
+        &mut self,
+        now: Instant,
+        mut check_socket: impl FnMut(&C) -> SocketState,
+    ) -> usize {
         let (limits, ended) = (self.limits, &mut self.ended);
         let mut dropped = 0;
         for server in self.servers.values_mut() {
-            let retire = server.observations.retire_after(limits.idle_timeout, now);
+            let retire_after = server.observations.retire_after(limits.idle_timeout, now);
             let observations = &mut server.observations;
-            let before = server.resting.len();
-            server.resting.retain(|resting| {
-                let rested = now.saturating_duration_since(resting.since);
-                match look(&resting.connection) {
-                    SocketState::Quiet if rested < retire || mutant::is(Mutant::NotRetired) => {
+            let count_before = server.idle.len();
+            server.idle.retain(|entry| {
+                let idle_time = now.saturating_duration_since(entry.idle_since);
+                match check_socket(&entry.connection) {
+                    SocketState::Quiet
+                        if idle_time < retire_after || mutant::is(Mutant::ExpiredKept) =>
+                    {
                         return true;
                     }
                     SocketState::Quiet => ended.retired += 1,
                     SocketState::AddressChanged => ended.given_up += 1,
                     SocketState::Closed => {
-                        observations.closed_idle(rested, now);
+                        observations.record_idle_close(idle_time, now);
                         ended.closed += 1;
                     }
                     SocketState::StrayBytes => {
-                        observations.stray_bytes(rested, now);
+                        observations.record_stray_bytes(idle_time, now);
                         ended.stray += 1;
                     }
                 }
                 false
             });
-            dropped += before - server.resting.len();
+            dropped += count_before - server.idle.len();
         }
-        self.resting -= dropped;
+        self.idle -= dropped;
         dropped
     }
 
-    /// Ends a span over which peaks are taken, and forgets servers that had no connection for long.
+    /// Starts the next window for the peaks of connections in use. Forgets servers that had no connection for
+    /// [`FORGET_AFTER_WINDOWS`].
     pub fn start_next_window(&mut self) {
         self.servers.retain(|_, server| {
             server.last_peak = std::mem::replace(&mut server.peak, server.in_use);
-            server.unused = if server.all() == 0 { server.unused + 1 } else { 0 };
-            server.unused < FORGET_AFTER_WINDOWS || mutant::is(Mutant::NeverForgotten)
+            server.empty_windows =
+                if server.connection_count() == 0 { server.empty_windows + 1 } else { 0 };
+            server.empty_windows < FORGET_AFTER_WINDOWS || mutant::is(Mutant::UnusedServersKept)
         });
     }
 
-    /// Drops the connection that came to rest first, of all servers. False: none rests.
+    /// Drops the connection that has been idle for the longest time, of all servers. Returns false if none is idle.
     pub fn evict_oldest_idle(&mut self) -> bool {
-        let oldest = self.servers.values_mut().filter(|server| !server.resting.is_empty());
-        let oldest = oldest.min_by_key(|server| server.resting.front().map(|r| r.since));
-        let found = oldest.is_some_and(|server| {
-            let given_up = if mutant::is(Mutant::YoungestGivenUp) {
-                server.resting.pop_back()
+        let oldest = self.servers.values_mut().filter(|server| !server.idle.is_empty());
+        let oldest = oldest.min_by_key(|server| server.idle.front().map(|entry| entry.idle_since));
+        let was_evicted = oldest.is_some_and(|server| {
+            let evicted = if mutant::is(Mutant::NewestEvicted) {
+                server.idle.pop_back()
             } else {
-                server.resting.pop_front()
+                server.idle.pop_front()
             };
-            given_up.is_some()
+            evicted.is_some()
         });
-        self.resting -= usize::from(found && !mutant::is(Mutant::GivenUpStillCounted));
-        self.ended.given_up += u64::from(found);
-        found
+        self.idle -= usize::from(was_evicted && !mutant::is(Mutant::EvictedStillCounted));
+        self.ended.given_up += u64::from(was_evicted);
+        was_evicted
     }
 
-    /// Drops a server's connections that rest. `gone`: keeps none that are in use, either, once they
-    /// are released, and forgets what is known of it.
-    pub fn close_idle(&mut self, key: K, gone: bool) {
+    /// Drops a server's idle connections. `removed`: the server has left; its connections in use are dropped when they
+    /// are released, and then the pool forgets the server.
+    pub fn close_idle(&mut self, key: K, removed: bool) {
         let Some(server) = self.servers.get_mut(&key) else { return };
-        if !gone || !mutant::is(Mutant::RestingOfGone) {
-            self.resting -= server.resting.len();
-            self.ended.given_up += server.resting.len() as u64;
-            server.resting.clear();
+        if !removed || !mutant::is(Mutant::IdleKeptAfterRemoval) {
+            self.idle -= server.idle.len();
+            self.ended.given_up += server.idle.len() as u64;
+            server.idle.clear();
         }
-        server.gone |= gone;
-        self.forget(key);
+        server.removed |= removed;
+        self.forget_if_removed(key);
     }
 
-    /// How many servers something is known of.
+    /// The number of servers that the pool knows.
     pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// The connections of all servers, by state.
+    /// The number of connections of all servers, by state.
     pub fn counts(&self) -> Counts {
         let sum = |of: fn(&Server<C>) -> usize| self.servers.values().map(of).sum();
-        Counts { opening: sum(|s| s.opening), in_use: sum(|s| s.in_use), idle: self.resting }
+        Counts {
+            opening: sum(|server| server.opening),
+            in_use: sum(|server| server.in_use),
+            idle: self.idle,
+        }
     }
 
-    /// Why connections ended.
+    /// The number of connections that ended, by reason.
     pub fn ended(&self) -> Ended {
         self.ended
     }
--- a/crates/millethook-connect/src/pool/check.rs
+++ b/crates/millethook-connect/src/pool/check.rs
@@ -9,16 +9,16 @@
 use super::{FORGET_AFTER_WINDOWS, Limits, Pool};
 
 impl<K: Copy + Eq + Hash + std::fmt::Debug, C> Pool<K, C> {
-    /// Checks every invariant of the pool. Nothing in the running product calls it: it looks at each connection.
+    /// Checks every invariant of the pool. For tests only, since it visits each connection.
     ///
     /// # Errors
-    /// The first invariant that does not hold, with the values that break it.
+    /// Returns the first invariant that is violated, with the offending values.
     pub fn check(&self, now: Instant) -> Result<(), Violation> {
-        let resting: usize = self.servers.values().map(|server| server.resting.len()).sum();
+        let idle: usize = self.servers.values().map(|server| server.idle.len()).sum();
         Violation::unless(
-            self.resting == resting,
-            "each connection at rest is counted once",
-            &|| format!("{} counted, {resting} at rest", self.resting),
+            self.idle == idle,
+            "the count of idle connections matches the idle lists",
+            &|| format!("{} counted, {idle} idle", self.idle),
         )?;
         for (key, server) in &self.servers {
             server.check(&self.limits, now).map_err(|violation| Violation {
@@ -31,52 +31,59 @@
 }
 
 impl<C> Server<C> {
-    /// Checks what holds of the connections to one server.
+    /// Checks the invariants of the connections to one server.
     fn check(&self, limits: &Limits, now: Instant) -> Result<(), Violation> {
         let (rule, within) = (Violation::unless, Violation::unless_within);
-        within(self.all(), limits.per_server, "connections to a server are bounded")?;
-        within(self.opening, limits.opening, "handshakes with a server are bounded")?;
+        within(
+            self.connection_count(),
+            limits.per_server,
+            "the connections to a server are within their limit",
+        )?;
+        within(
+            self.opening,
+            limits.opening,
+            "the handshakes with a server are within their limit",
+        )?;
         let counts = &|| {
-            let resting = self.resting.len();
-            format!("{} opening, {} in use, {resting} at rest", self.opening, self.in_use)
+            let idle = self.idle.len();
+            format!("{} opening, {} in use, {idle} idle", self.opening, self.in_use)
         };
         rule(
-            !self.gone || self.resting.is_empty(),
-            "no connection rests whose server has left",
+            !self.removed || self.idle.is_empty(),
+            "a removed server has no idle connection",
             counts,
         )?;
         rule(
-            !self.gone || self.all() > 0,
-            "a server that has left and has no connection is forgotten",
+            !self.removed || self.connection_count() > 0,
+            "a removed server without connections is forgotten",
             counts,
         )?;
         rule(
-            self.unused < FORGET_AFTER_WINDOWS,
-            "a server that has no connection is forgotten in time",
-            &|| format!("{} spans without one", self.unused),
+            self.empty_windows < FORGET_AFTER_WINDOWS,
+            "a server without connections is forgotten after the limit of windows",
+            &|| format!("{} windows without a connection", self.empty_windows),
         )?;
         rule(
             self.in_use <= self.peak,
-            "the peak of a span is no less than what is in use",
+            "the peak of a window is at least the number of connections in use",
             &|| format!("{} in use, peak {}", self.in_use, self.peak),
         )?;
-        for resting in &self.resting {
-            let quarantine = resting.quarantined_until.checked_duration_since(resting.since);
+        for entry in &self.idle {
+            let quarantine = entry.quarantined_until.checked_duration_since(entry.idle_since);
             rule(
-                quarantine.is_some_and(|quarantine| {
-                    quarantine <= crate::observations::LONGEST_QUARANTINE
-                }),
-                "a quarantine has an end",
+                quarantine
+                    .is_some_and(|quarantine| quarantine <= crate::observations::MAX_QUARANTINE),
+                "a quarantine is within its maximum",
                 &|| format!("{quarantine:?} long"),
             )?;
-            rule(resting.since <= now, "what rests has come to rest", &|| {
-                format!("in {:?}", resting.since - now)
+            rule(entry.idle_since <= now, "no connection became idle in the future", &|| {
+                format!("in {:?}", entry.idle_since - now)
             })?;
         }
-        let times = self.resting.iter().map(|resting| resting.since);
+        let times = self.idle.iter().map(|entry| entry.idle_since);
         rule(
             times.is_sorted(),
-            "connections at rest stand in the order in which they came to rest",
+            "idle connections are in the order in which they became idle",
             counts,
         )?;
         self.observations.check(limits.idle_timeout, now)
--- a/crates/millethook-connect/src/pool/checkout.rs
+++ b/crates/millethook-connect/src/pool/checkout.rs
@@ -1,27 +1,28 @@
-//! How connections at rest look, and what a request gets.
+//! The state of an idle connection, and the result of a checkout.
 
 use std::time::{Duration, Instant};
 
-/// How a connection at rest looks.
+/// What a check of an idle connection found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketState {
-    /// Open and silent.
+    /// It is open, and no bytes have come.
     Quiet,
     /// The server has closed or reset it.
     Closed,
-    /// Bytes have come that nobody asked for.
+    /// Bytes have come that belong to no request.
     StrayBytes,
-    /// It leads to where its server no longer is.
+    /// Its server now has another address.
     AddressChanged,
 }
 
-/// What is to be had for a request.
+/// The result of asking the pool for a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Checkout<C> {
-    /// A connection that has rested for so long.
+    /// A pooled connection, and how long it was idle.
     Reuse(C, Duration),
-    /// None that may be used; one may be opened. It counts as opening from now on.
+    /// No pooled connection is usable, and a new one may be opened. It is counted as opening.
     Open,
-    /// None, and no more may be opened now; one will be out of quarantine by then, if it is known.
+    /// No pooled connection is usable, and no more may be opened now. The next quarantine ends at this time, if there
+    /// is a connection in quarantine.
     Wait(Option<Instant>),
 }
--- a/crates/millethook-connect/src/pool/counts.rs
+++ b/crates/millethook-connect/src/pool/counts.rs
@@ -1,25 +1,26 @@
-//! Counts of connections, for operators.
+//! Counts of connections for operators.
 
-/// How many connections are in which state.
+/// The number of connections in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Their handshake is under way.
+    /// Connections whose handshake is in progress.
     pub opening: usize,
-    /// With a request, or with an answer that is being discarded.
+    /// Connections with a request, or with an answer that is being discarded.
     pub in_use: usize,
-    /// Idle, those in quarantine among them.
+    /// Idle connections, including those in quarantine.
     pub idle: usize,
 }
 
-/// Why connections ended, in numbers since the start.
+/// The number of connections that ended since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ended {
-    /// The server closed them at rest.
+    /// The server closed them while they were idle.
     pub closed: u64,
     /// Bytes came that belong to no answer.
     pub stray: u64,
-    /// They had rested for as long as is safe.
+    /// They reached their maximum idle time.
     pub retired: u64,
-    /// They made room for another request, or their server has gone.
+    /// They were closed for another request, or because their server was removed, moved to another address, or may no
+    /// longer have its connections reused.
     pub given_up: u64,
 }
--- a/crates/millethook-connect/src/pool/limits.rs
+++ b/crates/millethook-connect/src/pool/limits.rs
@@ -1,4 +1,4 @@
-//! What bounds connections.
+//! Limits and the reuse of connections.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,20 +6,20 @@
 
 /// For how many requests a connection is used.
 ///
-/// An answer does not name its request (RFC 9112, section 9.3.2: order alone tells). A server that sends an answer twice
-/// may send the second copy once the next request on the connection has begun, and it looks like that one's answer.
-/// Whichever it is, connections of a server that has sent bytes in the last minute that belong to no answer are used as
-/// with [`Reuse::Proven`].
+/// An answer does not identify its request; only their order relates them (RFC 9112, section 9.3.2). If a server
+/// sends an answer twice, the second copy may come after the next request on the connection has begun, and then looks
+/// like the answer to that request. With every setting, the connections of a server that has sent stray bytes (bytes
+/// that belong to no answer) in the last minute are used as with [`Reuse::Proven`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// For any number. An answer that equals an earlier one on its connection is a copy where the answers of its class are
-    /// known to differ. Elsewhere servers are trusted to answer each request once.
+    /// For any number. Where the answers of a class are known to differ, an answer that equals an earlier one on its
+    /// connection is treated as a copy. Elsewhere servers are trusted to answer each request once.
     Unlimited,
-    /// For any number where the answers of a class are known to differ, and elsewhere as [`Reuse::Proven`]. A second answer
-    /// with another body than the first one is not recognized.
+    /// For any number where the answers of a class are known to differ, and elsewhere as with [`Reuse::Proven`]. A
+    /// second answer to the same request is not recognized if its body differs from the first one's.
     Compared,
-    /// For two. The second request asks for the connection's end, and its answer has to announce it. No earlier answer
-    /// on the connection did, so none of them can be taken for it.
+    /// For two. The second request asks to close the connection, and its answer has to announce the close. No earlier
+    /// answer on the connection announced it, so none of them can be mistaken for this one.
     Proven,
 }
 
@@ -48,17 +48,17 @@
     }
 }
 
-/// What bounds connections to one server.
+/// The limits of the connections to one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The most connections to one server, whatever they do.
+    /// The maximum number of connections to one server, in any state.
     pub per_server: usize,
-    /// The most that come up at once to one server. Many handshakes at once are what a server that has
-    /// just started has least room for, and one that answers none would hold every socket.
+    /// The maximum number of simultaneous handshakes with one server. Without this limit, a server that has just
+    /// started would get more handshakes than it can take, and one that answers none would hold every socket.
     pub opening: usize,
-    /// The most that are opened ahead of need, for each server.
+    /// The maximum number of spare connections that are opening ahead of need, for each server.
     pub spare: usize,
-    /// How long servers keep a connection at rest, as they say.
+    /// The configured time for which servers keep an idle connection open.
     pub idle_timeout: Duration,
 }
 
--- a/crates/millethook-connect/src/pool/matching.rs
+++ b/crates/millethook-connect/src/pool/matching.rs
@@ -1,4 +1,4 @@
-//! How an answer on a connection that has carried others is told to be its request's own.
+//! How to prove that an answer on a reused connection belongs to its request.
 
 use std::hash::Hash;
 use std::time::Instant;
@@ -7,21 +7,21 @@
 use crate::answers::Variety;
 use crate::request::Persistence;
 
-/// How an answer on a connection that has carried others is told to be its request's own.
+/// How to prove that an answer on a reused connection belongs to its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Matching {
-    /// It is taken on trust.
+    /// Without a proof: the server is trusted.
     Trust,
-    /// It differs from each answer that the connection has carried.
+    /// The answer differs from each answer that the connection has carried.
     DistinctContent,
-    /// It announces the end of the connection, which its request has asked for.
+    /// The answer announces the close of the connection, for which its request has asked.
     AnnouncedClose,
-    /// There is no such answer: the request goes out on a new connection.
+    /// The request is sent on a new connection, which has carried no other answer.
     NewConnection,
 }
 
 impl<K: Copy + Eq + Hash, C> Pool<K, C> {
-    /// How the answer to a request to a server is told from others; `variety`: that of the answers of its class.
+    /// How the answer to a request is matched. `variety` is that of the answers of the request's class.
     pub fn matching(&self, key: K, variety: Variety, now: Instant) -> Matching {
         if self.answers_need_proof(key, now) {
             return Matching::AnnouncedClose;
@@ -29,14 +29,15 @@
         match (variety, self.reuse) {
             (Variety::Distinct, _) => Matching::DistinctContent,
             (Variety::Unknown | Variety::Alike, Reuse::Unlimited) => Matching::Trust,
-            // Its connection is of use to later requests.
+            // The new connection can be reused by later requests.
             (Variety::Unknown, _) => Matching::NewConnection,
             (Variety::Alike, _) => Matching::AnnouncedClose,
         }
     }
 
-    /// Whether a request has to go out on a new connection, as its answer could be told from others on no used one. Where the
-    /// server itself is in doubt, [`Pool::checkout`] gives up what rests instead.
+    /// Whether a request needs a new connection, since its answer could not be proven on a reused one. If all answers
+    /// of the server need a proof, this is false: [`Pool::checkout`] then closes the idle connections that cannot
+    /// give one.
     pub fn needs_new(&self, key: K, matching: Matching, now: Instant) -> bool {
         match matching {
             Matching::Trust | Matching::DistinctContent => false,
@@ -47,8 +48,9 @@
         }
     }
 
-    /// What a request on a connection to a server says of that connection. Where the end has to be announced, all but the
-    /// first request on a connection ask for it, and so does each one to a server that is not known to announce it.
+    /// Whether a request asks to close its connection. Where the answer has to announce the close, all but the first
+    /// request on a connection ask for it, and so does every request to a server that is not known to announce it.
+    /// `used`: the connection has carried an answer.
     pub fn persistence(&self, key: K, matching: Matching, used: bool, now: Instant) -> Persistence {
         if matching == Matching::AnnouncedClose && (used || !self.announces_close(key, now)) {
             Persistence::Close
--- a/crates/millethook-connect/src/request/tests.rs
+++ b/crates/millethook-connect/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Requests as they are encoded.
+//! Encoded requests.
 
 use super::*;
 use http::HeaderValue;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn framing_fields_are_made_anew() {
+fn framing_fields_of_the_caller_are_replaced() {
     let mut headers = HeaderMap::new();
     headers.insert("x-account", HeaderValue::from_static("acme"));
     headers.insert("content-length", HeaderValue::from_static("7"));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_callers_host_goes_on_and_an_empty_post_says_so() {
+fn the_callers_host_is_kept_and_an_empty_post_has_a_length() {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_static("app.svc"));
     let uri = Uri::from_static("/look");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_body_that_follows_tells_its_length_or_comes_in_chunks() {
+fn a_streamed_body_has_a_length_or_is_chunked() {
     let uri = Uri::from_static("/keep");
     let framed = |framing| {
         let body = vec![Bytes::from_static(b"ab"), Bytes::from_static(b"cde")];
--- a/crates/millethook-connect/src/response.rs
+++ b/crates/millethook-connect/src/response.rs
@@ -1,5 +1,5 @@
-//! Answers, read as their bytes come: RFC 9112, sections 4 to 7. The head is parsed by `httparse`, as
-//! hyper has it; body lengths follow section 6.3.
+//! An incremental decoder of answers (RFC 9112, sections 4 to 7). Heads are parsed by `httparse`, as in hyper. The
+//! lengths of bodies follow section 6.3.
 
 mod framing;
 mod head;
@@ -10,48 +10,49 @@
 use framing::Framing;
 use head::Parsed;
 
-/// The longest head in bytes. A head without end would fill memory, on every connection at once.
-pub const LONGEST_HEAD: usize = 16 << 10;
-/// The longest line that tells a chunk's size, extensions included.
-const LONGEST_CHUNK_LINE: usize = 1024;
-/// The most interim answers ahead of one answer.
-const MOST_INTERIM: u8 = 16;
+/// The maximum length of a head. Without it, endless heads could fill the memory on every connection at once.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The maximum length of a line with a chunk's size, including extensions.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
+/// The maximum number of interim answers before the final one.
+const MAX_INTERIM_ANSWERS: u8 = 16;
 
 /// The head of a final answer.
 #[derive(Debug, PartialEq)]
 pub struct ResponseHead {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its fields.
+    /// The header fields.
     pub headers: HeaderMap,
-    /// The body's length, where the head tells it.
+    /// The length of the body, if the head gives it.
     pub length: Option<u64>,
 }
 
-/// What bytes of an answer come to.
+/// The next decoded part of an answer.
 #[derive(Debug, PartialEq)]
 pub enum Event {
     /// The head of the final answer.
     Head(ResponseHead),
-    /// The next piece of its body; not empty.
+    /// The next piece of the body, which is not empty.
     Data(Bytes),
-    /// The answer is whole.
+    /// The end of the answer.
     End,
 }
 
-/// Why bytes are no answer.
+/// Why bytes are no valid answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Malformed {
-    /// The head cannot be read, is too long, or changes the protocol.
+    /// The head is invalid or too long, or switches the protocol.
     Head,
-    /// The body's length is told in two ways, or in none that makes sense.
+    /// The length of the body is contradictory or invalid.
     Length,
-    /// A chunk cannot be read.
+    /// A chunk or the trailer is invalid or too long.
     Chunk,
-    /// The connection ended within it.
+    /// The connection ended before the end of the answer.
     Truncated,
 }
 
+/// What the decoder expects next, with the number of bytes that remain.
 #[derive(Debug, Default, PartialEq)]
 enum State {
     #[default]
@@ -65,21 +66,21 @@
     Done,
 }
 
-/// Reads one answer. Bytes beyond its end stay in the buffer.
+/// Decodes one answer. Bytes behind its end stay in the buffer.
 #[derive(Debug, Default)]
 pub struct Decoder {
     state: State,
     keep_alive: bool,
-    interim: u8,
-    /// Bytes of trailers so far.
-    trailers: usize,
+    interim_answers: u8,
+    /// The length of the trailers so far.
+    trailer_bytes: usize,
 }
 
 impl Decoder {
-    /// Takes what it can use from `buf`. None: it needs more.
+    /// Decodes bytes from the front of `buf`; None if more are needed.
     ///
     /// # Errors
-    /// The bytes are no answer; the connection is of no more use.
+    /// The bytes are no valid answer, and the connection cannot be used any more.
     pub fn next(&mut self, buf: &mut BytesMut) -> Result<Option<Event>, Malformed> {
         loop {
             match self.state {
@@ -88,26 +89,27 @@
                     self.state = State::Done;
                     return Ok(Some(Event::End));
                 }
-                State::Length(left) => {
-                    let Some(data) = piece(buf, left) else { return Ok(None) };
-                    self.state = State::Length(left - data.len() as u64);
+                State::Length(remaining) => {
+                    let Some(data) = take_up_to(buf, remaining) else { return Ok(None) };
+                    self.state = State::Length(remaining - data.len() as u64);
                     return Ok(Some(Event::Data(data)));
                 }
                 State::ChunkSize => match httparse::parse_chunk_size(buf) {
-                    Ok(httparse::Status::Complete((n, size))) => {
-                        let _ = buf.split_to(n);
+                    Ok(httparse::Status::Complete((line_len, size))) => {
+                        let _ = buf.split_to(line_len);
                         self.state =
                             if size == 0 { State::Trailers } else { State::ChunkData(size) };
                     }
-                    Ok(httparse::Status::Partial) if buf.len() <= LONGEST_CHUNK_LINE => {
+                    Ok(httparse::Status::Partial) if buf.len() <= MAX_CHUNK_LINE_BYTES => {
                         return Ok(None);
                     }
                     _ => return Err(Malformed::Chunk),
                 },
-                State::ChunkData(left) => {
-                    let Some(data) = piece(buf, left) else { return Ok(None) };
-                    let left = left - data.len() as u64;
-                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                State::ChunkData(remaining) => {
+                    let Some(data) = take_up_to(buf, remaining) else { return Ok(None) };
+                    let remaining = remaining - data.len() as u64;
+                    self.state =
+                        if remaining == 0 { State::ChunkEnd } else { State::ChunkData(remaining) };
                     return Ok(Some(Event::Data(data)));
                 }
                 State::ChunkEnd => match buf.get(..2) {
@@ -120,11 +122,11 @@
                 },
                 State::Trailers => {
                     let Some(end) = buf.iter().position(|&byte| byte == b'\n') else {
-                        let too_long = self.trailers + buf.len() > LONGEST_HEAD;
+                        let too_long = self.trailer_bytes + buf.len() > MAX_HEAD_BYTES;
                         return if too_long { Err(Malformed::Chunk) } else { Ok(None) };
                     };
-                    self.trailers += end + 1;
-                    if self.trailers > LONGEST_HEAD {
+                    self.trailer_bytes += end + 1;
+                    if self.trailer_bytes > MAX_HEAD_BYTES {
                         return Err(Malformed::Chunk);
                     }
                     let line = buf.split_to(end + 1);
@@ -133,16 +135,16 @@
                         return Ok(Some(Event::End));
                     }
                 }
-                State::UntilClose => return Ok(piece(buf, u64::MAX).map(Event::Data)),
+                State::UntilClose => return Ok(take_up_to(buf, u64::MAX).map(Event::Data)),
                 State::Done => return Ok(None),
             }
         }
     }
 
-    /// The server sends no more. Call it when [`Decoder::next`] can use nothing more.
+    /// Handles the end of the server's stream. To be called when [`Decoder::next`] returns None.
     ///
     /// # Errors
-    /// The answer is not whole.
+    /// The answer is incomplete.
     pub fn on_eof(&mut self) -> Result<Event, Malformed> {
         match self.state {
             State::UntilClose => {
@@ -158,30 +160,30 @@
         self.state != State::Head
     }
 
-    /// Whether the head, once it has come, lets the connection carry another answer.
+    /// Whether the head has come and allows another answer on the connection.
     pub fn keeps_alive(&self) -> bool {
         self.keep_alive
     }
 
-    /// Whether the whole answer has come.
+    /// Whether the complete answer has come.
     pub fn is_complete(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether the whole answer has come, and its connection may carry another one.
+    /// Whether the complete answer has come and the connection may carry another one.
     pub fn reusable(&self) -> bool {
         self.is_complete() && self.keep_alive
     }
 
-    /// Reads a head, and goes on with what it says of the body.
+    /// Decodes a head and prepares to decode the body.
     fn head(&mut self, buf: &mut BytesMut) -> Result<Option<Event>, Malformed> {
         loop {
             match head::parse(buf)? {
                 None => return Ok(None),
-                Some(Parsed::Interim) if self.interim >= MOST_INTERIM => {
+                Some(Parsed::Interim) if self.interim_answers >= MAX_INTERIM_ANSWERS => {
                     return Err(Malformed::Head);
                 }
-                Some(Parsed::Interim) => self.interim += 1,
+                Some(Parsed::Interim) => self.interim_answers += 1,
                 Some(Parsed::Final(head, body)) => {
                     self.keep_alive = body.keep_alive;
                     self.state = match body.framing {
@@ -196,30 +198,30 @@
     }
 }
 
-/// Whether bytes that came behind an answer begin another one that differs from it, so that the bytes do not tell which
-/// of the two was asked for. A second copy of the answer, noise, and a head that is cut short do not count.
-pub fn is_different_answer(mut behind: BytesMut, status: StatusCode, body: &[u8]) -> bool {
+/// Whether the bytes that follow an answer begin a different answer, so that it is unknown which of the two belongs to
+/// the request. A second copy of the answer, noise and an incomplete head do not count.
+pub fn is_different_answer(mut following: BytesMut, status: StatusCode, body: &[u8]) -> bool {
     let mut decoder = Decoder::default();
-    match decoder.next(&mut behind) {
+    match decoder.next(&mut following) {
         Ok(Some(Event::Head(head))) if head.status == status => {}
         Ok(Some(Event::Head(_))) => return true,
         _ => return false,
     }
-    let mut same = body;
+    let mut expected = body;
     loop {
-        match decoder.next(&mut behind) {
-            Ok(Some(Event::Data(piece))) => match same.strip_prefix(&piece[..]) {
-                Some(rest) => same = rest,
+        match decoder.next(&mut following) {
+            Ok(Some(Event::Data(piece))) => match expected.strip_prefix(&piece[..]) {
+                Some(rest) => expected = rest,
                 None => return true,
             },
-            Ok(Some(Event::End)) => return !same.is_empty(),
+            Ok(Some(Event::End)) => return !expected.is_empty(),
             _ => return false,
         }
     }
 }
 
-/// Takes the next bytes, `most` at most; None: there are none.
-fn piece(buf: &mut BytesMut, most: u64) -> Option<Bytes> {
-    let n = usize::try_from(most).unwrap_or(usize::MAX).min(buf.len());
-    (n > 0).then(|| buf.split_to(n).freeze())
+/// Takes up to `max_len` bytes from the front of `buf`; None if it is empty.
+fn take_up_to(buf: &mut BytesMut, max_len: u64) -> Option<Bytes> {
+    let len = usize::try_from(max_len).unwrap_or(usize::MAX).min(buf.len());
+    (len > 0).then(|| buf.split_to(len).freeze())
 }
--- a/crates/millethook-connect/tests/answers.rs
+++ b/crates/millethook-connect/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What answers are compared by.
+//! Fingerprints of answers, and what is learned from them.
 
 use http::StatusCode;
 use millethook_connect::answers::{
@@ -12,36 +12,37 @@
 const CLASS: u8 = 0;
 const OTHER: u8 = 1;
 
-/// Lets a class get so many answers of one server that differ; the next number.
-fn differing(
+/// Records `count` distinct answers of one server for [`CLASS`], numbered from `first`; returns the next number.
+fn observe_distinct(
     answers: &mut SeenAnswers<u8, u8>,
     key: &FingerprintKey,
-    from: usize,
-    n: usize,
+    first: usize,
+    count: usize,
 ) -> usize {
-    (from..from + n).for_each(|i| answers.observe(CLASS, answer(key, &format!("answer {i}")), 0));
-    from + n
+    (first..first + count)
+        .for_each(|i| answers.observe(CLASS, answer(key, &format!("answer {i}")), 0));
+    first + count
 }
 
 #[test]
-fn answers_differ_by_status_and_by_the_first_bytes_of_their_bodies() {
+fn fingerprints_cover_the_status_and_the_first_bytes_of_the_body() {
     let key = FingerprintKey::default();
-    let long = |last: &str| "-".repeat(COMPARED_BODY_BYTES) + last;
+    let long = |tail: &str| "-".repeat(COMPARED_BODY_BYTES) + tail;
     assert_eq!(answer(&key, "a"), answer(&key, "a"));
     assert_ne!(answer(&key, "a"), answer(&key, "b"));
     assert_ne!(answer(&key, "a"), key.fingerprint(StatusCode::CREATED, b"a"));
-    // A long answer is passed on behind those bytes, so that its copy may not be told by what follows.
+    // A long answer is forwarded once those bytes have come, so what follows may not tell it from its copy.
     assert_eq!(answer(&key, &long("a")), answer(&key, &long("b")));
     assert_ne!(
         answer(&key, "a"),
         answer(&FingerprintKey::default(), "a"),
-        "each key is another one"
+        "each key gives other fingerprints"
     );
 }
 
-/// Guards against a copy of an answer that was forgotten.
+/// Guards against accepting a copy of an answer that was forgotten.
 #[test]
-fn a_connection_remembers_all_that_it_has_carried() {
+fn a_connection_remembers_all_answers_that_it_has_carried() {
     let (key, mut carried) = (FingerprintKey::default(), CarriedAnswers::default());
     assert!(carried.is_empty());
     let mut n = 0;
@@ -50,31 +51,31 @@
         carried.add(answer(&key, "the same"));
         n += 1;
     }
-    assert!(n > 100, "a connection carries so many: {n}");
+    assert!(n > 100, "a connection carries more than 100 answers: {n}");
     assert!((0..n).all(|n| carried.contains(answer(&key, &n.to_string()))));
     assert!(!carried.contains(answer(&key, "another")));
 }
 
 #[test]
-fn a_class_has_to_show_that_its_answers_differ_and_more_so_behind_two_equal_ones() {
+fn answers_count_as_distinct_after_a_few_and_behind_equal_ones_after_many() {
     let (key, mut answers) = (FingerprintKey::default(), SeenAnswers::default());
-    let next = differing(&mut answers, &key, 0, 3);
+    let next = observe_distinct(&mut answers, &key, 0, 3);
     assert_eq!(answers.variety(CLASS, true), Variety::Unknown);
-    let next = differing(&mut answers, &key, next, 1);
+    let next = observe_distinct(&mut answers, &key, next, 1);
     assert_eq!(answers.variety(CLASS, false), Variety::Distinct);
     answers.observe(CLASS, answer(&key, "answer 0"), 1);
     assert_eq!(answers.variety(CLASS, true), Variety::Alike);
-    let next = differing(&mut answers, &key, next, 255);
+    let next = observe_distinct(&mut answers, &key, next, 255);
     assert_eq!(answers.variety(CLASS, true), Variety::Alike);
-    differing(&mut answers, &key, next, 1);
+    observe_distinct(&mut answers, &key, next, 1);
     assert_eq!(answers.variety(CLASS, false), Variety::Distinct);
 }
 
-/// Guards against unsafe requests that fail as the answers of their class are alike, unlike those of others.
+/// Guards against unsafe requests that fail because the answers of their class are equal, while those of others differ.
 #[test]
-fn what_must_not_run_twice_goes_by_the_answers_of_its_own_class() {
+fn unsafe_requests_depend_only_on_the_answers_of_their_own_class() {
     let (key, mut answers) = (FingerprintKey::default(), SeenAnswers::default());
-    differing(&mut answers, &key, 0, 4);
+    observe_distinct(&mut answers, &key, 0, 4);
     assert_eq!(answers.variety(OTHER, false), Variety::Unknown);
     assert_eq!(answers.variety(OTHER, true), Variety::Distinct);
     (0..2).for_each(|_| answers.observe(OTHER, answer(&key, "done"), 0));
@@ -82,9 +83,10 @@
     assert_eq!(answers.variety(CLASS, false), Variety::Distinct);
 }
 
-/// Guards against requests that fail or are repeated as each server's answers are equal, and differ from all others'.
+/// Guards against requests that fail or are retried because each server's answers are equal but differ from all other
+/// servers' answers.
 #[test]
-fn answers_of_many_servers_do_not_show_that_those_of_one_differ() {
+fn answers_that_differ_only_between_servers_are_not_distinct() {
     let (key, mut answers) = (FingerprintKey::default(), SeenAnswers::default());
     for server in 0..100 {
         answers.observe(CLASS, answer(&key, &format!("of {server}")), server);
@@ -95,9 +97,9 @@
 }
 
 #[test]
-fn a_copy_says_nothing_of_the_answers_of_a_class() {
+fn a_copy_does_not_count_as_an_equal_answer() {
     let (key, mut answers) = (FingerprintKey::default(), SeenAnswers::default());
-    differing(&mut answers, &key, 0, 4);
+    observe_distinct(&mut answers, &key, 0, 4);
     answers.record_equal(CLASS);
     assert_eq!(answers.variety(CLASS, true), Variety::Alike);
     answers.record_copy(CLASS);
--- a/crates/millethook-connect/tests/request.rs
+++ b/crates/millethook-connect/tests/request.rs
@@ -1,14 +1,14 @@
-//! What a request is as servers read it: each field that the encoder owns once.
+//! The heads of requests as servers read them: each field that the encoder owns appears once.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use millethook_connect::EncodedRequest;
-use millethook_connect::request::{Framing, OWNED, Persistence};
+use millethook_connect::request::{ENCODER_OWNED, Framing, Persistence};
 
-/// The names and values of a head's fields, in their order.
-fn fields(request: &EncodedRequest, left_ms: u64) -> Vec<(String, String)> {
+/// The names and values of a head's fields in their order.
+fn fields(request: &EncodedRequest, time_left_ms: u64) -> Vec<(String, String)> {
     let mut head = Vec::new();
-    request.head_into(&mut head, left_ms, "10.0.0.1:80", Persistence::KeepAlive);
+    request.head_into(&mut head, time_left_ms, "10.0.0.1:80", Persistence::KeepAlive);
     let head = String::from_utf8(head).expect("text");
     let lines = head.strip_suffix("\r\n\r\n").expect("one empty line").split("\r\n").skip(1);
     let field = |line: &str| {
@@ -19,14 +19,14 @@
 }
 
 fn values<'f>(fields: &'f [(String, String)], name: &str) -> Vec<&'f str> {
-    fields.iter().filter(|f| f.0 == name).map(|f| f.1.as_str()).collect()
+    fields.iter().filter(|field| field.0 == name).map(|field| field.1.as_str()).collect()
 }
 
-/// A caller's headers with each owned field once, or twice.
-fn callers(times: usize) -> HeaderMap {
+/// A caller's headers with each owned field, `times` times.
+fn caller_headers(times: usize) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for _ in 0..times {
-        for name in OWNED {
+        for name in ENCODER_OWNED {
             headers.append(name, HeaderValue::from_static("9999"));
         }
     }
@@ -35,34 +35,38 @@
 }
 
 #[test]
-fn what_the_encoder_owns_stands_once_whatever_the_caller_wrote() {
+fn fields_of_the_encoder_appear_once_whatever_the_caller_sent() {
     let uri = Uri::from_static("/order");
     for times in 0..3 {
         for framing in [Framing::Complete, Framing::Length(70_000), Framing::Chunked] {
             let body = vec![Bytes::from_static(b"abc")];
-            let headers = callers(times);
+            let headers = caller_headers(times);
             let request = EncodedRequest::framed(&Method::POST, &uri, &headers, body, framing);
             let fields = fields(&request, 480);
-            let told = format!("{framing:?}, {times} times: {fields:?}");
-            assert_eq!(values(&fields, "x-time-left-ms"), ["480"], "{told}");
-            assert_eq!(values(&fields, "host").len(), 1, "{told}");
-            assert_eq!(values(&fields, "x-account"), ["acme"], "{told}");
+            let context = format!("{framing:?}, {times} times: {fields:?}");
+            assert_eq!(values(&fields, "x-time-left-ms"), ["480"], "{context}");
+            assert_eq!(values(&fields, "host").len(), 1, "{context}");
+            assert_eq!(values(&fields, "x-account"), ["acme"], "{context}");
             let (length, coding) =
                 (values(&fields, "content-length"), values(&fields, "transfer-encoding"));
             match framing {
-                Framing::Complete => assert!(length == ["3"] && coding.is_empty(), "{told}"),
-                Framing::Length(_) => assert!(length == ["70000"] && coding.is_empty(), "{told}"),
-                Framing::Chunked => assert!(length.is_empty() && coding == ["chunked"], "{told}"),
+                Framing::Complete => assert!(length == ["3"] && coding.is_empty(), "{context}"),
+                Framing::Length(_) => {
+                    assert!(length == ["70000"] && coding.is_empty(), "{context}")
+                }
+                Framing::Chunked => {
+                    assert!(length.is_empty() && coding == ["chunked"], "{context}")
+                }
             }
         }
     }
 }
 
 #[test]
-fn a_request_asks_for_its_connections_end_once_whatever_the_caller_wrote() {
+fn connection_close_appears_once_whatever_the_caller_sent() {
     let uri = Uri::from_static("/look");
     for times in 0..3 {
-        let request = EncodedRequest::new(&Method::GET, &uri, &callers(times), Vec::new());
+        let request = EncodedRequest::new(&Method::GET, &uri, &caller_headers(times), Vec::new());
         let mut head = Vec::new();
         request.head_into(&mut head, 1, "10.0.0.1:80", Persistence::Close);
         let head = String::from_utf8(head).expect("text");
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn the_callers_host_goes_on_and_without_one_the_address_does() {
+fn the_host_is_the_callers_or_the_address_of_the_server() {
     let uri = Uri::from_static("/look");
     let encoded = |headers| EncodedRequest::new(&Method::GET, &uri, &headers, Vec::new());
     let mut headers = HeaderMap::new();
