--- a/crates/millethook-connect/tests/common/mod.rs
+++ b/crates/millethook-connect/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Random load on a pool, beside a record of each connection that knows nothing of the pool's insides.
+//! Random load on a pool, compared with a model that does not use the internals of the pool.
 
-mod record;
+mod connections;
+mod model;
 mod script;
-mod world;
 
+pub use model::run_script;
 pub use script::script;
-pub use world::play;
--- a/crates/millethook-connect/tests/contract.rs
+++ b/crates/millethook-connect/tests/contract.rs
@@ -1,11 +1,11 @@
-//! The contract: what is known of a request from how much of it was sent.
+//! Whether a request may have run, given how much of it was sent.
 
 use millethook_connect::contract::Execution::{MayHaveRun, NeverRan};
 use millethook_connect::contract::{Begins, Progress};
 
-/// The design note's table, cell by cell.
+/// Each cell of the table in the design documents.
 #[test]
-fn each_state_proves_what_the_table_says() {
+fn each_progress_has_the_execution_of_the_design_table() {
     let table = [
         (Progress::NotConnected, NeverRan, NeverRan),
         (Progress::Connected, NeverRan, NeverRan),
@@ -22,19 +22,19 @@
 }
 
 #[test]
-fn progress_follows_from_bytes() {
+fn progress_follows_from_the_written_bytes() {
     let of = |written| Progress::of(written, 10, 3);
     assert_eq!(of(0), Progress::Connected);
     assert_eq!((of(1), of(9)), (Progress::PartOfHead, Progress::PartOfHead));
     assert_eq!((of(10), of(12)), (Progress::PartOfBody, Progress::PartOfBody));
     assert_eq!(of(13), Progress::Complete);
-    // Without a body the head's last byte is the request's.
+    // Without a body the last byte of the head is the last byte of the request.
     assert_eq!(Progress::of(10, 10, 0), Progress::Complete);
     assert_eq!(Progress::of(9, 10, 0), Progress::PartOfHead);
 }
 
 #[test]
-fn the_commit_point_is_the_first_byte_that_may_have_run() {
+fn requests_may_have_run_from_the_commit_point_on() {
     for begins in [Begins::Head, Begins::Whole] {
         for (head, body) in [(1, 0), (10, 0), (10, 1), (10, 2), (10, 70_000)] {
             let commit = begins.commit_point(head, body);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn contracts_are_named_as_in_files() {
+fn the_names_are_those_of_the_configuration_files() {
     assert_eq!("head".parse(), Ok(Begins::Head));
     assert_eq!(Begins::Whole.to_string().parse(), Ok(Begins::Whole));
     let wrong = "body".parse::<Begins>();
--- a/crates/millethook-connect/tests/matching.rs
+++ b/crates/millethook-connect/tests/matching.rs
@@ -1,4 +1,4 @@
-//! How an answer on a used connection is told to be its request's own, and on which connections that can be.
+//! How answers on reused connections are matched to their requests, and which connections allow it.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 const MS: Duration = Duration::from_millis(1);
 const KEY: u8 = 0;
 
-/// A pool with so many connections at rest, the most that it may have.
+/// A pool with the maximum number of connections, all of them idle.
 fn full(reuse: Reuse, now: Instant) -> Pool<u8, u32> {
     let limits = Limits { per_server: 3, opening: 2, ..Limits::default() };
     let mut pool = Pool::new(limits, reuse);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn answers_are_compared_where_they_differ() {
+fn the_matching_depends_on_the_setting_and_the_variety_of_answers() {
     use Matching::{AnnouncedClose, DistinctContent, NewConnection, Trust};
     let now = Instant::now();
     let table = [
@@ -35,21 +35,21 @@
         pool.set_reuse(reuse);
         let varieties = [Variety::Distinct, Variety::Unknown, Variety::Alike];
         assert_eq!(varieties.map(|variety| pool.matching(KEY, variety, now)), expected, "{reuse}");
-        // A server that has sent stray bytes.
+        // The server has sent stray bytes.
         pool.discard(KEY, true, now);
         assert_eq!(pool.matching(KEY, Variety::Distinct, now), AnnouncedClose, "{reuse}");
     }
 }
 
-/// Guards against a request that is not told from others, and against one that waits behind connections at rest.
+/// Guards against a request whose answer cannot be matched, and against one that waits while connections are idle.
 #[test]
-fn a_request_that_needs_a_new_connection_gets_one_though_all_are_at_rest() {
+fn idle_connections_make_room_for_a_request_that_needs_a_new_one() {
     let now = Instant::now();
     let mut pool = full(Reuse::Compared, now);
     assert!(pool.needs_new(KEY, Matching::NewConnection, now));
     assert!(
         pool.needs_new(KEY, Matching::AnnouncedClose, now),
-        "nobody knows whether it announces ends"
+        "it is unknown whether the server announces the close"
     );
     assert!(!pool.needs_new(KEY, Matching::DistinctContent, now));
     assert_eq!(pool.checkout_new(KEY), Checkout::Open);
@@ -57,12 +57,12 @@
     assert_eq!(pool.ended().given_up, 1);
     assert_eq!(pool.checkout_new(KEY), Checkout::Open);
     assert_eq!(pool.checkout_new(KEY), Checkout::Wait(None), "two handshakes at once");
-    assert_eq!(pool.counts().idle, 1, "nothing is given up in vain");
+    assert_eq!(pool.counts().idle, 1, "no connection is closed without need");
     assert_eq!(pool.check(now), Ok(()));
 }
 
 #[test]
-fn the_end_is_asked_for_where_it_has_to_tell() {
+fn requests_ask_to_close_where_the_close_proves_the_answer() {
     let now = Instant::now();
     let mut pool = full(Reuse::Compared, now);
     let persistence =
@@ -73,12 +73,12 @@
     assert_eq!(
         persistence(&pool, Matching::AnnouncedClose, false),
         Persistence::Close,
-        "to learn whether it announces it"
+        "to learn whether the server announces the close"
     );
     pool.record_close_request(KEY, true, now);
     assert_eq!(persistence(&pool, Matching::AnnouncedClose, false), Persistence::KeepAlive);
     assert_eq!(persistence(&pool, Matching::AnnouncedClose, true), Persistence::Close);
     assert!(!pool.needs_new(KEY, Matching::AnnouncedClose, now));
-    let looked = |_: &u32| SocketState::Quiet;
-    assert_eq!(pool.checkout(KEY, now + MS, looked), Checkout::Reuse(2, MS));
+    let quiet = |_: &u32| SocketState::Quiet;
+    assert_eq!(pool.checkout(KEY, now + MS, quiet), Checkout::Reuse(2, MS));
 }
--- a/crates/millethook-connect/tests/search.rs
+++ b/crates/millethook-connect/tests/search.rs
@@ -1,21 +1,21 @@
-//! Random load on the pool: requests, ends of connections in each state, lists that take servers off and bring them
-//! back, time that jumps. The pool's own invariants and the owner's rules hold after each step.
+//! Random load on the pool: requests, connections that end in each state, servers that are removed and come back, and
+//! time that jumps. The invariants of the pool and the rules of the model are checked after each step.
 
 mod common;
 
-use common::{play, script};
+use common::{run_script, script};
 use proptest::prelude::*;
 
-/// The longest script.
+/// The maximum length of a script.
 const STEPS: usize = 80;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn nothing_that_may_never_be_comes_of_random_load(script in script(STEPS)) {
-        if let Err(broken) = play(&script) {
-            return Err(TestCaseError::fail(broken));
+    fn random_load_breaks_no_rule(script in script(STEPS)) {
+        if let Err(violation) = run_script(&script) {
+            return Err(TestCaseError::fail(violation));
         }
     }
 }
@@ -23,17 +23,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The long form.
+    /// The same with more and longer scripts.
     #[test]
     #[ignore = "takes minutes"]
-    fn nothing_that_may_never_be_comes_of_long_random_load(script in script(4 * STEPS)) {
-        if let Err(broken) = play(&script) {
-            return Err(TestCaseError::fail(broken));
+    fn long_random_load_breaks_no_rule(script in script(4 * STEPS)) {
+        if let Err(violation) = run_script(&script) {
+            return Err(TestCaseError::fail(violation));
         }
     }
 }
 
-/// Each rule that is taken out is missed by the same search.
+/// The same search finds a violation with each mutant.
 #[cfg(feature = "mutants")]
 #[test]
 fn each_missing_rule_is_found() {
@@ -46,12 +46,13 @@
         let config = Config { cases: 4_000, failure_persistence: None, ..Config::default() };
         let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
         let mut runner = TestRunner::new_with_rng(config, random);
-        let found = runner.run(&script(STEPS), |script| play(&script).map_err(TestCaseError::fail));
+        let found =
+            runner.run(&script(STEPS), |script| run_script(&script).map_err(TestCaseError::fail));
         become_mutant(None);
         match found {
             Ok(()) => missed.push(*mutant),
             Err(found) => println!("{mutant:?}: {found}"),
         }
     }
-    assert!(missed.is_empty(), "not missed by any test: {missed:?}");
+    assert!(missed.is_empty(), "mutants without a violation: {missed:?}");
 }
