--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -14,8 +14,8 @@
 use coppercart::api::{LoadReport, Outcome, ServerId};
 use http::{HeaderMap, StatusCode};
 use millethook_connect::answers::{Fingerprint, Variety};
-use millethook_connect::exchange::turns_away;
-use millethook_connect::facts::Caught;
+use millethook_connect::exchange::is_unprocessed_rejection;
+use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::{Begins, Event, Exchange, Execution, ResponseHead};
 use tokio::task::spawn_local;
@@ -142,7 +142,7 @@
         };
         // Answers of the class count as equal from now on, unless this one turns out to be a copy, whose server is caught: so
         // this happens once in hundreds of answers, or once a minute at a server.
-        let on_new = || Matching::First;
+        let on_new = || Matching::NewConnection;
         let again = self.try_once(at, class, request, &gate, until, &on_new).await;
         match again {
             // The first one may have run, whatever became of this one.
@@ -236,11 +236,11 @@
         // Danger: a connection that has rested may be reset by the first bytes written to it, and so may
         // a new one whose server has nobody to serve it. What must not run twice could then be sent
         // nowhere else, had all of it been written.
-        let trial = self.pool.borrow().trial(server, rested, request.repeatable, now);
+        let trial = self.pool.borrow().hold_time(server, rested, request.repeatable, now);
         let trial = trial.filter(|trial| *trial <= left / TRIAL_SHARE);
         // The server may have been caught while a connection was waited for.
         let matching = if self.pool.borrow().answers_need_proof(server, now) {
-            Matching::End
+            Matching::AnnouncedClose
         } else {
             matching
         };
@@ -250,7 +250,7 @@
         let body = request.encoded.body_len();
         let mut exchange = Exchange::new(self.config.begins, head.len(), body, trial.is_some());
         if request.upload.is_some() {
-            exchange.follow();
+            exchange.expect_more_body();
         }
         let figures = (!request.own_page).then(|| self.figures.clone());
         let message = (request.clone(), head);
@@ -261,8 +261,12 @@
         if let Some(trial) = trial {
             event = timeout(trial, running.event(false)).await.ok();
             if event.as_ref().is_some_and(Result::is_err) {
-                let caught = if running.begun() { Caught::Stray } else { Caught::Break };
-                self.pool.borrow_mut().caught(server, caught, Instant::now());
+                let caught = if running.begun() {
+                    ConnectionFault::StrayBytes
+                } else {
+                    ConnectionFault::Broken
+                };
+                self.pool.borrow_mut().record_fault(server, caught, Instant::now());
             }
             running.exchange.commit();
         }
@@ -299,7 +303,8 @@
         for skipped in 0..=MOST_SKIPPED {
             let report = self.report(&head);
             if !is_served(self.config.begins, head.status) {
-                let outcome = if turns_away(&head) { Outcome::Full } else { Outcome::Error };
+                let outcome =
+                    if is_unprocessed_rejection(&head) { Outcome::Full } else { Outcome::Error };
                 spawn_local(discard(running));
                 return Ok(AttemptOutcome::end(outcome, report));
             }
--- a/crates/millethook-engine/src/upstream/attempt/running.rs
+++ b/crates/millethook-engine/src/upstream/attempt/running.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use millethook_connect::answers::Fingerprint;
 use millethook_connect::pool::Matching;
-use millethook_connect::request::{LAST_CHUNK, PIECES, Persistence, chunk};
+use millethook_connect::request::{LAST_CHUNK, MAX_IO_SLICES, Persistence, chunk};
 use millethook_connect::{EncodedRequest, Event, Exchange, Execution, Failure, Progress};
 use smallvec::SmallVec;
 use tokio::sync::mpsc;
@@ -112,7 +112,7 @@
             }
             loop {
                 write(cx, connection, exchange, &request.encoded, head, following);
-                if !exchange.wants_more() {
+                if !exchange.needs_more_body() {
                     break;
                 }
                 match poll_follow(cx, exchange, request, following) {
@@ -125,7 +125,7 @@
                     Poll::Pending => break,
                 }
             }
-            if exchange.progress() == Progress::Whole {
+            if exchange.progress() == Progress::Complete {
                 *message = None;
                 if let Some(figures) = figures {
                     figures.attempt_written();
@@ -138,11 +138,13 @@
         match connection.poll_read(cx) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Ok(0)) => {
-                let end = exchange.closed(&connection.buf).map(Step::Event);
+                let end = exchange.on_eof(&connection.buf).map(Step::Event);
                 return Poll::Ready(end);
             }
             Poll::Ready(Ok(_)) => {}
-            Poll::Ready(Err(_)) => return Poll::Ready(Err(exchange.broken(&connection.buf))),
+            Poll::Ready(Err(_)) => {
+                return Poll::Ready(Err(exchange.failure_on_break(&connection.buf)));
+            }
         }
         let event = exchange.read(&mut connection.buf)?;
         Poll::Ready(Ok(event.map_or(Step::Progress, Step::Event)))
@@ -178,7 +180,7 @@
     pub fn caller_gone(&self) -> bool {
         let following = self.following.as_ref();
         following.is_some_and(|f| f.rest.is_closed() && f.rest.is_empty())
-            && self.exchange.wants_more()
+            && self.exchange.needs_more_body()
     }
 
     pub fn begun(&mut self) -> bool {
@@ -200,7 +202,7 @@
         if from == to {
             return;
         }
-        let mut slices = [IoSlice::new(&[]); PIECES];
+        let mut slices = [IoSlice::new(&[]); MAX_IO_SLICES];
         let n = match following {
             Some(following) if from >= following.at => following.slices(from, &mut slices),
             _ => encoded.slices(head, (from, to), &mut slices),
@@ -215,7 +217,7 @@
 
 impl Following {
     /// What lies from `from` on.
-    fn slices<'a>(&'a self, from: usize, out: &mut [IoSlice<'a>; PIECES]) -> usize {
+    fn slices<'a>(&'a self, from: usize, out: &mut [IoSlice<'a>; MAX_IO_SLICES]) -> usize {
         let (mut at, mut n) = (self.at, 0);
         for piece in &self.pieces {
             let skip = from.saturating_sub(at).min(piece.len());
@@ -252,7 +254,7 @@
         Some(Piece::Data(data)) if chunked => following.pieces.extend(chunk(data)),
         Some(Piece::Data(data)) => following.pieces.push(data),
         Some(Piece::End) => {
-            exchange.finish();
+            exchange.finish_body();
             if chunked {
                 following.pieces.push(LAST_CHUNK);
             }
@@ -260,6 +262,6 @@
         None => return Poll::Ready(Followed::Gone),
     }
     following.at = written;
-    exchange.extend(following.pieces.iter().map(Bytes::len).sum());
+    exchange.extend_body(following.pieces.iter().map(Bytes::len).sum());
     Poll::Ready(Followed::Changed)
 }
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -18,7 +18,9 @@
 use coppercart::api::{Outcome, ServerId};
 use millethook_connect::Begins;
 use millethook_connect::answers::{FingerprintKey, SeenAnswers};
-use millethook_connect::pool::{Checkout, Counts, Ended, Limits, Look, Matching, Pool, Reuse};
+use millethook_connect::pool::{
+    Checkout, Counts, Ended, Limits, Matching, Pool, Reuse, SocketState,
+};
 use rustc_hash::FxHashMap;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::task::spawn_local;
@@ -106,7 +108,7 @@
     async fn watch(self: Rc<Upstream>) {
         poll_fn(|cx| {
             self.watcher.replace(cx.waker().clone());
-            self.pool.borrow_mut().watch(Instant::now(), |connection| connection.watched(cx));
+            self.pool.borrow_mut().sweep_idle(Instant::now(), |connection| connection.watched(cx));
             Poll::<()>::Pending
         })
         .await;
@@ -118,13 +120,13 @@
         loop {
             tokio::select! {
                 () = self.sockets.servers.wanted() => {
-                    self.pool.borrow_mut().give_up_one();
+                    self.pool.borrow_mut().evict_oldest_idle();
                 }
                 () = sleep_until(next.into()) => {
                     next = Instant::now() + SWEEP;
                     let mut pool = self.pool.borrow_mut();
-                    pool.watch(Instant::now(), |_| Look::Quiet);
-                    pool.next_span();
+                    pool.sweep_idle(Instant::now(), |_| SocketState::Quiet);
+                    pool.start_next_window();
                     // Those that nobody holds or waits for.
                     self.turns.borrow_mut().retain(|_, turns| Arc::strong_count(turns) > 1);
                 }
@@ -161,9 +163,9 @@
         // From now on the watch is woken by what happens on it.
         let watcher = self.watcher.borrow().clone();
         let looked = connection.watched(&mut std::task::Context::from_waker(&watcher));
-        if looked != Look::Quiet {
+        if looked != SocketState::Quiet {
             drop(connection);
-            return self.discarded(server, looked == Look::Stray);
+            return self.discarded(server, looked == SocketState::StrayBytes);
         }
         let has_room = {
             let mut pool = self.pool.borrow_mut();
@@ -181,18 +183,18 @@
             }
             // Danger: what waits for a socket alone would not see that all of them rest.
             None if self.starved.get() > 0 => {
-                self.pool.borrow_mut().give_up_one();
+                self.pool.borrow_mut().evict_oldest_idle();
             }
             None => {}
         }
     }
 
     fn used_quietly(&self, server: ServerId) {
-        self.pool.borrow_mut().used_quietly(server);
+        self.pool.borrow_mut().record_clean_reuse(server);
     }
 
     fn discarded(&self, server: ServerId, stray: bool) {
-        self.pool.borrow_mut().discarded(server, stray, Instant::now());
+        self.pool.borrow_mut().discard(server, stray, Instant::now());
         self.room(server);
     }
 
@@ -303,7 +305,7 @@
         self.starved.set(self.starved.get() + 1);
         let _starved = Starved(&self.starved);
         // A connection at rest, here or with another engine of the budget, makes room.
-        if !self.pool.borrow_mut().give_up_one() {
+        if !self.pool.borrow_mut().evict_oldest_idle() {
             self.sockets.servers.want();
         }
         let left = until.saturating_duration_since(Instant::now());
@@ -314,7 +316,7 @@
                 permit = &mut taken => return permit.map(Some).ok_or(Outcome::Moot),
                 () = waiting.at.rested.notified() => {
                     if needs_new {
-                        self.pool.borrow_mut().give_up_one();
+                        self.pool.borrow_mut().evict_oldest_idle();
                         continue;
                     }
                     // Danger: whoever left for nothing would free a handshake's place, wake the next
@@ -329,7 +331,7 @@
 
     /// Opens a connection ahead of need, where a rise shows.
     fn spare(self: &Rc<Upstream>, server: ServerId, dial: SocketAddr) {
-        if self.config.limits.spare == 0 || !self.pool.borrow_mut().spare(server) {
+        if self.config.limits.spare == 0 || !self.pool.borrow_mut().start_spare(server) {
             return;
         }
         let upstream = self.clone();
@@ -348,8 +350,8 @@
             };
             let watcher = upstream.watcher.borrow().clone();
             let mut cx = std::task::Context::from_waker(&watcher);
-            let opened = opened.filter(|(c, _)| c.watched(&mut cx) == Look::Quiet);
-            upstream.pool.borrow_mut().opened_spare(server, opened, Instant::now());
+            let opened = opened.filter(|(c, _)| c.watched(&mut cx) == SocketState::Quiet);
+            upstream.pool.borrow_mut().spare_handshake_finished(server, opened, Instant::now());
             if let Some((_, waiters)) = upstream.waiting.borrow().get(&server) {
                 waiters.rested.notify_one();
             }
@@ -380,7 +382,7 @@
 
 impl Drop for Opening<'_> {
     fn drop(&mut self) {
-        self.upstream.pool.borrow_mut().opened(self.server, self.took);
+        self.upstream.pool.borrow_mut().handshake_finished(self.server, self.took);
         self.upstream.room(self.server);
     }
 }
