--- a/crates/millethook-http/src/answer.rs
+++ b/crates/millethook-http/src/answer.rs
@@ -46,12 +46,12 @@
 }
 
 /// A server's answer that is whole.
-pub fn whole(head: Head, body: Bytes) -> Response<AnswerBody> {
+pub fn complete_response(head: Head, body: Bytes) -> Response<AnswerBody> {
     answer(head, Either::Left(Full::new(body)))
 }
 
 /// A server's answer that is still coming in.
-pub fn long(mut long: StreamingReply) -> Response<AnswerBody> {
+pub fn streaming_response(mut long: StreamingReply) -> Response<AnswerBody> {
     let head = std::mem::take(&mut long.head);
     answer(head, Either::Right(Pieces::from(long)))
 }
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -231,8 +231,8 @@
 
 fn written(reply: Reply) -> Response<AnswerBody> {
     match reply {
-        Reply::Served(head, body) => answer::whole(head, body),
-        Reply::Streaming(long) => answer::long(long),
+        Reply::Served(head, body) => answer::complete_response(head, body),
+        Reply::Streaming(long) => answer::streaming_response(long),
         Reply::Refused { retry_after, .. } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
             if let Some(value) = retry_after.and_then(answer::retry_after) {
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -164,10 +164,10 @@
         };
         match reply {
             Reply::Served(head, body) => {
-                Ok(answer::whole(head, body).map(|body| Body::new(body, None)))
+                Ok(answer::complete_response(head, body).map(|body| Body::new(body, None)))
             }
             Reply::Streaming(long) => {
-                Ok(answer::long(long).map(|body| Body::new(body, Some(entered))))
+                Ok(answer::streaming_response(long).map(|body| Body::new(body, Some(entered))))
             }
             Reply::Refused { retry_after, may_have_run } => {
                 let execution =
