--- a/crates/millethook-http/src/body.rs
+++ b/crates/millethook-http/src/body.rs
@@ -83,11 +83,11 @@
 
 /// What has been read of a body.
 #[derive(Debug)]
-pub enum Held {
+pub enum BufferedBody {
     /// All of it.
-    Whole(Vec<Bytes>),
+    Complete(Vec<Bytes>),
     /// More than [`LONGEST_BODY`] bytes, and more may follow.
-    Part(Vec<Bytes>),
+    Partial(Vec<Bytes>),
 }
 
 /// Reads as much of a body as is held, on the `account`: all of it, or its first [`LONGEST_BODY`] bytes and
@@ -100,12 +100,12 @@
 /// Says whether it is announced as longer than `most` bytes, comes too slowly or broke off.
 ///
 /// Dropped on the way, it gives back nothing: that is the account's own part.
-pub async fn hold<B>(
+pub async fn buffer_body<B>(
     body: &mut B,
     most: u64,
     account: &mut ByteReservation,
     pace: &mut Pace,
-) -> Result<Held, ReadError<B::Error>>
+) -> Result<BufferedBody, ReadError<B::Error>>
 where
     B: Body + Unpin,
 {
@@ -117,7 +117,7 @@
         return Err(ReadError::TooLong);
     }
     if body.is_end_stream() {
-        return Ok(Held::Whole(pieces));
+        return Ok(BufferedBody::Complete(pieces));
     }
     account.grow(PIECE).await;
     let more = loop {
@@ -144,7 +144,7 @@
     if !piece.is_empty() {
         pieces.push(piece.freeze());
     }
-    Ok(if more { Held::Part(pieces) } else { Held::Whole(pieces) })
+    Ok(if more { BufferedBody::Partial(pieces) } else { BufferedBody::Complete(pieces) })
 }
 
 /// How servers are told the length of a body of which `held` bytes are here.
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -16,7 +16,7 @@
 use super::Ingress;
 use super::client::{Client, Phase};
 use crate::answer::{self, AnswerBody};
-use crate::body::{FeedError, Gone, Held, Pace, ReadError, feed, framing, hold};
+use crate::body::{BufferedBody, FeedError, Gone, Pace, ReadError, buffer_body, feed, framing};
 use crate::edge::{CONTEXT, Kept, Receipt};
 use crate::guard::HeadScan;
 use crate::head::{HeadOverrides, parse_head};
@@ -79,7 +79,7 @@
             return Ok(Err(StatusCode::BAD_REQUEST));
         }
         let (method, uri, headers) = (&head.method, &head.uri, &head.headers);
-        // Held until the request is taken: while it is, its class keeps its place.
+        // BufferedBody until the request is taken: while it is, its class keeps its place.
         let names = self.names.borrow().clone();
         let (request_head, id) =
             match parse_head(&names, method, uri, headers, HeadOverrides::default()) {
@@ -101,7 +101,7 @@
         client.enter(Phase::Body);
         let (mut body, mut pace) = (body, Pace::new());
         let mut account = self.bytes.account();
-        let held = match hold(&mut body, LONGEST_UPLOAD, &mut account, &mut pace).await {
+        let held = match buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace).await {
             Ok(held) => held,
             Err(e) => return unread(e).map(Err),
         };
@@ -116,7 +116,7 @@
         let left = request_head.left.saturating_sub(taken.elapsed());
         let request_head = RequestHead { left, ..request_head };
         let pieces = match held {
-            Held::Whole(pieces) => {
+            BufferedBody::Complete(pieces) => {
                 let edge = self.edge.borrow().clone();
                 let taken = match &edge {
                     Some(edge) => edge.look(&head, &request_head, &pieces),
@@ -162,7 +162,7 @@
                     Kept::Unknown => Answered::Driver(Reply::Failed),
                 }));
             }
-            Held::Part(pieces) => pieces,
+            BufferedBody::Partial(pieces) => pieces,
         };
         let length: u64 = pieces.iter().map(|piece| piece.len() as u64).sum();
         let (upload, rest) = Upload::new(request_head.left);
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -12,7 +12,7 @@
 use millethook_engine::driver::Reply;
 use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
 use millethook_http::answer;
-use millethook_http::body::{FeedError, Held, Pace, ReadError, feed, framing, hold};
+use millethook_http::body::{BufferedBody, FeedError, Pace, ReadError, buffer_body, feed, framing};
 use millethook_view::Counts;
 use tokio::sync::oneshot;
 use tokio::time::{timeout, timeout_at};
@@ -110,7 +110,7 @@
         let mut account = shared.bytes.account();
         // The host's body has its own pace; the request's time bounds it.
         let (mut body, mut pace) = (Box::pin(body), Pace::unbounded());
-        let holding = hold(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
+        let holding = buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
         let held = match timeout_at(until.into(), holding).await {
             Ok(Ok(held)) => held,
             Ok(Err(ReadError::TooLong)) => return Err(too_large()),
@@ -120,8 +120,8 @@
         };
         let left = request_head.left;
         let (pieces, rest) = match held {
-            Held::Whole(pieces) => (pieces, None),
-            Held::Part(pieces) => (pieces, Some(Upload::new(left))),
+            BufferedBody::Complete(pieces) => (pieces, None),
+            BufferedBody::Partial(pieces) => (pieces, Some(Upload::new(left))),
         };
         let length: u64 = pieces.iter().map(|piece| piece.len() as u64).sum();
         let (upload, rest) = rest.unzip();
