--- a/crates/millethook-http/src/body.rs
+++ b/crates/millethook-http/src/body.rs
@@ -154,7 +154,7 @@
 
 /// Why the rest of a body was not passed on.
 #[derive(Debug)]
-pub enum FeedError<E> {
+pub enum ForwardError<E> {
     /// The sender's part.
     Read(ReadError<E>),
     /// The server's part.
@@ -166,30 +166,30 @@
 /// # Errors
 /// Says which side broke off, or was too slow. The body is not whole then, and the server is not told that
 /// it is.
-pub async fn feed<B>(
+pub async fn forward_rest<B>(
     body: &mut B,
     held: u64,
     most: u64,
     pace: &mut Pace,
     feed: Feed,
-) -> Result<(), FeedError<B::Error>>
+) -> Result<(), ForwardError<B::Error>>
 where
     B: Body + Unpin,
 {
     let mut room = most.saturating_sub(held);
     loop {
-        let frame = pace.wait(body.frame()).await.ok_or(FeedError::Read(ReadError::TooSlow))?;
+        let frame = pace.wait(body.frame()).await.ok_or(ForwardError::Read(ReadError::TooSlow))?;
         let Some(frame) = frame else { break };
-        let frame = frame.map_err(|e| FeedError::Read(ReadError::Broken(e)))?;
+        let frame = frame.map_err(|e| ForwardError::Read(ReadError::Broken(e)))?;
         let Ok(mut data) = frame.into_data() else { continue };
         let n = data.remaining();
         pace.earn(n);
-        room = room.checked_sub(n as u64).ok_or(FeedError::Read(ReadError::TooLong))?;
+        room = room.checked_sub(n as u64).ok_or(ForwardError::Read(ReadError::TooLong))?;
         if n > 0 {
-            feed.send(data.copy_to_bytes(n)).await.map_err(FeedError::NotTaken)?;
+            feed.send(data.copy_to_bytes(n)).await.map_err(ForwardError::NotTaken)?;
         }
     }
-    feed.end().await.map_err(FeedError::NotTaken)
+    feed.end().await.map_err(ForwardError::NotTaken)
 }
 
 /// The client has gone, or cannot be told anything more.
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -16,7 +16,7 @@
 use super::Ingress;
 use super::client::{Client, Phase};
 use crate::answer::{self, AnswerBody};
-use crate::body::{BufferedBody, FeedError, Gone, Pace, ReadError, buffer_body, feed, framing};
+use crate::body::{BufferedBody, ForwardError, Gone, Pace, ReadError, buffer_body, feed, framing};
 use crate::edge::{CONTEXT, Kept, Receipt};
 use crate::guard::HeadScan;
 use crate::head::{HeadOverrides, parse_head};
@@ -171,7 +171,7 @@
         let mut ticket = self.driver.request(request_head, attempt_request);
         drop(names);
         let fed = {
-            let feeding = pin!(feed(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+            let feeding = pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
             tokio::select! {
                 biased;
                 // It was refused, or a server had no need of the rest.
@@ -180,10 +180,12 @@
             }
         };
         match fed {
-            Err(FeedError::Read(e)) => unread(e).map(Err),
-            Err(FeedError::NotTaken(NotTaken::Stalled)) => Ok(Ok(Answered::Driver(Reply::Failed))),
+            Err(ForwardError::Read(e)) => unread(e).map(Err),
+            Err(ForwardError::NotTaken(NotTaken::Stalled)) => {
+                Ok(Ok(Answered::Driver(Reply::Failed)))
+            }
             // Why nobody takes it, the reply tells.
-            Ok(()) | Err(FeedError::NotTaken(NotTaken::Closed)) => {
+            Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
                 Ok(Ok(Answered::Driver(ticket.reply().await)))
             }
         }
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -12,7 +12,9 @@
 use millethook_engine::driver::Reply;
 use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
 use millethook_http::answer;
-use millethook_http::body::{BufferedBody, FeedError, Pace, ReadError, buffer_body, feed, framing};
+use millethook_http::body::{
+    BufferedBody, ForwardError, Pace, ReadError, buffer_body, feed, framing,
+};
 use millethook_view::Counts;
 use tokio::sync::oneshot;
 use tokio::time::{timeout, timeout_at};
@@ -133,19 +135,19 @@
         sent.map_err(|_| Error::Closed)?;
         let (mut until, mut early) = (until, None);
         if let Some(rest) = rest {
-            let feeding = pin!(feed(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+            let feeding = pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
             tokio::select! {
                 biased;
                 // It was refused, or a server had no need of the rest.
                 reply = &mut answer => early = Some(reply),
                 fed = feeding => match fed {
                     // The time runs from the last byte on.
-                    Ok(()) | Err(FeedError::NotTaken(NotTaken::Closed)) => {
+                    Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
                         until = Instant::now() + left;
                     }
-                    Err(FeedError::Read(ReadError::TooLong)) => return Err(too_large()),
+                    Err(ForwardError::Read(ReadError::TooLong)) => return Err(too_large()),
                     // A part of it has gone out, and a server may have begun on that.
-                    Err(FeedError::Read(ReadError::Broken(_))) => {
+                    Err(ForwardError::Read(ReadError::Broken(_))) => {
                         return Err(Error::Failed { timed_out: false });
                     }
                     Err(_) => return Err(Error::Failed { timed_out: true }),
