--- a/crates/millethook-http/src/body.rs
+++ b/crates/millethook-http/src/body.rs
@@ -31,7 +31,7 @@
 pub enum ReadError<E> {
     /// It is longer than it may be.
     TooLong,
-    /// It comes more slowly than [`Pace`] allows.
+    /// It comes more slowly than [`StallBudget`] allows.
     TooSlow,
     /// It broke off.
     Broken(E),
@@ -41,20 +41,20 @@
 ///
 /// Only the wait for the sender counts. What stands still because nobody reads it costs it nothing.
 #[derive(Debug)]
-pub struct Pace {
+pub struct StallBudget {
     left: Duration,
     most: Duration,
 }
 
-impl Pace {
+impl StallBudget {
     /// A sender who is to keep to the least rate, with 1.5 s of grace at first.
-    pub fn new() -> Pace {
-        Pace { left: GRACE, most: GRACE }
+    pub fn new() -> StallBudget {
+        StallBudget { left: GRACE, most: GRACE }
     }
 
     /// A sender who may take as long as it likes.
-    pub fn unbounded() -> Pace {
-        Pace { left: Duration::MAX, most: Duration::MAX }
+    pub fn unbounded() -> StallBudget {
+        StallBudget { left: Duration::MAX, most: Duration::MAX }
     }
 
     /// Waits for the sender; None: its time is spent.
@@ -75,9 +75,9 @@
     }
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace::new()
+impl Default for StallBudget {
+    fn default() -> StallBudget {
+        StallBudget::new()
     }
 }
 
@@ -104,7 +104,7 @@
     body: &mut B,
     most: u64,
     account: &mut ByteReservation,
-    pace: &mut Pace,
+    pace: &mut StallBudget,
 ) -> Result<BufferedBody, ReadError<B::Error>>
 where
     B: Body + Unpin,
@@ -170,7 +170,7 @@
     body: &mut B,
     held: u64,
     most: u64,
-    pace: &mut Pace,
+    pace: &mut StallBudget,
     feed: Feed,
 ) -> Result<(), ForwardError<B::Error>>
 where
--- a/crates/millethook-http/src/ingress/client.rs
+++ b/crates/millethook-http/src/ingress/client.rs
@@ -9,7 +9,7 @@
 
 use crate::guard::HeadScan;
 
-/// How long a client may take for a request's head, however it spreads it; bodies have [`Pace`].
+/// How long a client may take for a request's head, however it spreads it; bodies have [`StallBudget`](crate::body::StallBudget).
 /// Guards against heads that never end, and clients that send a byte now and then to stay. A
 /// client on a machine that stands still for so long loses its connection, and what it sends with it.
 const SLOWEST_HEAD: Duration = Duration::from_millis(2400);
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -16,7 +16,9 @@
 use super::Ingress;
 use super::client::{Client, Phase};
 use crate::answer::{self, AnswerBody};
-use crate::body::{BufferedBody, ForwardError, Gone, Pace, ReadError, buffer_body, feed, framing};
+use crate::body::{
+    BufferedBody, ForwardError, Gone, ReadError, StallBudget, buffer_body, feed, framing,
+};
 use crate::edge::{CONTEXT, Kept, Receipt};
 use crate::guard::HeadScan;
 use crate::head::{HeadOverrides, parse_head};
@@ -99,7 +101,7 @@
             }
         }
         client.enter(Phase::Body);
-        let (mut body, mut pace) = (body, Pace::new());
+        let (mut body, mut pace) = (body, StallBudget::new());
         let mut account = self.bytes.account();
         let held = match buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace).await {
             Ok(held) => held,
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -13,7 +13,7 @@
 use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
 use millethook_http::answer;
 use millethook_http::body::{
-    BufferedBody, ForwardError, Pace, ReadError, buffer_body, feed, framing,
+    BufferedBody, ForwardError, ReadError, StallBudget, buffer_body, feed, framing,
 };
 use millethook_view::Counts;
 use tokio::sync::oneshot;
@@ -111,7 +111,7 @@
         let until = began + request_head.left;
         let mut account = shared.bytes.account();
         // The host's body has its own pace; the request's time bounds it.
-        let (mut body, mut pace) = (Box::pin(body), Pace::unbounded());
+        let (mut body, mut pace) = (Box::pin(body), StallBudget::unbounded());
         let holding = buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
         let held = match timeout_at(until.into(), holding).await {
             Ok(Ok(held)) => held,
