--- a/crates/millethook-http/src/guard.rs
+++ b/crates/millethook-http/src/guard.rs
@@ -75,7 +75,7 @@
 /// Guards against a second request under an id that is in use: its answer could be taken for the
 /// other's, by a server that drops repeats, by a log, by the client. Every request has a new id, so
 /// this harms only one that was read in part before its connection broke, and its claim is dropped.
-pub struct OpenIds {
+pub struct RequestIdRegistry {
     /// Ids first met in this span, and in the one before.
     spans: RefCell<(FxHashSet<u64>, FxHashSet<u64>, Instant)>,
     span: Cell<Duration>,
@@ -84,22 +84,22 @@
 /// Beyond the longest deadline.
 const SPARE: Duration = Duration::from_millis(500);
 
-impl OpenIds {
+impl RequestIdRegistry {
     /// `longest` is how long a request may be open.
-    pub fn new(longest: Duration) -> Rc<OpenIds> {
-        Rc::new(OpenIds {
+    pub fn new(longest: Duration) -> Rc<RequestIdRegistry> {
+        Rc::new(RequestIdRegistry {
             spans: RefCell::new((FxHashSet::default(), FxHashSet::default(), Instant::now())),
             span: Cell::new(longest + SPARE),
         })
     }
 
     /// Requests may be open for so long from now on, under new settings; those that are open go on as they were.
-    pub fn retuned(&self, longest: Duration) {
+    pub fn extend_retention(&self, longest: Duration) {
         self.span.set(self.span.get().max(longest + SPARE));
     }
 
     /// Claims an id for a request; None: it is in use.
-    pub fn reserve(self: &Rc<OpenIds>, id: &[u8]) -> Option<IdReservation> {
+    pub fn reserve(self: &Rc<RequestIdRegistry>, id: &[u8]) -> Option<IdReservation> {
         let id = stable_hash(id);
         self.insert(id).then(|| IdReservation { ids: self.clone(), id, kept: false })
     }
@@ -111,12 +111,12 @@
     }
 
     /// Ids that are in use at another process are in use here, too.
-    pub fn take_over(&self, ids: impl IntoIterator<Item = u64>) {
+    pub fn add_in_use(&self, ids: impl IntoIterator<Item = u64>) {
         self.spans.borrow_mut().0.extend(ids);
     }
 
     /// Claims an id, as a hash, for a request at another process. False: it is in use.
-    pub fn claim(&self, id: u64) -> bool {
+    pub fn reserve_hash(&self, id: u64) -> bool {
         self.insert(id)
     }
 
@@ -134,7 +134,7 @@
 
 /// An id's claim; dropped before it is kept, the id is free again.
 pub struct IdReservation {
-    ids: Rc<OpenIds>,
+    ids: Rc<RequestIdRegistry>,
     id: u64,
     kept: bool,
 }
--- a/crates/millethook-http/src/ingress/mod.rs
+++ b/crates/millethook-http/src/ingress/mod.rs
@@ -27,7 +27,7 @@
 use tokio::time::sleep;
 
 use crate::edge::Edge;
-use crate::guard::OpenIds;
+use crate::guard::RequestIdRegistry;
 
 use client::{Client, Phase, stalled, told_to_leave};
 
@@ -43,7 +43,7 @@
     names: RefCell<Arc<Names>>,
     sockets: Rc<Sockets>,
     bytes: Arc<budget::Bytes>,
-    ids: Rc<OpenIds>,
+    ids: Rc<RequestIdRegistry>,
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     accepted: Cell<(u64, Instant)>,
     /// At a planned end: requests that become whole from then on are refused. One that is read late in its time
@@ -78,7 +78,7 @@
         names: Arc<Names>,
         sockets: Rc<Sockets>,
         bytes: Arc<budget::Bytes>,
-        ids: Rc<OpenIds>,
+        ids: Rc<RequestIdRegistry>,
     ) -> Rc<Ingress> {
         Rc::new(Ingress {
             ids,
@@ -126,7 +126,7 @@
     /// Requests that come from now on are read by these names, and may be open for `longest`.
     pub fn retuned(&self, names: Arc<Names>, longest: Duration) {
         self.names.replace(names);
-        self.ids.retuned(longest);
+        self.ids.extend_retention(longest);
     }
 
     /// From now on each answer is the last on its connection, and requests that become whole after `last_taken`
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -11,7 +11,7 @@
 use millethook_engine::list::List;
 use millethook_engine::upstream::AttemptRequest;
 use millethook_engine::{Engine, EngineConfig, PeerConfig};
-use millethook_http::guard::OpenIds;
+use millethook_http::guard::RequestIdRegistry;
 use millethook_http::head::Invalid;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot, watch};
 use tokio::task::{LocalSet, spawn_local};
@@ -116,7 +116,7 @@
         Ok(engine) => Rc::new(engine),
         Err(e) => return tracing::error!(event = "engine_failed", "no engine: {e}"),
     };
-    let ids = OpenIds::new(engine.longest_deadline());
+    let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ready = async {
         engine.discovery_tried().await;
         engine.driver.first_listed().await;
@@ -151,7 +151,7 @@
     }
 }
 
-async fn serve(driver: Rc<Driver>, ids: Rc<OpenIds>, call: Call) {
+async fn serve(driver: Rc<Driver>, ids: Rc<RequestIdRegistry>, call: Call) {
     let Call { mut request_head, id, attempt_request, until, mut reply, permit } = call;
     // Without this, something is sent for a caller who has already gone.
     if reply.is_closed() {
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -28,7 +28,7 @@
 use millethook_handover::inherited;
 use millethook_http::edge::disk::{FileSystem, Storage};
 use millethook_http::edge::{Edge, EdgeSettings};
-use millethook_http::guard::OpenIds;
+use millethook_http::guard::RequestIdRegistry;
 use millethook_http::ingress::Ingress;
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::TcpListener;
@@ -110,7 +110,7 @@
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
     let bytes = Bytes::new((config.memory as f64 * BODIES) as usize);
-    let ids = OpenIds::new(engine.longest_deadline());
+    let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ingress = Ingress::new(
         engine.driver.clone(),
         engine.names.borrow().clone(),
--- a/crates/plankvale/src/succession.rs
+++ b/crates/plankvale/src/succession.rs
@@ -10,7 +10,7 @@
 use millethook_engine::names::stable_hash;
 use millethook_handover::incumbent::Incumbent;
 use millethook_handover::seat::{Passed, Predecessor, Seat, Successor};
-use millethook_http::guard::OpenIds;
+use millethook_http::guard::RequestIdRegistry;
 use millethook_http::ingress::{self, Ingress};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -63,7 +63,11 @@
 
     /// Goes on with what processes before this one pass on. The future is done once it is this process's turn to take
     /// requests: the one before it has begun to hand over, has ended, or says nothing.
-    pub fn succeed(self, ingress: Rc<Ingress>, ids: Rc<OpenIds>) -> impl Future<Output = ()> {
+    pub fn succeed(
+        self,
+        ingress: Rc<Ingress>,
+        ids: Rc<RequestIdRegistry>,
+    ) -> impl Future<Output = ()> {
         let Place { seat, path, mut incumbent, begun } = self;
         let mut turn = begun.subscribe();
         spawn_local(adopt(seat.clone(), ingress, ids, begun));
@@ -88,7 +92,12 @@
 }
 
 /// Goes on with what processes before this one pass on.
-async fn adopt(seat: Rc<Seat>, ingress: Rc<Ingress>, ids: Rc<OpenIds>, begun: watch::Sender<bool>) {
+async fn adopt(
+    seat: Rc<Seat>,
+    ingress: Rc<Ingress>,
+    ids: Rc<RequestIdRegistry>,
+    begun: watch::Sender<bool>,
+) {
     loop {
         match seat.predecessor().await {
             Ok(predecessor) => {
@@ -109,7 +118,7 @@
 async fn take_over(
     predecessor: Predecessor,
     ingress: Rc<Ingress>,
-    ids: Rc<OpenIds>,
+    ids: Rc<RequestIdRegistry>,
     begun: watch::Sender<bool>,
 ) {
     let mut taken = 0;
@@ -125,9 +134,9 @@
                 ingress.adopt(socket, asked != 0).await;
                 taken += 1;
             }
-            Ok(Some(Passed::Ids(open))) => ids.take_over(open),
+            Ok(Some(Passed::Ids(open))) => ids.add_in_use(open),
             Ok(Some(Passed::Claim(claim))) => {
-                let granted = ids.claim(claim.id);
+                let granted = ids.reserve_hash(claim.id);
                 claim.answer(granted);
             }
             Ok(None) => break,
