--- a/crates/millethook-http/src/edge/intake.rs
+++ b/crates/millethook-http/src/edge/intake.rs
@@ -15,7 +15,7 @@
 use super::disk::Written;
 use super::folder::Name;
 use super::{Edge, unix_ms};
-use crate::head::{Invalid, passed_on, single};
+use crate::head::{Invalid, passed_on, single_value};
 
 /// What a client asks for where it takes a receipt for an answer (RFC 7240).
 pub static PREFER: HeaderName = HeaderName::from_static("prefer");
@@ -107,7 +107,7 @@
         }
         let settings = self.driver.class(request_head.class);
         let Some(settings) = settings else { return Ok(None) };
-        let after = single(&head.headers, &AFTER)?.unwrap_or_default();
+        let after = single_value(&head.headers, &AFTER)?.unwrap_or_default();
         let after = Context::parse(after).map_err(|_| Invalid::Header(AFTER.as_str()))?;
         let prefers = head.headers.get_all(&PREFER).iter().filter_map(|v| v.to_str().ok());
         let prefers = prefers.flat_map(|v| v.split(',')).any(|p| {
--- a/crates/millethook-http/src/head.rs
+++ b/crates/millethook-http/src/head.rs
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// It stands there twice, or is no text.
-pub fn single<'h>(
+pub fn single_value<'h>(
     headers: &'h HeaderMap,
     name: &'static HeaderName,
 ) -> Result<Option<&'h str>, Invalid> {
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 /// It is no number of milliseconds below 2^32.
-pub fn time_left(text: &str) -> Result<Duration, Invalid> {
+pub fn parse_time_left(text: &str) -> Result<Duration, Invalid> {
     let millis = text.parse::<u32>().map_err(|_| Invalid::Header(TIME_LEFT.as_str()))?;
     Ok(Duration::from_millis(millis.into()))
 }
@@ -133,7 +133,7 @@
         (Some(left), Some(value)) if value.parse() == Ok(left.as_millis()) => left,
         (Some(_), Some(_)) => return Err(Invalid::Disagree(TIME_LEFT.as_str())),
         (None, None) => return Err(Invalid::Missing(TIME_LEFT.as_str())),
-        (None, Some(value)) => time_left(value)?,
+        (None, Some(value)) => parse_time_left(value)?,
     };
     let cookie = headers.get_all(header::COOKIE).iter().find_map(key);
     let key = match (overrides.key, cookie) {
--- a/crates/millethook/src/inherit.rs
+++ b/crates/millethook/src/inherit.rs
@@ -10,7 +10,9 @@
 use http::header::HeaderMap;
 use http::{Request, Response, StatusCode};
 use http_body_util::Either;
-use millethook_http::head::{ACCOUNT, CORRELATION_ID, Invalid, TIME_LEFT, single, time_left};
+use millethook_http::head::{
+    ACCOUNT, CORRELATION_ID, Invalid, TIME_LEFT, parse_time_left, single_value,
+};
 use tower_layer::Layer;
 use tower_service::Service;
 
@@ -42,8 +44,8 @@
     /// # Errors
     /// A header that stands there twice, or whose value makes no sense.
     pub fn from_headers(headers: &HeaderMap) -> Result<Inherited, Invalid> {
-        let owned = |name| Ok(single(headers, name)?.map(str::to_owned));
-        let left = single(headers, &TIME_LEFT)?.map(time_left).transpose()?;
+        let owned = |name| Ok(single_value(headers, name)?.map(str::to_owned));
+        let left = single_value(headers, &TIME_LEFT)?.map(parse_time_left).transpose()?;
         Ok(Inherited(Arc::new(Inner {
             until: left.map(|left| Instant::now() + left),
             tenant: owned(&ACCOUNT)?,
