--- a/crates/millethook-http/src/ingress/mod.rs
+++ b/crates/millethook-http/src/ingress/mod.rs
@@ -65,10 +65,10 @@
     fn pass_ids(&self, ids: &[u64]);
 
     /// Passes an idle connection on; `asked`: its client has had an answer. False: it stays here.
-    fn pass(&self, connection: &TcpStream, was_answered: bool) -> bool;
+    fn pass_connection(&self, connection: &TcpStream, was_answered: bool) -> bool;
 
     /// Asks it to take an id for a request that is read here. False: it is in use there; None: it does not answer.
-    fn claim(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>>;
+    fn reserve_id(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>>;
 }
 
 impl Ingress {
@@ -272,7 +272,7 @@
     /// read can go: what was read would be missing there.
     fn passed_on(&self, client: &Client, socket: &TcpStream) -> bool {
         let successor = self.successor.borrow().clone();
-        successor.is_some_and(|successor| successor.pass(socket, client.was_answered()))
+        successor.is_some_and(|successor| successor.pass_connection(socket, client.was_answered()))
     }
 }
 
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -94,7 +94,7 @@
         // Without this, the process that takes over could take the same id on a connection of its own.
         let successor = self.successor.borrow().clone();
         if let Some(successor) = successor {
-            match successor.claim(reservation.id()).await {
+            match successor.reserve_id(reservation.id()).await {
                 Some(true) => {}
                 Some(false) => return Ok(Err(StatusCode::CONFLICT)),
                 None => return Ok(Ok(Answered::Driver(refused(None)))),
--- a/crates/plankvale/src/succession.rs
+++ b/crates/plankvale/src/succession.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    fn claim(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>> {
+    fn reserve_id(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>> {
         match self.0.claim(id) {
             Ok(asked) => Box::pin(asked.granted()),
             // So much is under way to it that no more fits.
@@ -174,7 +174,7 @@
         }
     }
 
-    fn pass(&self, connection: &TcpStream, asked: bool) -> bool {
+    fn pass_connection(&self, connection: &TcpStream, asked: bool) -> bool {
         let passed = self.0.pass(connection, asked.into());
         if let Err(e) = &passed {
             tracing::debug!(event = "connection_stays", "a connection stays here: {e}");
