--- a/crates/millethook-http/src/ingress/mod.rs
+++ b/crates/millethook-http/src/ingress/mod.rs
@@ -104,7 +104,7 @@
     }
 
     /// Writes are kept there from now on, where no server can be reached.
-    pub fn keep_at(&self, edge: Rc<Edge>) {
+    pub fn set_edge(&self, edge: Rc<Edge>) {
         self.edge.replace(Some(edge));
     }
 
@@ -119,12 +119,12 @@
     }
 
     /// Discovery has answered, or failed to: what is known of servers is as new as can be.
-    pub fn discovery_tried(&self) {
+    pub fn mark_discovery_tried(&self) {
         self.tried.set(true);
     }
 
     /// Requests that come from now on are read by these names, and may be open for `longest`.
-    pub fn retuned(&self, names: Arc<Names>, longest: Duration) {
+    pub fn apply_settings(&self, names: Arc<Names>, longest: Duration) {
         self.names.replace(names);
         self.ids.extend_retention(longest);
     }
@@ -142,7 +142,7 @@
 
     /// How many connections have something to wait for: a request that is under way, or an end that is not
     /// `long` past, on which bytes of the client may still be coming.
-    pub fn unsettled(&self, long: Duration) -> usize {
+    pub fn unfinished_connections(&self, long: Duration) -> usize {
         let clients = self.clients.borrow();
         let settled =
             |c: &&Rc<Client>| c.phase.get() == Phase::Ending && c.since.get().elapsed() >= long;
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/follower.rs
@@ -135,7 +135,7 @@
         if let Some(edge) = &self.edge {
             edge.renamed(names.clone());
         }
-        self.ingress.retuned(names, self.engine.longest_deadline());
+        self.ingress.apply_settings(names, self.engine.longest_deadline());
         Ok(())
     }
 
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -236,14 +236,14 @@
     };
     let names = engine.names.borrow().clone();
     let edge = Edge::start(settings, engine.driver.clone(), fleet.clone(), names, storage)?;
-    ingress.keep_at(edge.clone());
+    ingress.set_edge(edge.clone());
     Ok(Some(edge))
 }
 
 /// Marks the ingress ready when discovery has first been tried; never ends.
 async fn first_try(ingress: &Ingress, engine: &Engine) {
     engine.discovery_tried().await;
-    ingress.discovery_tried();
+    ingress.mark_discovery_tried();
     std::future::pending().await
 }
 
--- a/crates/plankvale/src/shutdown.rs
+++ b/crates/plankvale/src/shutdown.rs
@@ -36,7 +36,8 @@
         let late = signal.elapsed() >= LAST_TAKEN;
         ingress.close_idle(late);
         let coming = !late || ingress.last_accepted().elapsed() < QUIET;
-        if ingress.unsettled(SETTLE) == 0 && !coming || signal.elapsed() >= longest_deadline + SPARE
+        if ingress.unfinished_connections(SETTLE) == 0 && !coming
+            || signal.elapsed() >= longest_deadline + SPARE
         {
             return;
         }
