--- a/crates/millethook-http/src/edge/intake.rs
+++ b/crates/millethook-http/src/edge/intake.rs
@@ -189,10 +189,10 @@
         let room = {
             let intake = self.intake.borrow();
             let open = self.open_here() + intake.pending;
-            open < self.settings.most_writes && intake.bytes + length <= self.settings.most_bytes
+            open < self.settings.max_open_writes && intake.bytes + length <= self.settings.max_bytes
         };
         // A write that is handed to a slow disk can neither be taken back nor acknowledged in time.
-        if !fits || !room || self.disk.busy() > self.settings.slow {
+        if !fits || !room || self.disk.busy() > self.settings.slow_disk {
             return Kept::Refused(COME_BACK);
         }
         let Some(mut written) = self.disk.append(self.own, Name::Intake, bytes) else {
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -35,23 +35,23 @@
     /// Classes whose writes may be kept, by name.
     pub classes: Vec<String>,
     /// Bytes that this process keeps at most.
-    pub most_bytes: u64,
+    pub max_bytes: u64,
     /// Writes without an end that it keeps at most.
-    pub most_writes: usize,
+    pub max_open_writes: usize,
     /// What is kept for longer has expired.
-    pub keep: Duration,
+    pub retention: Duration,
     /// For so long a write waits for one that it comes after.
-    pub forerunner: Duration,
+    pub predecessor_wait: Duration,
     /// Whether one whose forerunner failed, or never came, goes all the same.
-    pub go_on: bool,
+    pub send_without_predecessor: bool,
     /// Writes of one store that are out at once.
-    pub at_once: usize,
+    pub max_concurrent: usize,
     /// Writes a second that all stores of the fleet send together, at most.
     pub fleet_per_second: f64,
     /// A disk that takes longer than this is slow, and nothing is kept meanwhile.
-    pub slow: Duration,
+    pub slow_disk: Duration,
     /// The longest lease.
-    pub lease: Duration,
+    pub max_lease: Duration,
 }
 
 /// Between two questions about one store, and how old an answer may be; stores that are asked about at once, at most.
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -102,7 +102,7 @@
             known.insert(*edge, ());
             if *edge == self.own || self.is_orphan(*edge) {
                 let wait = if *edge == self.own { Duration::ZERO } else { FOREIGN };
-                self.fleet.request_job(job(*edge), self.settings.lease, wait);
+                self.fleet.request_job(job(*edge), self.settings.max_lease, wait);
             } else if self.fleet.holds(job(*edge)).is_none() {
                 self.fleet.release_job(job(*edge));
             }
@@ -187,7 +187,7 @@
             // Somebody has replayed it under a higher token: only one above that will do.
             self.fleet.observe_token(job(edge), highest);
             self.fleet.release_job(job(edge));
-            self.fleet.request_job(job(edge), self.settings.lease, Duration::from_millis(100));
+            self.fleet.request_job(job(edge), self.settings.max_lease, Duration::from_millis(100));
             return;
         }
         for (at, length, seq, _) in &book.damaged {
@@ -199,11 +199,11 @@
         }
         let settings = &self.settings;
         let config = Config {
-            at_once: settings.at_once,
+            at_once: settings.max_concurrent,
             fleet_per_second: settings.fleet_per_second,
-            keep_ms: settings.keep.as_millis() as u64,
-            forerunner: settings.forerunner.as_micros() as u64,
-            go_on: settings.go_on,
+            keep_ms: settings.retention.as_millis() as u64,
+            forerunner: settings.predecessor_wait.as_micros() as u64,
+            go_on: settings.send_without_predecessor,
             margin_ms: self.driver.longest_deadline().as_millis() as u64 + 500,
         };
         let left = book.left();
@@ -368,6 +368,6 @@
         let Ok(data) = std::fs::metadata(&path) else { return false };
         let old = data.modified().ok().and_then(|at| at.elapsed().ok());
         // A process holds its intake locked for as long as it lives.
-        old.is_some_and(|old| old > self.settings.keep) && super::lock::is_free(&path)
+        old.is_some_and(|old| old > self.settings.retention) && super::lock::is_free(&path)
     }
 }
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -224,15 +224,15 @@
     let settings = EdgeSettings {
         folder: of.folder.clone(),
         classes: of.classes.clone(),
-        most_bytes: (of.most_mb as u64) << 20,
-        most_writes: of.most_writes,
-        keep: of.keep,
-        forerunner: of.forerunner,
-        go_on: of.go_on,
-        at_once: of.at_once,
+        max_bytes: (of.most_mb as u64) << 20,
+        max_open_writes: of.most_writes,
+        retention: of.keep,
+        predecessor_wait: of.forerunner,
+        send_without_predecessor: of.go_on,
+        max_concurrent: of.at_once,
         fleet_per_second: of.fleet_per_second,
-        slow: of.slow,
-        lease: product.lease.as_ref().map_or(Duration::from_secs(6), |lease| lease.longest),
+        slow_disk: of.slow,
+        max_lease: product.lease.as_ref().map_or(Duration::from_secs(6), |lease| lease.longest),
     };
     let names = engine.names.borrow().clone();
     let edge = Edge::start(settings, engine.driver.clone(), fleet.clone(), names, storage)?;
