--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -82,7 +82,7 @@
 
 /// Counts since the start, and what there is now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct EdgeStats {
     /// Writes that were acknowledged.
     pub kept: u64,
     /// Writes that were to be kept and were refused: full, slow or broken disk.
@@ -90,13 +90,13 @@
     /// Writes that a server has served on their replay.
     pub replayed: u64,
     /// Those that ended otherwise.
-    pub aside: u64,
+    pub not_served: u64,
     /// Stores that are replayed here.
     pub stores: usize,
     /// Writes in them that have no end.
-    pub left: usize,
+    pub open_writes: usize,
     /// Of these in doubt.
-    pub doubt: usize,
+    pub in_doubt: usize,
     /// Spoilt parts of their files.
     pub damaged: usize,
     /// The age of the oldest write without an end, in seconds.
@@ -121,7 +121,7 @@
     wake: Arc<Notify>,
     /// The own store is not taken over from an earlier owner before its intake is settled up to here.
     unsettled: Cell<Option<u64>>,
-    counts: Cell<Figures>,
+    counts: Cell<EdgeStats>,
     boot: u64,
     started: std::time::Instant,
     /// Stores that were asked about: when last, and how often.
@@ -169,7 +169,7 @@
     }
 
     /// Requests are read by these names from now on.
-    pub fn renamed(&self, names: Arc<Names>) {
+    pub fn set_names(&self, names: Arc<Names>) {
         self.names.replace(names);
     }
 
@@ -234,29 +234,29 @@
         HostTime { boot: self.boot, ms: uptime_ms() }
     }
 
-    fn count(&self, change: impl FnOnce(&mut Figures)) {
+    fn count(&self, change: impl FnOnce(&mut EdgeStats)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
     }
 
     /// Counts since the start, and what there is now.
-    pub fn figures(&self) -> Figures {
-        let mut figures = self.counts.get();
+    pub fn stats(&self) -> EdgeStats {
+        let mut stats = self.counts.get();
         let replays = self.replays.borrow();
         let mut oldest = None;
         for store in replays.values() {
             let replay: std::cell::Ref<'_, Replay> = store.replay.borrow();
             let counts = replay.book().counts();
-            figures.left += replay.book().left();
-            figures.doubt += counts.doubt;
-            figures.damaged += counts.damaged;
+            stats.open_writes += replay.book().left();
+            stats.in_doubt += counts.doubt;
+            stats.damaged += counts.damaged;
             oldest = [oldest, replay.book().oldest_ms()].into_iter().flatten().min();
         }
-        figures.stores = replays.len();
-        figures.oldest_s = oldest.map_or(0, |ms| unix_ms().saturating_sub(ms) / 1_000);
-        figures.isolated = self.driver.is_isolated();
-        figures
+        stats.stores = replays.len();
+        stats.oldest_s = oldest.map_or(0, |ms| unix_ms().saturating_sub(ms) / 1_000);
+        stats.isolated = self.driver.is_isolated();
+        stats
     }
 }
 
--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -100,7 +100,7 @@
     pub(super) fn ended(&self, record: &Record, on_disk: bool) {
         match record {
             Record::End { how: End::Done, .. } if on_disk => self.count(|f| f.replayed += 1),
-            Record::End { .. } if on_disk => self.count(|f| f.aside += 1),
+            Record::End { .. } if on_disk => self.count(|f| f.not_served += 1),
             _ => {}
         }
     }
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/follower.rs
@@ -133,7 +133,7 @@
     fn apply(&self, tuned: Tuned) -> Result<(), String> {
         let names = self.engine.retune(tuned.settings, &tuned.raw)?;
         if let Some(edge) = &self.edge {
-            edge.renamed(names.clone());
+            edge.set_names(names.clone());
         }
         self.ingress.apply_settings(names, self.engine.longest_deadline());
         Ok(())
--- a/crates/plankvale/src/operated.rs
+++ b/crates/plankvale/src/operated.rs
@@ -129,17 +129,17 @@
             write_list_figures(&mut lines, role);
         }
         if let Some(edge) = &self.edge {
-            let figures = edge.figures();
-            lines.count("edge.kept", figures.kept);
-            lines.count("edge.refused", figures.refused);
-            lines.count("edge.replayed", figures.replayed);
-            lines.count("edge.aside", figures.aside);
-            lines.gauge("edge.stores", figures.stores);
-            lines.gauge("edge.left", figures.left);
-            lines.gauge("edge.doubt", figures.doubt);
-            lines.gauge("edge.damaged", figures.damaged);
-            lines.gauge("edge.oldest_s", figures.oldest_s as usize);
-            lines.gauge("edge.isolated", usize::from(figures.isolated));
+            let stats = edge.stats();
+            lines.count("edge.kept", stats.kept);
+            lines.count("edge.refused", stats.refused);
+            lines.count("edge.replayed", stats.replayed);
+            lines.count("edge.aside", stats.not_served);
+            lines.gauge("edge.stores", stats.stores);
+            lines.gauge("edge.left", stats.open_writes);
+            lines.gauge("edge.doubt", stats.in_doubt);
+            lines.gauge("edge.damaged", stats.damaged);
+            lines.gauge("edge.oldest_s", stats.oldest_s as usize);
+            lines.gauge("edge.isolated", usize::from(stats.isolated));
         }
         lines.count("sighup_applied", self.reloaded.applied.get());
         lines.count("sighup_rejected", self.reloaded.rejected.get());
