--- a/crates/millethook-http/src/edge/disk.rs
+++ b/crates/millethook-http/src/edge/disk.rs
@@ -19,7 +19,7 @@
 use millethook_edge::EdgeId;
 use tokio::sync::{Notify, oneshot};
 
-use super::folder::Name;
+use super::folder::StoreFile;
 use super::writer::Writer;
 
 /// Appends that wait; one more is refused.
@@ -41,7 +41,7 @@
 /// Something to be appended.
 pub(super) struct Append {
     pub(super) edge: EdgeId,
-    pub(super) name: Name,
+    pub(super) name: StoreFile,
     pub(super) bytes: Vec<u8>,
     /// Fails where whoever asked has given it up.
     pub(super) decided: oneshot::Sender<()>,
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// What of it got there nobody knows.
-    fn sync(&mut self, name: Name, file: &File) -> io::Result<()>;
+    fn sync(&mut self, name: StoreFile, file: &File) -> io::Result<()>;
 }
 
 /// The file system as it is.
@@ -94,7 +94,7 @@
 pub struct FileSystem;
 
 impl Storage for FileSystem {
-    fn sync(&mut self, _: Name, file: &File) -> io::Result<()> {
+    fn sync(&mut self, _: StoreFile, file: &File) -> io::Result<()> {
         file.sync_data()
     }
 }
@@ -151,7 +151,7 @@
     /// Appends to a file of a store; None: too much waits already, and nothing was done.
     ///
     /// The first write of the own intake comes behind a record that says so (`Record::Opened`).
-    pub fn append(&self, edge: EdgeId, name: Name, bytes: Vec<u8>) -> Option<Appended> {
+    pub fn append(&self, edge: EdgeId, name: StoreFile, bytes: Vec<u8>) -> Option<Appended> {
         let (decided, decision) = oneshot::channel();
         let (done, written) = oneshot::channel();
         match self.appends.try_send(Append { edge, name, bytes, decided, done }) {
--- a/crates/millethook-http/src/edge/folder.rs
+++ b/crates/millethook-http/src/edge/folder.rs
@@ -16,42 +16,42 @@
 
 /// A file of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Name {
+pub enum StoreFile {
     /// What its process took in.
     Intake,
     /// What an owner wrote down.
     Journal(Token),
     /// What operators said.
-    Words,
+    OperatorLog,
 }
 
-impl Name {
+impl StoreFile {
     /// Its path below the folder of stores.
     pub fn path(self, folder: &Path, edge: EdgeId) -> PathBuf {
         let directory = folder.join(edge.to_string());
         match self {
-            Name::Intake => directory.join("intake"),
-            Name::Journal(token) => directory.join(format!("replay-{token}")),
-            Name::Words => directory.join("words"),
+            StoreFile::Intake => directory.join("intake"),
+            StoreFile::Journal(token) => directory.join(format!("replay-{token}")),
+            StoreFile::OperatorLog => directory.join("words"),
         }
     }
 
-    fn parse(name: &str) -> Option<Name> {
+    fn parse(name: &str) -> Option<StoreFile> {
         match name {
-            "intake" => Some(Name::Intake),
-            "words" => Some(Name::Words),
-            _ => name.strip_prefix("replay-")?.parse().ok().map(Name::Journal),
+            "intake" => Some(StoreFile::Intake),
+            "words" => Some(StoreFile::OperatorLog),
+            _ => name.strip_prefix("replay-")?.parse().ok().map(StoreFile::Journal),
         }
     }
 
     /// Up to where it is read, by how far the store's intake is settled.
     pub fn upto(self, settled: u64) -> u64 {
-        if self == Name::Intake { settled } else { u64::MAX }
+        if self == StoreFile::Intake { settled } else { u64::MAX }
     }
 
     /// Whether a spoilt record of it may have been a mark.
     pub fn holds_marks(self) -> bool {
-        matches!(self, Name::Journal(_))
+        matches!(self, StoreFile::Journal(_))
     }
 }
 
@@ -71,10 +71,10 @@
 ///
 /// # Errors
 /// The store cannot be read.
-pub fn files(folder: &Path, edge: EdgeId) -> io::Result<Vec<Name>> {
+pub fn files(folder: &Path, edge: EdgeId) -> io::Result<Vec<StoreFile>> {
     let entries = fs::read_dir(folder.join(edge.to_string()))?.flatten();
-    let names = entries.filter_map(|entry| Name::parse(entry.file_name().to_str()?));
-    let mut names: Vec<Name> = names.collect();
+    let names = entries.filter_map(|entry| StoreFile::parse(entry.file_name().to_str()?));
+    let mut names: Vec<StoreFile> = names.collect();
     names.sort_unstable();
     Ok(names)
 }
@@ -85,7 +85,7 @@
 /// The store cannot be read.
 pub fn highest(folder: &Path, edge: EdgeId) -> io::Result<Token> {
     let tokens = files(folder, edge)?.into_iter().filter_map(|name| match name {
-        Name::Journal(token) => Some(token),
+        StoreFile::Journal(token) => Some(token),
         _ => None,
     });
     Ok(tokens.max().unwrap_or_default())
@@ -125,7 +125,7 @@
 }
 
 /// How far each file of a store has been read.
-pub type Places = std::collections::BTreeMap<Name, u64>;
+pub type Places = std::collections::BTreeMap<StoreFile, u64>;
 
 /// Reads a whole store.
 ///
--- a/crates/millethook-http/src/edge/intake.rs
+++ b/crates/millethook-http/src/edge/intake.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::disk::Written;
-use super::folder::Name;
+use super::folder::StoreFile;
 use super::{Edge, unix_ms};
 use crate::head::{Invalid, passed_on, single_value};
 
@@ -195,7 +195,7 @@
         if !fits || !room || self.disk.busy() > self.settings.slow_disk {
             return Kept::Refused(COME_BACK);
         }
-        let Some(mut written) = self.disk.append(self.own, Name::Intake, bytes) else {
+        let Some(mut written) = self.disk.append(self.own, StoreFile::Intake, bytes) else {
             return Kept::Refused(COME_BACK);
         };
         let mut pending = {
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use super::disk::Written;
-use super::folder::{self, Name, Places};
+use super::folder::{self, Places, StoreFile};
 use super::{Edge, unix_ms};
 
 /// Between two looks at the folder, and at the files of a store that others append to.
@@ -119,7 +119,7 @@
     /// stores all the time, and their requests alone use up what may be sent.
     fn is_orphan(&self, edge: EdgeId) -> bool {
         // A process holds its intake locked for as long as it lives; one that stands still is not seen by the others.
-        let path = Name::Intake.path(&self.settings.folder, edge);
+        let path = StoreFile::Intake.path(&self.settings.folder, edge);
         super::lock::is_free(&path) || !self.fleet.is_there(edge.number())
     }
 
@@ -151,7 +151,7 @@
         if folder::highest(&self.settings.folder, self.own)? == Token::default() {
             return Ok(true);
         }
-        let intake = Name::Intake.path(&self.settings.folder, self.own);
+        let intake = StoreFile::Intake.path(&self.settings.folder, self.own);
         let length = std::fs::metadata(intake)?.len();
         // What comes from now on no earlier owner has read; what is cut off meanwhile is not waited for.
         let upto = self.unsettled.get().map_or(length, |upto| upto.min(length));
@@ -166,7 +166,7 @@
         }
         let (path, settled) = (self.settings.folder.clone(), self.settled(edge));
         let loaded = spawn_blocking(move || -> io::Result<_> {
-            let intake = Name::Intake.path(&path, edge);
+            let intake = StoreFile::Intake.path(&path, edge);
             let gone = super::lock::is_free(&intake);
             let highest = folder::highest(&path, edge)?;
             let loaded = folder::load_settled(&path, edge, settled)?;
@@ -243,7 +243,7 @@
     async fn look_at(&self, store: &Rc<Store>) {
         let settled = self.settled(store.edge);
         // Of the own store it is known when there is something new.
-        let read = store.places.borrow().get(&Name::Intake).copied().unwrap_or(0);
+        let read = store.places.borrow().get(&StoreFile::Intake).copied().unwrap_or(0);
         let fresh = store.edge == self.own && settled > read;
         if !fresh && store.looked.get().elapsed() < LOOK {
             return;
@@ -252,11 +252,11 @@
         let (path, edge, mine) = (self.settings.folder.clone(), store.edge, store.token);
         let mut places = store.places.borrow().clone();
         let read = spawn_blocking(move || -> io::Result<_> {
-            let intake = Name::Intake.path(&path, edge);
+            let intake = StoreFile::Intake.path(&path, edge);
             let gone = super::lock::is_free(&intake);
             let mut items = Vec::new();
             for name in folder::files(&path, edge)? {
-                if name == Name::Journal(mine) {
+                if name == StoreFile::Journal(mine) {
                     continue;
                 }
                 let from = places.entry(name).or_default();
@@ -279,7 +279,7 @@
                 log::Item::Record { seq, at, length, record } => {
                     replay.read(seq, (base + at, length), &record);
                 }
-                log::Item::Damaged { seq, .. } if name == Name::Intake => replay.spoilt(seq),
+                log::Item::Damaged { seq, .. } if name == StoreFile::Intake => replay.spoilt(seq),
                 log::Item::Damaged { .. } | log::Item::Torn { .. } => {}
             }
         }
@@ -310,7 +310,7 @@
                 Step::Write(seq, record) => {
                     let mut bytes = Vec::new();
                     let fits = log::append(&mut bytes, seq, &record).is_ok();
-                    let name = Name::Journal(store.token);
+                    let name = StoreFile::Journal(store.token);
                     let written = match self.disk.append(store.edge, name, bytes).filter(|_| fits) {
                         Some(mut written) => written.written().await,
                         None => Written::No,
@@ -364,7 +364,7 @@
 
     /// Whether a store's process is gone, and so long ago that nobody asks what became of its writes.
     fn is_over(&self, store: &Store) -> bool {
-        let path = Name::Intake.path(&self.settings.folder, store.edge);
+        let path = StoreFile::Intake.path(&self.settings.folder, store.edge);
         let Ok(data) = std::fs::metadata(&path) else { return false };
         let old = data.modified().ok().and_then(|at| at.elapsed().ok());
         // A process holds its intake locked for as long as it lives.
--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -11,7 +11,7 @@
 use millethook_engine::driver::{Reply, RequestHead};
 use tokio::task::spawn_blocking;
 
-use super::folder::{self, Name};
+use super::folder::{self, StoreFile};
 use super::replayer::{Store, job};
 use super::{Edge, replay_class};
 use crate::answer;
@@ -24,7 +24,7 @@
     pub(super) async fn send(&self, store: &Rc<Store>, seq: u64) -> Outcome {
         let location = store.replay.borrow().book().entry(seq).map(|entry| entry.at);
         let Some(location) = location else { return Outcome::NotRun };
-        let path = Name::Intake.path(&self.settings.folder, store.edge);
+        let path = StoreFile::Intake.path(&self.settings.folder, store.edge);
         let read = spawn_blocking(move || folder::record(&path, location)).await;
         let Ok(Ok(bytes)) = read else { return Outcome::NotRun };
         let write = match log::one(&bytes) {
--- a/crates/millethook-http/src/edge/writer.rs
+++ b/crates/millethook-http/src/edge/writer.rs
@@ -13,7 +13,7 @@
 use millethook_edge::{EdgeId, log};
 
 use super::disk::{Append, DiskConfig, Storage, Written};
-use super::folder::{self, Name};
+use super::folder::{self, StoreFile};
 
 /// Appends that go to disk together, at most.
 const TOGETHER: usize = 256;
@@ -46,7 +46,7 @@
     config: DiskConfig,
     storage: S,
     /// Bounded by the stores that this process replays, and its own.
-    open: BTreeMap<(EdgeId, Name), Open>,
+    open: BTreeMap<(EdgeId, StoreFile), Open>,
     owed: Owed,
     settled: Arc<AtomicU64>,
 }
@@ -81,13 +81,13 @@
 
     fn write(&mut self, batch: Vec<Append>) {
         let paid = self.pay();
-        let mut by_file: BTreeMap<(EdgeId, Name), Vec<Append>> = BTreeMap::new();
+        let mut by_file: BTreeMap<(EdgeId, StoreFile), Vec<Append>> = BTreeMap::new();
         // Who waits for it no more was told that nobody knows: not begun, it never is.
         let begun = batch.into_iter().filter(|a| !(self.is_own(a) && a.decided.is_closed()));
         let begun: Vec<Append> = begun.collect();
         begun.into_iter().for_each(|a| by_file.entry((a.edge, a.name)).or_default().push(a));
         for (key, appends) in by_file {
-            let own = key == (self.config.own, Name::Intake);
+            let own = key == (self.config.own, StoreFile::Intake);
             // What came behind a write that is to be cut off would be cut off with it.
             let written = if own && !paid { Written::No } else { self.put(key, &appends) };
             if own && written == Written::OnDisk {
@@ -106,7 +106,7 @@
 
     /// Whether it is a write to the own intake, whose client has to be told of it.
     fn is_own(&self, append: &Append) -> bool {
-        (append.edge, append.name) == (self.config.own, Name::Intake)
+        (append.edge, append.name) == (self.config.own, StoreFile::Intake)
     }
 
     /// Acknowledges the writes whose clients still wait, and withdraws the others.
@@ -134,7 +134,7 @@
     /// Appends acknowledgements to the own intake. They are synced with what comes next: until then a loss of power
     /// takes them, and nothing else.
     fn note(&mut self, acknowledgements: &[u8]) -> Written {
-        let Some(opened) = self.open.get_mut(&(self.config.own, Name::Intake)) else {
+        let Some(opened) = self.open.get_mut(&(self.config.own, StoreFile::Intake)) else {
             return Written::Unknown;
         };
         let before = opened.length;
@@ -165,7 +165,7 @@
         if self.owed.is_none() {
             return true;
         }
-        let key = (self.config.own, Name::Intake);
+        let key = (self.config.own, StoreFile::Intake);
         let paid = self.open(key).and_then(|()| {
             let Some(opened) = self.open.get_mut(&key) else { return Ok(()) };
             if let Some(length) = self.owed.cut_to {
@@ -194,13 +194,13 @@
 
     /// All that the own intake holds is decided.
     fn settle(&self) {
-        let Some(opened) = self.open.get(&(self.config.own, Name::Intake)) else { return };
+        let Some(opened) = self.open.get(&(self.config.own, StoreFile::Intake)) else { return };
         if self.settled.swap(opened.length, Ordering::Release) != opened.length {
             self.config.moved.notify_one();
         }
     }
 
-    fn open(&mut self, (edge, name): (EdgeId, Name)) -> io::Result<()> {
+    fn open(&mut self, (edge, name): (EdgeId, StoreFile)) -> io::Result<()> {
         if !self.open.contains_key(&(edge, name)) {
             let path = name.path(&self.config.folder, edge);
             let opened = create(&path).inspect_err(|e| {
@@ -211,18 +211,18 @@
         Ok(())
     }
 
-    fn put(&mut self, (edge, name): (EdgeId, Name), appends: &[Append]) -> Written {
+    fn put(&mut self, (edge, name): (EdgeId, StoreFile), appends: &[Append]) -> Written {
         let folder = &self.config.folder;
         // A stalled owner may write after another one took over. What it writes is its own file's,
         // and nobody acts on it; a mark is refused all the same, so that its owner sees at once that it is followed.
-        if let Name::Journal(token) = name
+        if let StoreFile::Journal(token) = name
             && folder::highest(folder, edge).is_ok_and(|highest| highest > token)
             && appends.iter().all(|a| is_mark(&a.bytes))
         {
             return Written::Fenced;
         }
         // A store that was done with and removed does not come back by what a late owner says of it.
-        if name != Name::Intake && !Name::Intake.path(folder, edge).exists() {
+        if name != StoreFile::Intake && !StoreFile::Intake.path(folder, edge).exists() {
             return Written::Fenced;
         }
         let path = name.path(folder, edge);
@@ -231,7 +231,7 @@
         }
         let Some(opened) = self.open.get_mut(&(edge, name)) else { return Written::No };
         let before = opened.length;
-        let own = (edge, name) == (self.config.own, Name::Intake);
+        let own = (edge, name) == (self.config.own, StoreFile::Intake);
         let mut bytes = Vec::new();
         if own && before == 0 {
             // Far below the longest record.
--- a/crates/millethook-http/tests/edge_disk.rs
+++ b/crates/millethook-http/tests/edge_disk.rs
@@ -9,7 +9,7 @@
 use millethook_edge::record::{End, HostTime, Record, Repeat, Write};
 use millethook_edge::{Book, EdgeId, State, Token, log};
 use millethook_http::edge::disk::{Appended, Disk, DiskConfig, FileSystem, Storage, Written};
-use millethook_http::edge::folder::{self, Name};
+use millethook_http::edge::folder::{self, StoreFile};
 use tokio::sync::Notify;
 
 const OWN: EdgeId = EdgeId(7);
@@ -21,7 +21,7 @@
 }
 
 impl Storage for Held {
-    fn sync(&mut self, _: Name, file: &File) -> io::Result<()> {
+    fn sync(&mut self, _: StoreFile, file: &File) -> io::Result<()> {
         let _ = self.begun.send(());
         // The test has ended: so does the thread.
         self.goes_on.recv().unwrap_or(Ok(()))?;
@@ -51,7 +51,7 @@
     }
 
     fn keep(&self, seq: u64) -> Appended {
-        self.disk.append(OWN, Name::Intake, bytes(seq, &write(seq))).expect("room")
+        self.disk.append(OWN, StoreFile::Intake, bytes(seq, &write(seq))).expect("room")
     }
 
     /// Waits until the disk is asked to sync, and lets it.
@@ -279,10 +279,10 @@
 fn a_mark_under_a_lower_token_is_refused_and_an_end_is_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     fs::create_dir(folder.path().join(OWN.to_string())).expect("a store");
-    fs::write(Name::Intake.path(folder.path(), OWN), b"").expect("what was taken in");
+    fs::write(StoreFile::Intake.path(folder.path(), OWN), b"").expect("what was taken in");
     let disk = Disk::start(config(folder.path()), FileSystem).expect("a thread");
     let put = |counter, record: &Record| {
-        let written = disk.append(OWN, Name::Journal(token(counter)), bytes(1, record));
+        let written = disk.append(OWN, StoreFile::Journal(token(counter)), bytes(1, record));
         written.expect("room").blocking_written()
     };
     let mark = |n| Record::Mark { by: token(n).into(), at: HostTime::default() };
@@ -299,7 +299,7 @@
     let place = folder.path().join("a file, no folder");
     fs::write(&place, b"").expect("a file");
     let disk = Disk::start(config(&place), FileSystem).expect("a thread");
-    let written = disk.append(EdgeId(1), Name::Intake, vec![1]).expect("room");
+    let written = disk.append(EdgeId(1), StoreFile::Intake, vec![1]).expect("room");
     assert_eq!(written.blocking_written(), Written::No);
 }
 
@@ -311,6 +311,6 @@
     fs::create_dir(&place).expect("a store");
     std::os::unix::fs::symlink("/dev/full", place.join("intake")).expect("a link");
     let disk = Disk::start(config(folder.path()), FileSystem).expect("a thread");
-    let written = disk.append(EdgeId(1), Name::Intake, vec![1; 100]).expect("room");
+    let written = disk.append(EdgeId(1), StoreFile::Intake, vec![1; 100]).expect("room");
     assert_ne!(written.blocking_written(), Written::OnDisk);
 }
--- a/crates/plankvale/src/edge.rs
+++ b/crates/plankvale/src/edge.rs
@@ -8,7 +8,7 @@
 use clap::Subcommand;
 use millethook_edge::record::{End, Record};
 use millethook_edge::{Book, State, WriteId, log};
-use millethook_http::edge::folder::{self, Name};
+use millethook_http::edge::folder::{self, StoreFile};
 
 /// What is done with a folder of stores.
 #[derive(Subcommand, Debug)]
@@ -123,7 +123,7 @@
 }
 
 fn export(folder: &Path, book: &Book, lines: &mut Vec<String>) -> io::Result<()> {
-    let path = Name::Intake.path(folder, book.edge);
+    let path = StoreFile::Intake.path(folder, book.edge);
     for (seq, entry) in book.entries().filter(|(_, e)| e.state != State::Ended(End::Done)) {
         let bytes = folder::record(&path, entry.at)?;
         let Some((_, Record::Write(write))) = log::one(&bytes) else { continue };
@@ -159,7 +159,7 @@
     }
     let mut bytes = Vec::new();
     log::append(&mut bytes, write.seq, record).map_err(|_| format!("{write}: too long"))?;
-    let path = Name::Words.path(folder, write.edge);
+    let path = StoreFile::OperatorLog.path(folder, write.edge);
     let append = || -> io::Result<()> {
         let mut file = File::options().create(true).append(true).open(&path)?;
         file.write_all(&bytes)?;
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -12,7 +12,7 @@
 
 use millethook_config::Product;
 use millethook_http::edge::disk::Storage;
-use millethook_http::edge::folder::Name;
+use millethook_http::edge::folder::StoreFile;
 use millethook_testkit::*;
 use plankvale::config::Config;
 use serde_json::{Value, json};
@@ -258,8 +258,8 @@
 }
 
 impl Storage for Held {
-    fn sync(&mut self, name: Name, file: &File) -> io::Result<()> {
-        if name == Name::Intake {
+    fn sync(&mut self, name: StoreFile, file: &File) -> io::Result<()> {
+        if name == StoreFile::Intake {
             let (gate, moved) = &*self.0;
             drop(moved.wait_while(gate.lock().expect("a gate"), |open| !*open).expect("a gate"));
         }
