--- a/crates/millethook-http/src/edge/folder.rs
+++ b/crates/millethook-http/src/edge/folder.rs
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// The folder cannot be read.
-pub fn stores(folder: &Path) -> io::Result<Vec<EdgeId>> {
+pub fn list_stores(folder: &Path) -> io::Result<Vec<EdgeId>> {
     let entries = fs::read_dir(folder)?.flatten();
     let names = entries.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
     let mut stores: Vec<EdgeId> = names.collect();
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// The store cannot be read.
-pub fn files(folder: &Path, edge: EdgeId) -> io::Result<Vec<StoreFile>> {
+pub fn list_files(folder: &Path, edge: EdgeId) -> io::Result<Vec<StoreFile>> {
     let entries = fs::read_dir(folder.join(edge.to_string()))?.flatten();
     let names = entries.filter_map(|entry| StoreFile::parse(entry.file_name().to_str()?));
     let mut names: Vec<StoreFile> = names.collect();
@@ -83,8 +83,8 @@
 ///
 /// # Errors
 /// The store cannot be read.
-pub fn highest(folder: &Path, edge: EdgeId) -> io::Result<Token> {
-    let tokens = files(folder, edge)?.into_iter().filter_map(|name| match name {
+pub fn highest_token(folder: &Path, edge: EdgeId) -> io::Result<Token> {
+    let tokens = list_files(folder, edge)?.into_iter().filter_map(|name| match name {
         StoreFile::Journal(token) => Some(token),
         _ => None,
     });
@@ -116,7 +116,7 @@
 ///
 /// # Errors
 /// The file cannot be read.
-pub fn record(path: &Path, (at, length): (u64, u32)) -> io::Result<Vec<u8>> {
+pub fn read_record(path: &Path, (at, length): (u64, u32)) -> io::Result<Vec<u8>> {
     let mut file = File::open(path)?;
     file.seek(SeekFrom::Start(at.saturating_sub(log::HEAD as u64)))?;
     let mut bytes = Vec::new();
@@ -141,7 +141,7 @@
 /// Names the file that cannot be read.
 pub fn load_settled(folder: &Path, edge: EdgeId, settled: u64) -> io::Result<(Book, Places)> {
     let (mut book, mut places) = (Book::on(edge, Some(super::boot())), Places::new());
-    for name in files(folder, edge)? {
+    for name in list_files(folder, edge)? {
         let path = name.path(folder, edge);
         let bytes = read(&path, 0, name.upto(settled))
             .map_err(|e| io::Error::other(format!("{}: {e}", path.display())))?;
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -143,7 +143,7 @@
         let folder = settings.folder.clone();
         let told = |e: std::io::Error| format!("edge.folder: {}: {e}", folder.display());
         std::fs::create_dir_all(&folder).map_err(told)?;
-        folder::stores(&folder).map_err(told)?;
+        folder::list_stores(&folder).map_err(told)?;
         let (me, epoch) = fleet.process();
         let (own, wake) = (EdgeId::new(me, epoch), Arc::new(Notify::new()));
         let disk = DiskConfig { folder: folder.clone(), own, moved: wake.clone() };
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -89,7 +89,7 @@
 
     async fn look_for_stores(&self, known: &mut BTreeMap<EdgeId, ()>) {
         let path = self.settings.folder.clone();
-        let found = spawn_blocking(move || folder::stores(&path)).await;
+        let found = spawn_blocking(move || folder::list_stores(&path)).await;
         let found = match found {
             Ok(Ok(found)) => found,
             Ok(Err(e)) => {
@@ -148,7 +148,7 @@
     /// An owner before this one, which took this process for dead, has read what is not settled here yet. Its
     /// journal would speak of writes that were not read, and what it told of the store's progress would be taken back.
     fn own_is_settled(&self) -> io::Result<bool> {
-        if folder::highest(&self.settings.folder, self.own)? == Token::default() {
+        if folder::highest_token(&self.settings.folder, self.own)? == Token::default() {
             return Ok(true);
         }
         let intake = StoreFile::Intake.path(&self.settings.folder, self.own);
@@ -168,7 +168,7 @@
         let loaded = spawn_blocking(move || -> io::Result<_> {
             let intake = StoreFile::Intake.path(&path, edge);
             let gone = super::lock::is_free(&intake);
-            let highest = folder::highest(&path, edge)?;
+            let highest = folder::highest_token(&path, edge)?;
             let loaded = folder::load_settled(&path, edge, settled)?;
             // Danger: what a process acknowledges as it ends is read only if it was gone before. One that has just made
             // its intake does not hold it yet, and has written nothing where it does not by now.
@@ -255,7 +255,7 @@
             let intake = StoreFile::Intake.path(&path, edge);
             let gone = super::lock::is_free(&intake);
             let mut items = Vec::new();
-            for name in folder::files(&path, edge)? {
+            for name in folder::list_files(&path, edge)? {
                 if name == StoreFile::Journal(mine) {
                     continue;
                 }
--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -25,7 +25,7 @@
         let location = store.replay.borrow().book().entry(seq).map(|entry| entry.at);
         let Some(location) = location else { return Outcome::NotRun };
         let path = StoreFile::Intake.path(&self.settings.folder, store.edge);
-        let read = spawn_blocking(move || folder::record(&path, location)).await;
+        let read = spawn_blocking(move || folder::read_record(&path, location)).await;
         let Ok(Ok(bytes)) = read else { return Outcome::NotRun };
         let write = match log::one(&bytes) {
             Some((of, Record::Write(write))) if of == seq => write,
--- a/crates/millethook-http/src/edge/writer.rs
+++ b/crates/millethook-http/src/edge/writer.rs
@@ -216,7 +216,7 @@
         // A stalled owner may write after another one took over. What it writes is its own file's,
         // and nobody acts on it; a mark is refused all the same, so that its owner sees at once that it is followed.
         if let StoreFile::Journal(token) = name
-            && folder::highest(folder, edge).is_ok_and(|highest| highest > token)
+            && folder::highest_token(folder, edge).is_ok_and(|highest| highest > token)
             && appends.iter().all(|a| is_mark(&a.bytes))
         {
             return Written::Fenced;
--- a/crates/millethook-http/tests/edge_disk.rs
+++ b/crates/millethook-http/tests/edge_disk.rs
@@ -290,7 +290,7 @@
     assert_eq!(put(2, &mark(2)), Written::OnDisk);
     assert_eq!(put(1, &mark(1)), Written::Fenced);
     assert_eq!(put(1, &Record::MayHaveRun { by: token(1).into() }), Written::OnDisk);
-    assert_eq!(folder::highest(folder.path(), OWN).expect("a store"), token(2));
+    assert_eq!(folder::highest_token(folder.path(), OWN).expect("a store"), token(2));
 }
 
 #[test]
--- a/crates/plankvale/src/edge.rs
+++ b/crates/plankvale/src/edge.rs
@@ -72,7 +72,7 @@
 ) -> Result<String, String> {
     let wrong = |e: io::Error| format!("{}: {e}", folder.display());
     let mut lines = Vec::new();
-    for edge in folder::stores(folder).map_err(wrong)? {
+    for edge in folder::list_stores(folder).map_err(wrong)? {
         let (book, _) = folder::load(folder, edge).map_err(wrong)?;
         print(folder, &book, &mut lines).map_err(wrong)?;
     }
@@ -125,7 +125,7 @@
 fn export(folder: &Path, book: &Book, lines: &mut Vec<String>) -> io::Result<()> {
     let path = StoreFile::Intake.path(folder, book.edge);
     for (seq, entry) in book.entries().filter(|(_, e)| e.state != State::Ended(End::Done)) {
-        let bytes = folder::record(&path, entry.at)?;
+        let bytes = folder::read_record(&path, entry.at)?;
         let Some((_, Record::Write(write))) = log::one(&bytes) else { continue };
         let headers: Vec<(String, String)> = (write.headers.iter())
             .map(|(name, value)| (name.clone(), String::from_utf8_lossy(value).into_owned()))
