--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -66,7 +66,7 @@
 }
 
 /// Adds the classes that replays go by to the settings of the decisions.
-pub fn add_classes(names: &[String], settings: &mut Settings) {
+pub fn add_replay_classes(names: &[String], settings: &mut Settings) {
     let kept = |class: &&Class| names.contains(&class.name) && class.repeat != Repeat::Safe;
     let replays: Vec<Class> = (settings.classes.iter().filter(kept))
         .map(|class| Class {
--- a/crates/plankvale/src/tuning.rs
+++ b/crates/plankvale/src/tuning.rs
@@ -7,7 +7,7 @@
 use millethook_config::Product;
 use millethook_engine::names::Names;
 use millethook_engine::product::retune;
-use millethook_http::edge::add_classes;
+use millethook_http::edge::add_replay_classes;
 use serde_json::Value;
 
 use crate::distribution::patch::Patch;
@@ -51,7 +51,7 @@
         }
         retune(&self.product, &mut settings);
         if let Some(edge) = &self.product.edge {
-            add_classes(&edge.classes, &mut settings);
+            add_replay_classes(&edge.classes, &mut settings);
         }
         let names = Names::new(&settings, &raw)?;
         Ok(Tuned { settings, names, raw })
