--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -17,7 +17,7 @@
 use super::client::{Client, Phase};
 use crate::answer::{self, AnswerBody};
 use crate::body::{
-    BufferedBody, ForwardError, Gone, ReadError, StallBudget, buffer_body, feed, framing,
+    BufferedBody, ForwardError, Gone, ReadError, StallBudget, buffer_body, forward_rest, framing,
 };
 use crate::edge::{CONTEXT, Kept, Receipt};
 use crate::guard::HeadScan;
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -13,7 +13,7 @@
 use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
 use millethook_http::answer;
 use millethook_http::body::{
-    BufferedBody, ForwardError, ReadError, StallBudget, buffer_body, feed, framing,
+    BufferedBody, ForwardError, ReadError, StallBudget, buffer_body, forward_rest, framing,
 };
 use millethook_view::Counts;
 use tokio::sync::oneshot;
