--- a/crates/millethook-http/src/guard.rs
+++ b/crates/millethook-http/src/guard.rs
@@ -101,7 +101,7 @@
     /// Claims an id for a request; None: it is in use.
     pub fn reserve(self: &Rc<RequestIdRegistry>, id: &[u8]) -> Option<IdReservation> {
         let id = stable_hash(id);
-        self.insert(id).then(|| IdReservation { ids: self.clone(), id, kept: false })
+        self.insert(id).then(|| IdReservation { ids: self.clone(), id, committed: false })
     }
 
     /// All ids that are in use, as hashes.
@@ -136,7 +136,7 @@
 pub struct IdReservation {
     ids: Rc<RequestIdRegistry>,
     id: u64,
-    kept: bool,
+    committed: bool,
 }
 
 impl IdReservation {
@@ -146,14 +146,14 @@
     }
 
     /// The request has been taken: its id stays in use for as long as it may be open.
-    pub fn keep(mut self) {
-        self.kept = true;
+    pub fn commit(mut self) {
+        self.committed = true;
     }
 }
 
 impl Drop for IdReservation {
     fn drop(&mut self) {
-        if !self.kept {
+        if !self.committed {
             let mut spans = self.ids.spans.borrow_mut();
             spans.0.remove(&self.id);
             spans.1.remove(&self.id);
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -112,7 +112,7 @@
             return Ok(Ok(Answered::Driver(refused(None))));
         }
         client.enter(Phase::Taken);
-        reservation.keep();
+        reservation.commit();
         let taken = Instant::now();
         self.driver.current_list().await;
         let left = request_head.left.saturating_sub(taken.elapsed());
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -161,7 +161,7 @@
         let _ = reply.send(Err(Invalid::IdInUse));
         return;
     };
-    reservation.keep();
+    reservation.commit();
     driver.current_list().await;
     request_head.left = until.saturating_duration_since(Instant::now());
     let mut ticket = driver.request(request_head, attempt_request);
