--- a/crates/millethook-http/src/answer.rs
+++ b/crates/millethook-http/src/answer.rs
@@ -1,5 +1,5 @@
-//! What both forms make of a request and of its answer: the copy that goes to servers, the answer that
-//! goes to the caller, and the time at which one that is refused may come back.
+//! Conversions that the daemon and the library share: from a client's request to the request that is sent
+//! to servers, and from a server's answer to the response for the caller.
 
 use std::time::Duration;
 
@@ -15,13 +15,14 @@
 use millethook_engine::upload::Upload;
 use millethook_engine::upstream::{AttemptRequest, Head};
 
-use crate::body::Pieces;
-use crate::head::passed_on;
+use crate::body::StreamingBody;
+use crate::head::end_to_end_headers;
 
-/// An answer's body: whole, or passed on as it comes.
-pub type AnswerBody = Either<Full<Bytes>, Pieces>;
+/// Body of a response: complete in memory, or streamed from the server.
+pub type AnswerBody = Either<Full<Bytes>, StreamingBody>;
 
-/// What servers get, and what is kept for repeats; `upload` is what follows `body`, if it is not whole.
+/// Builds the request that is sent to servers and kept for retries. `upload` is the rest of the request
+/// body, if `body` holds only its first part.
 pub fn attempt_request(
     head: Parts,
     request_head: &RequestHead,
@@ -32,7 +33,7 @@
     let target = head.uri.path_and_query().cloned().map(hyper::Uri::from).unwrap_or_default();
     let (upload, framing) = upload.unzip();
     let framing = framing.unwrap_or(Framing::Whole);
-    let headers = passed_on(head.headers);
+    let headers = end_to_end_headers(head.headers);
     AttemptRequest {
         encoded: EncodedRequest::framed(&head.method, &target, &headers, body, framing),
         own_page: false,
@@ -45,25 +46,25 @@
     }
 }
 
-/// A server's answer that is whole.
+/// Builds the response from a server's answer that was received completely.
 pub fn complete_response(head: Head, body: Bytes) -> Response<AnswerBody> {
-    answer(head, Either::Left(Full::new(body)))
+    build_response(head, Either::Left(Full::new(body)))
 }
 
-/// A server's answer that is still coming in.
-pub fn streaming_response(mut long: StreamingReply) -> Response<AnswerBody> {
-    let head = std::mem::take(&mut long.head);
-    answer(head, Either::Right(Pieces::from(long)))
+/// Builds the response from a server's answer whose body is still being received.
+pub fn streaming_response(mut reply: StreamingReply) -> Response<AnswerBody> {
+    let head = std::mem::take(&mut reply.head);
+    build_response(head, Either::Right(StreamingBody::from(reply)))
 }
 
-fn answer(head: Head, body: AnswerBody) -> Response<AnswerBody> {
+fn build_response(head: Head, body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
-    *response.headers_mut() = passed_on(head.headers);
+    *response.headers_mut() = end_to_end_headers(head.headers);
     response
 }
 
-/// The value of `Retry-After`, in seconds with a fraction.
+/// Value of the `Retry-After` header: seconds, with a fraction.
 pub fn retry_after(time: Duration) -> Option<HeaderValue> {
     HeaderValue::try_from(format!("{:.3}", time.as_secs_f64())).ok()
 }
--- a/crates/millethook-http/src/body.rs
+++ b/crates/millethook-http/src/body.rs
@@ -1,5 +1,5 @@
-//! Bodies: those of requests, held whole within a budget or passed on as they come, and those of long
-//! answers.
+//! Bodies of messages: request bodies, buffered within a memory budget or forwarded as they arrive, and the
+//! bodies of streaming answers.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -16,62 +16,63 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Bodies are kept in pieces of this size.
-const PIECE: usize = 64 << 10;
+/// Size of the chunks in which bodies are buffered.
+const CHUNK_BYTES: usize = 64 << 10;
 
-/// The least rate, in bytes a second, at which a body may come. Members on weak lines send at 64 kB a
-/// second; a quarter of that is slower than any line that is of use.
-const LEAST_RATE: f64 = 16_000.0;
-/// How long a body may stand still at first, and what it can save up by coming faster. A client that sends
-/// half a body and stops holds a connection, and its part of the budget, for so long.
-const GRACE: Duration = Duration::from_millis(1500);
+/// Lowest average rate at which a client may send a body. Clients on weak links send at 64 kB/s; a quarter
+/// of that is slower than any usable link.
+const MIN_BYTES_PER_SECOND: f64 = 16_000.0;
+/// How long a body may stall at first, and the most stall time that a fast sender can save up. A client
+/// that sends half a body and stops holds its connection and its part of the memory budget for this long.
+const MAX_STALL: Duration = Duration::from_millis(1500);
 
-/// Why a request's body could not be read.
+/// Reason why a request body could not be read.
 #[derive(Debug)]
 pub enum ReadError<E> {
-    /// It is longer than it may be.
+    /// The body is longer than allowed.
     TooLong,
-    /// It comes more slowly than [`StallBudget`] allows.
+    /// The body arrives more slowly than [`StallBudget`] allows.
     TooSlow,
-    /// It broke off.
+    /// The connection failed before the end of the body.
     Broken(E),
 }
 
-/// How long a sender may keep one waiting: bytes that come earn time, waiting for them spends it.
+/// Time for which a sender may stall: received bytes add to it, waiting for the sender uses it up.
 ///
-/// Only the wait for the sender counts. What stands still because nobody reads it costs it nothing.
+/// Only time spent waiting for the sender counts. Time in which the receiver does not read costs the sender
+/// nothing.
 #[derive(Debug)]
 pub struct StallBudget {
-    left: Duration,
-    most: Duration,
+    remaining: Duration,
+    cap: Duration,
 }
 
 impl StallBudget {
-    /// A sender who is to keep to the least rate, with 1.5 s of grace at first.
+    /// A budget that enforces the minimum rate, with an initial 1.5 s of stall time.
     pub fn new() -> StallBudget {
-        StallBudget { left: GRACE, most: GRACE }
+        StallBudget { remaining: MAX_STALL, cap: MAX_STALL }
     }
 
-    /// A sender who may take as long as it likes.
+    /// A budget without a limit.
     pub fn unbounded() -> StallBudget {
-        StallBudget { left: Duration::MAX, most: Duration::MAX }
+        StallBudget { remaining: Duration::MAX, cap: Duration::MAX }
     }
 
-    /// Waits for the sender; None: its time is spent.
+    /// Waits for the sender. Returns None if the budget runs out first.
     async fn wait<T>(&mut self, sender: impl Future<Output = T>) -> Option<T> {
-        if self.left == Duration::MAX {
+        if self.remaining == Duration::MAX {
             return Some(sender.await);
         }
-        let since = Instant::now();
-        let got = timeout(self.left, sender).await.ok();
-        self.left = self.left.saturating_sub(since.elapsed());
-        got
+        let started = Instant::now();
+        let result = timeout(self.remaining, sender).await.ok();
+        self.remaining = self.remaining.saturating_sub(started.elapsed());
+        result
     }
 
-    /// So many bytes have come.
-    fn earn(&mut self, bytes: usize) {
-        let earned = Duration::from_secs_f64(bytes as f64 / LEAST_RATE);
-        self.left = self.left.saturating_add(earned).min(self.most);
+    /// Adds the stall time that this number of received bytes is worth.
+    fn credit(&mut self, bytes: usize) {
+        let credited = Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND);
+        self.remaining = self.remaining.saturating_add(credited).min(self.cap);
     }
 }
 
@@ -81,109 +82,111 @@
     }
 }
 
-/// What has been read of a body.
+/// The buffered part of a body.
 #[derive(Debug)]
 pub enum BufferedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Vec<Bytes>),
-    /// More than [`LONGEST_BODY`] bytes, and more may follow.
+    /// More than [`LONGEST_BODY`] bytes; more may follow.
     Partial(Vec<Bytes>),
 }
 
-/// Reads as much of a body as is held, on the `account`: all of it, or its first [`LONGEST_BODY`] bytes and
-/// the piece in which they end.
+/// Buffers a body, with its memory charged to `account`: the complete body, or its first [`LONGEST_BODY`]
+/// bytes up to the end of the frame in which that limit is exceeded.
 ///
-/// Room is taken before bytes are here; else the budget would be overdrawn by all who send
-/// at once. What is not yet read waits in the client.
+/// Memory is reserved before the bytes are read, because otherwise many clients that send at the same time
+/// would overdraw the budget. Unread bytes wait at the client.
 ///
 /// # Errors
-/// Says whether it is announced as longer than `most` bytes, comes too slowly or broke off.
+/// Fails if the announced length exceeds `max_bytes`, the body arrives too slowly, or the connection fails.
 ///
-/// Dropped on the way, it gives back nothing: that is the account's own part.
+/// If the future is dropped, the reserved memory stays with `account`, which releases it.
 pub async fn buffer_body<B>(
     body: &mut B,
-    most: u64,
+    max_bytes: u64,
     account: &mut ByteReservation,
-    pace: &mut StallBudget,
+    stall_budget: &mut StallBudget,
 ) -> Result<BufferedBody, ReadError<B::Error>>
 where
     B: Body + Unpin,
 {
     let mut pieces = Vec::new();
     let mut piece = BytesMut::new();
-    let mut left = LONGEST_BODY;
-    // What is announced as too long need not be waited for.
-    if body.size_hint().lower() > most {
+    let mut room = LONGEST_BODY;
+    // A body that is announced as too long is rejected without waiting for it.
+    if body.size_hint().lower() > max_bytes {
         return Err(ReadError::TooLong);
     }
     if body.is_end_stream() {
         return Ok(BufferedBody::Complete(pieces));
     }
-    account.grow(PIECE).await;
-    let more = loop {
-        let frame = pace.wait(body.frame()).await.ok_or(ReadError::TooSlow)?;
+    account.grow(CHUNK_BYTES).await;
+    let partial = loop {
+        let frame = stall_budget.wait(body.frame()).await.ok_or(ReadError::TooSlow)?;
         let Some(frame) = frame else { break false };
         let Ok(mut data) = frame.map_err(ReadError::Broken)?.into_data() else { continue };
-        pace.earn(data.remaining());
-        let rest = left.checked_sub(data.remaining());
+        stall_budget.credit(data.remaining());
+        let after = room.checked_sub(data.remaining());
         while data.has_remaining() {
-            // Bodies that come byte by byte would cost many times their size if each
-            // byte were kept as it came.
-            let n = data.remaining().min(PIECE - piece.len());
+            // Copies into full chunks: if each received frame were kept as it is, a body that arrives byte
+            // by byte would take many times its size in memory.
+            let n = data.remaining().min(CHUNK_BYTES - piece.len());
             piece.put(data.copy_to_bytes(n));
-            if piece.len() == PIECE {
+            if piece.len() == CHUNK_BYTES {
                 pieces.push(std::mem::take(&mut piece).freeze());
-                account.grow(PIECE).await;
+                account.grow(CHUNK_BYTES).await;
             }
         }
-        match rest {
-            Some(rest) => left = rest,
+        match after {
+            Some(after) => room = after,
             None => break true,
         }
     };
     if !piece.is_empty() {
         pieces.push(piece.freeze());
     }
-    Ok(if more { BufferedBody::Partial(pieces) } else { BufferedBody::Complete(pieces) })
+    Ok(if partial { BufferedBody::Partial(pieces) } else { BufferedBody::Complete(pieces) })
 }
 
-/// How servers are told the length of a body of which `held` bytes are here.
-pub fn framing(body: &impl Body, held: u64) -> Framing {
-    body.size_hint().exact().map_or(Framing::Chunked, |rest| Framing::Length(held + rest))
+/// Framing of the request to the server, for a body of which `buffered` bytes have been read.
+pub fn framing(body: &impl Body, buffered: u64) -> Framing {
+    body.size_hint().exact().map_or(Framing::Chunked, |rest| Framing::Length(buffered + rest))
 }
 
-/// Why the rest of a body was not passed on.
+/// Reason why the rest of a body was not forwarded.
 #[derive(Debug)]
 pub enum ForwardError<E> {
-    /// The sender's part.
+    /// The client's side failed.
     Read(ReadError<E>),
-    /// The server's part.
+    /// The server's side failed.
     NotTaken(NotTaken),
 }
 
-/// Passes on what follows the part of a body that is held, `held` bytes long, up to `most` bytes in all.
+/// Forwards the part of a body that follows the `buffered` bytes read so far. The complete body may have at
+/// most `max_bytes` bytes.
 ///
 /// # Errors
-/// Says which side broke off, or was too slow. The body is not whole then, and the server is not told that
-/// it is.
+/// Says which side failed or was too slow. The body is then incomplete, and it is not finished towards the
+/// server, so that the server does not take it for complete.
 pub async fn forward_rest<B>(
     body: &mut B,
-    held: u64,
-    most: u64,
-    pace: &mut StallBudget,
+    buffered: u64,
+    max_bytes: u64,
+    stall_budget: &mut StallBudget,
     feed: Feed,
 ) -> Result<(), ForwardError<B::Error>>
 where
     B: Body + Unpin,
 {
-    let mut room = most.saturating_sub(held);
+    let mut room = max_bytes.saturating_sub(buffered);
     loop {
-        let frame = pace.wait(body.frame()).await.ok_or(ForwardError::Read(ReadError::TooSlow))?;
+        let frame =
+            stall_budget.wait(body.frame()).await.ok_or(ForwardError::Read(ReadError::TooSlow))?;
         let Some(frame) = frame else { break };
         let frame = frame.map_err(|e| ForwardError::Read(ReadError::Broken(e)))?;
         let Ok(mut data) = frame.into_data() else { continue };
         let n = data.remaining();
-        pace.earn(n);
+        stall_budget.credit(n);
         room = room.checked_sub(n as u64).ok_or(ForwardError::Read(ReadError::TooLong))?;
         if n > 0 {
             feed.send(data.copy_to_bytes(n)).await.map_err(ForwardError::NotTaken)?;
@@ -192,50 +195,51 @@
     feed.end().await.map_err(ForwardError::NotTaken)
 }
 
-/// The client has gone, or cannot be told anything more.
+/// Error of a client connection that was closed or can carry no further response.
 #[derive(Debug)]
-pub struct Gone;
+pub struct ClientGone;
 
-impl std::fmt::Display for Gone {
+impl std::fmt::Display for ClientGone {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the connection is of no more use")
+        f.write_str("the client connection was closed or can no longer be used")
     }
 }
 
-impl std::error::Error for Gone {}
+impl std::error::Error for ClientGone {}
 
-/// A long answer's body.
-pub struct Pieces {
+/// Body of a streaming answer.
+pub struct StreamingBody {
     pieces: mpsc::Receiver<Option<Bytes>>,
-    left: Option<u64>,
+    remaining: Option<u64>,
 }
 
-impl From<StreamingReply> for Pieces {
-    fn from(long: StreamingReply) -> Pieces {
-        Pieces { pieces: long.pieces, left: long.length }
+impl From<StreamingReply> for StreamingBody {
+    fn from(reply: StreamingReply) -> StreamingBody {
+        StreamingBody { pieces: reply.pieces, remaining: reply.length }
     }
 }
 
-impl Body for Pieces {
+impl Body for StreamingBody {
     type Data = Bytes;
-    type Error = Gone;
+    type Error = ClientGone;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Gone>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ClientGone>>> {
         self.pieces.poll_recv(cx).map(|piece| match piece {
             Some(Some(piece)) => {
-                self.left = self.left.map(|l| l.saturating_sub(piece.len() as u64));
+                self.remaining =
+                    self.remaining.map(|remaining| remaining.saturating_sub(piece.len() as u64));
                 Some(Ok(Frame::data(piece)))
             }
             Some(None) => None,
-            // It broke off.
-            None => Some(Err(Gone)),
+            // The server's answer ended early.
+            None => Some(Err(ClientGone)),
         })
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/millethook-http/src/edge/intake.rs
+++ b/crates/millethook-http/src/edge/intake.rs
@@ -15,7 +15,7 @@
 use super::disk::Written;
 use super::folder::StoreFile;
 use super::{Edge, unix_ms};
-use crate::head::{Invalid, passed_on, single_value};
+use crate::head::{Invalid, end_to_end_headers, single_value};
 
 /// What a client asks for where it takes a receipt for an answer (RFC 7240).
 pub static PREFER: HeaderName = HeaderName::from_static("prefer");
@@ -113,7 +113,7 @@
         let prefers = prefers.flat_map(|v| v.split(',')).any(|p| {
             p.split(';').next().is_some_and(|p| p.trim().eq_ignore_ascii_case("respond-async"))
         });
-        let headers = passed_on(head.headers.clone());
+        let headers = end_to_end_headers(head.headers.clone());
         let headers = headers.iter().filter(|(name, _)| **name != AFTER && **name != PREFER);
         let account = head.headers.get("x-account").map_or(0, |v| stable_hash(v.as_bytes()));
         let member = if request_head.key == 0 { 0 } else { request_head.key ^ account };
--- a/crates/millethook-http/src/guard.rs
+++ b/crates/millethook-http/src/guard.rs
@@ -1,5 +1,5 @@
-//! What is checked of clients' requests beyond what hyper checks: heads whose framing can be read in
-//! two ways, and ids that are taken.
+//! Checks of client requests beyond those of hyper: heads with ambiguous framing, and request ids that are
+//! already in use.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,131 +8,138 @@
 use millethook_engine::names::stable_hash;
 use rustc_hash::FxHashSet;
 
-/// The longest header name that is looked for.
-const NAME: usize = "transfer-encoding".len();
-/// Ids that are remembered of one span at most; more requests than that come to no sidecar.
-const MAX_IDS: usize = 1 << 14;
+/// Length of the longest header name that the scan looks for.
+const LONGEST_NAME: usize = "transfer-encoding".len();
+/// Most ids that one generation holds. No sidecar receives more requests than that within one generation.
+const MAX_IDS_PER_GENERATION: usize = 1 << 14;
 
-/// Reads a head's header names as they come in, beside hyper.
+/// Scans the header names of a request head as its bytes arrive, independently of hyper.
 ///
-/// Guards against a request with both `Content-Length` and `Transfer-Encoding`, which can hide
-/// another one from one of two readers; hyper lets the length drop without a word. What is known
-/// here of a head that came with bytes of an earlier request is nothing, so chunks are then not
-/// taken either. It does harm only to clients that send chunks without waiting for their answer.
+/// Guards against request smuggling by a request that has both `Content-Length` and `Transfer-Encoding`:
+/// two readers can disagree on where it ends, so that one of them sees a second, hidden request. hyper
+/// ignores the length silently. A head that arrived together with bytes of an earlier request is not
+/// scanned, so chunked bodies are rejected there as well. This affects only clients that pipeline chunked
+/// requests without waiting for the previous answer.
 #[derive(Default)]
 pub struct HeadScan {
-    name: [u8; NAME],
-    /// Bytes of the present line so far; of its name, as far as that may matter.
-    line: usize,
-    named: bool,
-    /// The request line has been seen.
-    first: bool,
-    done: bool,
-    length: bool,
-    coding: bool,
+    name_buffer: [u8; LONGEST_NAME],
+    /// Bytes of the current line so far, or of its name as far as it may matter.
+    line_len: usize,
+    colon_seen: bool,
+    /// Whether the request line has been read.
+    request_line_seen: bool,
+    complete: bool,
+    has_content_length: bool,
+    has_transfer_encoding: bool,
 }
 
 impl HeadScan {
-    /// Takes in the next bytes that the client sent.
-    pub fn take(&mut self, bytes: &[u8]) {
+    /// Scans the next bytes from the client.
+    pub fn scan(&mut self, bytes: &[u8]) {
         for &byte in bytes {
-            if self.done {
+            if self.complete {
                 return;
             }
             match byte {
                 b'\r' => {}
                 b'\n' => {
-                    // Empty lines ahead of the request line are passed over.
-                    self.done = self.line == 0 && self.first;
-                    self.first |= self.line > 0;
-                    (self.line, self.named) = (0, false);
+                    // Empty lines before the request line are skipped.
+                    self.complete = self.line_len == 0 && self.request_line_seen;
+                    self.request_line_seen |= self.line_len > 0;
+                    (self.line_len, self.colon_seen) = (0, false);
                 }
-                b':' if self.first && !self.named => {
-                    self.named = true;
-                    let name = self.name.get(..self.line).unwrap_or_default();
-                    self.length |= name.eq_ignore_ascii_case(b"content-length");
-                    self.coding |= name.eq_ignore_ascii_case(b"transfer-encoding");
-                    self.line += 1;
+                b':' if self.request_line_seen && !self.colon_seen => {
+                    self.colon_seen = true;
+                    let name = self.name_buffer.get(..self.line_len).unwrap_or_default();
+                    self.has_content_length |= name.eq_ignore_ascii_case(b"content-length");
+                    self.has_transfer_encoding |= name.eq_ignore_ascii_case(b"transfer-encoding");
+                    self.line_len += 1;
                 }
                 byte => {
-                    if let Some(slot) = self.name.get_mut(self.line) {
+                    if let Some(slot) = self.name_buffer.get_mut(self.line_len) {
                         *slot = byte;
                     }
-                    self.line += 1;
+                    self.line_len += 1;
                 }
             }
         }
     }
 
-    /// Whether the head that has just been read has one framing, and surely no other.
-    pub fn one_framing(&self, chunked: bool) -> bool {
-        !chunked || (self.done && self.coding && !self.length)
+    /// Whether the last head has exactly one framing, so that all readers agree on where its body ends.
+    pub fn has_unambiguous_framing(&self, chunked: bool) -> bool {
+        !chunked || (self.complete && self.has_transfer_encoding && !self.has_content_length)
     }
 }
 
-/// The ids of requests that are open or were so a moment ago.
+/// Ids of requests that are open or were open recently.
 ///
-/// Guards against a second request under an id that is in use: its answer could be taken for the
-/// other's, by a server that drops repeats, by a log, by the client. Every request has a new id, so
-/// this harms only one that was read in part before its connection broke, and its claim is dropped.
+/// Guards against a second request with an id that is in use: a server that drops duplicates, a log or the
+/// client could take the answer to one request for the answer to the other. Each request has a new id, so
+/// the check could only reject a request whose connection failed while it was being read; its reservation
+/// is released in that case.
 pub struct RequestIdRegistry {
-    /// Ids first met in this span, and in the one before.
-    spans: RefCell<(FxHashSet<u64>, FxHashSet<u64>, Instant)>,
-    span: Cell<Duration>,
+    /// Ids first seen in the current generation, ids of the previous one, and when the current one began.
+    generations: RefCell<(FxHashSet<u64>, FxHashSet<u64>, Instant)>,
+    generation_length: Cell<Duration>,
 }
 
-/// Beyond the longest deadline.
-const SPARE: Duration = Duration::from_millis(500);
+/// Time that ids are kept beyond the longest deadline.
+const RETENTION_MARGIN: Duration = Duration::from_millis(500);
 
 impl RequestIdRegistry {
-    /// `longest` is how long a request may be open.
-    pub fn new(longest: Duration) -> Rc<RequestIdRegistry> {
+    /// Creates a registry for requests that are open for at most `longest_deadline`.
+    pub fn new(longest_deadline: Duration) -> Rc<RequestIdRegistry> {
         Rc::new(RequestIdRegistry {
-            spans: RefCell::new((FxHashSet::default(), FxHashSet::default(), Instant::now())),
-            span: Cell::new(longest + SPARE),
+            generations: RefCell::new((FxHashSet::default(), FxHashSet::default(), Instant::now())),
+            generation_length: Cell::new(longest_deadline + RETENTION_MARGIN),
         })
     }
 
-    /// Requests may be open for so long from now on, under new settings; those that are open go on as they were.
-    pub fn extend_retention(&self, longest: Duration) {
-        self.span.set(self.span.get().max(longest + SPARE));
+    /// Keeps ids for at least this deadline from now on, after new settings. The retention is never
+    /// shortened, because requests that are open keep their deadlines.
+    pub fn extend_retention(&self, longest_deadline: Duration) {
+        self.generation_length
+            .set(self.generation_length.get().max(longest_deadline + RETENTION_MARGIN));
     }
 
-    /// Claims an id for a request; None: it is in use.
+    /// Reserves an id for a request. Returns None if the id is in use.
     pub fn reserve(self: &Rc<RequestIdRegistry>, id: &[u8]) -> Option<IdReservation> {
         let id = stable_hash(id);
         self.insert(id).then(|| IdReservation { ids: self.clone(), id, committed: false })
     }
 
-    /// All ids that are in use, as hashes.
+    /// Hashes of all ids that are in use.
     pub fn in_use(&self) -> Vec<u64> {
-        let spans = self.spans.borrow();
-        spans.0.iter().chain(&spans.1).copied().collect()
+        let generations = self.generations.borrow();
+        generations.0.iter().chain(&generations.1).copied().collect()
     }
 
-    /// Ids that are in use at another process are in use here, too.
+    /// Adds ids, as hashes, that are in use at another process.
     pub fn add_in_use(&self, ids: impl IntoIterator<Item = u64>) {
-        self.spans.borrow_mut().0.extend(ids);
+        self.generations.borrow_mut().0.extend(ids);
     }
 
-    /// Claims an id, as a hash, for a request at another process. False: it is in use.
+    /// Reserves an id, given as a hash, for a request at another process. Returns false if the id is in
+    /// use.
     pub fn reserve_hash(&self, id: u64) -> bool {
         self.insert(id)
     }
 
     fn insert(&self, id: u64) -> bool {
-        let mut spans = self.spans.borrow_mut();
-        let (now, before, since) = &mut *spans;
-        if since.elapsed() >= self.span.get() || now.len() >= MAX_IDS {
-            std::mem::swap(now, before);
-            now.clear();
-            *since = Instant::now();
+        let mut generations = self.generations.borrow_mut();
+        let (current, previous, started) = &mut *generations;
+        if started.elapsed() >= self.generation_length.get()
+            || current.len() >= MAX_IDS_PER_GENERATION
+        {
+            std::mem::swap(current, previous);
+            current.clear();
+            *started = Instant::now();
         }
-        !before.contains(&id) && now.insert(id)
+        !previous.contains(&id) && current.insert(id)
     }
 }
 
-/// An id's claim; dropped before it is kept, the id is free again.
+/// Reservation of a request id. Dropping it before [`commit`](IdReservation::commit) frees the id.
 pub struct IdReservation {
     ids: Rc<RequestIdRegistry>,
     id: u64,
@@ -140,12 +147,12 @@
 }
 
 impl IdReservation {
-    /// The id, as a hash.
+    /// Hash of the id.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The request has been taken: its id stays in use for as long as it may be open.
+    /// Marks the request as accepted: its id stays in use for as long as the request may be open.
     pub fn commit(mut self) {
         self.committed = true;
     }
@@ -154,9 +161,9 @@
 impl Drop for IdReservation {
     fn drop(&mut self) {
         if !self.committed {
-            let mut spans = self.ids.spans.borrow_mut();
-            spans.0.remove(&self.id);
-            spans.1.remove(&self.id);
+            let mut generations = self.ids.generations.borrow_mut();
+            generations.0.remove(&self.id);
+            generations.1.remove(&self.id);
         }
     }
 }
--- a/crates/millethook-http/src/head.rs
+++ b/crates/millethook-http/src/head.rs
@@ -1,8 +1,8 @@
-//! What a request's head asks for. Every form reads heads here, so that all of them take the same
-//! requests for the same.
+//! Parsing of request heads. The daemon and the library both use this module, so that they treat the same
+//! request in the same way.
 //!
-//! Identity is single: a head that names its class, its tenant, its id or its key in two ways could
-//! be one request to the balancer and another one to a server, and is turned away.
+//! A head must identify its request unambiguously. If the class, the tenant, the id or the key is given
+//! twice, the balancer and a server could read different values, so such a head is rejected.
 
 use std::time::Duration;
 
@@ -17,41 +17,43 @@
 mod invalid;
 mod path;
 
-pub use forwarding::passed_on;
+pub use forwarding::end_to_end_headers;
 pub use invalid::Invalid;
-use path::one_class;
+use path::unambiguous_class;
 
-/// How long the client will wait, in whole milliseconds. It ends at this hop: what servers are told is the encoder's.
+/// How long the client will wait, in whole milliseconds. The header is not forwarded: the encoder writes
+/// the value for the server.
 pub use millethook_connect::request::TIME_LEFT;
 
 static HOST: HeaderName = header::HOST;
-/// The request's id, new with every request.
+/// Header with the id of the request, which is new for each request.
 pub static CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// The tenant.
+/// Header with the tenant.
 pub static ACCOUNT: HeaderName = HeaderName::from_static("x-account");
-/// By what servers drop repeats.
+/// Header by which servers drop duplicates.
 pub static IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// `1`: a client's own repeat.
+/// Header that marks a retry by the client itself, with the value `1`.
 pub static REPEAT: HeaderName = HeaderName::from_static("x-repeat");
-/// A guess at the work, in microseconds.
+/// Header with an estimate of the request's work, in microseconds.
 pub static WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
-/// Headers that may stand in a head once at most.
-static SINGLE: [&HeaderName; 7] =
+/// Headers that may occur at most once in a head.
+static SINGLE_VALUE_HEADERS: [&HeaderName; 7] =
     [&HOST, &CORRELATION_ID, &ACCOUNT, &IDEMPOTENCY_KEY, &TIME_LEFT, &REPEAT, &WEIGHT_HINT];
 
-/// What may be known of a request beside its head. Where both say something, it has to be the same.
+/// Values that a caller knows about a request beside its head. A value that the head states as well must be
+/// the same.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeadOverrides<'a> {
-    /// The class, where it is not the path's first part.
+    /// The class, if it is not the first segment of the path.
     pub class: Option<&'a str>,
     /// How long the client will wait.
     pub left: Option<Duration>,
-    /// What the request is about.
+    /// Key of the object that the request concerns.
     pub key: Option<u64>,
 }
 
-/// A header's value, if it stands in the head once.
-fn once<'h>(
+/// Returns the value of a header that may occur at most once.
+fn at_most_one<'h>(
     headers: &'h HeaderMap,
     name: &'static HeaderName,
 ) -> Result<Option<&'h HeaderValue>, Invalid> {
@@ -60,7 +62,7 @@
     if all.next().is_some() { Err(Invalid::Doubled(name.as_str())) } else { Ok(first) }
 }
 
-fn text<'h>(
+fn header_text<'h>(
     name: &'static HeaderName,
     value: Option<&'h HeaderValue>,
 ) -> Result<Option<&'h str>, Invalid> {
@@ -68,30 +70,30 @@
     text.map(|t| t.map(str::trim)).map_err(|_| Invalid::Header(name.as_str()))
 }
 
-/// The text of a header that may stand in a head once at most.
+/// Returns the text of a header that may occur at most once.
 ///
 /// # Errors
-/// It stands there twice, or is no text.
+/// Fails if the header occurs twice or is not text.
 pub fn single_value<'h>(
     headers: &'h HeaderMap,
     name: &'static HeaderName,
 ) -> Result<Option<&'h str>, Invalid> {
-    text(name, once(headers, name)?)
+    header_text(name, at_most_one(headers, name)?)
 }
 
-/// What [`TIME_LEFT`] says.
+/// Parses the value of the [`TIME_LEFT`] header.
 ///
 /// # Errors
-/// It is no number of milliseconds below 2^32.
+/// Fails if the value is not a number of milliseconds below 2^32.
 pub fn parse_time_left(text: &str) -> Result<Duration, Invalid> {
     let millis = text.parse::<u32>().map_err(|_| Invalid::Header(TIME_LEFT.as_str()))?;
     Ok(Duration::from_millis(millis.into()))
 }
 
-/// What a head asks for, and the request's id.
+/// Parses a request head. Returns what the head asks for and the request's id.
 ///
 /// # Errors
-/// Heads that say too little, the wrong thing, or two things.
+/// Fails if a required value is missing, invalid or given in two different ways.
 pub fn parse_head<'h>(
     names: &Names,
     method: &Method,
@@ -99,23 +101,24 @@
     headers: &'h HeaderMap,
     overrides: HeadOverrides<'_>,
 ) -> Result<(RequestHead, &'h str), Invalid> {
-    for name in SINGLE {
-        once(headers, name)?;
+    for name in SINGLE_VALUE_HEADERS {
+        at_most_one(headers, name)?;
     }
-    let text = |name: &'static HeaderName| text(name, headers.get(name));
-    let of_path = one_class(uri.path())?;
-    let class = overrides.class.unwrap_or(of_path);
-    // Servers go by the path: a request that names one class there and another here would be two.
-    if class != of_path && names.classes.contains_key(of_path) {
+    let text = |name: &'static HeaderName| header_text(name, headers.get(name));
+    let path_class = unambiguous_class(uri.path())?;
+    let class = overrides.class.unwrap_or(path_class);
+    // Servers choose the class by the path, so the two classes of such a request would differ between the
+    // balancer and the server.
+    if class != path_class && names.classes.contains_key(path_class) {
         return Err(Invalid::Disagree("class"));
     }
     let class = names.classes.get(class).ok_or_else(|| Invalid::UnknownClass(class.to_owned()))?;
-    let keyed = text(&IDEMPOTENCY_KEY)?.is_some();
+    let has_key = text(&IDEMPOTENCY_KEY)?.is_some();
     let expected = if class.repeat == Repeat::Safe { Method::GET } else { Method::POST };
     if *method != expected {
         return Err(Invalid::Method { expected });
     }
-    if class.repeat != Repeat::Safe && keyed != (class.repeat == Repeat::Keyed) {
+    if class.repeat != Repeat::Safe && has_key != (class.repeat == Repeat::Keyed) {
         return Err(Invalid::Key { needed: class.repeat == Repeat::Keyed });
     }
     let id = text(&CORRELATION_ID)?.filter(|id| !id.is_empty());
@@ -135,10 +138,10 @@
         (None, None) => return Err(Invalid::Missing(TIME_LEFT.as_str())),
         (None, Some(value)) => parse_time_left(value)?,
     };
-    let cookie = headers.get_all(header::COOKIE).iter().find_map(key);
+    let cookie = headers.get_all(header::COOKIE).iter().find_map(cookie_key);
     let key = match (overrides.key, cookie) {
-        (Some(a), Some(b)) if a != b => return Err(Invalid::Disagree("cookie")),
-        (a, b) => a.or(b).unwrap_or(0),
+        (Some(given), Some(cookie)) if given != cookie => return Err(Invalid::Disagree("cookie")),
+        (given, cookie) => given.or(cookie).unwrap_or(0),
     };
     let request_head = RequestHead {
         class: class.index,
@@ -147,8 +150,8 @@
         aim: class.aim,
         tenant,
         key,
-        // Without this bound, a client's claimed timeout keeps its request, with all that belongs to it,
-        // here for as long, and a planned end waits for the longest deadline only.
+        // Without this bound, a client that claims a long timeout keeps its request and the resources of
+        // the request for that long, while a shutdown waits only for the longest deadline.
         left: left.min(class.deadline),
         hint: text(&WEIGHT_HINT)?.and_then(|v| v.parse::<Micros>().ok()),
         repeat: text(&REPEAT)? == Some("1"),
@@ -156,8 +159,8 @@
     Ok((request_head, id))
 }
 
-/// What the cookie `k` names.
-fn key(cookies: &HeaderValue) -> Option<u64> {
+/// Reads the key from the cookie `k`.
+fn cookie_key(cookies: &HeaderValue) -> Option<u64> {
     let pairs = cookies.to_str().ok()?.split(';').filter_map(|pair| pair.split_once('='));
     let value = pairs.filter(|(name, _)| name.trim() == "k").map(|(_, v)| v.trim()).next()?;
     Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| stable_hash(value.as_bytes())))
--- a/crates/millethook-http/src/head/forwarding.rs
+++ b/crates/millethook-http/src/head/forwarding.rs
@@ -1,12 +1,12 @@
-//! Which headers of a message go beyond this hop.
+//! Selects the headers of a message that are forwarded beyond this hop.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-use super::SINGLE;
+use super::SINGLE_VALUE_HEADERS;
 
-/// Fields that are for one hop only (RFC 9110, section 7.6.1), and those that the platform's servers and
-/// sidecars say to each other.
-static THIS_HOP: [HeaderName; 13] = [
+/// Headers for one hop only (RFC 9110, section 7.6.1), and headers that servers and sidecars of the
+/// platform use between each other.
+static HOP_BY_HOP_HEADERS: [HeaderName; 13] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -22,21 +22,22 @@
     HeaderName::from_static("x-unprocessed"),
 ];
 
-/// The headers of a message that go beyond this hop.
+/// Removes the headers of a message that must not be forwarded beyond this hop.
 ///
-/// `Connection` may name further ones that do not, but none by which a request is known: those are for the server (RFC
-/// 9110, section 7.6.1, forbids to name such a field). Without this a client that names `idempotency-key` there has it
-/// taken out of a request that is sent again as a keyed one, and no server drops the repeat.
-pub fn passed_on(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+/// `Connection` may name further headers to remove, but not those that identify a request: they are for the
+/// server, and RFC 9110, section 7.6.1, forbids naming such a header there. Without this exception, a
+/// client that names `idempotency-key` there has the key removed from a request that is retried because it
+/// has a key, and no server drops the duplicate.
+pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
+    let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        .filter(|name| !SINGLE.contains(&name))
+        .filter(|name| !SINGLE_VALUE_HEADERS.contains(&name))
         .collect();
-    for name in THIS_HOP.iter().chain(&named) {
+    for name in HOP_BY_HOP_HEADERS.iter().chain(&connection_options) {
         headers.remove(name);
     }
     headers
--- a/crates/millethook-http/src/head/invalid.rs
+++ b/crates/millethook-http/src/head/invalid.rs
@@ -1,43 +1,45 @@
-//! Why a request's head is turned away.
+//! Reasons for which a request head is rejected.
 
 use std::fmt;
 
 use hyper::{Method, StatusCode};
 
-/// Why a request cannot be taken. It went nowhere.
+/// Reason why a request is rejected. The request was not sent to any server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Invalid {
     /// The path can be read in more than one way, or does not begin with a class.
     Path,
-    /// No class of this name in the settings.
+    /// The settings have no class of this name.
     UnknownClass(String),
-    /// The class calls for another method: `GET` where it is safe to repeat, else `POST`.
+    /// The class requires another method: `GET` if it is safe to repeat, otherwise `POST`.
     Method {
-        /// The method that it calls for.
+        /// The method that the class requires.
         expected: Method,
     },
-    /// The header stands in the head more than once.
+    /// The header occurs more than once.
     Doubled(&'static str),
-    /// The header (or its typed twin) is missing.
+    /// The header is missing, and so is the typed value of the request that could stand for it.
     Missing(&'static str),
-    /// The header holds what makes no sense there.
+    /// The header has an invalid value.
     Header(&'static str),
-    /// The header and its typed twin, or two levels of the request, say different things.
+    /// The header differs from the typed value of the request, or two parts of the request give different
+    /// values.
     Disagree(&'static str),
-    /// The tenant is not one of the settings.
+    /// The settings have no tenant of this name.
     UnknownTenant(String),
-    /// An idempotency key for a class that has none, or none for one that needs it.
+    /// The request has an idempotency key and its class uses none, or it has none and its class requires
+    /// one.
     Key {
-        /// Whether the class needs one.
+        /// Whether the class requires a key.
         needed: bool,
     },
-    /// The id belongs to a request that is open, or was so a moment ago.
+    /// The id belongs to a request that is open or was open recently.
     IdInUse,
 }
 
 impl Invalid {
-    /// The status that tells a client so.
+    /// HTTP status of the answer to the client.
     pub fn status(&self) -> StatusCode {
         match self {
             Invalid::UnknownClass(_) => StatusCode::NOT_FOUND,
@@ -51,21 +53,19 @@
 impl fmt::Display for Invalid {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Invalid::Path => {
-                f.write_str("path: one that begins with a class and has no dot segments expected")
-            }
+            Invalid::Path => f.write_str("path: must begin with a class and have no dot segments"),
             Invalid::UnknownClass(class) => write!(f, "class: {class:?} is not in the settings"),
-            Invalid::Method { expected } => write!(f, "method: {expected} expected for this class"),
-            Invalid::Doubled(name) => write!(f, "{name}: given twice, once expected"),
+            Invalid::Method { expected } => write!(f, "method: this class requires {expected}"),
+            Invalid::Doubled(name) => write!(f, "{name}: given more than once"),
             Invalid::Missing(name) => write!(f, "{name}: missing"),
-            Invalid::Header(name) => write!(f, "{name}: its value makes no sense"),
-            Invalid::Disagree(name) => write!(f, "{name}: given twice, and differently"),
+            Invalid::Header(name) => write!(f, "{name}: invalid value"),
+            Invalid::Disagree(name) => write!(f, "{name}: given twice with different values"),
             Invalid::UnknownTenant(name) => write!(f, "tenant: {name:?} is not in the settings"),
             Invalid::Key { needed: true } => f.write_str("idempotency-key: missing for this class"),
             Invalid::Key { needed: false } => {
-                f.write_str("idempotency-key: none expected for this class")
+                f.write_str("idempotency-key: not allowed for this class")
             }
-            Invalid::IdInUse => f.write_str("x-correlation-id: that of a request that is open"),
+            Invalid::IdInUse => f.write_str("x-correlation-id: in use by another request"),
         }
     }
 }
--- a/crates/millethook-http/src/head/path.rs
+++ b/crates/millethook-http/src/head/path.rs
@@ -1,35 +1,35 @@
-//! The class that a request's path begins with.
+//! Finds the class of a request in its path.
 
 use super::Invalid;
 
-/// The first part of a path that can be read in one way only.
+/// Returns the first segment of a path, if the path can be read in only one way.
 ///
-/// What one reader takes as it stands (`/look/../order/1`: class `look`), the next resolves
-/// first (`/order/1`), also where dots or slashes are written as escapes or as backslashes.
-pub(super) fn one_class(path: &str) -> Result<&str, Invalid> {
+/// One reader takes a path literally (`/look/../order/1`: class `look`), another resolves it first
+/// (`/order/1`). The same holds for dots and slashes that are percent-encoded or written as backslashes.
+pub(super) fn unambiguous_class(path: &str) -> Result<&str, Invalid> {
     let rest = path.strip_prefix('/').ok_or(Invalid::Path)?;
     let class = rest.split('/').next().filter(|class| !class.is_empty() || rest.is_empty());
     let class = class.ok_or(Invalid::Path)?;
-    let resolves = |bytes: &[u8]| {
-        let mut parts = bytes.split(|byte| matches!(byte, b'/' | b'\\'));
-        parts.any(|part| matches!(part, b"." | b".."))
+    let has_dot_segment = |bytes: &[u8]| {
+        let mut segments = bytes.split(|byte| matches!(byte, b'/' | b'\\'));
+        segments.any(|segment| matches!(segment, b"." | b".."))
     };
-    let resolved = match rest.contains('%') {
-        true => resolves(&unescaped(rest).ok_or(Invalid::Path)?),
-        false => resolves(rest.as_bytes()),
+    let ambiguous = match rest.contains('%') {
+        true => has_dot_segment(&percent_decoded(rest).ok_or(Invalid::Path)?),
+        false => has_dot_segment(rest.as_bytes()),
     };
-    if resolved { Err(Invalid::Path) } else { Ok(class) }
+    if ambiguous { Err(Invalid::Path) } else { Ok(class) }
 }
 
-/// A path with its escapes resolved. None: one of them is none.
-fn unescaped(path: &str) -> Option<Vec<u8>> {
+/// Decodes the percent-encoding of a path. Returns None if an escape is invalid.
+fn percent_decoded(path: &str) -> Option<Vec<u8>> {
     let mut chars = path.bytes();
-    let mut out = Vec::with_capacity(path.len());
+    let mut decoded = Vec::with_capacity(path.len());
     while let Some(byte) = chars.next() {
         let mut digit = || char::from(chars.next()?).to_digit(16);
-        out.push(if byte == b'%' { (digit()? * 16 + digit()?) as u8 } else { byte });
+        decoded.push(if byte == b'%' { (digit()? * 16 + digit()?) as u8 } else { byte });
     }
-    Some(out)
+    Some(decoded)
 }
 
 #[cfg(test)]
--- a/crates/millethook-http/src/ingress/client.rs
+++ b/crates/millethook-http/src/ingress/client.rs
@@ -116,7 +116,7 @@
             self.head.replace(HeadScan::default());
         }
         if self.phase.get() == Phase::Partial {
-            self.head.borrow_mut().take(bytes);
+            self.head.borrow_mut().scan(bytes);
         }
     }
 
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -17,7 +17,8 @@
 use super::client::{Client, Phase};
 use crate::answer::{self, AnswerBody};
 use crate::body::{
-    BufferedBody, ForwardError, Gone, ReadError, StallBudget, buffer_body, forward_rest, framing,
+    BufferedBody, ClientGone, ForwardError, ReadError, StallBudget, buffer_body, forward_rest,
+    framing,
 };
 use crate::edge::{CONTEXT, Kept, Receipt};
 use crate::guard::HeadScan;
@@ -31,7 +32,7 @@
         self: Rc<Ingress>,
         client: Rc<Client>,
         request: Request<Incoming>,
-    ) -> Result<Response<Answer>, Gone> {
+    ) -> Result<Response<Answer>, ClientGone> {
         // With pipelining, the next request is read before the last answer is out.
         client.complete.set(false);
         if client.phase.get() != Phase::Partial {
@@ -64,7 +65,7 @@
         &self,
         client: &Client,
         request: Request<Incoming>,
-    ) -> Result<Result<Answered, StatusCode>, Gone> {
+    ) -> Result<Result<Answered, StatusCode>, ClientGone> {
         let (head, body) = request.into_parts();
         if head.version == Version::HTTP_11 && !head.headers.contains_key(header::HOST) {
             return Ok(Err(StatusCode::BAD_REQUEST));
@@ -77,7 +78,7 @@
             }));
         }
         let chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
-        if !client.head.borrow().one_framing(chunked) {
+        if !client.head.borrow().has_unambiguous_framing(chunked) {
             return Ok(Err(StatusCode::BAD_REQUEST));
         }
         let (method, uri, headers) = (&head.method, &head.uri, &head.headers);
@@ -195,11 +196,11 @@
 }
 
 /// The status for a body that cannot be read, if its client can still be told.
-fn unread<E>(e: ReadError<E>) -> Result<StatusCode, Gone> {
+fn unread<E>(e: ReadError<E>) -> Result<StatusCode, ClientGone> {
     match e {
         ReadError::TooLong => Ok(StatusCode::PAYLOAD_TOO_LARGE),
         ReadError::TooSlow => Ok(StatusCode::REQUEST_TIMEOUT),
-        ReadError::Broken(_) => Err(Gone),
+        ReadError::Broken(_) => Err(ClientGone),
     }
 }
 
--- a/crates/millethook-http/src/lib.rs
+++ b/crates/millethook-http/src/lib.rs
@@ -1,4 +1,5 @@
-//! The front for clients that speak HTTP/1.1: their connections, and the requests that come on them.
+//! HTTP/1.1 front end for clients: their connections, the requests on them, and the store for writes that
+//! are kept while no server can be reached.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/millethook-http/tests/unit/head_path.rs
+++ b/crates/millethook-http/tests/unit/head_path.rs
@@ -1,9 +1,9 @@
-//! Paths that can be read in one way only have a class.
+//! Paths have a class only if they can be read in just one way.
 
 use super::*;
 
 #[test]
-fn a_path_with_two_readings_has_no_class() {
+fn a_path_that_can_be_read_in_two_ways_has_no_class() {
     for path in [
         "/look/../order/1",
         "/look/./1",
@@ -22,15 +22,15 @@
         "/look/%2",
         "/look/%zz",
     ] {
-        assert_eq!(one_class(path), Err(Invalid::Path), "{path}");
+        assert_eq!(unambiguous_class(path), Err(Invalid::Path), "{path}");
     }
 }
 
 #[test]
-fn dots_within_a_part_are_plain() {
+fn dots_within_a_segment_are_allowed() {
     for path in ["/look", "/look/", "/look/a..b/...", "/look/.well-known", "/look/1.2%20x//y"] {
-        assert_eq!(one_class(path), Ok("look"), "{path}");
+        assert_eq!(unambiguous_class(path), Ok("look"), "{path}");
     }
-    assert_eq!(one_class("/v1.2/x"), Ok("v1.2"));
-    assert_eq!(one_class("/"), Ok(""));
+    assert_eq!(unambiguous_class("/v1.2/x"), Ok("v1.2"));
+    assert_eq!(unambiguous_class("/"), Ok(""));
 }
