--- a/crates/millethook-http/src/ingress/client.rs
+++ b/crates/millethook-http/src/ingress/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection, as it is seen from outside.
+//! State of one client connection, as the rest of the ingress sees it.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -9,142 +9,148 @@
 
 use crate::guard::HeadScan;
 
-/// How long a client may take for a request's head, however it spreads it; bodies have [`StallBudget`](crate::body::StallBudget).
-/// Guards against heads that never end, and clients that send a byte now and then to stay. A
-/// client on a machine that stands still for so long loses its connection, and what it sends with it.
-const SLOWEST_HEAD: Duration = Duration::from_millis(2400);
-/// How long a connection may say nothing at first.
-const SLOWEST_FIRST: Duration = Duration::from_secs(2);
-/// How long a connection may rest between requests.
-const REST: Duration = Duration::from_secs(20);
-/// A client that reads nothing of its answer for so long is let go.
-const WRITE_STALL: Duration = Duration::from_secs(5);
-/// Between two looks at where a connection's client is.
-const LOOK: Duration = Duration::from_millis(250);
-
-/// Where a connection's client is.
+/// Longest time from the first to the last byte of a request head; bodies have a
+/// [`StallBudget`](crate::body::StallBudget) instead. Guards against heads that never end and clients that
+/// send single bytes to keep their connection. A client whose machine stalls for this long loses its
+/// connection and the request that it was sending.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
+/// How long a new connection may stay silent.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a connection may be idle between requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// A client that reads nothing of its answer for this long is disconnected.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between two checks for stalled connections.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Nothing of a request has come.
-    Resting,
-    /// Part of a request has come.
-    Partial,
-    /// The head has come, and part of the body may have.
-    Body,
-    /// A request is whole, or belongs to one server by now, and its answer is awaited.
-    Taken,
-    /// The answer is made; some of it may be unwritten.
-    Answered,
-    /// All is written, and nothing more is answered here.
-    Ending,
+    /// No byte of a request has arrived.
+    Idle,
+    /// Part of a request head has arrived.
+    ReadingHead,
+    /// The head has arrived, and the body may have arrived in part.
+    ReadingBody,
+    /// The request has been read, or bound to one server, and is waiting for its answer.
+    AwaitingAnswer,
+    /// The answer has been produced; part of it may not be written yet.
+    WritingAnswer,
+    /// Everything has been written, and no further request is answered here.
+    Closing,
 }
 
-/// One client's connection, as it is seen from outside.
+/// State of one client connection.
 pub(super) struct Client {
     pub phase: Cell<Phase>,
-    /// hyper has all of the last answer; what is flushed next is its end.
-    pub complete: Cell<bool>,
-    /// The answer that is being written ends with the connection, and in no other way.
-    pub open_ended: Cell<bool>,
-    /// Something was written to it.
-    pub wrote: Cell<bool>,
-    /// It has one of the places for clients; one that is ending may have another's.
-    pub placed: Cell<bool>,
-    /// How many answers it has had.
-    pub answers: Cell<u32>,
-    /// What has been read of the request that is coming.
-    pub head: RefCell<HeadScan>,
-    /// When the phase began, and when bytes last moved.
-    pub since: Cell<Instant>,
-    pub moved: Cell<Instant>,
-    pub leave: Notify,
+    /// hyper has read all of the last answer's body; the next flush completes the answer.
+    pub answer_complete: Cell<bool>,
+    /// The current answer ends only with the connection: it has neither a length nor chunked framing.
+    pub close_delimited: Cell<bool>,
+    /// Something has been written to the client.
+    pub has_written: Cell<bool>,
+    /// The connection holds a client permit. A connection that is closing may hold a closing permit
+    /// instead.
+    pub holds_client_permit: Cell<bool>,
+    /// Number of answers sent on this connection.
+    pub answer_count: Cell<u32>,
+    /// Scan of the head that is being read.
+    pub head_scan: RefCell<HeadScan>,
+    /// When the current phase began, and when bytes were last transferred.
+    pub phase_since: Cell<Instant>,
+    pub last_transfer: Cell<Instant>,
+    pub close_request: Notify,
 }
 
 impl Client {
     pub fn new() -> Client {
         let now = Instant::now();
         Client {
-            phase: Cell::new(Phase::Resting),
-            complete: Cell::new(false),
-            open_ended: Cell::new(false),
-            wrote: Cell::new(false),
-            placed: Cell::new(true),
-            answers: Cell::new(0),
-            head: RefCell::default(),
-            since: Cell::new(now),
-            moved: Cell::new(now),
-            leave: Notify::new(),
+            phase: Cell::new(Phase::Idle),
+            answer_complete: Cell::new(false),
+            close_delimited: Cell::new(false),
+            has_written: Cell::new(false),
+            holds_client_permit: Cell::new(true),
+            answer_count: Cell::new(0),
+            head_scan: RefCell::default(),
+            phase_since: Cell::new(now),
+            last_transfer: Cell::new(now),
+            close_request: Notify::new(),
         }
     }
 
-    pub fn enter(&self, phase: Phase) {
+    pub fn enter_phase(&self, phase: Phase) {
         self.phase.set(phase);
-        self.since.set(Instant::now());
+        self.phase_since.set(Instant::now());
     }
 
-    /// Whether it has had an answer.
+    /// Whether an answer has been sent on this connection.
     pub fn was_answered(&self) -> bool {
-        self.answers.get() > 0
+        self.answer_count.get() > 0
     }
 
-    /// Whether a request of its own is under way.
-    pub fn busy(&self) -> bool {
-        matches!(self.phase.get(), Phase::Taken | Phase::Answered)
+    /// Whether a request is waiting for its answer, or the answer is being written.
+    pub fn has_request(&self) -> bool {
+        matches!(self.phase.get(), Phase::AwaitingAnswer | Phase::WritingAnswer)
     }
 
-    /// Whether it is in the middle of an answer that only the connection's end delimits.
-    pub fn answer_open_ended(&self) -> bool {
-        self.open_ended.get() && self.phase.get() == Phase::Answered
+    /// Whether an answer is being written that only the end of the connection delimits.
+    pub fn is_writing_close_delimited(&self) -> bool {
+        self.close_delimited.get() && self.phase.get() == Phase::WritingAnswer
     }
 
-    pub fn stalled(&self) -> bool {
-        let (still, spent) = (self.moved.get().elapsed(), self.since.get().elapsed());
+    pub fn is_stalled(&self) -> bool {
+        let (since_transfer, in_phase) =
+            (self.last_transfer.get().elapsed(), self.phase_since.get().elapsed());
         match self.phase.get() {
-            Phase::Body | Phase::Taken | Phase::Ending => false,
-            Phase::Resting => spent > if self.was_answered() { REST } else { SLOWEST_FIRST },
-            Phase::Partial => spent > SLOWEST_HEAD,
-            Phase::Answered => still > WRITE_STALL,
+            Phase::ReadingBody | Phase::AwaitingAnswer | Phase::Closing => false,
+            Phase::Idle => {
+                in_phase > if self.was_answered() { IDLE_TIMEOUT } else { FIRST_BYTE_TIMEOUT }
+            }
+            Phase::ReadingHead => in_phase > HEAD_TIMEOUT,
+            Phase::WritingAnswer => since_transfer > WRITE_STALL_TIMEOUT,
         }
     }
 }
 
 impl Observer for Client {
     fn on_read(&self, bytes: &[u8]) {
-        self.moved.set(Instant::now());
-        if !bytes.is_empty() && self.phase.get() == Phase::Resting {
-            self.enter(Phase::Partial);
-            self.head.replace(HeadScan::default());
+        self.last_transfer.set(Instant::now());
+        if !bytes.is_empty() && self.phase.get() == Phase::Idle {
+            self.enter_phase(Phase::ReadingHead);
+            self.head_scan.replace(HeadScan::default());
         }
-        if self.phase.get() == Phase::Partial {
-            self.head.borrow_mut().scan(bytes);
+        if self.phase.get() == Phase::ReadingHead {
+            self.head_scan.borrow_mut().scan(bytes);
         }
     }
 
     fn on_write(&self, _bytes: &[u8]) {
-        self.wrote.set(true);
-        self.moved.set(Instant::now());
+        self.has_written.set(true);
+        self.last_transfer.set(Instant::now());
     }
 
     fn on_flush(&self) {
-        if self.complete.replace(false) && self.phase.get() == Phase::Answered {
-            self.answers.set(self.answers.get().saturating_add(1));
-            self.enter(Phase::Resting);
+        if self.answer_complete.replace(false) && self.phase.get() == Phase::WritingAnswer {
+            self.answer_count.set(self.answer_count.get().saturating_add(1));
+            self.enter_phase(Phase::Idle);
         }
     }
 }
 
-/// Waits until the client is told to leave while it has no request under way; what it was doing then.
-pub(super) async fn told_to_leave(client: &Client) -> Phase {
+/// Waits until the connection is asked to close while no request is in progress. Returns the phase at that
+/// time.
+pub(super) async fn wait_for_close_request(client: &Client) -> Phase {
     loop {
-        client.leave.notified().await;
-        if !client.busy() {
+        client.close_request.notified().await;
+        if !client.has_request() {
             return client.phase.get();
         }
     }
 }
 
-pub(super) async fn stalled(client: &Client) {
-    while !client.stalled() {
-        sleep(LOOK).await;
+pub(super) async fn wait_until_stalled(client: &Client) {
+    while !client.is_stalled() {
+        sleep(STALL_CHECK_INTERVAL).await;
     }
 }
--- a/crates/millethook-http/src/ingress/close.rs
+++ b/crates/millethook-http/src/ingress/close.rs
@@ -1,4 +1,4 @@
-//! The end of a client's connection.
+//! Closing of client connections.
 
 use std::io;
 use std::time::Duration;
@@ -10,30 +10,32 @@
 
 use super::client::{Client, Phase};
 
-/// How long an ended connection is read on, so that what the client still sends does not take
-/// its answer away.
-const LINGER: Duration = Duration::from_secs(2);
-/// So much is read of it at once, and a pause is made.
-const LINGER_PIECE: usize = 64 << 10;
+/// How long a closed connection is still read, so that data that the client is sending does not destroy its
+/// answer.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Bytes that are read before a pause, and the length of the pause.
+const LINGER_CHUNK_BYTES: usize = 64 << 10;
 const LINGER_PAUSE: Duration = Duration::from_millis(5);
 
-/// Ends a client's connection, the one way for all ends: the sending side is shut down, what still comes is read
-/// and dropped for a while, and then it may be closed.
+/// Closes a client connection. All connections are closed this way: the sending side is shut down, incoming
+/// data is read and dropped for a while, and then the socket may be closed.
 ///
-/// Guards against a close over unread bytes (the next request, the rest of one that was answered early): it
-/// resets the connection, and the reset takes away what the client has not read of its answer. A client
-/// that neither reads nor closes holds its place for [`LINGER`], unless another needs it.
+/// Guards against a close with unread bytes (the next request, or the rest of a request that was answered
+/// early): it resets the connection, and the reset discards what the client has not read of its answer. A
+/// client that neither reads nor closes holds its permit for [`LINGER_TIMEOUT`], unless another connection
+/// needs it.
 pub(super) async fn close(socket: &TcpStream, client: &Client) {
-    let open_ended = client.answer_open_ended();
-    client.enter(Phase::Ending);
-    if open_ended {
-        // To a client that is told neither length nor chunks, an ordinary end would look like the end
-        // of the whole answer.
+    let close_delimited = client.is_writing_close_delimited();
+    client.enter_phase(Phase::Closing);
+    if close_delimited {
+        // The answer has neither a length nor chunked framing, so the client would take an orderly close
+        // for the end of a complete answer.
         let _ = SockRef::from(socket).set_linger(Some(Duration::ZERO));
         return;
     }
-    // A client that was sent nothing can lose nothing. Without this, in a crowd, silent clients keep their places.
-    if !client.wrote.get() {
+    // A client that was sent nothing has no answer to lose. Without this, silent clients keep their permits
+    // when permits run out.
+    if !client.has_written.get() {
         return;
     }
     stream::finish_writing(socket);
@@ -43,11 +45,11 @@
         loop {
             match socket.try_read(&mut buf) {
                 Ok(0) => return,
-                // Read as fast as they come, the 60 MB of a few such clients would take the
-                // processor from all others. What is not read waits in the client.
+                // Without the pause, reading the 60 MB that a few such clients can send takes the processor
+                // from all other connections. Unread data waits at the client.
                 Ok(n) => {
                     read += n;
-                    if read >= LINGER_PIECE {
+                    if read >= LINGER_CHUNK_BYTES {
                         read = 0;
                         sleep(LINGER_PAUSE).await;
                     }
@@ -61,5 +63,5 @@
             }
         }
     };
-    let _ = timeout(LINGER, drained).await;
+    let _ = timeout(LINGER_TIMEOUT, drained).await;
 }
--- a/crates/millethook-http/src/ingress/mod.rs
+++ b/crates/millethook-http/src/ingress/mod.rs
@@ -1,9 +1,9 @@
-//! Clients: their connections and requests. A request is taken when it is whole, and gets one
-//! answer; those of one connection follow one another in order.
+//! Client connections and their requests. A request is accepted when it has been read completely, and gets
+//! exactly one answer. Requests of one connection are answered in order.
 
 mod client;
 mod close;
-mod crowd;
+mod eviction;
 mod serve;
 
 use std::cell::{Cell, RefCell};
@@ -29,15 +29,15 @@
 use crate::edge::Edge;
 use crate::guard::RequestIdRegistry;
 
-use client::{Client, Phase, stalled, told_to_leave};
+use client::{Client, Phase, wait_for_close_request, wait_until_stalled};
 
-/// The most that hyper reads ahead, and so the longest head. Each of a crowd of clients may
-/// fill as much.
-const READ_AHEAD: usize = 32 << 10;
-/// A pause before accepting again when the system has no descriptor left.
-const NO_DESCRIPTOR: Duration = Duration::from_millis(10);
+/// Most bytes that hyper reads ahead, which also limits the length of a head. Each client may fill this
+/// much.
+const MAX_READ_BUFFER: usize = 32 << 10;
+/// Pause before the next accept when the system has run out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The side of the sidecar that clients see.
+/// The client side of the sidecar.
 pub struct Ingress {
     driver: Rc<Driver>,
     names: RefCell<Arc<Names>>,
@@ -46,33 +46,35 @@
     ids: Rc<RequestIdRegistry>,
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     accepted: Cell<(u64, Instant)>,
-    /// At a planned end: requests that become whole from then on are refused. One that is read late in its time
+    /// During a shutdown, requests that are read completely only after this time are refused, because they
     /// might not be answered before the process is killed.
-    last_taken: Cell<Option<Instant>>,
-    tried: Cell<bool>,
-    /// Where writes are kept while no server can be reached, if they are.
+    request_cutoff: Cell<Option<Instant>>,
+    discovery_tried: Cell<bool>,
+    /// Store for writes while no server can be reached, if it is configured.
     edge: RefCell<Option<Rc<Edge>>>,
-    /// Who takes over the connections of clients, at a planned end.
+    /// Process that takes over the client connections during a planned handover.
     successor: RefCell<Option<Rc<dyn Successor>>>,
 }
 
-/// How long one who has connected has for its first bytes while connections are being closed.
-const NEW: Duration = Duration::from_millis(100);
+/// How long a new connection has for its first bytes while idle connections are being closed.
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
 
-/// A process that goes on with clients' connections where this one ends.
+/// A process that takes over the client connections of this one.
 pub trait Successor {
-    /// Tells it which ids are in use here, before it is passed anything else.
+    /// Sends the ids that are in use here, before anything else is passed.
     fn pass_ids(&self, ids: &[u64]);
 
-    /// Passes an idle connection on; `asked`: its client has had an answer. False: it stays here.
+    /// Passes an idle connection; `was_answered` tells whether it has had an answer. Returns false if the
+    /// connection stays here.
     fn pass_connection(&self, connection: &TcpStream, was_answered: bool) -> bool;
 
-    /// Asks it to take an id for a request that is read here. False: it is in use there; None: it does not answer.
+    /// Reserves an id there for a request that is read here. Yields false if the id is in use there, and
+    /// None if the successor does not answer.
     fn reserve_id(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>>;
 }
 
 impl Ingress {
-    /// An ingress without clients.
+    /// Creates an ingress without clients.
     pub fn new(
         driver: Rc<Driver>,
         names: Arc<Names>,
@@ -88,210 +90,226 @@
             bytes,
             clients: RefCell::default(),
             accepted: Cell::new((0, Instant::now())),
-            last_taken: Cell::default(),
-            tried: Cell::new(false),
+            request_cutoff: Cell::default(),
+            discovery_tried: Cell::new(false),
             edge: RefCell::default(),
             successor: RefCell::default(),
         })
     }
 
-    /// From now on ids are taken at `successor`, idle connections go there, and the others after their answer. Requests
-    /// that become whole after `last_taken` are refused.
-    pub fn hand_over(&self, successor: Rc<dyn Successor>, last_taken: Instant) {
+    /// Starts the handover: ids are reserved at `successor` from now on, idle connections are passed to it,
+    /// and the others after their answer. Requests that are read completely after `request_cutoff` are
+    /// refused.
+    pub fn hand_over(&self, successor: Rc<dyn Successor>, request_cutoff: Instant) {
         successor.pass_ids(&self.ids.in_use());
-        self.last_taken.set(Some(last_taken));
+        self.request_cutoff.set(Some(request_cutoff));
         self.successor.replace(Some(successor));
     }
 
-    /// Writes are kept there from now on, where no server can be reached.
+    /// Stores writes in `edge` from now on while no server can be reached.
     pub fn set_edge(&self, edge: Rc<Edge>) {
         self.edge.replace(Some(edge));
     }
 
     /// Whether requests can be served: discovery was tried, and there is a list of servers.
     pub fn is_ready(&self) -> bool {
-        self.tried.get() && self.driver.listed()
+        self.discovery_tried.get() && self.driver.listed()
     }
 
-    /// How many clients are connected.
+    /// Number of connected clients.
     pub fn connected(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// Discovery has answered, or failed to: what is known of servers is as new as can be.
+    /// Records that discovery has answered or failed: the list of servers is as current as it can be.
     pub fn mark_discovery_tried(&self) {
-        self.tried.set(true);
+        self.discovery_tried.set(true);
     }
 
-    /// Requests that come from now on are read by these names, and may be open for `longest`.
+    /// Applies new settings: later requests are parsed with these names, and may be open for `longest`.
     pub fn apply_settings(&self, names: Arc<Names>, longest: Duration) {
         self.names.replace(names);
         self.ids.extend_retention(longest);
     }
 
-    /// From now on each answer is the last on its connection, and requests that become whole after `last_taken`
-    /// are refused.
-    pub fn drain(&self, last_taken: Instant) {
-        self.last_taken.set(Some(last_taken));
+    /// Starts the shutdown: each answer is the last one on its connection from now on, and requests that
+    /// are read completely after `request_cutoff` are refused.
+    pub fn drain(&self, request_cutoff: Instant) {
+        self.request_cutoff.set(Some(request_cutoff));
     }
 
-    /// When the last connection came.
+    /// When the last connection was accepted.
     pub fn last_accepted(&self) -> Instant {
         self.accepted.get().1
     }
 
-    /// How many connections have something to wait for: a request that is under way, or an end that is not
-    /// `long` past, on which bytes of the client may still be coming.
-    pub fn unfinished_connections(&self, long: Duration) -> usize {
+    /// Number of connections that a shutdown has to wait for: all except those that have been closing for
+    /// at least `linger`. Before that, bytes from the client may still be arriving.
+    pub fn unfinished_connections(&self, linger: Duration) -> usize {
         let clients = self.clients.borrow();
-        let settled =
-            |c: &&Rc<Client>| c.phase.get() == Phase::Ending && c.since.get().elapsed() >= long;
-        clients.values().filter(|c| !settled(c)).count()
+        let finished = |client: &&Rc<Client>| {
+            client.phase.get() == Phase::Closing && client.phase_since.get().elapsed() >= linger
+        };
+        clients.values().filter(|client| !finished(client)).count()
     }
 
-    /// Closes the connections on which no request is under way; `partial`: those too on which
-    /// one has begun to come.
+    /// Closes the connections without a request in progress. If `partial` is set, this includes those on
+    /// which a request is still being read.
     pub fn close_idle(&self, partial: bool) {
         for client in self.clients.borrow().values() {
-            let leaves = match client.phase.get() {
-                // A client that has just connected is about to send; closed before that, it has no answer at all.
-                Phase::Resting => client.was_answered() || client.since.get().elapsed() >= NEW,
-                Phase::Partial | Phase::Body => partial,
-                Phase::Taken | Phase::Answered | Phase::Ending => false,
+            let should_close = match client.phase.get() {
+                // A client that has just connected is about to send its first request. Closed before that,
+                // it would get no answer.
+                Phase::Idle => {
+                    client.was_answered()
+                        || client.phase_since.get().elapsed() >= NEW_CONNECTION_GRACE
+                }
+                Phase::ReadingHead | Phase::ReadingBody => partial,
+                Phase::AwaitingAnswer | Phase::WritingAnswer | Phase::Closing => false,
             };
-            if leaves {
-                client.leave.notify_one();
+            if should_close {
+                client.close_request.notify_one();
             }
         }
     }
 
-    /// Accepts clients for as long as it is polled.
+    /// Accepts clients for as long as the future is polled.
     pub async fn accept(self: Rc<Ingress>, listener: TcpListener) {
         loop {
-            let permit = self.permit().await;
+            let permit = self.acquire_permit().await;
             match listener.accept().await {
                 Ok((socket, _)) => {
                     self.accepted.set((self.accepted.get().0, Instant::now()));
-                    self.take(socket, permit, false);
+                    self.spawn_client(socket, permit, false);
                 }
                 Err(e) => {
-                    // An accept that fails for want of descriptors (or because the client
-                    // is gone again) must not end accepting.
+                    // A failed accept, for lack of file descriptors or because the client has already
+                    // disconnected, must not end the loop.
                     tracing::warn!(event = "accept_failed", "accept: {e}");
-                    self.evict();
-                    sleep(NO_DESCRIPTOR).await;
+                    self.evict_one();
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Goes on with a connection that another process passed on. Waits for a place for it.
+    /// Adopts a connection that another process passed on. Waits for a client permit.
     pub async fn adopt(self: &Rc<Ingress>, socket: TcpStream, was_answered: bool) {
-        let permit = self.permit().await;
-        self.take(socket, permit, was_answered);
+        let permit = self.acquire_permit().await;
+        self.spawn_client(socket, permit, was_answered);
     }
 
-    fn take(self: &Rc<Ingress>, socket: TcpStream, permit: Permit, was_answered: bool) {
-        let (n, last) = self.accepted.get();
-        self.accepted.set((n + 1, last));
+    fn spawn_client(self: &Rc<Ingress>, socket: TcpStream, permit: Permit, was_answered: bool) {
+        let (number, last) = self.accepted.get();
+        self.accepted.set((number + 1, last));
         let client = Client::new();
-        client.answers.set(was_answered.into());
-        tokio::task::spawn_local(self.clone().client(n, socket, permit, Rc::new(client)));
-        self.thin();
+        client.answer_count.set(was_answered.into());
+        tokio::task::spawn_local(self.clone().serve_connection(
+            number,
+            socket,
+            permit,
+            Rc::new(client),
+        ));
+        self.evict_surplus_idle();
     }
 
-    async fn client(
+    async fn serve_connection(
         self: Rc<Ingress>,
-        n: u64,
+        number: u64,
         socket: TcpStream,
         permit: Permit,
         client: Rc<Client>,
     ) {
         let _ = socket.set_nodelay(true);
         let socket = Rc::new(socket);
-        self.clients.borrow_mut().insert(n, client.clone());
+        self.clients.borrow_mut().insert(number, client.clone());
         let io = TokioIo::new(Stream::new(socket.clone(), client.clone()));
         let service = service_fn(|request| self.clone().serve(client.clone(), request));
         let mut connection = http1::Builder::new()
-            .max_buf_size(READ_AHEAD)
+            .max_buf_size(MAX_READ_BUFFER)
             .header_read_timeout(None)
             .serve_connection(io, service);
-        let end = loop {
-            let told = tokio::select! {
+        let close_reason = loop {
+            let phase_at_request = tokio::select! {
                 biased;
-                told = told_to_leave(&client) => told,
-                () = stalled(&client) => break End::Closing,
-                _ = &mut connection => break End::Closing,
-                () = hung_up(&socket) => break End::Gone,
+                phase_at_request = wait_for_close_request(&client) => phase_at_request,
+                () = wait_until_stalled(&client) => break CloseReason::Finished,
+                _ = &mut connection => break CloseReason::Finished,
+                () = client_closed(&socket) => break CloseReason::ClientClosed,
             };
-            // Guards against requests that are lost because they came in the instant in which their connection
-            // was to go: what is here by now is read once more, and who has begun something new stays. What
-            // comes later is never read as a request, so nothing of it can be sent on. A client that sends a byte
-            // whenever it is told to leave stays for as long as its head may take.
+            // Guards against losing a request that arrives just when its connection is asked to close:
+            // bytes that are here by now are read once more, and a connection on which a request has begun
+            // stays open. Later bytes are never read as a request, so no request from them can be sent on.
+            // A client that sends a byte each time stays connected for at most the time that a head may
+            // take.
             if stream::has_unread(&socket) {
-                // The system has them; that the event loop has heard of them is a matter of a moment.
+                // The kernel already has the bytes, so the event loop reports them without delay.
                 let _ = socket.readable().await;
             }
-            let read = poll_fn(|cx| Poll::Ready(Pin::new(&mut connection).poll(cx))).await;
-            if read.is_ready() {
-                break End::Closing;
+            let polled = poll_fn(|cx| Poll::Ready(Pin::new(&mut connection).poll(cx))).await;
+            if polled.is_ready() {
+                break CloseReason::Finished;
             }
-            if client.phase.get() == told && !client.busy() {
-                break End::Told;
+            if client.phase.get() == phase_at_request && !client.has_request() {
+                break CloseReason::Requested;
             }
         };
-        let unused = connection.into_parts().read_buf;
-        let passed = matches!(end, End::Told)
-            && unused.is_empty()
-            && client.phase.get() == Phase::Resting
-            && self.passed_on(&client, &socket);
-        // Without this, in a crowd, each that is told to leave keeps its place for as long as its client likes, and all
-        // that are waiting to be accepted wait for that.
+        let unread = connection.into_parts().read_buf;
+        let handed_over = matches!(close_reason, CloseReason::Requested)
+            && unread.is_empty()
+            && client.phase.get() == Phase::Idle
+            && self.pass_to_successor(&client, &socket);
+        // Without this, when permits run out, each connection that was asked to close keeps its permit for
+        // as long as its client likes, and all clients that wait to be accepted wait for that.
         let permit = match self.sockets.closing.clone().try_acquire_owned() {
             Ok(closing) => {
-                client.placed.set(false);
+                client.holds_client_permit.set(false);
                 drop(permit);
                 closing
             }
             Err(_) => permit,
         };
-        // Passed on, the connection is the successor's: dropped here, it stays open there.
-        if !passed && !matches!(end, End::Gone) {
+        // A connection that was passed on belongs to the successor. It stays open there when it is dropped
+        // here.
+        if !handed_over && !matches!(close_reason, CloseReason::ClientClosed) {
             tokio::select! {
                 biased;
                 () = close::close(&socket, &client) => {}
-                () = client.leave.notified() => {}
+                () = client.close_request.notified() => {}
             }
         }
-        self.clients.borrow_mut().remove(&n);
+        self.clients.borrow_mut().remove(&number);
         drop(socket);
         drop(permit);
     }
 
-    /// Whether a successor has taken the connection. Only one on which nothing of a request has been
-    /// read can go: what was read would be missing there.
-    fn passed_on(&self, client: &Client, socket: &TcpStream) -> bool {
+    /// Passes the connection to the successor, if there is one. Returns whether the successor took it. This
+    /// must be a connection on which no byte of a request has been read, because such bytes would be
+    /// missing at the successor.
+    fn pass_to_successor(&self, client: &Client, socket: &TcpStream) -> bool {
         let successor = self.successor.borrow().clone();
         successor.is_some_and(|successor| successor.pass_connection(socket, client.was_answered()))
     }
 }
 
-/// Why a client's connection is no longer served.
-enum End {
-    /// It was told to leave, and nothing was under way.
-    Told,
-    /// All was answered, or nothing can be.
-    Closing,
-    /// Its client has closed it, and with that called off what it had asked for.
-    Gone,
+/// Reason why a client connection is no longer served.
+enum CloseReason {
+    /// It was asked to close, and no request was in progress.
+    Requested,
+    /// All requests were answered, or no further request can be answered.
+    Finished,
+    /// The client closed the connection, which cancels its request.
+    ClientClosed,
 }
 
-/// Waits until the client has ended its sending side, or reset the connection.
+/// Waits until the client has shut down its sending side or reset the connection.
 ///
-/// Guards against requests that are sent on for clients which have left: hyper looks for the end only while it
-/// holds no unread bytes, so one that sent anything behind its request went unnoticed until its answer. The cost:
-/// a client that ends its sending side and still waits for its answer is taken for one that has gone, as ever.
-async fn hung_up(socket: &TcpStream) {
-    // Of all that can be waited for, this tells of the end alone, however much is unread before it.
+/// Guards against serving requests for clients that have disconnected: hyper detects the end only while it
+/// holds no unread bytes, so the disconnect of a client that had sent anything after its request went
+/// unnoticed until its answer. The cost: a client that shuts down its sending side and still waits for its
+/// answer is treated as disconnected. That was already so before this check.
+async fn client_closed(socket: &TcpStream) {
+    // Unlike other readiness events, this one reports only the end of the stream, even if unread bytes
+    // precede it.
     while socket.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {}
 }
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, each from its head to its one answer.
+//! Handling of client requests, each from its head to its one answer.
 
 use std::pin::{Pin, pin};
 use std::rc::Rc;
@@ -24,44 +24,45 @@
 use crate::guard::HeadScan;
 use crate::head::{HeadOverrides, parse_head};
 
-/// When a client should come back whose request waits for one that is kept.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// `Retry-After` for a request that had to wait for a stored write that it comes after, in vain.
+const PREDECESSOR_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Ingress {
     pub(super) async fn serve(
         self: Rc<Ingress>,
         client: Rc<Client>,
         request: Request<Incoming>,
-    ) -> Result<Response<Answer>, ClientGone> {
-        // With pipelining, the next request is read before the last answer is out.
-        client.complete.set(false);
-        if client.phase.get() != Phase::Partial {
-            // What came with the last request was not looked at.
-            client.enter(Phase::Partial);
-            client.head.replace(HeadScan::default());
+    ) -> Result<Response<TrackedBody>, ClientGone> {
+        // With pipelining, the next request is read before the last answer has been written.
+        client.answer_complete.set(false);
+        if client.phase.get() != Phase::ReadingHead {
+            // Bytes that arrived together with the previous request were not scanned.
+            client.enter_phase(Phase::ReadingHead);
+            client.head_scan.replace(HeadScan::default());
         }
-        let old = request.version() == Version::HTTP_10;
-        let (mut response, last) = match self.reply(&client, request).await? {
-            Ok(Answered::Driver(reply)) => (written(reply), false),
-            Ok(Answered::Kept(receipt)) => (accepted(receipt), false),
-            // What follows a malformed request cannot be parsed either.
+        let is_http_10 = request.version() == Version::HTTP_10;
+        let (mut response, close_after) = match self.answer_request(&client, request).await? {
+            Ok(Answered::Reply(reply)) => (reply_response(reply), false),
+            Ok(Answered::Stored(receipt)) => (receipt_response(receipt), false),
+            // Data that follows a malformed request cannot be parsed either.
             Err(status) => {
-                let last = [StatusCode::BAD_REQUEST, StatusCode::REQUEST_TIMEOUT];
-                (plain(status), last.contains(&status))
+                let closing_statuses = [StatusCode::BAD_REQUEST, StatusCode::REQUEST_TIMEOUT];
+                (empty_response(status), closing_statuses.contains(&status))
             }
         };
-        // A successor goes on with the connection.
-        if last || (self.last_taken.get().is_some() && self.successor.borrow().is_none()) {
+        // With a successor, the connection goes on there.
+        if close_after || (self.request_cutoff.get().is_some() && self.successor.borrow().is_none())
+        {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        client.open_ended.set(old && response.body().size_hint().exact().is_none());
-        client.enter(Phase::Answered);
+        client.close_delimited.set(is_http_10 && response.body().size_hint().exact().is_none());
+        client.enter_phase(Phase::WritingAnswer);
         let (head, body) = response.into_parts();
-        Ok(Response::from_parts(head, Answer { body, client }))
+        Ok(Response::from_parts(head, TrackedBody { body, client }))
     }
 
-    /// The answer to one request, or the status that tells what is wrong with it.
-    async fn reply(
+    /// Answers one request, or returns the status that describes what is wrong with it.
+    async fn answer_request(
         &self,
         client: &Client,
         request: Request<Incoming>,
@@ -78,11 +79,12 @@
             }));
         }
         let chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
-        if !client.head.borrow().has_unambiguous_framing(chunked) {
+        if !client.head_scan.borrow().has_unambiguous_framing(chunked) {
             return Ok(Err(StatusCode::BAD_REQUEST));
         }
         let (method, uri, headers) = (&head.method, &head.uri, &head.headers);
-        // BufferedBody until the request is taken: while it is, its class keeps its place.
+        // Held until the driver has accepted the request: the class keeps its index as long as these names
+        // are in use.
         let names = self.names.borrow().clone();
         let (request_head, id) =
             match parse_head(&names, method, uri, headers, HeadOverrides::default()) {
@@ -92,33 +94,35 @@
         let Some(reservation) = self.ids.reserve(id.as_bytes()) else {
             return Ok(Err(StatusCode::CONFLICT));
         };
-        // Without this, the process that takes over could take the same id on a connection of its own.
+        // Without this, the process that takes over could accept a request with the same id on one of its
+        // own connections.
         let successor = self.successor.borrow().clone();
         if let Some(successor) = successor {
             match successor.reserve_id(reservation.id()).await {
                 Some(true) => {}
                 Some(false) => return Ok(Err(StatusCode::CONFLICT)),
-                None => return Ok(Ok(Answered::Driver(refused(None)))),
+                None => return Ok(Ok(Answered::Reply(refused_reply(None)))),
             }
         }
-        client.enter(Phase::Body);
-        let (mut body, mut pace) = (body, StallBudget::new());
+        client.enter_phase(Phase::ReadingBody);
+        let (mut body, mut stall_budget) = (body, StallBudget::new());
         let mut account = self.bytes.account();
-        let held = match buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace).await {
-            Ok(held) => held,
-            Err(e) => return unread(e).map(Err),
-        };
-        // It never ran, and its id is free again.
-        if self.last_taken.get().is_some_and(|last| Instant::now() >= last) {
-            return Ok(Ok(Answered::Driver(refused(None))));
+        let buffered =
+            match buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut stall_budget).await {
+                Ok(buffered) => buffered,
+                Err(e) => return read_error_status(e).map(Err),
+            };
+        // The request was not sent to any server, and dropping the reservation frees its id.
+        if self.request_cutoff.get().is_some_and(|cutoff| Instant::now() >= cutoff) {
+            return Ok(Ok(Answered::Reply(refused_reply(None))));
         }
-        client.enter(Phase::Taken);
+        client.enter_phase(Phase::AwaitingAnswer);
         reservation.commit();
-        let taken = Instant::now();
+        let accepted_at = Instant::now();
         self.driver.current_list().await;
-        let left = request_head.left.saturating_sub(taken.elapsed());
+        let left = request_head.left.saturating_sub(accepted_at.elapsed());
         let request_head = RequestHead { left, ..request_head };
-        let pieces = match held {
+        let pieces = match buffered {
             BufferedBody::Complete(pieces) => {
                 let edge = self.edge.borrow().clone();
                 let taken = match &edge {
@@ -129,18 +133,20 @@
                     Ok(taken) => edge.zip(taken),
                     Err(invalid) => return Ok(Err(invalid.status())),
                 };
-                let left = (Instant::now(), request_head.left);
+                let left_at = (Instant::now(), request_head.left);
                 if let Some((edge, taken)) = &taken
                     && !edge.wants(taken)
                     && !edge.forerunners(taken).await
                 {
-                    return Ok(Ok(Answered::Driver(refused(edge.come_back(COME_BACK)))));
+                    return Ok(Ok(Answered::Reply(refused_reply(
+                        edge.come_back(PREDECESSOR_RETRY_AFTER),
+                    ))));
                 }
                 let kept = match taken {
                     Some((edge, taken)) if edge.wants(&taken) => Some((edge, taken)),
                     taken => {
                         let request_head = RequestHead {
-                            left: left.1.saturating_sub(left.0.elapsed()),
+                            left: left_at.1.saturating_sub(left_at.0.elapsed()),
                             ..request_head
                         };
                         let attempt_request =
@@ -150,19 +156,19 @@
                         let reply = ticket.reply().await;
                         let never_ran = matches!(reply, Reply::Refused { may_have_run: false, .. });
                         match taken.filter(|(edge, taken)| never_ran && edge.wants_refused(taken)) {
-                            None => return Ok(Ok(Answered::Driver(reply))),
+                            None => return Ok(Ok(Answered::Reply(reply))),
                             kept => kept,
                         }
                     }
                 };
                 let Some((edge, taken)) = kept else {
-                    return Ok(Ok(Answered::Driver(Reply::Failed)));
+                    return Ok(Ok(Answered::Reply(Reply::Failed)));
                 };
-                let left = left.1.saturating_sub(left.0.elapsed());
+                let left = left_at.1.saturating_sub(left_at.0.elapsed());
                 return Ok(Ok(match edge.keep(taken, left).await {
-                    Kept::OnDisk(receipt) => Answered::Kept(receipt),
-                    Kept::Refused(after) => Answered::Driver(refused(edge.come_back(after))),
-                    Kept::Unknown => Answered::Driver(Reply::Failed),
+                    Kept::OnDisk(receipt) => Answered::Stored(receipt),
+                    Kept::Refused(after) => Answered::Reply(refused_reply(edge.come_back(after))),
+                    Kept::Unknown => Answered::Reply(Reply::Failed),
                 }));
             }
             BufferedBody::Partial(pieces) => pieces,
@@ -173,30 +179,31 @@
         let attempt_request = answer::attempt_request(head, &request_head, pieces, account, upload);
         let mut ticket = self.driver.request(request_head, attempt_request);
         drop(names);
-        let fed = {
-            let feeding = pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+        let forwarded = {
+            let forwarding =
+                pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut stall_budget, rest));
             tokio::select! {
                 biased;
-                // It was refused, or a server had no need of the rest.
-                reply = ticket.reply() => return Ok(Ok(Answered::Driver(reply))),
-                fed = feeding => fed,
+                // The request was refused, or a server answered without reading the rest.
+                reply = ticket.reply() => return Ok(Ok(Answered::Reply(reply))),
+                forwarded = forwarding => forwarded,
             }
         };
-        match fed {
-            Err(ForwardError::Read(e)) => unread(e).map(Err),
+        match forwarded {
+            Err(ForwardError::Read(e)) => read_error_status(e).map(Err),
             Err(ForwardError::NotTaken(NotTaken::Stalled)) => {
-                Ok(Ok(Answered::Driver(Reply::Failed)))
+                Ok(Ok(Answered::Reply(Reply::Failed)))
             }
-            // Why nobody takes it, the reply tells.
+            // The reply tells why the server no longer takes the body.
             Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
-                Ok(Ok(Answered::Driver(ticket.reply().await)))
+                Ok(Ok(Answered::Reply(ticket.reply().await)))
             }
         }
     }
 }
 
-/// The status for a body that cannot be read, if its client can still be told.
-fn unread<E>(e: ReadError<E>) -> Result<StatusCode, ClientGone> {
+/// Status for a body that could not be read, if the client can still be answered.
+fn read_error_status<E>(e: ReadError<E>) -> Result<StatusCode, ClientGone> {
     match e {
         ReadError::TooLong => Ok(StatusCode::PAYLOAD_TOO_LARGE),
         ReadError::TooSlow => Ok(StatusCode::REQUEST_TIMEOUT),
@@ -204,27 +211,27 @@
     }
 }
 
-fn plain(status: StatusCode) -> Response<AnswerBody> {
+fn empty_response(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(Either::Left(Full::default()));
     *response.status_mut() = status;
     response
 }
 
-/// What a request is answered with.
+/// How a request is answered.
 enum Answered {
-    /// What came of it at servers.
-    Driver(Reply),
-    /// It is kept, and goes out later.
-    Kept(Receipt),
+    /// With the reply of the driver.
+    Reply(Reply),
+    /// With a receipt: the write was stored and is sent later.
+    Stored(Receipt),
 }
 
-fn refused(retry_after: Option<Duration>) -> Reply {
+fn refused_reply(retry_after: Option<Duration>) -> Reply {
     Reply::Refused { retry_after, may_have_run: false }
 }
 
-/// 202 with the receipt: what comes after this write names it (RFC 7240, section 4.1).
-fn accepted(Receipt(id): Receipt) -> Response<AnswerBody> {
-    let mut response = plain(StatusCode::ACCEPTED);
+/// Builds the 202 response with the receipt, by which a later write names this one (RFC 7240, section 4.1).
+fn receipt_response(Receipt(id): Receipt) -> Response<AnswerBody> {
+    let mut response = empty_response(StatusCode::ACCEPTED);
     let headers = response.headers_mut();
     headers.insert("preference-applied", HeaderValue::from_static("respond-async"));
     if let Ok(id) = HeaderValue::try_from(id.to_string()) {
@@ -234,34 +241,35 @@
     response
 }
 
-fn written(reply: Reply) -> Response<AnswerBody> {
+fn reply_response(reply: Reply) -> Response<AnswerBody> {
     match reply {
         Reply::Served(head, body) => answer::complete_response(head, body),
-        Reply::Streaming(long) => answer::streaming_response(long),
+        Reply::Streaming(reply) => answer::streaming_response(reply),
         Reply::Refused { retry_after, .. } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+            let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
             if let Some(value) = retry_after.and_then(answer::retry_after) {
                 response.headers_mut().insert(header::RETRY_AFTER, value);
             }
             response
         }
-        Reply::Failed => plain(StatusCode::BAD_GATEWAY),
+        Reply::Failed => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
 
-/// An answer's body. When it is done with, its connection rests again.
-pub(super) struct Answer {
+/// Body of a response. Dropping it marks the answer as complete, so that its connection can become idle
+/// again.
+pub(super) struct TrackedBody {
     body: AnswerBody,
     client: Rc<Client>,
 }
 
-impl Drop for Answer {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.client.complete.set(true);
+        self.client.answer_complete.set(true);
     }
 }
 
-impl Body for Answer {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = Box<dyn std::error::Error + Send + Sync>;
 
