--- a/crates/millethook-http/src/edge/disk.rs
+++ b/crates/millethook-http/src/edge/disk.rs
@@ -1,12 +1,15 @@
-//! The one thread that writes: what comes while it writes goes to disk together.
+//! The disk thread, which does all appends. Appends that arrive while it is writing go to disk in one
+//! batch.
 //!
-//! A write to the own intake counts only once it is acknowledged (`Record::Acknowledged`). Whether it ever is the first
-//! of two decides: its client's time is over ([`Appended::give_up`]), or the disk has synced it. In the second case the
-//! acknowledgement follows it, without another sync, and its client is told after that.
+//! A write to this process's own intake counts only once it is acknowledged (`Record::Acknowledged`). Two
+//! events race for that: the client's time runs out ([`PendingAppend::cancel`]), or the disk syncs the
+//! write. If the sync comes first, the acknowledgement is appended after the write, without a sync of its
+//! own, and the client is told after that.
 //!
-//! A write that was given up is left out where it has not been begun. Where it gets to disk, its end
-//! (`End::Withdrawn`) follows it there, since after a loss of power acknowledgements may be missing. The process reads
-//! its own intake only as far as all that is decided ([`Disk::settled`]).
+//! A cancelled write is skipped if it has not been started. If it does get to disk, an end record
+//! (`End::Withdrawn`) follows it: acknowledgements may be missing after a power loss, so a missing one does not
+//! show that a write was withdrawn. The process reads its own intake only up to the point where all of this is
+//! decided ([`Disk::settled`]).
 
 use std::fs::File;
 use std::io;
@@ -22,74 +25,76 @@
 use super::folder::StoreFile;
 use super::writer::Writer;
 
-/// Appends that wait; one more is refused.
-const WAITING: usize = 1024;
+/// Appends that may be queued; one more is refused.
+const MAX_QUEUED_APPENDS: usize = 1024;
 
-/// What became of an append.
+/// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
-    /// It is on disk.
+pub enum AppendOutcome {
+    /// The data is on disk.
     OnDisk,
-    /// It is known not to be there.
-    No,
-    /// Nobody knows: the disk failed in the middle.
+    /// The data is known not to be on disk.
+    NotWritten,
+    /// The disk failed during the append, so it is unknown whether the data is there.
     Unknown,
-    /// Another owner has a higher token: nothing was written.
+    /// Another owner has a higher token; nothing was written.
     Fenced,
 }
 
-/// Something to be appended.
+/// One append for the disk thread.
 pub(super) struct Append {
     pub(super) edge: EdgeId,
-    pub(super) name: StoreFile,
+    pub(super) store_file: StoreFile,
     pub(super) bytes: Vec<u8>,
-    /// Fails where whoever asked has given it up.
-    pub(super) decided: oneshot::Sender<()>,
-    pub(super) done: oneshot::Sender<Written>,
+    /// Sending fails if the requester has cancelled the append.
+    pub(super) commit_sender: oneshot::Sender<()>,
+    pub(super) outcome_sender: oneshot::Sender<AppendOutcome>,
 }
 
-/// An append on its way to the disk. A write to the own intake is withdrawn where this is dropped before the disk has
-/// synced it.
+/// An append that is queued or in progress. A write to the own intake is withdrawn if this is dropped
+/// before the disk has synced the write.
 #[derive(Debug)]
-pub struct Appended {
-    /// The disk has it; from then on it is acknowledged and not withdrawn.
-    decided: oneshot::Receiver<()>,
-    done: oneshot::Receiver<Written>,
+pub struct PendingAppend {
+    /// Receives a message when the disk has synced the write, which is from then on acknowledged and not
+    /// withdrawn.
+    committed: oneshot::Receiver<()>,
+    outcome: oneshot::Receiver<AppendOutcome>,
 }
 
-impl Appended {
-    /// What became of it. Cancel safe.
-    pub async fn written(&mut self) -> Written {
-        (&mut self.done).await.unwrap_or(Written::Unknown)
+impl PendingAppend {
+    /// Waits for the outcome. Cancel safe.
+    pub async fn wait(&mut self) -> AppendOutcome {
+        (&mut self.outcome).await.unwrap_or(AppendOutcome::Unknown)
     }
 
-    /// The same, for a thread without a runtime.
-    pub fn blocking_written(self) -> Written {
-        self.done.blocking_recv().unwrap_or(Written::Unknown)
+    /// Waits for the outcome in a thread without a runtime.
+    pub fn blocking_wait(self) -> AppendOutcome {
+        self.outcome.blocking_recv().unwrap_or(AppendOutcome::Unknown)
     }
 
-    /// Withdraws a write to the own intake. None: it is withdrawn. Else the disk had it before, and this is what became
-    /// of it.
-    pub async fn give_up(&mut self) -> Option<Written> {
-        self.decided.close();
-        match self.decided.try_recv() {
-            // What is left is an append without a sync.
-            Ok(()) => Some(self.written().await),
-            Err(_) => self.done.try_recv().ok(),
+    /// Withdraws a write to the own intake. Returns None if it is withdrawn. If the disk had synced it
+    /// before, returns the outcome.
+    pub async fn cancel(&mut self) -> Option<AppendOutcome> {
+        self.committed.close();
+        match self.committed.try_recv() {
+            // Only an append without a sync remains, so the outcome follows soon.
+            Ok(()) => Some(self.wait().await),
+            Err(_) => self.outcome.try_recv().ok(),
         }
     }
 }
 
-/// What the thread leaves to the file system; tests hold it up there.
+/// The operation that the disk thread leaves to the file system, so that tests can delay it or make it
+/// fail.
 pub trait Storage: Send + 'static {
-    /// Has what was written to a file put on disk.
+    /// Syncs a file's written data to disk.
     ///
     /// # Errors
-    /// What of it got there nobody knows.
-    fn sync(&mut self, name: StoreFile, file: &File) -> io::Result<()>;
+    /// Returns the error of the sync. It is then unknown how much of the data is on disk.
+    fn sync(&mut self, store_file: StoreFile, file: &File) -> io::Result<()>;
 }
 
-/// The file system as it is.
+/// The real file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FileSystem;
 
@@ -99,63 +104,77 @@
     }
 }
 
-/// Who appends where.
+/// Configuration of the disk thread.
 pub struct DiskConfig {
-    /// Where stores are.
+    /// Folder of the stores.
     pub folder: PathBuf,
     /// The store of this process.
-    pub own: EdgeId,
-    /// Told as [`Disk::settled`] grows.
-    pub moved: Arc<Notify>,
+    pub own_store: EdgeId,
+    /// Notified when [`Disk::settled`] grows.
+    pub settled_changed: Arc<Notify>,
 }
 
-/// The way to the thread.
+/// Handle of the disk thread.
 #[derive(Clone)]
 pub struct Disk {
     appends: SyncSender<Append>,
     settled: Arc<AtomicU64>,
-    base: Instant,
-    /// When the batch that is being written began, in milliseconds of `base` and one; 0: none is.
+    started: Instant,
+    /// When the batch in progress was started, in milliseconds since `started`, plus 1; 0 if none is in
+    /// progress.
     busy_since: Arc<AtomicU64>,
 }
 
 impl Disk {
-    /// Starts the thread. It ends with the last handle.
+    /// Starts the disk thread. It ends when the last handle is dropped.
     ///
     /// # Errors
-    /// No thread can be had.
+    /// Fails if the thread cannot be started.
     pub fn start(config: DiskConfig, storage: impl Storage) -> io::Result<Disk> {
-        let (appends, waiting) = sync_channel(WAITING);
-        let (base, busy_since) = (Instant::now(), Arc::new(AtomicU64::new(0)));
+        let (appends, queue) = sync_channel(MAX_QUEUED_APPENDS);
+        let (started, busy_since) = (Instant::now(), Arc::new(AtomicU64::new(0)));
         let settled = Arc::new(AtomicU64::new(0));
         let writer = Writer::new(config, storage, settled.clone());
-        let busy = busy_since.clone();
+        let shared_busy_since = busy_since.clone();
         let thread = std::thread::Builder::new().name("edge-disk".into());
-        thread.spawn(move || writer.run(&waiting, base, &busy))?;
-        Ok(Disk { appends, settled, base, busy_since })
+        thread.spawn(move || writer.run(&queue, started, &shared_busy_since))?;
+        Ok(Disk { appends, settled, started, busy_since })
     }
 
-    /// The length of this process' own intake up to which each write was acknowledged, or has its end.
+    /// Length of this process's own intake up to which each write has been acknowledged or has an end
+    /// record.
     pub fn settled(&self) -> u64 {
         self.settled.load(Ordering::Acquire)
     }
 
-    /// For how long the disk has been busy with what it has now.
-    pub fn busy(&self) -> Duration {
+    /// How long the disk has been busy with the current batch.
+    pub fn busy_for(&self) -> Duration {
         match self.busy_since.load(Ordering::Relaxed) {
             0 => Duration::ZERO,
-            since => self.base.elapsed().saturating_sub(Duration::from_millis(since - 1)),
+            since => self.started.elapsed().saturating_sub(Duration::from_millis(since - 1)),
         }
     }
 
-    /// Appends to a file of a store; None: too much waits already, and nothing was done.
+    /// Queues an append to a file of a store. Returns None if the queue is full; nothing was done then.
     ///
-    /// The first write of the own intake comes behind a record that says so (`Record::Opened`).
-    pub fn append(&self, edge: EdgeId, name: StoreFile, bytes: Vec<u8>) -> Option<Appended> {
-        let (decided, decision) = oneshot::channel();
-        let (done, written) = oneshot::channel();
-        match self.appends.try_send(Append { edge, name, bytes, decided, done }) {
-            Ok(()) => Some(Appended { decided: decision, done: written }),
+    /// The first write to the own intake is preceded by a record that says that writes need an
+    /// acknowledgement (`Record::Opened`).
+    pub fn append(
+        &self,
+        edge: EdgeId,
+        store_file: StoreFile,
+        bytes: Vec<u8>,
+    ) -> Option<PendingAppend> {
+        let (commit_sender, committed) = oneshot::channel();
+        let (outcome_sender, outcome) = oneshot::channel();
+        match self.appends.try_send(Append {
+            edge,
+            store_file,
+            bytes,
+            commit_sender,
+            outcome_sender,
+        }) {
+            Ok(()) => Some(PendingAppend { committed, outcome }),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => None,
         }
     }
--- a/crates/millethook-http/src/edge/folder.rs
+++ b/crates/millethook-http/src/edge/folder.rs
@@ -1,7 +1,8 @@
-//! The folder of stores: which files there are, and what stands in them.
+//! The folder of stores: its files and their contents.
 //!
-//! `FOLDER/EDGE/intake` is what a process took in; nobody else ever appends to it. `FOLDER/EDGE/replay-TOKEN` is what
-//! one owner of the replay wrote down, `FOLDER/EDGE/words` what operators said.
+//! `FOLDER/EDGE/intake` holds the writes that a process accepted; no other process ever appends to it.
+//! `FOLDER/EDGE/replay-TOKEN` holds the records of one owner of the replay, `FOLDER/EDGE/words` the records
+//! of operators.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Seek, SeekFrom};
@@ -9,24 +10,24 @@
 
 use millethook_edge::{Book, EdgeId, Token, log};
 
-/// The largest file that is read: what a store may hold, and its marks and ends.
-const LARGEST: u64 = 4 << 30;
-/// Bytes that are read at once of a file that grows.
-const PIECE: usize = 8 << 20;
+/// Largest file that is read: the most bytes that a store may hold, with room for marks and end records.
+const MAX_FILE_BYTES: u64 = 4 << 30;
+/// Most bytes that are read for one record.
+const MAX_RECORD_READ_BYTES: usize = 8 << 20;
 
 /// A file of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StoreFile {
-    /// What its process took in.
+    /// Writes that the store's process accepted.
     Intake,
-    /// What an owner wrote down.
+    /// Records of the replay owner with this token.
     Journal(Token),
-    /// What operators said.
+    /// Records of operators.
     OperatorLog,
 }
 
 impl StoreFile {
-    /// Its path below the folder of stores.
+    /// Path of the file in the folder of stores.
     pub fn path(self, folder: &Path, edge: EdgeId) -> PathBuf {
         let directory = folder.join(edge.to_string());
         match self {
@@ -44,21 +45,22 @@
         }
     }
 
-    /// Up to where it is read, by how far the store's intake is settled.
-    pub fn upto(self, settled: u64) -> u64 {
+    /// Length up to which the file may be read, if the intake is settled up to `settled`. Only the intake
+    /// is limited.
+    pub fn readable_length(self, settled: u64) -> u64 {
         if self == StoreFile::Intake { settled } else { u64::MAX }
     }
 
-    /// Whether a spoilt record of it may have been a mark.
+    /// Whether a damaged record of this file may have been a mark.
     pub fn holds_marks(self) -> bool {
         matches!(self, StoreFile::Journal(_))
     }
 }
 
-/// The stores of a folder.
+/// Lists the stores of a folder.
 ///
 /// # Errors
-/// The folder cannot be read.
+/// Fails if the folder cannot be read.
 pub fn list_stores(folder: &Path) -> io::Result<Vec<EdgeId>> {
     let entries = fs::read_dir(folder)?.flatten();
     let names = entries.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
@@ -67,40 +69,43 @@
     Ok(stores)
 }
 
-/// The files of a store: what was taken in first, then owners' in the order of their tokens.
+/// Lists the files of a store: the intake first, then the journals in the order of their tokens, then the
+/// operators' file.
 ///
 /// # Errors
-/// The store cannot be read.
+/// Fails if the store cannot be read.
 pub fn list_files(folder: &Path, edge: EdgeId) -> io::Result<Vec<StoreFile>> {
     let entries = fs::read_dir(folder.join(edge.to_string()))?.flatten();
     let names = entries.filter_map(|entry| StoreFile::parse(entry.file_name().to_str()?));
-    let mut names: Vec<StoreFile> = names.collect();
-    names.sort_unstable();
-    Ok(names)
+    let mut store_files: Vec<StoreFile> = names.collect();
+    store_files.sort_unstable();
+    Ok(store_files)
 }
 
-/// The highest token that a store knows.
+/// Returns the highest token among the journals of a store.
 ///
 /// # Errors
-/// The store cannot be read.
+/// Fails if the store cannot be read.
 pub fn highest_token(folder: &Path, edge: EdgeId) -> io::Result<Token> {
-    let tokens = list_files(folder, edge)?.into_iter().filter_map(|name| match name {
+    let tokens = list_files(folder, edge)?.into_iter().filter_map(|store_file| match store_file {
         StoreFile::Journal(token) => Some(token),
         _ => None,
     });
     Ok(tokens.max().unwrap_or_default())
 }
 
-/// What a file holds from a place on, up to another one. What was written and is not on disk yet gets there first: nothing goes out that a
-/// loss of power would undo.
+/// Reads a file from one offset up to another. Data that is written but not on disk yet is synced first, so
+/// that nothing is sent on the ground of data that a power loss would undo.
 ///
 /// # Errors
-/// The file cannot be read, or is too large.
-pub fn read(path: &Path, from: u64, upto: u64) -> io::Result<Vec<u8>> {
+/// Fails if the file cannot be read or is too large.
+pub fn read(path: &Path, from: u64, end: u64) -> io::Result<Vec<u8>> {
     let mut file = File::open(path)?;
-    let length = file.metadata()?.len().min(upto);
-    if length > LARGEST {
-        return Err(io::Error::other(format!("{length} bytes, {LARGEST} at most expected")));
+    let length = file.metadata()?.len().min(end);
+    if length > MAX_FILE_BYTES {
+        return Err(io::Error::other(format!(
+            "file has {length} bytes, at most {MAX_FILE_BYTES} allowed"
+        )));
     }
     if length <= from {
         return Ok(Vec::new());
@@ -112,52 +117,54 @@
     Ok(bytes)
 }
 
-/// One record, by the place of its body.
+/// Reads one record, given the offset and length of its body.
 ///
 /// # Errors
-/// The file cannot be read.
+/// Fails if the file cannot be read.
 pub fn read_record(path: &Path, (at, length): (u64, u32)) -> io::Result<Vec<u8>> {
     let mut file = File::open(path)?;
     file.seek(SeekFrom::Start(at.saturating_sub(log::HEAD as u64)))?;
     let mut bytes = Vec::new();
-    file.take((log::HEAD as u64 + u64::from(length)).min(PIECE as u64)).read_to_end(&mut bytes)?;
+    file.take((log::HEAD as u64 + u64::from(length)).min(MAX_RECORD_READ_BYTES as u64))
+        .read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// How far each file of a store has been read.
-pub type Places = std::collections::BTreeMap<StoreFile, u64>;
+/// Offset up to which each file of a store has been read.
+pub type ReadOffsets = std::collections::BTreeMap<StoreFile, u64>;
 
-/// Reads a whole store.
+/// Reads a complete store.
 ///
 /// # Errors
 /// Names the file that cannot be read.
-pub fn load(folder: &Path, edge: EdgeId) -> io::Result<(Book, Places)> {
-    load_settled(folder, edge, u64::MAX)
+pub fn load(folder: &Path, edge: EdgeId) -> io::Result<(Book, ReadOffsets)> {
+    load_up_to(folder, edge, u64::MAX)
 }
 
-/// Reads a store, its intake up to this place: behind it the process that takes it in has yet to decide.
+/// Reads a store, with its intake only up to `settled`. The process that owns the intake has yet to decide
+/// about the writes after that.
 ///
 /// # Errors
 /// Names the file that cannot be read.
-pub fn load_settled(folder: &Path, edge: EdgeId, settled: u64) -> io::Result<(Book, Places)> {
-    let (mut book, mut places) = (Book::on(edge, Some(super::boot())), Places::new());
-    for name in list_files(folder, edge)? {
-        let path = name.path(folder, edge);
-        let bytes = read(&path, 0, name.upto(settled))
+pub fn load_up_to(folder: &Path, edge: EdgeId, settled: u64) -> io::Result<(Book, ReadOffsets)> {
+    let (mut book, mut read_offsets) = (Book::on(edge, Some(super::boot_id())), ReadOffsets::new());
+    for store_file in list_files(folder, edge)? {
+        let path = store_file.path(folder, edge);
+        let bytes = read(&path, 0, store_file.readable_length(settled))
             .map_err(|e| io::Error::other(format!("{}: {e}", path.display())))?;
-        let mut read = 0;
+        let mut offset = 0;
         for item in log::scan(&bytes, 0) {
-            read = end_of(&item).unwrap_or(read);
-            book.take(&item, name.holds_marks());
+            offset = item_end(&item).unwrap_or(offset);
+            book.take(&item, store_file.holds_marks());
         }
-        places.insert(name, read);
+        read_offsets.insert(store_file, offset);
     }
     book.is_read();
-    Ok((book, places))
+    Ok((book, read_offsets))
 }
 
-/// Where an item ends; None: it may still grow.
-pub fn end_of(item: &log::Item) -> Option<u64> {
+/// Returns the offset at which an item ends, or None for an item that may still grow.
+pub fn item_end(item: &log::Item) -> Option<u64> {
     match item {
         log::Item::Record { at, length, .. } => Some(at + u64::from(*length)),
         log::Item::Damaged { at, length, .. } => Some(at + length),
--- a/crates/millethook-http/src/edge/lock.rs
+++ b/crates/millethook-http/src/edge/lock.rs
@@ -1,19 +1,19 @@
-//! The lock on a store's intake: a process holds it for as long as it lives, so that nobody removes what it still
-//! appends to.
+//! Lock on the intake of a store. A process holds it for as long as it lives, so that no other process
+//! removes a file that it still appends to.
 
 use std::fs::File;
 use std::path::Path;
 
-/// Whether nobody holds the lock.
+/// Whether no process holds the lock.
 pub(super) fn is_free(path: &Path) -> bool {
     File::open(path).is_ok_and(|file| {
         rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive).is_ok()
     })
 }
 
-/// Takes the lock for as long as the file is open.
-pub(super) fn hold(file: &File) -> bool {
-    // Others look for a moment whether it is free.
+/// Takes the lock, which is held for as long as the file is open.
+pub(super) fn acquire(file: &File) -> bool {
+    // Other processes briefly take the lock to test whether it is free, so this is tried several times.
     (0..5).any(|_| {
         let locked =
             rustix::fs::flock(file, rustix::fs::FlockOperation::NonBlockingLockExclusive).is_ok();
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -1,5 +1,5 @@
-//! Writes that are kept while no server can be reached, and their replay: the disk, the clock and the leases that
-//! [`millethook_edge`] has not.
+//! Store of writes that are kept while no server can be reached, and their replay. This module adds the
+//! disk, the clock and the leases to the logic in [`millethook_edge`].
 
 pub mod disk;
 pub mod folder;
@@ -25,114 +25,120 @@
 use tokio::sync::Notify;
 
 use disk::{Disk, DiskConfig, Storage};
-pub use intake::{CONTEXT, Kept, Receipt, Taken};
+pub use intake::{CONTEXT, Receipt, StoreOutcome, WriteCandidate};
 
-/// How writes are kept and replayed.
+/// Settings of the store and its replay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EdgeSettings {
-    /// Where stores are. Sidecars of one host may share it.
+    /// Folder of the stores. Sidecars of one host may share it.
     pub folder: PathBuf,
-    /// Classes whose writes may be kept, by name.
+    /// Names of the classes whose writes may be stored.
     pub classes: Vec<String>,
-    /// Bytes that this process keeps at most.
+    /// Most bytes that this process stores.
     pub max_bytes: u64,
-    /// Writes without an end that it keeps at most.
+    /// Most writes without an end record that this process stores.
     pub max_open_writes: usize,
-    /// What is kept for longer has expired.
+    /// Time after which a stored write has expired.
     pub retention: Duration,
-    /// For so long a write waits for one that it comes after.
+    /// How long a write waits for a predecessor.
     pub predecessor_wait: Duration,
-    /// Whether one whose forerunner failed, or never came, goes all the same.
+    /// Whether a write is sent although its predecessor failed or never arrived.
     pub send_without_predecessor: bool,
-    /// Writes of one store that are out at once.
+    /// Most writes of one store that are in flight at the same time.
     pub max_concurrent: usize,
-    /// Writes a second that all stores of the fleet send together, at most.
+    /// Most writes a second that all stores of the fleet send together.
     pub fleet_per_second: f64,
-    /// A disk that takes longer than this is slow, and nothing is kept meanwhile.
+    /// A disk that takes longer than this for a batch is slow, and nothing is stored meanwhile.
     pub slow_disk: Duration,
-    /// The longest lease.
+    /// Longest duration of a lease.
     pub max_lease: Duration,
 }
 
-/// Between two questions about one store, and how old an answer may be; stores that are asked about at once, at most.
-const ASK: Duration = Duration::from_millis(300);
-const MAX_LEASE_REQUESTS: usize = 256;
-/// What a replay of a class is worth beside its requests: next to nothing, so that it is shed first.
-const WORTH: f64 = 1e-6;
+/// Interval between two progress queries for one store, and the age at which announced progress is
+/// outdated.
+const PROGRESS_QUERY_INTERVAL: Duration = Duration::from_millis(300);
+/// Most stores whose progress is queried at the same time.
+const MAX_PROGRESS_QUERIES: usize = 256;
+/// Credit of a replayed request relative to other requests of its class. Almost zero, so that replays are
+/// shed first.
+const REPLAY_CREDIT_FACTOR: f64 = 1e-6;
 
-/// The name of the class that replays of a class go by. No path of a request has a blank in it.
+/// Name of the class under which replays of a class are sent. It cannot collide with a request's class,
+/// because no path of a request has a space in it.
 fn replay_class(name: &str) -> String {
     format!("replay {name}")
 }
 
-/// Adds the classes that replays go by to the settings of the decisions.
+/// Adds the replay classes to the settings of the decision module.
 pub fn add_replay_classes(names: &[String], settings: &mut Settings) {
-    let kept = |class: &&Class| names.contains(&class.name) && class.repeat != Repeat::Safe;
-    let replays: Vec<Class> = (settings.classes.iter().filter(kept))
+    let is_kept = |class: &&Class| names.contains(&class.name) && class.repeat != Repeat::Safe;
+    let replays: Vec<Class> = (settings.classes.iter().filter(is_kept))
         .map(|class| Class {
             name: replay_class(&class.name),
-            credit: class.credit * WORTH,
+            credit: class.credit * REPLAY_CREDIT_FACTOR,
             ..class.clone()
         })
         .collect();
-    let new = |class: &Class| settings.classes.iter().all(|known| known.name != class.name);
-    let replays: Vec<Class> = replays.into_iter().filter(new).collect();
+    let is_new = |class: &Class| settings.classes.iter().all(|known| known.name != class.name);
+    let replays: Vec<Class> = replays.into_iter().filter(is_new).collect();
     settings.classes.extend(replays);
 }
 
-/// Counts since the start, and what there is now.
+/// Counters since the start, and current values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EdgeStats {
     /// Writes that were acknowledged.
     pub kept: u64,
-    /// Writes that were to be kept and were refused: full, slow or broken disk.
+    /// Writes that should have been stored but were refused, because the store was full or the disk slow or
+    /// broken.
     pub refused: u64,
-    /// Writes that a server has served on their replay.
+    /// Writes that a server has served when they were replayed.
     pub replayed: u64,
-    /// Those that ended otherwise.
+    /// Replayed writes that ended in any other way.
     pub not_served: u64,
     /// Stores that are replayed here.
     pub stores: usize,
-    /// Writes in them that have no end.
+    /// Writes in these stores without an end record.
     pub open_writes: usize,
-    /// Of these in doubt.
+    /// Writes among these that are in doubt.
     pub in_doubt: usize,
-    /// Spoilt parts of their files.
+    /// Damaged parts of the stores' files.
     pub damaged: usize,
-    /// The age of the oldest write without an end, in seconds.
+    /// Age of the oldest write without an end record, in seconds.
     pub oldest_s: u64,
-    /// Whether no server can be reached, for all that is known here.
+    /// Whether no server can be reached, as far as this process knows.
     pub isolated: bool,
 }
 
-/// Everything that is kept here.
+/// The store of this process, and the replay of the stores whose leases it holds.
 pub struct Edge {
     settings: EdgeSettings,
     driver: Rc<Driver>,
     fleet: Rc<Fleet>,
     names: RefCell<Arc<Names>>,
     disk: Disk,
-    /// The own store.
-    own: EdgeId,
+    /// The store of this process.
+    own_store: EdgeId,
     intake: RefCell<intake::Intake>,
     /// Stores that are replayed here.
     replays: RefCell<BTreeMap<EdgeId, Rc<replayer::Store>>>,
-    /// There may be something to be read or sent.
+    /// Notified when there may be something to read or to send.
     wake: Arc<Notify>,
-    /// The own store is not taken over from an earlier owner before its intake is settled up to here.
-    unsettled: Cell<Option<u64>>,
+    /// The own store is not taken over from an earlier owner before its intake is settled up to this
+    /// length.
+    unsettled_length: Cell<Option<u64>>,
     counts: Cell<EdgeStats>,
     boot: u64,
     started: std::time::Instant,
-    /// Stores that were asked about: when last, and how often.
-    lease_requests: RefCell<BTreeMap<EdgeId, (std::time::Instant, u32)>>,
+    /// Stores whose progress was queried: when last, and how often.
+    progress_queries: RefCell<BTreeMap<EdgeId, (std::time::Instant, u32)>>,
 }
 
 impl Edge {
-    /// Starts keeping and replaying on the present `LocalSet`.
+    /// Opens the store and starts the replay on the current `LocalSet`.
     ///
     /// # Errors
-    /// The folder cannot be used.
+    /// Fails if the folder cannot be used.
     pub fn start(
         settings: EdgeSettings,
         driver: Rc<Driver>,
@@ -141,15 +147,15 @@
         storage: impl Storage,
     ) -> Result<Rc<Edge>, String> {
         let folder = settings.folder.clone();
-        let told = |e: std::io::Error| format!("edge.folder: {}: {e}", folder.display());
-        std::fs::create_dir_all(&folder).map_err(told)?;
-        folder::list_stores(&folder).map_err(told)?;
-        let (me, epoch) = fleet.process();
-        let (own, wake) = (EdgeId::new(me, epoch), Arc::new(Notify::new()));
-        let disk = DiskConfig { folder: folder.clone(), own, moved: wake.clone() };
-        let disk = Disk::start(disk, storage).map_err(told)?;
+        let folder_error = |e: std::io::Error| format!("edge.folder: {}: {e}", folder.display());
+        std::fs::create_dir_all(&folder).map_err(folder_error)?;
+        folder::list_stores(&folder).map_err(folder_error)?;
+        let (own_number, epoch) = fleet.process();
+        let (own_store, wake) = (EdgeId::new(own_number, epoch), Arc::new(Notify::new()));
+        let disk = DiskConfig { folder: folder.clone(), own_store, settled_changed: wake.clone() };
+        let disk = Disk::start(disk, storage).map_err(folder_error)?;
         let edge = Rc::new(Edge {
-            own,
+            own_store,
             settings,
             driver,
             fleet,
@@ -158,27 +164,27 @@
             intake: RefCell::default(),
             replays: RefCell::default(),
             wake,
-            unsettled: Cell::new(None),
+            unsettled_length: Cell::new(None),
             counts: Cell::default(),
-            boot: boot(),
+            boot: boot_id(),
             started: std::time::Instant::now(),
-            lease_requests: RefCell::default(),
+            progress_queries: RefCell::default(),
         });
         tokio::task::spawn_local(edge.clone().replay());
         Ok(edge)
     }
 
-    /// Requests are read by these names from now on.
+    /// Replaces the names with which stored requests are interpreted.
     pub fn set_names(&self, names: Arc<Names>) {
         self.names.replace(names);
     }
 
-    /// What has come of a write, at whatever edge it lies.
+    /// Progress of a write, whichever store it is in.
     fn progress(&self, id: WriteId) -> Progress {
         if let Some(store) = self.replays.borrow().get(&id.edge) {
             let replay = store.replay.borrow();
-            let ended = replay.book().entry(id.seq).map(|entry| entry.state);
-            if let Some(state) = ended {
+            let state = replay.book().entry(id.seq).map(|entry| entry.state);
+            if let Some(state) = state {
                 return match state {
                     State::Ended(end) if end.is_well() => Progress::Ended,
                     State::Ended(_) => Progress::Failed,
@@ -186,51 +192,52 @@
                 };
             }
         }
-        let told = self.told(id.edge);
-        let progress = told.map_or(Progress::Unknown, |(mark, _)| mark.of(id.seq));
-        let settled = matches!(progress, Progress::Ended | Progress::Failed);
-        if !settled && told.is_none_or(|(_, age)| age > ASK) {
-            self.ask(id.edge);
+        let announced = self.announced_mark(id.edge);
+        let progress = announced.map_or(Progress::Unknown, |(mark, _)| mark.of(id.seq));
+        let is_final = matches!(progress, Progress::Ended | Progress::Failed);
+        if !is_final && announced.is_none_or(|(_, age)| age > PROGRESS_QUERY_INTERVAL) {
+            self.query_progress(id.edge);
         }
         progress
     }
 
-    /// Asks whoever is most likely to replay a store: its own process, or the next one of that number; if that one does
-    /// not answer, others in turn, as they may be of its host.
-    fn ask(&self, edge: EdgeId) {
-        let mut lease_requests = self.lease_requests.borrow_mut();
-        lease_requests.retain(|_, (at, _)| at.elapsed() < 60 * ASK);
-        if lease_requests.len() >= MAX_LEASE_REQUESTS && !lease_requests.contains_key(&edge) {
+    /// Queries the member that most likely replays a store: the member with the number of the store's process,
+    /// which is that process or its successor. If it does not answer, other members are queried in turn, since
+    /// they may run on the same host.
+    fn query_progress(&self, edge: EdgeId) {
+        let mut progress_queries = self.progress_queries.borrow_mut();
+        progress_queries.retain(|_, (at, _)| at.elapsed() < 60 * PROGRESS_QUERY_INTERVAL);
+        if progress_queries.len() >= MAX_PROGRESS_QUERIES && !progress_queries.contains_key(&edge) {
             return;
         }
         let now = std::time::Instant::now();
-        let (at, times) = lease_requests.entry(edge).or_insert((now, 0));
-        if *times > 0 && at.elapsed() < ASK {
+        let (last, count) = progress_queries.entry(edge).or_insert((now, 0));
+        if *count > 0 && last.elapsed() < PROGRESS_QUERY_INTERVAL {
             return;
         }
-        (*at, *times) = (now, *times + 1);
+        (*last, *count) = (now, *count + 1);
         let counts = self.fleet.counts();
         let members =
             (counts.unknown + counts.alive + counts.suspect + counts.dead + counts.left) as u32;
-        // Every other time somebody near by number.
-        let step = if *times % 2 == 1 { 0 } else { *times / 2 };
+        // Every second query goes to a member with a number close by.
+        let step = if *count % 2 == 1 { 0 } else { *count / 2 };
         let member = (u32::from(edge.number()) + step) % members.max(1);
         self.fleet.ask_edge(member as u16, edge.0);
     }
 
-    /// How far a store is, by what was told of it, and how long ago that was.
-    fn told(&self, edge: EdgeId) -> Option<(Mark, Duration)> {
+    /// Announced progress of a store, and its age.
+    fn announced_mark(&self, edge: EdgeId) -> Option<(Mark, Duration)> {
         let (value, age) = self.fleet.edge(edge.0)?;
         let EntryValue::Edge { upto, beyond, failed, .. } = value else { return None };
-        let of = |back: u16| (upto + 65).checked_sub(u64::from(back)).filter(|_| back > 0);
-        Some((Mark { upto, beyond, failed: failed.map(|back| of(back).unwrap_or(0)) }, age))
+        let absolute = |back: u16| (upto + 65).checked_sub(u64::from(back)).filter(|_| back > 0);
+        Some((Mark { upto, beyond, failed: failed.map(|back| absolute(back).unwrap_or(0)) }, age))
     }
 
     fn started(&self) -> std::time::Instant {
         self.started
     }
 
-    fn here(&self) -> HostTime {
+    fn host_time(&self) -> HostTime {
         HostTime { boot: self.boot, ms: uptime_ms() }
     }
 
@@ -240,7 +247,7 @@
         self.counts.set(counts);
     }
 
-    /// Counts since the start, and what there is now.
+    /// Returns the counters since the start and the current values.
     pub fn stats(&self) -> EdgeStats {
         let mut stats = self.counts.get();
         let replays = self.replays.borrow();
@@ -265,15 +272,17 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Milliseconds since the host was started, the same for all its processes; suspension counts.
+/// Milliseconds since the boot of the host, including suspension. It is the same for all processes of the
+/// host.
 fn uptime_ms() -> u64 {
     let text = std::fs::read_to_string("/proc/uptime").unwrap_or_default();
     let seconds = text.split_whitespace().next().and_then(|s| s.parse::<f64>().ok());
     seconds.map_or(0, |s| (s * 1e3) as u64)
 }
 
-/// Which start of the host this is. Where it cannot be told each process is its own: nothing is repeated then.
-fn boot() -> u64 {
+/// Identifies the current boot of the host. If it is not available, each process gets an id of its own, and
+/// so nothing is sent again.
+fn boot_id() -> u64 {
     let text = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
     let id = text.trim();
     if id.is_empty() {
@@ -283,10 +292,11 @@
     }
 }
 
-/// What a repeat of a class's write does.
+/// What a second execution of a write of this class does.
 fn repeat_of(class: &Class) -> millethook_edge::record::Repeat {
     match (class.repeat, class.dedup_scope) {
-        // A replay does not choose servers, so that a group has to hold all.
+        // A replay does not choose servers, so duplicates must be dropped by all servers together, not by
+        // each group.
         (Repeat::Keyed, Scope::All) => {
             millethook_edge::record::Repeat::Within { window_ms: class.window / 1_000 }
         }
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -1,5 +1,5 @@
-//! Who replays which store: takes over what its lease allows, reads what comes to its files, and removes what is done
-//! with.
+//! Replay of stores: takes over the stores whose leases are held, reads what is appended to their files,
+//! and removes finished stores.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,79 +15,85 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::sleep;
 
-use super::disk::Written;
-use super::folder::{self, Places, StoreFile};
+use super::disk::AppendOutcome;
+use super::folder::{self, ReadOffsets, StoreFile};
 use super::{Edge, unix_ms};
 
-/// Between two looks at the folder, and at the files of a store that others append to.
-const LOOK: Duration = Duration::from_millis(500);
-/// Between two rounds while nothing happens.
-const ROUND: Duration = Duration::from_millis(20);
-/// Between two tries whether any server takes a connection, while none can be reached and something is kept.
-const TRY: Duration = Duration::from_millis(500);
-/// How far a store is, is noted again for whoever asks, also where nothing has changed.
-const TELL: Duration = Duration::from_secs(10);
-/// A foreign store is asked for so much later than its own process asks.
-const FOREIGN: Duration = Duration::from_secs(1);
-/// Steps of one store in one round, at most.
-const STEPS: usize = 64;
+/// Interval between two scans of the folder, and between two reads of the files of a store that others
+/// append to.
+const SCAN_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two rounds while stored writes are open.
+const BUSY_ROUND_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two attempts to connect to any server, while no server can be reached and stored writes
+/// are open.
+const REACHABILITY_TRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval after which the progress of a store is announced again, even if it has not changed.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
+/// Delay before a foreign store is requested, so that its own process requests it first.
+const FOREIGN_STORE_DELAY: Duration = Duration::from_secs(1);
+/// Most steps of one store in one round.
+const MAX_STEPS_PER_ROUND: usize = 64;
 
 /// A store that is replayed here.
 pub(super) struct Store {
     pub edge: EdgeId,
     pub token: Token,
     pub replay: RefCell<Replay>,
-    places: RefCell<Places>,
-    looked: Cell<Instant>,
-    told: Cell<Option<(Instant, Mark)>>,
-    /// The disk has refused a mark: another one owns it.
+    read_offsets: RefCell<ReadOffsets>,
+    last_read: Cell<Instant>,
+    last_announced: Cell<Option<(Instant, Mark)>>,
+    /// The disk thread refused a mark, because the store has another owner.
     pub fenced: Cell<bool>,
 }
 
-/// The job of replaying a store.
-pub(super) fn job(edge: EdgeId) -> JobId {
+/// Lease job of replaying a store.
+pub(super) fn replay_job(edge: EdgeId) -> JobId {
     JobId(stable_hash(format!("replay {edge}").as_bytes()))
 }
 
 impl Edge {
-    /// Runs for as long as the process.
+    /// Runs the replay for as long as the process lives.
     pub(super) async fn replay(self: Rc<Edge>) {
         let mut known: BTreeMap<EdgeId, ()> = BTreeMap::new();
-        let (mut looked, mut tried, mut nth) = (None::<Instant>, Instant::now(), 0usize);
+        let (mut scanned, mut last_try, mut try_number) = (None::<Instant>, Instant::now(), 0usize);
         loop {
-            if looked.is_none_or(|at| at.elapsed() > LOOK) {
-                looked = Some(Instant::now());
-                self.look_for_stores(&mut known).await;
+            if scanned.is_none_or(|at| at.elapsed() > SCAN_INTERVAL) {
+                scanned = Some(Instant::now());
+                self.scan_folder(&mut known).await;
             }
             for edge in known.keys().copied().collect::<Vec<_>>() {
-                self.follow(edge).await;
+                self.apply_lease(edge).await;
             }
-            let something =
+            let has_open_writes =
                 self.replays.borrow().values().any(|s| s.replay.borrow().book().left() > 0);
-            if something && self.driver.is_isolated() && tried.elapsed() > TRY {
-                tried = Instant::now();
-                nth = nth.wrapping_add(1);
-                let (driver, nth) = (self.driver.clone(), nth);
-                spawn_local(async move { driver.try_any(nth).await });
+            if has_open_writes
+                && self.driver.is_isolated()
+                && last_try.elapsed() > REACHABILITY_TRY_INTERVAL
+            {
+                last_try = Instant::now();
+                try_number = try_number.wrapping_add(1);
+                let (driver, try_number) = (self.driver.clone(), try_number);
+                spawn_local(async move { driver.try_any(try_number).await });
             }
             let stores: Vec<Rc<Store>> = self.replays.borrow().values().cloned().collect();
-            // As many stores as sidecars may be on their way; how many are, nobody knows.
+            // Stores with writes in flight may be as many as there are sidecars; their actual number is not
+            // known.
             let others = self.fleet.counts().alive;
             for store in stores {
                 store.replay.borrow_mut().set_stores(others.max(1));
-                self.look_at(&store).await;
-                self.steps(&store);
-                self.tell(&store);
+                self.read_appended(&store).await;
+                self.start_steps(&store);
+                self.announce_progress(&store);
             }
             let busy = self.replays.borrow().values().any(|s| s.replay.borrow().book().left() > 0);
             tokio::select! {
-                () = sleep(if busy { ROUND } else { LOOK }) => {}
+                () = sleep(if busy { BUSY_ROUND_INTERVAL } else { SCAN_INTERVAL }) => {}
                 () = self.wake.notified() => sleep(Duration::from_millis(1)).await,
             }
         }
     }
 
-    async fn look_for_stores(&self, known: &mut BTreeMap<EdgeId, ()>) {
+    async fn scan_folder(&self, known: &mut BTreeMap<EdgeId, ()>) {
         let path = self.settings.folder.clone();
         let found = spawn_blocking(move || folder::list_stores(&path)).await;
         let found = match found {
@@ -100,35 +106,38 @@
         };
         for edge in &found {
             known.insert(*edge, ());
-            if *edge == self.own || self.is_orphan(*edge) {
-                let wait = if *edge == self.own { Duration::ZERO } else { FOREIGN };
-                self.fleet.request_job(job(*edge), self.settings.max_lease, wait);
-            } else if self.fleet.holds(job(*edge)).is_none() {
-                self.fleet.release_job(job(*edge));
+            if *edge == self.own_store || self.is_orphan(*edge) {
+                let wait =
+                    if *edge == self.own_store { Duration::ZERO } else { FOREIGN_STORE_DELAY };
+                self.fleet.request_job(replay_job(*edge), self.settings.max_lease, wait);
+            } else if self.fleet.holds(replay_job(*edge)).is_none() {
+                self.fleet.release_job(replay_job(*edge));
             }
         }
         let gone: Vec<EdgeId> = known.keys().filter(|e| !found.contains(e)).copied().collect();
         for edge in gone {
             known.remove(&edge);
-            self.fleet.release_job(job(edge));
+            self.fleet.release_job(replay_job(edge));
             self.replays.borrow_mut().remove(&edge);
         }
     }
 
-    /// Whether nobody seems to replay another process' store. Without this, all sidecars of a host ask for all of its
-    /// stores all the time, and their requests alone use up what may be sent.
+    /// Whether the store of another process seems to be without an owner. Without this check, all sidecars
+    /// of a host request all of its stores all the time, and these lease requests alone use up the sending
+    /// budget.
     fn is_orphan(&self, edge: EdgeId) -> bool {
-        // A process holds its intake locked for as long as it lives; one that stands still is not seen by the others.
+        // A process holds its intake locked for as long as it lives, and a process that stalls is
+        // considered dead by the other members, so both are checked.
         let path = StoreFile::Intake.path(&self.settings.folder, edge);
         super::lock::is_free(&path) || !self.fleet.is_there(edge.number())
     }
 
-    /// Takes a store over, or lets it go, as its lease says.
-    async fn follow(&self, edge: EdgeId) {
-        let held = self.fleet.holds(job(edge));
+    /// Takes a store over or gives it up, as its lease demands.
+    async fn apply_lease(&self, edge: EdgeId) {
+        let held = self.fleet.holds(replay_job(edge));
         let replayed = self.replays.borrow().get(&edge).map(|s| (s.token, s.fenced.get()));
         match (held, replayed) {
-            (Some(token), Some((mine, false))) if token == mine => {}
+            (Some(token), Some((own_token, false))) if token == own_token => {}
             (Some(token), before) => {
                 if before.is_some() {
                     self.replays.borrow_mut().remove(&edge);
@@ -136,65 +145,73 @@
                 self.take_over(edge, token).await;
             }
             (None, Some(_)) => {
-                // What is out goes on; its end is written down under the old token.
+                // Sends in progress continue; their ends are recorded under the old token.
                 self.replays.borrow_mut().remove(&edge);
             }
             (None, None) => {}
         }
     }
 
-    /// Whether this process may replay its own store, as far as that is settled.
+    /// Whether the own intake is settled far enough for this process to replay its own store.
     ///
-    /// An owner before this one, which took this process for dead, has read what is not settled here yet. Its
-    /// journal would speak of writes that were not read, and what it told of the store's progress would be taken back.
-    fn own_is_settled(&self) -> io::Result<bool> {
-        if folder::highest_token(&self.settings.folder, self.own)? == Token::default() {
+    /// An earlier owner, which considered this process dead, has read writes that are not settled here yet.
+    /// Without this check, its journal would refer to writes that were not read here, and the progress that
+    /// it announced would be taken back.
+    fn is_own_intake_settled(&self) -> io::Result<bool> {
+        if folder::highest_token(&self.settings.folder, self.own_store)? == Token::default() {
             return Ok(true);
         }
-        let intake = StoreFile::Intake.path(&self.settings.folder, self.own);
+        let intake = StoreFile::Intake.path(&self.settings.folder, self.own_store);
         let length = std::fs::metadata(intake)?.len();
-        // What comes from now on no earlier owner has read; what is cut off meanwhile is not waited for.
-        let upto = self.unsettled.get().map_or(length, |upto| upto.min(length));
-        let settled = self.disk.settled() >= upto;
-        self.unsettled.set((!settled).then_some(upto));
+        // Data appended from now on was not read by an earlier owner. Data that is truncated meanwhile is
+        // not waited for.
+        let required = self.unsettled_length.get().map_or(length, |required| required.min(length));
+        let settled = self.disk.settled() >= required;
+        self.unsettled_length.set((!settled).then_some(required));
         Ok(settled)
     }
 
     async fn take_over(&self, edge: EdgeId, token: Token) {
-        if edge == self.own && self.own_is_settled().is_ok_and(|settled| !settled) {
+        if edge == self.own_store && self.is_own_intake_settled().is_ok_and(|settled| !settled) {
             return;
         }
-        let (path, settled) = (self.settings.folder.clone(), self.settled(edge));
+        let (path, settled) = (self.settings.folder.clone(), self.readable_intake(edge));
         let loaded = spawn_blocking(move || -> io::Result<_> {
             let intake = StoreFile::Intake.path(&path, edge);
             let gone = super::lock::is_free(&intake);
             let highest = folder::highest_token(&path, edge)?;
-            let loaded = folder::load_settled(&path, edge, settled)?;
-            // Danger: what a process acknowledges as it ends is read only if it was gone before. One that has just made
-            // its intake does not hold it yet, and has written nothing where it does not by now.
+            let loaded = folder::load_up_to(&path, edge, settled)?;
+            // Acknowledgements that a process writes as it ends are certain to be read only if it was gone
+            // before the read. The second check covers a process that has just created its intake and not
+            // locked it yet: if it holds no lock by now, it has written nothing.
             Ok((highest, loaded, gone && super::lock::is_free(&intake)))
         });
-        let (highest, (book, places), gone) = match loaded.await {
+        let (highest, (book, read_offsets), gone) = match loaded.await {
             Ok(Ok(loaded)) => loaded,
             Ok(Err(e)) => {
                 tracing::error!(event = "edge_disk", "store {edge}: {e}");
-                self.fleet.release_job(job(edge));
+                self.fleet.release_job(replay_job(edge));
                 return;
             }
             Err(_) => return,
         };
         if highest > token {
-            // Somebody has replayed it under a higher token: only one above that will do.
-            self.fleet.observe_token(job(edge), highest);
-            self.fleet.release_job(job(edge));
-            self.fleet.request_job(job(edge), self.settings.max_lease, Duration::from_millis(100));
+            // Another owner has replayed the store under a higher token, so this process needs a token
+            // above that one.
+            self.fleet.observe_token(replay_job(edge), highest);
+            self.fleet.release_job(replay_job(edge));
+            self.fleet.request_job(
+                replay_job(edge),
+                self.settings.max_lease,
+                Duration::from_millis(100),
+            );
             return;
         }
         for (at, length, seq, _) in &book.damaged {
             let seq = seq.map_or("unknown".to_owned(), |seq| seq.to_string());
             tracing::error!(
                 event = "edge_damaged",
-                "store {edge}: {length} bytes from {at} on, write {seq}"
+                "store {edge}: {length} damaged bytes at offset {at}, write {seq}"
             );
         }
         let settings = &self.settings;
@@ -207,7 +224,7 @@
             margin_ms: self.driver.longest_deadline().as_millis() as u64 + 500,
         };
         let left = book.left();
-        let mut replay = Replay::new(config, token, book, self.now());
+        let mut replay = Replay::new(config, token, book, self.replay_clock());
         if gone {
             replay.process_is_gone();
         }
@@ -216,70 +233,73 @@
             edge,
             token,
             replay,
-            places: RefCell::new(places),
-            looked: Cell::new(Instant::now()),
-            told: Cell::new(None),
+            read_offsets: RefCell::new(read_offsets),
+            last_read: Cell::new(Instant::now()),
+            last_announced: Cell::new(None),
             fenced: Cell::new(false),
         };
-        tracing::info!(
-            event = "edge_replays",
-            "store {edge} is replayed here: {left} writes without an end"
-        );
+        tracing::info!(event = "edge_replays", "replaying store {edge}: {left} open writes");
         self.replays.borrow_mut().insert(edge, Rc::new(store));
     }
 
-    /// Up to where the intake of a store may be read. Behind it lie writes of this process whose clients have yet
-    /// to be answered, or were answered that nobody knows.
-    fn settled(&self, edge: EdgeId) -> u64 {
-        if edge == self.own { self.disk.settled() } else { u64::MAX }
+    /// Length up to which the intake of a store may be read. The writes after that belong to clients of
+    /// this process that have not been answered yet, or were told that the outcome is unknown.
+    fn readable_intake(&self, edge: EdgeId) -> u64 {
+        if edge == self.own_store { self.disk.settled() } else { u64::MAX }
     }
 
-    pub(super) fn now(&self) -> u64 {
-        // Any clock will do that the replay is always shown.
+    pub(super) fn replay_clock(&self) -> u64 {
+        // Any clock will do, if the replay always gets the same one.
         self.started().elapsed().as_micros() as u64
     }
 
-    /// Reads what others have appended.
-    async fn look_at(&self, store: &Rc<Store>) {
-        let settled = self.settled(store.edge);
-        // Of the own store it is known when there is something new.
-        let read = store.places.borrow().get(&StoreFile::Intake).copied().unwrap_or(0);
-        let fresh = store.edge == self.own && settled > read;
-        if !fresh && store.looked.get().elapsed() < LOOK {
+    /// Reads what others have appended to the files of a store.
+    async fn read_appended(&self, store: &Rc<Store>) {
+        let settled = self.readable_intake(store.edge);
+        // For the own store, the settled length tells whether there is new data.
+        let read_length = store.read_offsets.borrow().get(&StoreFile::Intake).copied().unwrap_or(0);
+        let has_new_data = store.edge == self.own_store && settled > read_length;
+        if !has_new_data && store.last_read.get().elapsed() < SCAN_INTERVAL {
             return;
         }
-        store.looked.set(Instant::now());
-        let (path, edge, mine) = (self.settings.folder.clone(), store.edge, store.token);
-        let mut places = store.places.borrow().clone();
+        store.last_read.set(Instant::now());
+        let (path, edge, own_token) = (self.settings.folder.clone(), store.edge, store.token);
+        let mut read_offsets = store.read_offsets.borrow().clone();
         let read = spawn_blocking(move || -> io::Result<_> {
             let intake = StoreFile::Intake.path(&path, edge);
             let gone = super::lock::is_free(&intake);
             let mut items = Vec::new();
-            for name in folder::list_files(&path, edge)? {
-                if name == StoreFile::Journal(mine) {
+            for store_file in folder::list_files(&path, edge)? {
+                if store_file == StoreFile::Journal(own_token) {
                     continue;
                 }
-                let from = places.entry(name).or_default();
-                let bytes = folder::read(&name.path(&path, edge), *from, name.upto(settled))?;
-                let base = *from;
+                let offset = read_offsets.entry(store_file).or_default();
+                let bytes = folder::read(
+                    &store_file.path(&path, edge),
+                    *offset,
+                    store_file.readable_length(settled),
+                )?;
+                let base = *offset;
                 for item in log::scan(&bytes, 0) {
-                    let Some(end) = folder::end_of(&item) else { continue };
-                    *from = base + end;
-                    items.push((name, base, item));
+                    let Some(end) = folder::item_end(&item) else { continue };
+                    *offset = base + end;
+                    items.push((store_file, base, item));
                 }
             }
-            // As where it is taken over.
-            Ok((places, items, gone && super::lock::is_free(&intake)))
+            // The lock is checked before and after the read, as in `take_over`.
+            Ok((read_offsets, items, gone && super::lock::is_free(&intake)))
         });
-        let Ok(Ok((places, items, gone))) = read.await else { return };
-        store.places.replace(places);
+        let Ok(Ok((read_offsets, items, gone))) = read.await else { return };
+        store.read_offsets.replace(read_offsets);
         let mut replay = store.replay.borrow_mut();
-        for (name, base, item) in items {
+        for (store_file, base, item) in items {
             match item {
                 log::Item::Record { seq, at, length, record } => {
                     replay.read(seq, (base + at, length), &record);
                 }
-                log::Item::Damaged { seq, .. } if name == StoreFile::Intake => replay.spoilt(seq),
+                log::Item::Damaged { seq, .. } if store_file == StoreFile::Intake => {
+                    replay.spoilt(seq)
+                }
                 log::Item::Damaged { .. } | log::Item::Torn { .. } => {}
             }
         }
@@ -288,39 +308,42 @@
         }
     }
 
-    /// Carries out what the replay wants next.
-    fn steps(self: &Rc<Edge>, store: &Rc<Store>) {
+    /// Starts the next steps that the replay asks for.
+    fn start_steps(self: &Rc<Edge>, store: &Rc<Store>) {
         if self.driver.is_isolated() || store.fenced.get() {
             return;
         }
-        for _ in 0..STEPS {
-            let next = store
-                .replay
-                .borrow_mut()
-                .next(self.now(), self.here(), unix_ms(), &|id| self.progress_elsewhere(id));
+        for _ in 0..MAX_STEPS_PER_ROUND {
+            let next = store.replay.borrow_mut().next(
+                self.replay_clock(),
+                self.host_time(),
+                unix_ms(),
+                &|id| self.progress_elsewhere(id),
+            );
             let Some(step) = next else { return };
-            spawn_local(self.clone().carry_out(store.clone(), step));
+            spawn_local(self.clone().run_step(store.clone(), step));
         }
     }
 
-    async fn carry_out(self: Rc<Edge>, store: Rc<Store>, first: Step) {
+    async fn run_step(self: Rc<Edge>, store: Rc<Store>, first: Step) {
         let mut step = Some(first);
-        while let Some(now) = step.take() {
-            step = match now {
+        while let Some(current) = step.take() {
+            step = match current {
                 Step::Write(seq, record) => {
                     let mut bytes = Vec::new();
                     let fits = log::append(&mut bytes, seq, &record).is_ok();
-                    let name = StoreFile::Journal(store.token);
-                    let written = match self.disk.append(store.edge, name, bytes).filter(|_| fits) {
-                        Some(mut written) => written.written().await,
-                        None => Written::No,
-                    };
-                    if written == Written::Fenced {
+                    let journal = StoreFile::Journal(store.token);
+                    let outcome =
+                        match self.disk.append(store.edge, journal, bytes).filter(|_| fits) {
+                            Some(mut append) => append.wait().await,
+                            None => AppendOutcome::NotWritten,
+                        };
+                    if outcome == AppendOutcome::Fenced {
                         store.fenced.set(true);
                     }
-                    let on_disk = written == Written::OnDisk;
-                    self.ended(&record, on_disk);
-                    store.replay.borrow_mut().written(self.now(), seq, on_disk)
+                    let on_disk = outcome == AppendOutcome::OnDisk;
+                    self.count_end(&record, on_disk);
+                    store.replay.borrow_mut().written(self.replay_clock(), seq, on_disk)
                 }
                 Step::Send(seq) => {
                     let outcome = self.send(&store, seq).await;
@@ -331,13 +354,16 @@
         self.wake.notify_one();
     }
 
-    /// Notes how far a store is, for whoever asks; one that is done with is removed.
-    fn tell(&self, store: &Rc<Store>) {
+    /// Announces the progress of a store to the fleet, and removes a store that is finished.
+    fn announce_progress(&self, store: &Rc<Store>) {
         let (mark, left) = {
             let replay = store.replay.borrow();
             (replay.book().mark(), replay.book().left())
         };
-        let due = store.told.get().is_none_or(|(at, told)| told != mark || at.elapsed() > TELL);
+        let is_due = store
+            .last_announced
+            .get()
+            .is_none_or(|(at, announced)| announced != mark || at.elapsed() > ANNOUNCE_INTERVAL);
         let Mark { upto, beyond, failed } = mark;
         let back = |seq: u64| {
             let back = (upto + 65).saturating_sub(seq);
@@ -350,24 +376,26 @@
             failed: failed.map(back),
             left: left.min(usize::from(u16::MAX)) as u16,
         };
-        if due && self.fleet.say_edge(store.edge.0, value) {
-            store.told.set(Some((Instant::now(), mark)));
+        if is_due && self.fleet.say_edge(store.edge.0, value) {
+            store.last_announced.set(Some((Instant::now(), mark)));
         }
-        let foreign = store.edge != self.own;
-        let quiet = store.told.get().is_some_and(|(at, _)| at.elapsed() < TELL);
-        if left == 0 && foreign && quiet && self.is_over(store) {
+        let is_foreign = store.edge != self.own_store;
+        let recently_announced =
+            store.last_announced.get().is_some_and(|(at, _)| at.elapsed() < ANNOUNCE_INTERVAL);
+        if left == 0 && is_foreign && recently_announced && self.is_removable(store) {
             let path: PathBuf = self.settings.folder.join(store.edge.to_string());
-            tracing::info!(event = "edge_done", "store {} is empty and removed", store.edge);
+            tracing::info!(event = "edge_done", "removing finished store {}", store.edge);
             let _ = std::fs::remove_dir_all(path);
         }
     }
 
-    /// Whether a store's process is gone, and so long ago that nobody asks what became of its writes.
-    fn is_over(&self, store: &Store) -> bool {
+    /// Whether the process of a store is gone, for long enough that no client asks for the outcome of its
+    /// writes.
+    fn is_removable(&self, store: &Store) -> bool {
         let path = StoreFile::Intake.path(&self.settings.folder, store.edge);
         let Ok(data) = std::fs::metadata(&path) else { return false };
-        let old = data.modified().ok().and_then(|at| at.elapsed().ok());
+        let age = data.modified().ok().and_then(|at| at.elapsed().ok());
         // A process holds its intake locked for as long as it lives.
-        old.is_some_and(|old| old > self.settings.retention) && super::lock::is_free(&path)
+        age.is_some_and(|age| age > self.settings.retention) && super::lock::is_free(&path)
     }
 }
--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -1,4 +1,4 @@
-//! One write on its way to a server: the last look at the lease, and what the answer says.
+//! Sending of one stored write: the last check of the lease, and the interpretation of the answer.
 
 use std::rc::Rc;
 
@@ -12,15 +12,15 @@
 use tokio::task::spawn_blocking;
 
 use super::folder::{self, StoreFile};
-use super::replayer::{Store, job};
+use super::replayer::{Store, replay_job};
 use super::{Edge, replay_class};
 use crate::answer;
 
-/// Bytes of a refusal that are kept for the operator.
-const ANSWER: usize = 1024;
+/// Bytes of a refusing answer that are recorded for the operator.
+const MAX_REFUSAL_BYTES: usize = 1024;
 
 impl Edge {
-    /// Sends a write that is marked on disk.
+    /// Sends a write whose mark is on disk.
     pub(super) async fn send(&self, store: &Rc<Store>, seq: u64) -> Outcome {
         let location = store.replay.borrow().book().entry(seq).map(|entry| entry.at);
         let Some(location) = location else { return Outcome::NotRun };
@@ -31,28 +31,33 @@
             Some((of, Record::Write(write))) if of == seq => write,
             _ => return Outcome::Spoilt,
         };
-        let Some((head, attempt_request)) = self.request(*write) else { return Outcome::NotRun };
+        let Some((head, attempt_request)) = self.build_request(*write) else {
+            return Outcome::NotRun;
+        };
         self.driver.current_list().await;
-        // The last look. A process that stops behind it has marked the write, and whoever takes over does not send it.
-        if self.fleet.holds(job(store.edge)) != Some(store.token) || store.fenced.get() {
+        // Last check of the lease. If the process stalls after it, the write is already marked, and the
+        // next owner does not send it.
+        if self.fleet.holds(replay_job(store.edge)) != Some(store.token) || store.fenced.get() {
             return Outcome::NotRun;
         }
         let mut ticket = self.driver.request(head, attempt_request);
         match ticket.reply().await {
-            Reply::Served(head, body) if head.status.is_client_error() => {
-                Outcome::Refused(head.status.as_u16(), body[..body.len().min(ANSWER)].to_vec())
-            }
+            Reply::Served(head, body) if head.status.is_client_error() => Outcome::Refused(
+                head.status.as_u16(),
+                body[..body.len().min(MAX_REFUSAL_BYTES)].to_vec(),
+            ),
             Reply::Served(..) => Outcome::Served,
-            // What it says nobody waits for; that it has begun says that the write was served.
+            // Nobody waits for the streamed body, and a streaming answer has started only if the write was
+            // served.
             Reply::Streaming(_) => Outcome::Served,
             Reply::Refused { may_have_run: false, .. } => Outcome::NotRun,
             Reply::Refused { .. } | Reply::Failed => Outcome::MayHaveRun,
         }
     }
 
-    /// A write as the driver takes it; None: its class is none any more. The time that its client had stands in what was
-    /// kept; the encoder leaves it out.
-    fn request(
+    /// Builds the request for the driver. Returns None if the class of the write no longer exists. The
+    /// stored headers include the time that the client had; the encoder leaves that header out.
+    fn build_request(
         &self,
         write: Write,
     ) -> Option<(RequestHead, millethook_engine::upstream::AttemptRequest)> {
@@ -91,16 +96,18 @@
         Some((request_head, attempt_request))
     }
 
-    /// What has come of a write of another store.
+    /// Progress of a write in another store.
     pub(super) fn progress_elsewhere(&self, id: WriteId) -> Progress {
         self.progress(id)
     }
 
-    /// Counts an end that is on disk.
-    pub(super) fn ended(&self, record: &Record, on_disk: bool) {
+    /// Counts an end record that is on disk.
+    pub(super) fn count_end(&self, record: &Record, on_disk: bool) {
         match record {
-            Record::End { how: End::Done, .. } if on_disk => self.count(|f| f.replayed += 1),
-            Record::End { .. } if on_disk => self.count(|f| f.not_served += 1),
+            Record::End { how: End::Done, .. } if on_disk => {
+                self.count(|stats| stats.replayed += 1)
+            }
+            Record::End { .. } if on_disk => self.count(|stats| stats.not_served += 1),
             _ => {}
         }
     }
--- a/crates/millethook-http/src/edge/writer.rs
+++ b/crates/millethook-http/src/edge/writer.rs
@@ -1,4 +1,4 @@
-//! What the one thread does that writes: batches, acknowledgements, and what is withdrawn.
+//! Work of the disk thread: batches, acknowledgements, and withdrawals.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -12,141 +12,161 @@
 use millethook_edge::record::{End, Record};
 use millethook_edge::{EdgeId, log};
 
-use super::disk::{Append, DiskConfig, Storage, Written};
+use super::disk::{Append, AppendOutcome, DiskConfig, Storage};
 use super::folder::{self, StoreFile};
 
-/// Appends that go to disk together, at most.
-const TOGETHER: usize = 256;
-/// Between two tries to withdraw what the disk did not take.
-const RETRY: Duration = Duration::from_millis(100);
+/// Most appends that go to disk in one batch.
+const MAX_BATCH: usize = 256;
+/// Interval between two attempts to complete a withdrawal that the disk did not accept.
+const REPAIR_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A file that is open, and its length up to the last sound record.
-struct Open {
+/// An open file, and its length up to the last intact record.
+struct OpenFile {
     file: File,
     length: u64,
 }
 
-/// What has to get into the own intake before anything else does.
+/// Changes that must be made to the own intake before anything else is written to it.
 #[derive(Default)]
-struct Owed {
-    /// What lies behind this length was told to nobody as kept, and may be on disk: it is cut off.
-    cut_to: Option<u64>,
-    /// Ends of writes that were withdrawn. Bounded by those of one batch.
-    ends: Vec<u8>,
+struct PendingRepairs {
+    /// Length to which the file is truncated. The data after it was reported to no client as stored, but
+    /// may be on disk.
+    truncate_to: Option<u64>,
+    /// End records of withdrawn writes. Bounded by the writes of one batch.
+    end_records: Vec<u8>,
 }
 
-impl Owed {
-    fn is_none(&self) -> bool {
-        self.cut_to.is_none() && self.ends.is_empty()
+impl PendingRepairs {
+    fn is_empty(&self) -> bool {
+        self.truncate_to.is_none() && self.end_records.is_empty()
     }
 }
 
-/// The thread that writes.
+/// State of the disk thread.
 pub(super) struct Writer<S> {
     config: DiskConfig,
     storage: S,
     /// Bounded by the stores that this process replays, and its own.
-    open: BTreeMap<(EdgeId, StoreFile), Open>,
-    owed: Owed,
+    open_files: BTreeMap<(EdgeId, StoreFile), OpenFile>,
+    repairs: PendingRepairs,
     settled: Arc<AtomicU64>,
 }
 
 impl<S: Storage> Writer<S> {
     pub(super) fn new(config: DiskConfig, storage: S, settled: Arc<AtomicU64>) -> Writer<S> {
-        Writer { config, storage, open: BTreeMap::new(), owed: Owed::default(), settled }
+        Writer {
+            config,
+            storage,
+            open_files: BTreeMap::new(),
+            repairs: PendingRepairs::default(),
+            settled,
+        }
     }
 
-    /// Runs until the last handle is gone.
-    pub(super) fn run(mut self, waiting: &Receiver<Append>, base: Instant, busy: &AtomicU64) {
+    /// Runs until the last handle is dropped.
+    pub(super) fn run(
+        mut self,
+        queue: &Receiver<Append>,
+        started: Instant,
+        busy_since: &AtomicU64,
+    ) {
         loop {
-            let first = match self.owed.is_none() {
-                true => waiting.recv().map_err(|_| RecvTimeoutError::Disconnected),
-                false => waiting.recv_timeout(RETRY),
+            let first = match self.repairs.is_empty() {
+                true => queue.recv().map_err(|_| RecvTimeoutError::Disconnected),
+                false => queue.recv_timeout(REPAIR_RETRY_INTERVAL),
             };
             let mut batch = match first {
                 Ok(first) => vec![first],
                 Err(RecvTimeoutError::Timeout) => Vec::new(),
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            busy.store(base.elapsed().as_millis() as u64 + 1, Ordering::Relaxed);
-            while batch.len() < TOGETHER
-                && let Ok(next) = waiting.try_recv()
+            busy_since.store(started.elapsed().as_millis() as u64 + 1, Ordering::Relaxed);
+            while batch.len() < MAX_BATCH
+                && let Ok(next) = queue.try_recv()
             {
                 batch.push(next);
             }
-            self.write(batch);
-            busy.store(0, Ordering::Relaxed);
+            self.write_batch(batch);
+            busy_since.store(0, Ordering::Relaxed);
         }
     }
 
-    fn write(&mut self, batch: Vec<Append>) {
-        let paid = self.pay();
+    fn write_batch(&mut self, batch: Vec<Append>) {
+        let repaired = self.repair();
         let mut by_file: BTreeMap<(EdgeId, StoreFile), Vec<Append>> = BTreeMap::new();
-        // Who waits for it no more was told that nobody knows: not begun, it never is.
-        let begun = batch.into_iter().filter(|a| !(self.is_own(a) && a.decided.is_closed()));
-        let begun: Vec<Append> = begun.collect();
-        begun.into_iter().for_each(|a| by_file.entry((a.edge, a.name)).or_default().push(a));
+        // A client that no longer waits was told that the outcome is unknown. If its write has not been
+        // started, it never is.
+        let active =
+            batch.into_iter().filter(|a| !(self.is_own_write(a) && a.commit_sender.is_closed()));
+        let active: Vec<Append> = active.collect();
+        active.into_iter().for_each(|a| by_file.entry((a.edge, a.store_file)).or_default().push(a));
         for (key, appends) in by_file {
-            let own = key == (self.config.own, StoreFile::Intake);
-            // What came behind a write that is to be cut off would be cut off with it.
-            let written = if own && !paid { Written::No } else { self.put(key, &appends) };
-            if own && written == Written::OnDisk {
+            let is_own_intake = key == (self.config.own_store, StoreFile::Intake);
+            // Data appended after a write that is to be truncated would be truncated with it.
+            let outcome = if is_own_intake && !repaired {
+                AppendOutcome::NotWritten
+            } else {
+                self.append_to_file(key, &appends)
+            };
+            if is_own_intake && outcome == AppendOutcome::OnDisk {
                 self.acknowledge(appends);
                 continue;
             }
             for append in appends {
-                // Whoever asked may be gone.
-                let _ = append.done.send(written);
+                // The requester may be gone.
+                let _ = append.outcome_sender.send(outcome);
             }
         }
-        if paid && self.pay() {
-            self.settle();
+        if repaired && self.repair() {
+            self.publish_settled_length();
         }
     }
 
-    /// Whether it is a write to the own intake, whose client has to be told of it.
-    fn is_own(&self, append: &Append) -> bool {
-        (append.edge, append.name) == (self.config.own, StoreFile::Intake)
+    /// Whether this is a write to the own intake, whose client must be told the outcome.
+    fn is_own_write(&self, append: &Append) -> bool {
+        (append.edge, append.store_file) == (self.config.own_store, StoreFile::Intake)
     }
 
     /// Acknowledges the writes whose clients still wait, and withdraws the others.
     fn acknowledge(&mut self, synced: Vec<Append>) {
-        let (mut kept, mut acknowledgements) = (Vec::new(), Vec::new());
-        for Append { decided, done, bytes, .. } in synced {
+        let (mut acknowledged, mut acknowledgements) = (Vec::new(), Vec::new());
+        for Append { commit_sender, outcome_sender, bytes, .. } in synced {
             let Some((seq, _)) = log::one(&bytes) else { continue };
-            if decided.send(()).is_err() {
+            if commit_sender.send(()).is_err() {
                 self.withdraw(seq);
                 continue;
             }
-            // Far below the longest record.
+            // Cannot fail: the record is far below the longest one.
             let _ = log::append(&mut acknowledgements, seq, &Record::Acknowledged);
-            kept.push((seq, done));
+            acknowledged.push((seq, outcome_sender));
         }
-        let written = self.note(&acknowledgements);
-        for (seq, done) in kept {
-            if written != Written::OnDisk {
+        let outcome = self.append_acknowledgements(&acknowledgements);
+        for (seq, outcome_sender) in acknowledged {
+            if outcome != AppendOutcome::OnDisk {
                 self.withdraw(seq);
             }
-            let _ = done.send(written);
+            let _ = outcome_sender.send(outcome);
         }
     }
 
-    /// Appends acknowledgements to the own intake. They are synced with what comes next: until then a loss of power
-    /// takes them, and nothing else.
-    fn note(&mut self, acknowledgements: &[u8]) -> Written {
-        let Some(opened) = self.open.get_mut(&(self.config.own, StoreFile::Intake)) else {
-            return Written::Unknown;
+    /// Appends acknowledgements to the own intake. They are synced together with the next append; a power
+    /// loss before that loses only the acknowledgements.
+    fn append_acknowledgements(&mut self, acknowledgements: &[u8]) -> AppendOutcome {
+        let Some(opened) = self.open_files.get_mut(&(self.config.own_store, StoreFile::Intake))
+        else {
+            return AppendOutcome::Unknown;
         };
-        let before = opened.length;
+        let length_before = opened.length;
         if let Err(e) = opened.file.write_all(acknowledgements) {
-            tracing::error!(event = "edge_disk", "writes cannot be acknowledged: {e}");
-            // Others read what stands there of them. The cut is synced before anything else is written.
-            let _ = opened.file.set_len(before);
-            self.owed.cut_to = Some(before);
-            return Written::Unknown;
+            tracing::error!(event = "edge_disk", "cannot acknowledge writes: {e}");
+            // Other processes read the acknowledgements that are in the file. The truncation is synced
+            // before anything else is written.
+            let _ = opened.file.set_len(length_before);
+            self.repairs.truncate_to = Some(length_before);
+            return AppendOutcome::Unknown;
         }
         opened.length += acknowledgements.len() as u64;
-        Written::OnDisk
+        AppendOutcome::OnDisk
     }
 
     fn withdraw(&mut self, seq: u64) {
@@ -156,118 +176,130 @@
             answer: Vec::new(),
             at_ms: super::unix_ms(),
         };
-        // Far below the longest record.
-        let _ = log::append(&mut self.owed.ends, seq, &end);
+        // Cannot fail: the record is far below the longest one.
+        let _ = log::append(&mut self.repairs.end_records, seq, &end);
     }
 
-    /// Cuts off and appends what is owed to the own intake; false: the disk did not take it yet.
-    fn pay(&mut self) -> bool {
-        if self.owed.is_none() {
+    /// Makes the pending repairs of the own intake. Returns false if the disk has not accepted them yet.
+    fn repair(&mut self) -> bool {
+        if self.repairs.is_empty() {
             return true;
         }
-        let key = (self.config.own, StoreFile::Intake);
-        let paid = self.open(key).and_then(|()| {
-            let Some(opened) = self.open.get_mut(&key) else { return Ok(()) };
-            if let Some(length) = self.owed.cut_to {
+        let key = (self.config.own_store, StoreFile::Intake);
+        let repaired = self.ensure_open(key).and_then(|()| {
+            let Some(opened) = self.open_files.get_mut(&key) else { return Ok(()) };
+            if let Some(length) = self.repairs.truncate_to {
                 opened.file.set_len(length)?;
                 self.storage.sync(key.1, &opened.file)?;
-                (opened.length, self.owed.cut_to) = (length, None);
+                (opened.length, self.repairs.truncate_to) = (length, None);
             }
-            if !self.owed.ends.is_empty() {
+            if !self.repairs.end_records.is_empty() {
                 let length = opened.length;
-                let ends = opened.file.write_all(&self.owed.ends);
-                // Without this, what follows half a record may be taken for a part of it.
-                if let Err(e) = ends.and_then(|()| self.storage.sync(key.1, &opened.file)) {
-                    self.owed.cut_to = Some(length);
+                let appended = opened.file.write_all(&self.repairs.end_records);
+                // Without this, data that follows a partial record may be read as part of it.
+                if let Err(e) = appended.and_then(|()| self.storage.sync(key.1, &opened.file)) {
+                    self.repairs.truncate_to = Some(length);
                     return Err(e);
                 }
-                opened.length += self.owed.ends.len() as u64;
-                self.owed.ends.clear();
+                opened.length += self.repairs.end_records.len() as u64;
+                self.repairs.end_records.clear();
             }
             Ok(())
         });
-        if let Err(e) = &paid {
-            tracing::error!(event = "edge_disk", "a write cannot be withdrawn yet: {e}");
+        if let Err(e) = &repaired {
+            tracing::error!(event = "edge_disk", "cannot withdraw a write yet: {e}");
         }
-        paid.is_ok()
+        repaired.is_ok()
     }
 
-    /// All that the own intake holds is decided.
-    fn settle(&self) {
-        let Some(opened) = self.open.get(&(self.config.own, StoreFile::Intake)) else { return };
+    /// Publishes the length of the own intake as settled.
+    fn publish_settled_length(&self) {
+        let Some(opened) = self.open_files.get(&(self.config.own_store, StoreFile::Intake)) else {
+            return;
+        };
         if self.settled.swap(opened.length, Ordering::Release) != opened.length {
-            self.config.moved.notify_one();
+            self.config.settled_changed.notify_one();
         }
     }
 
-    fn open(&mut self, (edge, name): (EdgeId, StoreFile)) -> io::Result<()> {
-        if !self.open.contains_key(&(edge, name)) {
-            let path = name.path(&self.config.folder, edge);
-            let opened = create(&path).inspect_err(|e| {
+    fn ensure_open(&mut self, (edge, store_file): (EdgeId, StoreFile)) -> io::Result<()> {
+        if !self.open_files.contains_key(&(edge, store_file)) {
+            let path = store_file.path(&self.config.folder, edge);
+            let opened = open_for_append(&path).inspect_err(|e| {
                 tracing::error!(event = "edge_disk", "{}: {e}", path.display());
             })?;
-            self.open.insert((edge, name), opened);
+            self.open_files.insert((edge, store_file), opened);
         }
         Ok(())
     }
 
-    fn put(&mut self, (edge, name): (EdgeId, StoreFile), appends: &[Append]) -> Written {
+    fn append_to_file(
+        &mut self,
+        (edge, store_file): (EdgeId, StoreFile),
+        appends: &[Append],
+    ) -> AppendOutcome {
         let folder = &self.config.folder;
-        // A stalled owner may write after another one took over. What it writes is its own file's,
-        // and nobody acts on it; a mark is refused all the same, so that its owner sees at once that it is followed.
-        if let StoreFile::Journal(token) = name
+        // A stalled owner may write after another owner has taken over. It writes to a file of its own, so
+        // nobody acts on its records. A mark is refused nevertheless, so that the stalled owner notices at
+        // once that it has been replaced.
+        if let StoreFile::Journal(token) = store_file
             && folder::highest_token(folder, edge).is_ok_and(|highest| highest > token)
             && appends.iter().all(|a| is_mark(&a.bytes))
         {
-            return Written::Fenced;
+            return AppendOutcome::Fenced;
         }
-        // A store that was done with and removed does not come back by what a late owner says of it.
-        if name != StoreFile::Intake && !StoreFile::Intake.path(folder, edge).exists() {
-            return Written::Fenced;
+        // A late record of an earlier owner must not create a finished and removed store again.
+        if store_file != StoreFile::Intake && !StoreFile::Intake.path(folder, edge).exists() {
+            return AppendOutcome::Fenced;
         }
-        let path = name.path(folder, edge);
-        if self.open((edge, name)).is_err() {
-            return Written::No;
+        let path = store_file.path(folder, edge);
+        if self.ensure_open((edge, store_file)).is_err() {
+            return AppendOutcome::NotWritten;
         }
-        let Some(opened) = self.open.get_mut(&(edge, name)) else { return Written::No };
-        let before = opened.length;
-        let own = (edge, name) == (self.config.own, StoreFile::Intake);
+        let Some(opened) = self.open_files.get_mut(&(edge, store_file)) else {
+            return AppendOutcome::NotWritten;
+        };
+        let length_before = opened.length;
+        let is_own_intake = (edge, store_file) == (self.config.own_store, StoreFile::Intake);
         let mut bytes = Vec::new();
-        if own && before == 0 {
-            // Far below the longest record.
-            let _ = log::append(&mut bytes, 0, &Record::Opened { boot: super::boot() });
+        if is_own_intake && length_before == 0 {
+            // Cannot fail: the record is far below the longest one.
+            let _ = log::append(&mut bytes, 0, &Record::Opened { boot: super::boot_id() });
         }
         appends.iter().for_each(|append| bytes.extend_from_slice(&append.bytes));
-        let all = opened.file.write_all(&bytes);
-        let written = match all {
-            // What got there of it is taken back; if that fails nobody knows.
+        let appended = opened.file.write_all(&bytes);
+        let outcome = match appended {
+            // The partial append is truncated. If that fails, it is unknown what is on disk.
             Err(e) => {
                 tracing::error!(event = "edge_disk", "{}: {e}", path.display());
-                let back = opened.file.set_len(before);
-                match back.and_then(|()| self.storage.sync(name, &opened.file)) {
-                    Ok(()) => Written::No,
-                    Err(_) => Written::Unknown,
+                let truncated = opened.file.set_len(length_before);
+                match truncated.and_then(|()| self.storage.sync(store_file, &opened.file)) {
+                    Ok(()) => AppendOutcome::NotWritten,
+                    Err(_) => AppendOutcome::Unknown,
                 }
             }
-            Ok(()) => match self.storage.sync(name, &opened.file) {
+            Ok(()) => match self.storage.sync(store_file, &opened.file) {
                 Ok(()) => {
-                    opened.length = before + bytes.len() as u64;
-                    Written::OnDisk
+                    opened.length = length_before + bytes.len() as u64;
+                    AppendOutcome::OnDisk
                 }
                 Err(e) => {
                     tracing::error!(event = "edge_disk", "{}: {e}", path.display());
-                    Written::Unknown
+                    AppendOutcome::Unknown
                 }
             },
         };
-        match written {
-            // Nobody is told that any of it is kept. The file stays open, and so locked for as long as this process lives.
-            Written::Unknown if own => self.owed.cut_to = Some(before),
-            // Of a journal all is true that it says, on disk or not.
-            Written::Unknown => drop(self.open.remove(&(edge, name))),
-            Written::OnDisk | Written::No | Written::Fenced => {}
+        match outcome {
+            // No client is told that any of this data is stored. The file stays open, so that it stays
+            // locked for as long as this process lives.
+            AppendOutcome::Unknown if is_own_intake => {
+                self.repairs.truncate_to = Some(length_before)
+            }
+            // All records of a journal are true, whether they are on disk or not.
+            AppendOutcome::Unknown => drop(self.open_files.remove(&(edge, store_file))),
+            AppendOutcome::OnDisk | AppendOutcome::NotWritten | AppendOutcome::Fenced => {}
         }
-        written
+        outcome
     }
 }
 
@@ -276,18 +308,19 @@
     matches!(record, Some((_, millethook_edge::record::Record::Mark { .. })))
 }
 
-/// Opens a file for appending; a new one, and its folder, are on disk before anything hangs on them.
-fn create(path: &Path) -> io::Result<Open> {
+/// Opens a file for appending. A new file and its folder are synced to disk before anything depends on
+/// them.
+fn open_for_append(path: &Path) -> io::Result<OpenFile> {
     let directory: PathBuf = path.parent().map(Path::to_owned).unwrap_or_default();
     fs::create_dir_all(&directory)?;
     let file = File::options().create(true).append(true).open(path)?;
-    if !super::lock::hold(&file) {
-        return Err(io::Error::other("another process holds it"));
+    if !super::lock::acquire(&file) {
+        return Err(io::Error::other("locked by another process"));
     }
     File::open(&directory)?.sync_all()?;
-    if let Some(above) = directory.parent() {
-        File::open(above)?.sync_all()?;
+    if let Some(parent) = directory.parent() {
+        File::open(parent)?.sync_all()?;
     }
     let length = file.metadata()?.len();
-    Ok(Open { file, length })
+    Ok(OpenFile { file, length })
 }
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -20,7 +20,7 @@
     BufferedBody, ClientGone, ForwardError, ReadError, StallBudget, buffer_body, forward_rest,
     framing,
 };
-use crate::edge::{CONTEXT, Kept, Receipt};
+use crate::edge::{CONTEXT, Receipt, StoreOutcome};
 use crate::guard::HeadScan;
 use crate::head::{HeadOverrides, parse_head};
 
@@ -125,26 +125,28 @@
         let pieces = match buffered {
             BufferedBody::Complete(pieces) => {
                 let edge = self.edge.borrow().clone();
-                let taken = match &edge {
-                    Some(edge) => edge.look(&head, &request_head, &pieces),
+                let candidate = match &edge {
+                    Some(edge) => edge.inspect(&head, &request_head, &pieces),
                     None => Ok(None),
                 };
-                let taken = match taken {
-                    Ok(taken) => edge.zip(taken),
+                let candidate = match candidate {
+                    Ok(candidate) => edge.zip(candidate),
                     Err(invalid) => return Ok(Err(invalid.status())),
                 };
                 let left_at = (Instant::now(), request_head.left);
-                if let Some((edge, taken)) = &taken
-                    && !edge.wants(taken)
-                    && !edge.forerunners(taken).await
+                if let Some((edge, candidate)) = &candidate
+                    && !edge.should_store_now(candidate)
+                    && !edge.wait_for_predecessors(candidate).await
                 {
                     return Ok(Ok(Answered::Reply(refused_reply(
-                        edge.come_back(PREDECESSOR_RETRY_AFTER),
+                        edge.allowed_retry_after(PREDECESSOR_RETRY_AFTER),
                     ))));
                 }
-                let kept = match taken {
-                    Some((edge, taken)) if edge.wants(&taken) => Some((edge, taken)),
-                    taken => {
+                let to_store = match candidate {
+                    Some((edge, candidate)) if edge.should_store_now(&candidate) => {
+                        Some((edge, candidate))
+                    }
+                    candidate => {
                         let request_head = RequestHead {
                             left: left_at.1.saturating_sub(left_at.0.elapsed()),
                             ..request_head
@@ -155,20 +157,24 @@
                         drop(names);
                         let reply = ticket.reply().await;
                         let never_ran = matches!(reply, Reply::Refused { may_have_run: false, .. });
-                        match taken.filter(|(edge, taken)| never_ran && edge.wants_refused(taken)) {
+                        match candidate.filter(|(edge, candidate)| {
+                            never_ran && edge.should_store_refused(candidate)
+                        }) {
                             None => return Ok(Ok(Answered::Reply(reply))),
-                            kept => kept,
+                            to_store => to_store,
                         }
                     }
                 };
-                let Some((edge, taken)) = kept else {
+                let Some((edge, candidate)) = to_store else {
                     return Ok(Ok(Answered::Reply(Reply::Failed)));
                 };
                 let left = left_at.1.saturating_sub(left_at.0.elapsed());
-                return Ok(Ok(match edge.keep(taken, left).await {
-                    Kept::OnDisk(receipt) => Answered::Stored(receipt),
-                    Kept::Refused(after) => Answered::Reply(refused_reply(edge.come_back(after))),
-                    Kept::Unknown => Answered::Reply(Reply::Failed),
+                return Ok(Ok(match edge.store(candidate, left).await {
+                    StoreOutcome::Stored(receipt) => Answered::Stored(receipt),
+                    StoreOutcome::Refused(after) => {
+                        Answered::Reply(refused_reply(edge.allowed_retry_after(after)))
+                    }
+                    StoreOutcome::Unknown => Answered::Reply(Reply::Failed),
                 }));
             }
             BufferedBody::Partial(pieces) => pieces,
