--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -94,7 +94,7 @@
     pub refused: u64,
     /// Writes that a server has served when they were replayed.
     pub replayed: u64,
-    /// Replayed writes that ended in any other way.
+    /// Writes that ended in any other way.
     pub not_served: u64,
     /// Stores that are replayed here.
     pub stores: usize,
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -114,8 +114,8 @@
                 self.fleet.release_job(replay_job(*edge));
             }
         }
-        let gone: Vec<EdgeId> = known.keys().filter(|e| !found.contains(e)).copied().collect();
-        for edge in gone {
+        let removed: Vec<EdgeId> = known.keys().filter(|e| !found.contains(e)).copied().collect();
+        for edge in removed {
             known.remove(&edge);
             self.fleet.release_job(replay_job(edge));
             self.replays.borrow_mut().remove(&edge);
@@ -178,15 +178,15 @@
         let (path, settled) = (self.settings.folder.clone(), self.readable_intake(edge));
         let loaded = spawn_blocking(move || -> io::Result<_> {
             let intake = StoreFile::Intake.path(&path, edge);
-            let gone = super::lock::is_free(&intake);
-            let highest = folder::highest_token(&path, edge)?;
+            let process_gone = super::lock::is_free(&intake);
+            let highest_token = folder::highest_token(&path, edge)?;
             let loaded = folder::load_up_to(&path, edge, settled)?;
             // Acknowledgements that a process writes as it ends are certain to be read only if it was gone
             // before the read. The second check covers a process that has just created its intake and not
             // locked it yet: if it holds no lock by now, it has written nothing.
-            Ok((highest, loaded, gone && super::lock::is_free(&intake)))
+            Ok((highest_token, loaded, process_gone && super::lock::is_free(&intake)))
         });
-        let (highest, (book, read_offsets), gone) = match loaded.await {
+        let (highest_token, (book, read_offsets), process_gone) = match loaded.await {
             Ok(Ok(loaded)) => loaded,
             Ok(Err(e)) => {
                 tracing::error!(event = "edge_disk", "store {edge}: {e}");
@@ -195,10 +195,10 @@
             }
             Err(_) => return,
         };
-        if highest > token {
+        if highest_token > token {
             // Another owner has replayed the store under a higher token, so this process needs a token
             // above that one.
-            self.fleet.observe_token(replay_job(edge), highest);
+            self.fleet.observe_token(replay_job(edge), highest_token);
             self.fleet.release_job(replay_job(edge));
             self.fleet.request_job(
                 replay_job(edge),
@@ -225,7 +225,7 @@
         };
         let left = book.left();
         let mut replay = Replay::new(config, token, book, self.replay_clock());
-        if gone {
+        if process_gone {
             replay.process_is_gone();
         }
         let replay = RefCell::new(replay);
@@ -267,7 +267,7 @@
         let mut read_offsets = store.read_offsets.borrow().clone();
         let read = spawn_blocking(move || -> io::Result<_> {
             let intake = StoreFile::Intake.path(&path, edge);
-            let gone = super::lock::is_free(&intake);
+            let process_gone = super::lock::is_free(&intake);
             let mut items = Vec::new();
             for store_file in folder::list_files(&path, edge)? {
                 if store_file == StoreFile::Journal(own_token) {
@@ -287,9 +287,9 @@
                 }
             }
             // The lock is checked before and after the read, as in `take_over`.
-            Ok((read_offsets, items, gone && super::lock::is_free(&intake)))
+            Ok((read_offsets, items, process_gone && super::lock::is_free(&intake)))
         });
-        let Ok(Ok((read_offsets, items, gone))) = read.await else { return };
+        let Ok(Ok((read_offsets, items, process_gone))) = read.await else { return };
         store.read_offsets.replace(read_offsets);
         let mut replay = store.replay.borrow_mut();
         for (store_file, base, item) in items {
@@ -303,7 +303,7 @@
                 log::Item::Damaged { .. } | log::Item::Torn { .. } => {}
             }
         }
-        if gone {
+        if process_gone {
             replay.process_is_gone();
         }
     }
