--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -24,8 +24,8 @@
 use crate::driver::Driver;
 use crate::figures::Figures;
 use crate::fleet::{Fleet, FleetSettings, obstacle};
-use crate::keeper::{Keeper, KeeperConfig};
 use crate::list::List;
+use crate::membership_store::{MembershipStore, MembershipStoreConfig};
 use crate::names::Names;
 use crate::news::{MembershipSink, PeerSender};
 use crate::peers::Peers;
@@ -50,7 +50,7 @@
     /// When servers may begin with a request.
     pub begins: Begins,
     /// How the list of servers outlives the process; None: what sources say is taken as it comes.
-    pub keeper: Option<(String, KeeperConfig)>,
+    pub membership_store: Option<(String, MembershipStoreConfig)>,
     /// What bounds connections to servers; `settings` tells how long they may rest.
     pub connections: Limits,
     /// For how many requests a connection is used; None: as `settings` price a handshake.
@@ -97,7 +97,7 @@
     /// The view of the fleet, where there is one.
     pub fleet: Option<Rc<Fleet>>,
     /// Where the list of servers is kept, if it is.
-    pub keeper: Option<Rc<Keeper>>,
+    pub membership_store: Option<Rc<MembershipStore>>,
     /// What this process does with the list that comes by distribution, if one does.
     pub list_role: Option<ListRole>,
 }
@@ -170,11 +170,11 @@
             driver.shares_with(fleet);
         }
         let version = config.known.as_ref().map_or(0, |known| known.seq);
-        let keeper = config.keeper.map(|(fleet, keeper)| {
+        let membership_store = config.membership_store.map(|(fleet, settings)| {
             let (driver, known) = (driver.clone(), config.known.as_ref());
-            Keeper::start(driver, upstream.clone(), keeper, &fleet, config.seed, known)
+            MembershipStore::start(driver, upstream.clone(), settings, &fleet, config.seed, known)
         });
-        if let Some(known) = config.known.as_ref().filter(|_| keeper.is_none()) {
+        if let Some(known) = config.known.as_ref().filter(|_| membership_store.is_none()) {
             let remembered = config.discovery.is_some();
             let kind = if remembered { ListKind::Remembered } else { ListKind::Whole };
             driver.servers(kind, known);
@@ -188,7 +188,7 @@
         // over some seconds, and it may turn many away. Whoever has a list from before serves by it meanwhile:
         // servers that are gone refuse, and the first answer puts the list right.
         let listed = config.known.as_ref().is_some_and(|known| !known.hosts.is_empty());
-        if how == How::OnRequest && listed || keeper.is_some() && driver.listed() {
+        if how == How::OnRequest && listed || membership_store.is_some() && driver.listed() {
             tried.notify_one();
         }
         let mut list_role = None;
@@ -205,7 +205,7 @@
                     clock: driver.list_clock(),
                 };
                 let listed = driver.listed();
-                let sinks = (driver.clone(), keeper.clone(), fleet.clone());
+                let sinks = (driver.clone(), membership_store.clone(), fleet.clone());
                 list_role = watch_lists(watching, sinks, listed, calls);
                 Some(discovery)
             }
@@ -235,7 +235,7 @@
             call_limits,
             peers,
             fleet,
-            keeper,
+            membership_store,
             list_role,
         })
     }
@@ -276,8 +276,8 @@
     /// Takes a list of servers, or changes of it, that the application's own code knows. It is weighed like
     /// discovery's, where lists are.
     pub fn servers(&self, list: &List) {
-        match &self.keeper {
-            Some(keeper) => keeper.apply_list(Source::Code, list),
+        match &self.membership_store {
+            Some(membership_store) => membership_store.apply_list(Source::Code, list),
             None => {
                 let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
                 self.driver.servers(kind, list);
@@ -312,32 +312,32 @@
 
 /// Where lists of servers go: to the membership where there is one, else to the driver; and the fleet, which may carry
 /// them.
-type ListParts = (Rc<Driver>, Option<Rc<Keeper>>, Option<Rc<Fleet>>);
+type ListParts = (Rc<Driver>, Option<Rc<MembershipStore>>, Option<Rc<Fleet>>);
 
 /// Starts the tasks that have lists from discovery, or from the control nodes. `calls` is what the decisions ask of
 /// discovery.
 fn watch_lists(
     config: DiscoveryConfig,
-    (driver, keeper, fleet): ListParts,
+    (driver, membership_store, fleet): ListParts,
     listed: bool,
     calls: mpsc::UnboundedReceiver<Call>,
 ) -> Option<ListRole> {
     let (limits, tried, seed) = (config.limits.clone(), config.tried.clone(), config.seed);
     let discovery = Discovery::new(config);
-    let sink: Box<dyn MembershipSink> = match &keeper {
-        Some(keeper) => Box::new(keeper.clone()),
+    let sink: Box<dyn MembershipSink> = match &membership_store {
+        Some(membership_store) => Box::new(membership_store.clone()),
         None => Box::new(driver),
     };
     let distribution = fleet.as_ref().and_then(|fleet| fleet.distribution.clone());
     let settings = distribution.as_ref().and_then(|of| of.list().cloned());
-    match (settings, distribution, fleet, keeper) {
+    match (settings, distribution, fleet, membership_store) {
         (Some(settings), Some(distribution), Some(fleet), _) if settings.from_discovery => {
             let publisher = ListPublisher::start(settings, fleet, distribution);
             let sink = PublishingSink { sink, publisher: publisher.clone() };
             spawn_local(discovery.run(sink, calls));
             Some(ListRole::Publishes(publisher))
         }
-        (Some(settings), Some(distribution), Some(fleet), Some(keeper)) => {
+        (Some(settings), Some(distribution), Some(fleet), Some(membership_store)) => {
             // Sidecars that share a seed wait differently all the same.
             let (me, epoch) = fleet.process();
             let seed = mix(seed ^ mix(u64::from(me)) ^ epoch);
@@ -345,7 +345,7 @@
             let parts = SubscriptionParts {
                 settings,
                 distribution,
-                keeper,
+                membership_store,
                 to_discovery,
                 call_limits: limits,
                 tried,
--- a/crates/millethook-engine/src/keeper.rs
+++ b/crates/millethook-engine/src/membership_store.rs
@@ -21,9 +21,9 @@
 /// How often a list without changes is written again. After a restart the age of its servers counts from the last time.
 const REFRESH: Duration = Duration::from_secs(300);
 
-/// Settings of a [`Keeper`].
+/// Settings of a [`MembershipStore`].
 #[derive(Clone, Debug)]
-pub struct KeeperConfig {
+pub struct MembershipStoreConfig {
     /// Settings of the membership.
     pub weigh: Config,
     /// The file of the snapshot; None: nothing is written.
@@ -44,10 +44,10 @@
 }
 
 /// The tasks of one membership, between the sources of lists and the driver.
-pub struct Keeper {
+pub struct MembershipStore {
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
-    config: KeeperConfig,
+    config: MembershipStoreConfig,
     fleet: String,
     membership: RefCell<Membership>,
     /// Notified when something may be due earlier than before.
@@ -58,18 +58,18 @@
     clock: Clock,
 }
 
-impl Keeper {
+impl MembershipStore {
     /// Starts the tasks for a fleet of this name. The usable servers of the snapshot go to the driver at once, together
     /// with those of `known`, the list of the platform's configuration.
     pub(crate) fn start(
         driver: Rc<Driver>,
         upstream: Rc<Upstream>,
-        config: KeeperConfig,
+        config: MembershipStoreConfig,
         fleet: &str,
         seed: u64,
         known: Option<&List>,
-    ) -> Rc<Keeper> {
-        let keeper = Rc::new(Keeper {
+    ) -> Rc<MembershipStore> {
+        let membership_store = Rc::new(MembershipStore {
             membership: RefCell::new(Membership::new(config.weigh, seed)),
             driver,
             upstream,
@@ -82,17 +82,21 @@
         });
         let mut hosts = Vec::new();
         if let Some(known) = known {
-            let now = keeper.clock.now();
-            hosts = keeper.membership.borrow_mut().apply_list(now, Source::Known, known).hosts;
+            let now = membership_store.clock.now();
+            hosts = membership_store
+                .membership
+                .borrow_mut()
+                .apply_list(now, Source::Known, known)
+                .hosts;
         }
-        hosts.extend(keeper.load());
+        hosts.extend(membership_store.load());
         // The balancer subscribes after its first list, even if that is empty.
-        keeper.driver.servers(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
-        spawn_local(keeper.clone().run());
-        if keeper.config.store.is_some() {
-            spawn_local(keeper.clone().write());
+        membership_store.driver.servers(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
+        spawn_local(membership_store.clone().run());
+        if membership_store.config.store.is_some() {
+            spawn_local(membership_store.clone().write());
         }
-        keeper
+        membership_store
     }
 
     /// Reads the snapshot; its usable servers.
@@ -148,7 +152,7 @@
     }
 
     /// Starts trials and applies suspect lists when they are due.
-    async fn run(self: Rc<Keeper>) {
+    async fn run(self: Rc<MembershipStore>) {
         loop {
             let due = self.membership.borrow().next_due();
             let wait = async {
@@ -183,7 +187,7 @@
     }
 
     /// Sends one trial and hands its outcome to the membership.
-    async fn try_out(self: Rc<Keeper>, trial: Trial) {
+    async fn try_out(self: Rc<MembershipStore>, trial: Trial) {
         let outcome = self.upstream.identify(&trial.host, &self.config.trial).await;
         let name = &trial.host.host;
         tracing::info!(event = "server_tried", server = %name, ?outcome, "a server of the old list");
@@ -192,7 +196,7 @@
     }
 
     /// Writes the snapshot after changes, at most every `write_every`, and after [`REFRESH`] also without one.
-    async fn write(self: Rc<Keeper>) {
+    async fn write(self: Rc<MembershipStore>) {
         let mut next = Instant::now();
         loop {
             let refresh = Instant::now() + REFRESH;
@@ -235,7 +239,7 @@
     }
 }
 
-impl MembershipSink for Rc<Keeper> {
+impl MembershipSink for Rc<MembershipStore> {
     fn servers(&self, kind: ListKind, list: &List) {
         let list = match (kind, list.whole) {
             (ListKind::Changes, false) | (ListKind::Whole | ListKind::Remembered, true) => list,
@@ -254,7 +258,7 @@
     }
 }
 
-impl Keeper {
+impl MembershipStore {
     /// The source of lists is silent: their age counts from now on.
     pub(crate) fn source_lost(&self) {
         self.membership.borrow_mut().source_lost(self.clock.now());
--- a/crates/millethook-engine/src/product.rs
+++ b/crates/millethook-engine/src/product.rs
@@ -7,21 +7,24 @@
 use millethook_membership::store::Store;
 
 use crate::fleet::FleetSettings;
-use crate::keeper::KeeperConfig;
 use crate::leases::LeaseSettings;
+use crate::membership_store::MembershipStoreConfig;
 use crate::upstream::TrialPage;
 
 /// How the list of servers is kept, if it is.
 ///
 /// # Errors
 /// Names the key that makes no sense on a connection.
-pub fn keeper(product: &Product, name: &str) -> Result<Option<KeeperConfig>, String> {
+pub fn membership_store_config(
+    product: &Product,
+    name: &str,
+) -> Result<Option<MembershipStoreConfig>, String> {
     let Some(of) = &product.membership else { return Ok(None) };
     let path: Uri = of.trial_page.parse().map_err(|e| format!("membership.trial_page: {e}"))?;
     let header = |name: &String| HeaderName::from_bytes(name.as_bytes());
     let identity = of.identity_header.as_ref().map(header).transpose();
     let identity = identity.map_err(|e| format!("membership.identity_header: {e}"))?;
-    Ok(Some(KeeperConfig {
+    Ok(Some(MembershipStoreConfig {
         weigh: weigh(of),
         store: of.snapshot.as_ref().map(|path| Store::new(path, name)),
         write_every: of.write_every,
--- a/crates/millethook-engine/src/server_lists/subscription.rs
+++ b/crates/millethook-engine/src/server_lists/subscription.rs
@@ -18,8 +18,8 @@
 use crate::discovery::Call;
 use crate::discovery::patience::CallLimits;
 use crate::distribution::{Distribution, Document, ListSettings, Refusal};
-use crate::keeper::Keeper;
 use crate::list::List;
+use crate::membership_store::MembershipStore;
 use crate::news::MembershipSink;
 
 /// The code of a refusal: the body cannot be read. That of configuration that makes no sense by itself is the same.
@@ -49,7 +49,7 @@
     /// Where it comes from.
     pub distribution: Rc<Distribution>,
     /// Where it goes.
-    pub keeper: Rc<Keeper>,
+    pub membership_store: Rc<MembershipStore>,
     /// Calls to discovery.
     pub to_discovery: mpsc::UnboundedSender<Call>,
     /// What the settings say about them.
@@ -137,7 +137,7 @@
                 None => return,
                 Some(FollowerStep::Silent) => {
                     self.count(|counts| counts.silences += 1);
-                    self.parts.keeper.source_lost();
+                    self.parts.membership_store.source_lost();
                     tracing::warn!(
                         event = "distribution_list_silent",
                         %list,
@@ -196,7 +196,7 @@
             Verdict::Newer => {
                 let servers = hosts.len();
                 let list = List { seq: position.seq, whole: true, hosts };
-                self.parts.keeper.apply_list(Source::Distribution, &list);
+                self.parts.membership_store.apply_list(Source::Distribution, &list);
                 self.parts.tried.notify_one();
                 self.count(|counts| counts.taken += 1);
                 tracing::info!(
@@ -216,7 +216,7 @@
     /// The list at hand is what discovery says now: its age ends.
     fn confirm(&self, position: ListPosition) {
         let unchanged = List { seq: position.seq, whole: false, hosts: Vec::new() };
-        self.parts.keeper.apply_list(Source::Distribution, &unchanged);
+        self.parts.membership_store.apply_list(Source::Distribution, &unchanged);
     }
 
     fn refuse(&self, document: &Arc<Document>, error: &BodyError) {
--- a/crates/millethook/src/config.rs
+++ b/crates/millethook/src/config.rs
@@ -12,8 +12,8 @@
 use millethook_connect::Begins;
 use millethook_connect::pool::{Limits, Reuse};
 use millethook_engine::fleet::FleetSettings;
-use millethook_engine::keeper::KeeperConfig;
 use millethook_engine::list::List;
+use millethook_engine::membership_store::MembershipStoreConfig;
 use millethook_engine::names::Names;
 use millethook_engine::product;
 use serde_json::Value;
@@ -49,7 +49,7 @@
     pub(crate) connections: Limits,
     /// None: as the settings price a handshake.
     pub(crate) reuse: Option<Reuse>,
-    pub(crate) keeper: Option<KeeperConfig>,
+    pub(crate) membership_store: Option<MembershipStoreConfig>,
     pub(crate) peers: Option<(SocketAddr, Vec<SocketAddr>)>,
     pub(crate) view: Option<FleetSettings>,
     pub(crate) settings: Settings,
@@ -149,7 +149,7 @@
             begins,
             connections,
             reuse,
-            keeper: None,
+            membership_store: None,
             peers: file.peer_listen.map(|listen| (listen, file.peers)),
             view: None,
             settings,
@@ -177,8 +177,9 @@
     pub fn with_product(mut self, path: impl AsRef<Path>) -> Result<FleetConfig, OpenError> {
         let product = Product::from_file(path.as_ref());
         let product = product.map_err(|e| OpenError::Config(e.to_string()))?;
-        let keeper = product::keeper(&product, &self.name).map_err(OpenError::Config)?;
-        self.keeper = keeper;
+        let membership_store =
+            product::membership_store_config(&product, &self.name).map_err(OpenError::Config)?;
+        self.membership_store = membership_store;
         self.view = product::fleet(&product);
         self.connections = product::connections(&product, self.connections);
         self.reuse = product::reuse(&product).or(self.reuse);
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -88,7 +88,10 @@
         }),
         fleet: config.view.clone(),
         distribution: None,
-        keeper: config.keeper.clone().map(|keeper| (config.name.clone(), keeper)),
+        membership_store: config
+            .membership_store
+            .clone()
+            .map(|settings| (config.name.clone(), settings)),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     // The kernel cuts names of threads after fifteen bytes.
@@ -146,8 +149,8 @@
     if let Some(fleet) = &engine.fleet {
         fleet.leave();
     }
-    if let Some(keeper) = &engine.keeper {
-        keeper.save().await;
+    if let Some(membership_store) = &engine.membership_store {
+        membership_store.save().await;
     }
 }
 
--- a/crates/plankvale/src/cli.rs
+++ b/crates/plankvale/src/cli.rs
@@ -99,7 +99,7 @@
     let wrong = |e| format!("{}: log.filter: {e}", file.display());
     filter.parse::<tracing_subscriber::EnvFilter>().map_err(wrong)?;
     let name = |e| format!("{}: {e}", file.display());
-    millethook_engine::product::keeper(&product, "").map_err(name)?;
+    millethook_engine::product::membership_store_config(&product, "").map_err(name)?;
     if let Some(of) = &product.distribution {
         millethook_engine::distribution::distinct_names(of).map_err(name)?;
     }
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -90,7 +90,7 @@
     let place = config.inherited.and_then(|_| succession::Place::take(&config.name));
     let seat = place.as_ref().map(|place| place.seat.clone());
     let Config { peers, peers_all: all, .. } = config;
-    let keeper = product::keeper(&config.product, &config.name)?;
+    let membership_store = product::membership_store_config(&config.product, &config.name)?;
     let connections = product::connections(&config.product, Limits::default());
     let peers = config.peer_listen.map(|listen| PeerConfig { listen, peers, all });
     let sockets = Rc::new(Sockets::new(config.sockets));
@@ -103,7 +103,7 @@
         begins: config.begins,
         connections,
         reuse: product::reuse(&config.product),
-        keeper: keeper.map(|keeper| (config.name.clone(), keeper)),
+        membership_store: membership_store.map(|settings| (config.name.clone(), settings)),
         peers,
         fleet: product::fleet(&config.product),
         distribution,
@@ -166,8 +166,8 @@
         fleet.leave();
     }
     // What is known at the end is kept, however the rest goes.
-    if let Some(keeper) = engine.keeper.clone() {
-        spawn_local(async move { keeper.save().await });
+    if let Some(membership_store) = engine.membership_store.clone() {
+        spawn_local(async move { membership_store.save().await });
     }
     if let Some(successor) = seat.and_then(|seat| seat.successor()) {
         tracing::info!(
@@ -187,8 +187,8 @@
         () = accepting => {}
         () = shutdown::drain(ingress, engine.longest_deadline()) => {}
     }
-    if let Some(keeper) = &engine.keeper {
-        let _ = timeout(LAST_WRITE, keeper.save()).await;
+    if let Some(membership_store) = &engine.membership_store {
+        let _ = timeout(LAST_WRITE, membership_store.save()).await;
     }
     if let Some(documents) = documents {
         let _ = timeout(LAST_WRITE, documents.save()).await;
--- a/crates/plankvale/src/operated.rs
+++ b/crates/plankvale/src/operated.rs
@@ -105,8 +105,8 @@
     fn metrics(&self) -> String {
         let mut lines = statsd::Lines::default();
         statsd::engine(&mut lines, &self.engine);
-        if let Some(keeper) = &self.engine.keeper {
-            let (counts, writes) = (keeper.counts(), keeper.writes());
+        if let Some(membership_store) = &self.engine.membership_store {
+            let (counts, writes) = (membership_store.counts(), membership_store.writes());
             lines.gauge("membership.live", counts.live);
             lines.gauge("membership.remembered", counts.remembered);
             lines.gauge("membership.doubtful", counts.doubtful);
