--- a/crates/millethook-engine/src/discovery/asked.rs
+++ b/crates/millethook-engine/src/discovery/asked.rs
@@ -13,7 +13,7 @@
 use super::patience::Patience;
 use super::{Call, Discovery};
 use crate::list::List;
-use crate::news::MembershipSink;
+use crate::sinks::MembershipSink;
 
 /// How long a watch may be held, and how much longer its answer may take. Danger: what a silent watch misses
 /// counts as told 6 s after it fell silent; the decisions wait for up to 1.25 s before they ask anew.
@@ -62,7 +62,7 @@
     /// Here calls load discovery; the module decides when there is to be one after a failure.
     pub(super) async fn run(
         mut self,
-        news: &impl MembershipSink,
+        sink: &impl MembershipSink,
         mut asks: mpsc::UnboundedReceiver<Call>,
     ) {
         let mut moves = self.discovery.config.address.clone();
@@ -77,11 +77,11 @@
                     None => return,
                 },
                 Some(ended) = self.calls.join_next() => match ended {
-                    Ok(ended) => self.on_ended(ended, news),
+                    Ok(ended) => self.on_ended(ended, sink),
                     // It was hung up on.
                     Err(_) => continue,
                 },
-                () = due => self.on_due(news),
+                () = due => self.on_due(sink),
             }
         }
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    fn on_due(&mut self, news: &impl MembershipSink) {
+    fn on_due(&mut self, sink: &impl MembershipSink) {
         let now = Instant::now().into_std();
         let random = self.random();
         let State::Opening(opening) = &mut self.state else { return };
@@ -109,7 +109,7 @@
             }
             Step::GiveUp => {
                 self.patience.on_give_up();
-                self.fail(news);
+                self.fail(sink);
             }
         }
     }
@@ -150,7 +150,7 @@
         }
     }
 
-    fn on_ended(&mut self, ended: Ended, news: &impl MembershipSink) {
+    fn on_ended(&mut self, ended: Ended, sink: &impl MembershipSink) {
         let now = Instant::now().into_std();
         let random = self.random();
         match (ended.result, &mut self.state) {
@@ -160,45 +160,45 @@
                     State::Watching => self.patience.on_watch_answer(ended.took),
                     State::Idle | State::Stopped => {}
                 }
-                self.on_list(connection, &list, news);
+                self.on_list(connection, &list, sink);
             }
             // The decisions ask again in time by what they know; a refusal is answered in here.
             (Err(CallError::Refused), State::Opening(opening)) => {
                 opening.on_refused(now, &mut self.patience, random);
-                news.discovery_failed();
+                sink.discovery_failed();
             }
             (Err(CallError::Refused), State::Watching) => {
                 let opening = Opening::after_refusal(now, &mut self.patience, random);
                 self.state = State::Opening(opening);
-                news.discovery_failed();
+                sink.discovery_failed();
             }
             // Danger: discovery did not answer for up to 4 s already. The decisions may wait for 2 s more.
             (Err(CallError::Lost), State::Opening(opening)) => {
                 opening.on_lost(now, random);
-                news.discovery_failed();
+                sink.discovery_failed();
             }
             (Err(CallError::Lost), State::Watching) => {
                 self.state = State::Opening(Opening::after_loss(now, random));
-                news.discovery_failed();
+                sink.discovery_failed();
             }
             (Err(_), State::Opening(opening)) => {
                 if !opening.on_broken(now, &mut self.patience, random) {
-                    self.fail(news);
+                    self.fail(sink);
                 }
             }
-            (Err(_), State::Watching | State::Idle | State::Stopped) => self.fail(news),
+            (Err(_), State::Watching | State::Idle | State::Stopped) => self.fail(sink),
         }
         self.discovery.config.tried.notify_one();
     }
 
-    fn on_list(&mut self, connection: Connection, list: &List, news: &impl MembershipSink) {
+    fn on_list(&mut self, connection: Connection, list: &List, sink: &impl MembershipSink) {
         // Whatever else waits in line would bring the same.
         self.hang_up();
         self.connection = Some(connection);
         // Danger: a watch goes on at no cost, but none is open after a whole list: the next call waits in line.
         let was_whole = self.discovery.whole;
-        if !self.discovery.tell(news, list) {
-            self.fail(news);
+        if !self.discovery.tell(sink, list) {
+            self.fail(sink);
         } else if self.watches && was_whole {
             self.open();
         } else if self.watches {
@@ -213,12 +213,12 @@
     }
 
     /// The module is told, and says when to ask again.
-    fn fail(&mut self, news: &impl MembershipSink) {
+    fn fail(&mut self, sink: &impl MembershipSink) {
         let connection = self.connection.take();
         self.hang_up();
         self.connection = connection;
         self.watches = false;
-        news.discovery_failed();
+        sink.discovery_failed();
         self.discovery.config.tried.notify_one();
     }
 
--- a/crates/millethook-engine/src/discovery/mod.rs
+++ b/crates/millethook-engine/src/discovery/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::list::List;
 use crate::list_clock::ListClock;
-use crate::news::MembershipSink;
+use crate::sinks::MembershipSink;
 use patience::CallLimits;
 
 /// What the module asks of discovery.
@@ -72,10 +72,10 @@
     }
 
     /// Keeps the list as new as it can be; `calls` is what the module asks.
-    pub async fn run(self, news: impl MembershipSink, calls: mpsc::UnboundedReceiver<Call>) {
+    pub async fn run(self, sink: impl MembershipSink, calls: mpsc::UnboundedReceiver<Call>) {
         match self.config.how {
-            How::Pushed => pushed::Pushed::new(self).run(&news, calls).await,
-            How::OnRequest => asked::Asked::new(self).run(&news, calls).await,
+            How::Pushed => pushed::Pushed::new(self).run(&sink, calls).await,
+            How::OnRequest => asked::Asked::new(self).run(&sink, calls).await,
         }
     }
 
@@ -94,13 +94,13 @@
     ///
     /// Danger: a discovery that has started anew may count from lower versions. Asked for what is newer than ours it
     /// would have nothing to say, or changes that do not follow: the next call is for all.
-    fn tell(&mut self, news: &impl MembershipSink, list: &List) -> bool {
+    fn tell(&mut self, sink: &impl MembershipSink, list: &List) -> bool {
         self.whole = !list.whole && list.seq < self.version;
         if self.whole {
             return false;
         }
         self.version = list.seq;
-        news.servers(if list.whole { ListKind::Whole } else { ListKind::Changes }, list);
+        sink.servers(if list.whole { ListKind::Whole } else { ListKind::Changes }, list);
         true
     }
 }
--- a/crates/millethook-engine/src/discovery/pushed.rs
+++ b/crates/millethook-engine/src/discovery/pushed.rs
@@ -7,7 +7,7 @@
 use super::call::{AnswerTimes, CallError, Connection, Query, call};
 use super::{Call, Discovery};
 use crate::list::List;
-use crate::news::MembershipSink;
+use crate::sinks::MembershipSink;
 
 /// How long a watch may be held. Danger: what a silent watch misses counts as told; a short hold costs nothing here,
 /// and tells soon when the agent has fallen silent.
@@ -34,7 +34,7 @@
     /// Danger: what the agent has counts as told, so a watch is always out.
     pub(super) async fn run(
         mut self,
-        news: &impl MembershipSink,
+        sink: &impl MembershipSink,
         mut calls: mpsc::UnboundedReceiver<Call>,
     ) {
         let mut moves = self.discovery.config.address.clone();
@@ -48,7 +48,7 @@
                     self.discovery.whole = true;
                     continue;
                 }
-                list = self.call() => match list.filter(|list| self.discovery.tell(news, list)) {
+                list = self.call() => match list.filter(|list| self.discovery.tell(sink, list)) {
                     // It is asked at once what is there now.
                     Some(_) if self.hold.is_zero() => {}
                     Some(list) => {
@@ -58,9 +58,9 @@
                             tokio::time::sleep(AGAIN / 5).await;
                         }
                     }
-                    None if self.hold.is_zero() => news.discovery_failed(),
+                    None if self.hold.is_zero() => sink.discovery_failed(),
                     None => {
-                        news.discovery_failed();
+                        sink.discovery_failed();
                         tokio::time::sleep(AGAIN).await;
                     }
                 },
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::list::{Host, List};
 use crate::list_clock::ListClock;
-use crate::news::{MembershipSink, StandingSink};
+use crate::sinks::{MembershipSink, StandingSink};
 use crate::upstream::Admission;
 
 impl MembershipSink for Rc<Driver> {
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -31,7 +31,7 @@
 use crate::fleet::Fleet;
 use crate::list_clock::ListClock;
 use crate::names::Names;
-use crate::news::PeerSender;
+use crate::sinks::PeerSender;
 use crate::upstream::{Admission, AttemptRequest, Calls, Upstream};
 
 use pauses::Pauses;
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -27,12 +27,12 @@
 use crate::list::List;
 use crate::membership_store::{MembershipStore, MembershipStoreConfig};
 use crate::names::Names;
-use crate::news::{MembershipSink, PeerSender};
 use crate::peers::Peers;
 use crate::product::usual_reuse;
 use crate::server_lists::{
     ListPublisher, ListRole, ListSubscription, PublishingSink, SubscribedSink, SubscriptionParts,
 };
+use crate::sinks::{MembershipSink, PeerSender};
 use crate::upstream::{Upstream, UpstreamConfig};
 
 /// What an engine is built of.
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -10,7 +10,7 @@
 };
 use millethook_view::View;
 
-use crate::news::StandingSink;
+use crate::sinks::StandingSink;
 
 /// So many present members after one that has joined send it their shared entries, each a part.
 const WELCOMING: usize = 3;
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -23,7 +23,7 @@
 use crate::distribution::Distribution;
 use crate::evidence::Evidence;
 use crate::leases::{LeaseSettings, Leases};
-use crate::news::{PeerSender, StandingSink};
+use crate::sinks::{PeerSender, StandingSink};
 use crate::trials::Turn;
 use log_budget::LogBudget;
 
--- a/crates/millethook-engine/src/membership_store.rs
+++ b/crates/millethook-engine/src/membership_store.rs
@@ -15,7 +15,7 @@
 
 use crate::driver::Driver;
 use crate::list::List;
-use crate::news::MembershipSink;
+use crate::sinks::MembershipSink;
 use crate::upstream::{TrialPage, Upstream};
 
 /// How often a list without changes is written again. After a restart the age of its servers counts from the last time.
--- a/crates/millethook-engine/src/peers.rs
+++ b/crates/millethook-engine/src/peers.rs
@@ -8,7 +8,7 @@
 
 use tokio::net::UdpSocket;
 
-use crate::news::PeerSender;
+use crate::sinks::PeerSender;
 
 /// The longest datagram.
 const LONGEST: usize = 256;
--- a/crates/millethook-engine/src/server_lists/publisher.rs
+++ b/crates/millethook-engine/src/server_lists/publisher.rs
@@ -15,7 +15,7 @@
 use crate::distribution::{Distribution, ListSettings, PublishError, Version};
 use crate::fleet::Fleet;
 use crate::list::List;
-use crate::news::MembershipSink;
+use crate::sinks::MembershipSink;
 
 /// The control node is looked at so often: it may have become the writer, or have learned of another list.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
--- a/crates/millethook-engine/src/server_lists/subscription.rs
+++ b/crates/millethook-engine/src/server_lists/subscription.rs
@@ -20,7 +20,7 @@
 use crate::distribution::{Distribution, Document, ListSettings, Refusal};
 use crate::list::List;
 use crate::membership_store::MembershipStore;
-use crate::news::MembershipSink;
+use crate::sinks::MembershipSink;
 
 /// The code of a refusal: the body cannot be read. That of configuration that makes no sense by itself is the same.
 const UNREADABLE: u8 = 1;
