--- a/crates/millethook-engine/src/discovery/mod.rs
+++ b/crates/millethook-engine/src/discovery/mod.rs
@@ -100,7 +100,7 @@
             return false;
         }
         self.version = list.seq;
-        sink.servers(if list.whole { ListKind::Whole } else { ListKind::Changes }, list);
+        sink.update_servers(if list.whole { ListKind::Whole } else { ListKind::Changes }, list);
         true
     }
 }
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -14,7 +14,7 @@
 use crate::upstream::Admission;
 
 impl MembershipSink for Rc<Driver> {
-    fn servers(&self, kind: ListKind, list: &List) {
+    fn update_servers(&self, kind: ListKind, list: &List) {
         Driver::servers(self, kind, list);
     }
 
@@ -22,7 +22,7 @@
         self.event(Event::Servers { kind: ListKind::Failed, entries: &[] });
     }
 
-    fn note(&self, from: u32, data: &[u8]) {
+    fn handle_message(&self, from: u32, data: &[u8]) {
         self.event(Event::Note { from, data });
     }
 }
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -204,7 +204,7 @@
             Action::FetchList => drop(self.discovery.send(Call::Fetch)),
             Action::Tell { peer, data } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(peer, &data);
+                    peers.send(peer, &data);
                 }
             }
             Action::Log { text } => tracing::info!(event = "decisions", "{text}"),
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -218,7 +218,7 @@
             let (driver, fleet) = (driver.clone(), fleet.clone());
             spawn_local(peers.listen(move |from, data| match &fleet {
                 Some(fleet) => fleet.datagram(from, data),
-                None => driver.note(from, data),
+                None => driver.handle_message(from, data),
             }));
         }
         Ok(Engine {
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -291,14 +291,14 @@
             let push = |to: u16, content: Vec<u8>| {
                 let mut frame = FrameWriter::new(header);
                 if frame.push(DISTRIBUTION.number, &content) {
-                    self.peers.tell(u32::from(to), &frame.finish());
+                    self.peers.send(u32::from(to), &frame.finish());
                 }
             };
             let of_fleet = (view.me(), self.leases.as_ref());
             next = next.min(distribution.pump(now, of_fleet, say, push));
         }
         while let Some((to, bytes)) = channel.poll(now, header) {
-            self.peers.tell(u32::from(to), &bytes);
+            self.peers.send(u32::from(to), &bytes);
         }
         channel.poll_timeout().map_or(next, |at| next.min(at))
     }
--- a/crates/millethook-engine/src/membership_store.rs
+++ b/crates/millethook-engine/src/membership_store.rs
@@ -240,7 +240,7 @@
 }
 
 impl MembershipSink for Rc<MembershipStore> {
-    fn servers(&self, kind: ListKind, list: &List) {
+    fn update_servers(&self, kind: ListKind, list: &List) {
         let list = match (kind, list.whole) {
             (ListKind::Changes, false) | (ListKind::Whole | ListKind::Remembered, true) => list,
             _ => &List { whole: kind != ListKind::Changes, ..list.clone() },
@@ -253,8 +253,8 @@
         self.driver.clone().discovery_failed();
     }
 
-    fn note(&self, from: u32, data: &[u8]) {
-        MembershipSink::note(&self.driver, from, data);
+    fn handle_message(&self, from: u32, data: &[u8]) {
+        MembershipSink::handle_message(&self.driver, from, data);
     }
 }
 
--- a/crates/millethook-engine/src/peers.rs
+++ b/crates/millethook-engine/src/peers.rs
@@ -43,7 +43,7 @@
 }
 
 impl PeerSender for Peers {
-    fn tell(&self, peer: u32, data: &[u8]) {
+    fn send(&self, peer: u32, data: &[u8]) {
         let to = match peer {
             EVERYONE => self.addresses.borrow().everyone,
             n => self.addresses.borrow().peers.get(n as usize).copied(),
--- a/crates/millethook-engine/src/server_lists/publisher.rs
+++ b/crates/millethook-engine/src/server_lists/publisher.rs
@@ -179,10 +179,10 @@
 }
 
 impl MembershipSink for PublishingSink {
-    fn servers(&self, kind: ListKind, list: &List) {
+    fn update_servers(&self, kind: ListKind, list: &List) {
         self.publisher.source.borrow_mut().on_list(kind != ListKind::Changes, list);
         self.publisher.changed.notify_one();
-        self.sink.servers(kind, list);
+        self.sink.update_servers(kind, list);
     }
 
     fn discovery_failed(&self) {
@@ -190,7 +190,7 @@
         self.sink.discovery_failed();
     }
 
-    fn note(&self, from: u32, data: &[u8]) {
-        self.sink.note(from, data);
+    fn handle_message(&self, from: u32, data: &[u8]) {
+        self.sink.handle_message(from, data);
     }
 }
--- a/crates/millethook-engine/src/server_lists/subscription.rs
+++ b/crates/millethook-engine/src/server_lists/subscription.rs
@@ -240,17 +240,17 @@
 }
 
 impl MembershipSink for SubscribedSink {
-    fn servers(&self, kind: ListKind, list: &List) {
+    fn update_servers(&self, kind: ListKind, list: &List) {
         let whole = kind != ListKind::Changes;
         self.subscription.follower.borrow_mut().on_discovered(whole, list);
-        self.sink.servers(kind, list);
+        self.sink.update_servers(kind, list);
     }
 
     fn discovery_failed(&self) {
         self.sink.discovery_failed();
     }
 
-    fn note(&self, from: u32, data: &[u8]) {
-        self.sink.note(from, data);
+    fn handle_message(&self, from: u32, data: &[u8]) {
+        self.sink.handle_message(from, data);
     }
 }
