--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::list::{Host, List};
 use crate::list_clock::ListClock;
-use crate::sinks::{MembershipSink, StandingSink};
+use crate::sinks::{MembershipSink, VerdictSink};
 use crate::upstream::Admission;
 
 impl MembershipSink for Rc<Driver> {
@@ -30,8 +30,8 @@
 /// The driver, as the fleet's words reach it.
 struct Hearer(Weak<Driver>);
 
-impl StandingSink for Hearer {
-    fn stands(&self, server: ServerId, standing: Standing) {
+impl VerdictSink for Hearer {
+    fn apply_verdict(&self, server: ServerId, standing: Standing) {
         if let Some(driver) = self.0.upgrade() {
             driver.event(Event::Stands { server, standing });
         }
@@ -64,7 +64,7 @@
     pub fn shares_with(self: &Rc<Driver>, fleet: &Rc<Fleet>) {
         // It is set once, as the engine starts.
         let _ = self.fleet.set(fleet.clone());
-        fleet.tell_standings_to(Box::new(Hearer(Rc::downgrade(self))));
+        fleet.set_verdict_sink(Box::new(Hearer(Rc::downgrade(self))));
     }
 
     /// A list of servers, or what changed in it.
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -10,7 +10,7 @@
 };
 use millethook_view::View;
 
-use crate::sinks::StandingSink;
+use crate::sinks::VerdictSink;
 
 /// So many present members after one that has joined send it their shared entries, each a part.
 const WELCOMING: usize = 3;
@@ -22,7 +22,7 @@
     shares: bool,
     /// Counts the entries that were written about own jobs.
     said: Cell<u16>,
-    sink: RefCell<Option<Box<dyn StandingSink>>>,
+    sink: RefCell<Option<Box<dyn VerdictSink>>>,
 }
 
 /// A standing in the balancer's terms.
@@ -82,12 +82,12 @@
     /// the balancer acts on it at once.
     pub fn report(&self, server: ServerId, standing: coppercart::api::Standing) {
         if let Some(sink) = self.sink.borrow().as_deref() {
-            sink.stands(server, standing);
+            sink.apply_verdict(server, standing);
         }
     }
 
     /// Sets the receiver of standings.
-    pub fn tell_to(&self, sink: Box<dyn StandingSink>) {
+    pub fn tell_to(&self, sink: Box<dyn VerdictSink>) {
         *self.sink.borrow_mut() = Some(sink);
     }
 
@@ -136,7 +136,7 @@
             let Some(event) = event else { return };
             also(ServerId(event.server), told(event.standing));
             if let Some(sink) = sink.as_deref() {
-                sink.stands(ServerId(event.server), told(event.standing));
+                sink.apply_verdict(ServerId(event.server), told(event.standing));
             }
         }
     }
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -23,7 +23,7 @@
 use crate::distribution::Distribution;
 use crate::evidence::Evidence;
 use crate::leases::{LeaseSettings, Leases};
-use crate::sinks::{PeerSender, StandingSink};
+use crate::sinks::{PeerSender, VerdictSink};
 use crate::trials::Turn;
 use log_budget::LogBudget;
 
@@ -304,7 +304,7 @@
     }
 
     /// Sets the receiver of standings.
-    pub fn tell_standings_to(&self, sink: Box<dyn StandingSink>) {
+    pub fn set_verdict_sink(&self, sink: Box<dyn VerdictSink>) {
         if let Some(evidence) = &self.evidence {
             evidence.tell_to(sink);
         }
--- a/crates/millethook-engine/src/sinks.rs
+++ b/crates/millethook-engine/src/sinks.rs
@@ -36,7 +36,7 @@
 }
 
 /// Whoever wants to hear what the fleet makes of servers.
-pub trait StandingSink {
+pub trait VerdictSink {
     /// A server stands otherwise than before.
-    fn stands(&self, server: ServerId, standing: Standing);
+    fn apply_verdict(&self, server: ServerId, standing: Standing);
 }
