--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -339,7 +339,7 @@
         }
         (Some(settings), Some(distribution), Some(fleet), Some(membership_store)) => {
             // Sidecars that share a seed wait differently all the same.
-            let (me, epoch) = fleet.process();
+            let (me, epoch) = fleet.own_identity();
             let seed = mix(seed ^ mix(u64::from(me)) ^ epoch);
             let (to_discovery, own_calls) = mpsc::unbounded_channel();
             let parts = SubscriptionParts {
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -63,7 +63,7 @@
 
     /// Publishes how far a store of kept writes has been replayed. False: a higher token is known, and nothing was
     /// published.
-    pub fn say_edge(&self, now: Micros, edge: u64, value: EntryValue) -> bool {
+    pub fn publish_edge(&self, now: Micros, edge: u64, value: EntryValue) -> bool {
         self.replica.borrow_mut().publish_owned(now, Key::Edge { edge }, value)
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Queries a member for the entry of a store.
-    pub fn ask_edge(&self, now: Micros, member: u16, edge: u64) {
+    pub fn query_edge(&self, now: Micros, member: u16, edge: u64) {
         self.replica.borrow_mut().query_edge(now, member, edge);
     }
 
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -356,12 +356,12 @@
     }
 
     /// Whether the view takes a member for alive.
-    pub fn is_there(&self, member: u16) -> bool {
+    pub fn is_alive(&self, member: u16) -> bool {
         self.view.borrow().member(member).is_some_and(|m| m.status == Status::Alive)
     }
 
     /// The number and the epoch of this process.
-    pub fn process(&self) -> (u16, u64) {
+    pub fn own_identity(&self) -> (u16, u64) {
         let view = self.view.borrow();
         (view.me(), view.epoch())
     }
--- a/crates/millethook-engine/src/fleet/figures.rs
+++ b/crates/millethook-engine/src/fleet/figures.rs
@@ -16,7 +16,7 @@
     }
 
     /// Jobs that this sidecar owns, with their tokens, at most 64 of them.
-    pub fn owned(&self) -> Vec<(JobId, Token)> {
+    pub fn owned_jobs(&self) -> Vec<(JobId, Token)> {
         self.leases.as_ref().map_or(Vec::new(), |leases| leases.owned(self.now()))
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Members that are not alive, at most 64.
-    pub fn absent(&self) -> Vec<(u16, Status)> {
+    pub fn members_not_alive(&self) -> Vec<(u16, Status)> {
         let view = self.view.borrow();
         let all = (0..).map_while(|n| Some((n, view.member(n)?.status)));
         all.filter(|(_, status)| *status != Status::Alive).take(NAMED).collect()
@@ -48,7 +48,7 @@
     }
 
     /// Counts of what was sent.
-    pub fn sent(&self) -> channel::Counts {
+    pub fn channel_counts(&self) -> channel::Counts {
         self.channel.borrow().counts()
     }
 
--- a/crates/millethook-engine/src/fleet/jobs.rs
+++ b/crates/millethook-engine/src/fleet/jobs.rs
@@ -59,8 +59,8 @@
 
     /// Publishes how far a store of kept writes has been replayed. False: a higher token is known, or nothing is
     /// shared.
-    pub fn say_edge(&self, edge: u64, value: EntryValue) -> bool {
-        let said = self.evidence.as_ref().is_some_and(|e| e.say_edge(self.now(), edge, value));
+    pub fn publish_edge(&self, edge: u64, value: EntryValue) -> bool {
+        let said = self.evidence.as_ref().is_some_and(|e| e.publish_edge(self.now(), edge, value));
         self.wake.notify_one();
         said
     }
@@ -72,9 +72,9 @@
     }
 
     /// Queries a member for the entry of a store; once the answer has come, [`Fleet::edge`] returns it.
-    pub fn ask_edge(&self, member: u16, edge: u64) {
+    pub fn query_edge(&self, member: u16, edge: u64) {
         if let Some(evidence) = &self.evidence {
-            evidence.ask_edge(self.now(), member, edge);
+            evidence.query_edge(self.now(), member, edge);
             self.wake.notify_one();
         }
     }
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -144,7 +144,7 @@
         let told = |e: std::io::Error| format!("edge.folder: {}: {e}", folder.display());
         std::fs::create_dir_all(&folder).map_err(told)?;
         folder::stores(&folder).map_err(told)?;
-        let (me, epoch) = fleet.process();
+        let (me, epoch) = fleet.own_identity();
         let (own, wake) = (EdgeId::new(me, epoch), Arc::new(Notify::new()));
         let disk = DiskConfig { folder: folder.clone(), own, moved: wake.clone() };
         let disk = Disk::start(disk, storage).map_err(told)?;
@@ -215,7 +215,7 @@
         // Every other time somebody near by number.
         let step = if *times % 2 == 1 { 0 } else { *times / 2 };
         let member = (u32::from(edge.number()) + step) % members.max(1);
-        self.fleet.ask_edge(member as u16, edge.0);
+        self.fleet.query_edge(member as u16, edge.0);
     }
 
     /// How far a store is, by what was told of it, and how long ago that was.
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -120,7 +120,7 @@
     fn is_orphan(&self, edge: EdgeId) -> bool {
         // A process holds its intake locked for as long as it lives; one that stands still is not seen by the others.
         let path = Name::Intake.path(&self.settings.folder, edge);
-        super::lock::is_free(&path) || !self.fleet.is_there(edge.number())
+        super::lock::is_free(&path) || !self.fleet.is_alive(edge.number())
     }
 
     /// Takes a store over, or lets it go, as its lease says.
@@ -350,7 +350,7 @@
             failed: failed.map(back),
             left: left.min(usize::from(u16::MAX)) as u16,
         };
-        if due && self.fleet.say_edge(store.edge.0, value) {
+        if due && self.fleet.publish_edge(store.edge.0, value) {
             store.told.set(Some((Instant::now(), mark)));
         }
         let foreign = store.edge != self.own;
--- a/crates/plankvale/src/operated.rs
+++ b/crates/plankvale/src/operated.rs
@@ -20,7 +20,7 @@
     lines.gauge("fleet.dead", counts.dead);
     lines.gauge("fleet.left", counts.left);
     lines.gauge("fleet.hash", fleet.hash() as usize);
-    for (number, status) in fleet.absent() {
+    for (number, status) in fleet.members_not_alive() {
         let status = format!("{status:?}").to_lowercase();
         lines.gauge(format_args!("fleet.absent.{number}.{status}"), 1);
     }
@@ -28,7 +28,7 @@
     lines.count("fleet.refuted", figures.refuted);
     lines.count("fleet.superseded", figures.superseded);
     lines.count("fleet.stalls", figures.stalls);
-    let (sent, dropped) = (fleet.sent(), fleet.dropped());
+    let (sent, dropped) = (fleet.channel_counts(), fleet.dropped());
     lines.count("fleet.datagrams", sent.datagrams);
     lines.count("fleet.bytes", sent.bytes);
     lines.count("fleet.held_too_long", sent.dropped);
@@ -48,7 +48,7 @@
         lines.gauge("lease.wanted", lease.wanted);
         lines.gauge("lease.granting", lease.granting);
         lines.gauge("lease.changing", usize::from(changing));
-        for (job, token) in fleet.owned() {
+        for (job, token) in fleet.owned_jobs() {
             lines.gauge(format_args!("lease.job.{:016x}.{token}", job.0), 1);
         }
         lines.count("lease.granted", lease.granted);
