--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -56,7 +56,7 @@
         let until = now + Duration::from_micros(wait);
         self.reach.borrow_mut().sent(server, now);
         if let Some(fleet) = self.fleet.get() {
-            fleet.sends_to(server);
+            fleet.on_attempt_sent(server);
         }
         spawn_local(self.clone().attempt(
             id,
@@ -242,7 +242,7 @@
         }
         self.event(Event::Answer { id, attempt, server, outcome, latency, finished, report });
         if let Some(fleet) = self.fleet.get() {
-            fleet.saw(server, outcome, latency);
+            fleet.on_attempt_ended(server, outcome, latency);
         }
         self.forget(id);
     }
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -85,7 +85,7 @@
                     kept
                 });
                 if let Some(fleet) = self.fleet.get() {
-                    fleet.unlisted(&lacking);
+                    fleet.on_unlisted(&lacking);
                 }
             }
             for host in &list.hosts {
@@ -116,7 +116,7 @@
         self.event(Event::Servers { kind, entries: &entries });
         if let Some(fleet) = self.fleet.get() {
             // Danger: an old list that names a server anew would bring it back.
-            for (server, standing) in fleet.listed(&entries) {
+            for (server, standing) in fleet.on_listed(&entries) {
                 self.event(Event::Stands { server, standing });
             }
         }
@@ -133,7 +133,7 @@
     /// Without this, requests that came while this process stood still go to servers that drain by now, or that have
     /// just started anew.
     pub async fn current_list(&self) {
-        self.list_clock.current().await;
+        self.list_clock.wait_until_current().await;
     }
 
     /// Whether any server was ever listed.
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -216,8 +216,8 @@
         };
         if let Some(peers) = peers.clone() {
             let (driver, fleet) = (driver.clone(), fleet.clone());
-            spawn_local(peers.listen(move |from, data| match &fleet {
-                Some(fleet) => fleet.datagram(from, data),
+            spawn_local(peers.receive(move |from, data| match &fleet {
+                Some(fleet) => fleet.handle_datagram(from, data),
                 None => driver.handle_message(from, data),
             }));
         }
@@ -287,7 +287,7 @@
 
     /// Datagrams that came from no peer's address, or were too long.
     pub fn strangers(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.strangers())
+        self.peers.as_ref().map_or(0, |peers| peers.discarded())
     }
 
     /// Waits until discovery has first been tried.
@@ -299,10 +299,10 @@
     /// connections and what is known of servers stay as they are.
     pub fn moved(&self, discovery: SocketAddr, peers: Vec<SocketAddr>, all: Option<SocketAddr>) {
         if let Some(fleet) = &self.fleet {
-            fleet.resized(peers.len());
+            fleet.set_member_count(peers.len());
         }
         if let Some(known) = &self.peers {
-            known.moved(peers, all);
+            known.set_addresses(peers, all);
         }
         if let Some(to) = &self.discovery {
             to.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -99,7 +99,7 @@
 
     /// A member has joined or has come back: it is sent a part of the shared entries, if this process is one of those
     /// that do so.
-    pub fn joined(&self, now: Micros, number: u16, view: &View) {
+    pub fn on_joined(&self, now: Micros, number: u16, view: &View) {
         if let Some(part) = view.place_after(number, WELCOMING) {
             self.replica.borrow_mut().send_state(now, number, part, WELCOMING);
         }
@@ -142,14 +142,20 @@
     }
 
     /// An attempt is sent.
-    pub fn sent(&self, now: Micros, server: ServerId) {
+    pub fn on_attempt_sent(&self, now: Micros, server: ServerId) {
         if self.shares {
             self.replica.borrow_mut().on_attempt_sent(now, server.0);
         }
     }
 
     /// An attempt has ended `latency` microseconds after it was sent.
-    pub fn saw(&self, now: Micros, server: ServerId, outcome: Outcome, latency: Micros) {
+    pub fn on_attempt_ended(
+        &self,
+        now: Micros,
+        server: ServerId,
+        outcome: Outcome,
+        latency: Micros,
+    ) {
         if !self.shares {
             return;
         }
@@ -170,7 +176,7 @@
     }
 
     /// Entries of the own list, or changes of it.
-    pub fn listed(&self, now: Micros, entries: &[ServerEntry]) {
+    pub fn on_listed(&self, now: Micros, entries: &[ServerEntry]) {
         let mut replica = self.replica.borrow_mut();
         for entry in entries.iter().filter(|_| self.shares) {
             let (server, epoch) = (entry.id.0, entry.started / 1_000);
@@ -186,7 +192,7 @@
     }
 
     /// The own list does not have these servers any more.
-    pub fn unlisted(&self, servers: &[ServerId]) {
+    pub fn on_unlisted(&self, servers: &[ServerId]) {
         let mut replica = self.replica.borrow_mut();
         servers.iter().for_each(|server| replica.unlisted(server.0));
     }
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -165,7 +165,7 @@
     }
 
     /// Takes a datagram from the address of the peer `from`.
-    pub fn datagram(&self, from: u32, data: &[u8]) {
+    pub fn handle_datagram(&self, from: u32, data: &[u8]) {
         let mut dropped = self.dropped.get();
         match Frame::parse(data) {
             Err(_) => dropped.unreadable += 1,
@@ -266,7 +266,7 @@
         }
         let mut next = view.poll_timeout();
         if let Some(evidence) = &self.evidence {
-            joined.into_iter().for_each(|number| evidence.joined(now, number, &view));
+            joined.into_iter().for_each(|number| evidence.on_joined(now, number, &view));
             let send = |to, content| {
                 // Its kind is one of the channel's.
                 let _ = channel.offer(to, EVIDENCE.number, content);
@@ -311,46 +311,46 @@
     }
 
     /// An attempt is sent to a server.
-    pub fn sends_to(&self, server: ServerId) {
+    pub fn on_attempt_sent(&self, server: ServerId) {
         if let Some(evidence) = &self.evidence {
-            evidence.sent(self.now(), server);
+            evidence.on_attempt_sent(self.now(), server);
             if let Some(leases) = &self.leases {
-                leases.sends_to(server);
+                leases.on_attempt_sent(server);
             }
             self.wake.notify_one();
         }
     }
 
     /// An attempt at a server has ended.
-    pub fn saw(&self, server: ServerId, outcome: Outcome, latency: Micros) {
+    pub fn on_attempt_ended(&self, server: ServerId, outcome: Outcome, latency: Micros) {
         if let Some(evidence) = &self.evidence {
-            evidence.saw(self.now(), server, outcome, latency);
+            evidence.on_attempt_ended(self.now(), server, outcome, latency);
             self.wake.notify_one();
         }
     }
 
     /// The own list of servers, or changes of it, was handed to the balancer. Returns the servers among them that are
     /// not trusted.
-    pub fn listed(&self, entries: &[ServerEntry]) -> Vec<(ServerId, Standing)> {
+    pub fn on_listed(&self, entries: &[ServerEntry]) -> Vec<(ServerId, Standing)> {
         let Some(evidence) = &self.evidence else { return Vec::new() };
-        evidence.listed(self.now(), entries);
+        evidence.on_listed(self.now(), entries);
         self.wake.notify_one();
         let stands = entries.iter().map(|e| (e.id, evidence.standing(e.id)));
         stands.filter(|(_, standing)| *standing != Standing::Trusted).collect()
     }
 
     /// The own list does not have these servers any more. This is not published, because a whole list may be outdated.
-    pub fn unlisted(&self, servers: &[ServerId]) {
+    pub fn on_unlisted(&self, servers: &[ServerId]) {
         if let Some(evidence) = &self.evidence {
-            evidence.unlisted(servers);
+            evidence.on_unlisted(servers);
         }
     }
 
     /// The fleet has `count` configured members from now on.
-    pub fn resized(&self, count: usize) {
+    pub fn set_member_count(&self, count: usize) {
         if let Some(leases) = &self.leases {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            leases.resized(self.now(), count, unix.as_millis() as u64);
+            leases.set_member_count(self.now(), count, unix.as_millis() as u64);
             self.wake.notify_one();
         }
     }
--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -75,7 +75,7 @@
     }
 
     /// The fleet has `count` configured members from now on.
-    pub fn resized(&self, now: Micros, count: usize, unix_ms: u64) {
+    pub fn set_member_count(&self, now: Micros, count: usize, unix_ms: u64) {
         if !self.lease.borrow_mut().set_members(now, members(count), unix_ms) {
             tracing::error!(
                 event = "members_refused",
@@ -132,7 +132,7 @@
     }
 
     /// An attempt is sent to a server.
-    pub fn sends_to(&self, server: ServerId) {
+    pub fn on_attempt_sent(&self, server: ServerId) {
         if let Some(trials) = &self.trials {
             trials.borrow_mut().tried(server);
         }
--- a/crates/millethook-engine/src/list_clock.rs
+++ b/crates/millethook-engine/src/list_clock.rs
@@ -32,7 +32,7 @@
 
     /// Waits until an old list is confirmed. An agent that says nothing is waited for once, for 0.1 s: what it has to tell
     /// cannot be known before it speaks.
-    pub async fn current(&self) {
+    pub async fn wait_until_current(&self) {
         let told = self.told.notified();
         let is_old = |confirmed: Instant| confirmed.elapsed() >= OLD;
         if self.confirmed.get().is_some_and(is_old) && timeout(PATIENCE, told).await.is_err() {
--- a/crates/millethook-engine/src/peers.rs
+++ b/crates/millethook-engine/src/peers.rs
@@ -21,7 +21,7 @@
 pub struct Peers {
     socket: UdpSocket,
     addresses: RefCell<Addresses>,
-    strangers: Cell<u64>,
+    discarded: Cell<u64>,
 }
 
 struct Addresses {
@@ -62,22 +62,22 @@
         everyone: Option<SocketAddr>,
     ) -> Rc<Peers> {
         let addresses = RefCell::new(Addresses::new(peers, everyone));
-        Rc::new(Peers { socket, addresses, strangers: Cell::new(0) })
+        Rc::new(Peers { socket, addresses, discarded: Cell::new(0) })
     }
 
     /// The other sidecars are elsewhere from now on.
-    pub fn moved(&self, peers: Vec<SocketAddr>, everyone: Option<SocketAddr>) {
+    pub fn set_addresses(&self, peers: Vec<SocketAddr>, everyone: Option<SocketAddr>) {
         self.addresses.replace(Addresses::new(peers, everyone));
     }
 
     /// Datagrams that were passed over: not from a peer's address, or too long.
-    pub fn strangers(&self) -> u64 {
-        self.strangers.get()
+    pub fn discarded(&self) -> u64 {
+        self.discarded.get()
     }
 
     /// Takes in datagrams, and gives them to `take` with the number of the peer. Those of strangers and those that
     /// are too long are passed over.
-    pub async fn listen(self: Rc<Peers>, take: impl Fn(u32, &[u8])) {
+    pub async fn receive(self: Rc<Peers>, take: impl Fn(u32, &[u8])) {
         let mut buf = [0; LONGEST + 1];
         loop {
             // An error tells of a datagram that was sent, and that no reader waited for. Danger: an
@@ -89,7 +89,7 @@
             let peer = self.addresses.borrow().numbers.get(&from).copied();
             match peer.filter(|_| n <= LONGEST) {
                 Some(peer) => take(peer, &buf[..n]),
-                None => self.strangers.set(self.strangers.get() + 1),
+                None => self.discarded.set(self.discarded.get() + 1),
             }
         }
     }
