--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -28,7 +28,7 @@
 use crate::membership_store::{MembershipStore, MembershipStoreConfig};
 use crate::names::Names;
 use crate::peers::Peers;
-use crate::product::usual_reuse;
+use crate::product::default_reuse;
 use crate::server_lists::{
     ListPublisher, ListRole, ListSubscription, PublishingSink, SubscribedSink, SubscriptionParts,
 };
@@ -148,7 +148,7 @@
                     idle: Duration::from_micros(limits.conn_idle),
                     ..config.connections
                 },
-                reuse: config.reuse.unwrap_or_else(|| usual_reuse(&config.settings)),
+                reuse: config.reuse.unwrap_or_else(|| default_reuse(&config.settings)),
             },
         );
         let how = config.settings.discovery;
@@ -266,7 +266,7 @@
         let longest = Duration::from_micros(settings.longest(|c| c.deadline));
         self.longest_deadline.set(longest.max(self.longest_deadline.get()));
         self.call_limits.set(CallLimits::from(&settings));
-        self.upstream.set_reuse(self.reuse.unwrap_or_else(|| usual_reuse(&settings)));
+        self.upstream.set_reuse(self.reuse.unwrap_or_else(|| default_reuse(&settings)));
         self.driver.retune(settings);
         self.figures.renamed(&names);
         before.push(self.names.replace(names.clone()));
--- a/crates/millethook-engine/src/product.rs
+++ b/crates/millethook-engine/src/product.rs
@@ -45,7 +45,7 @@
 }
 
 /// Puts into the settings what the file says of decisions.
-pub fn retune(product: &Product, settings: &mut Settings) {
+pub fn apply_decision_settings(product: &Product, settings: &mut Settings) {
     if let Some(of) = &product.failover {
         settings.failover =
             Failover { copy_at_aim: of.copy_at_aim, slow_exponent: of.slow_exponent };
@@ -53,7 +53,7 @@
 }
 
 /// What bounds connections to one server; `usual` where the file says nothing.
-pub fn connections(product: &Product, usual: Limits) -> Limits {
+pub fn connection_limits(product: &Product, usual: Limits) -> Limits {
     let given = &product.connections;
     Limits {
         per_server: given.per_server.unwrap_or(usual.per_server),
@@ -64,7 +64,7 @@
 }
 
 /// For how many requests a connection is used, where the file says so.
-pub fn reuse(product: &Product) -> Option<Reuse> {
+pub fn configured_reuse(product: &Product) -> Option<Reuse> {
     product.connections.reuse.map(|given| match given {
         millethook_config::Reuse::Unlimited => Reuse::Unlimited,
         millethook_config::Reuse::Proven => Reuse::Proven,
@@ -73,12 +73,12 @@
 
 /// For how many requests a connection is used, where nothing says so. Proven answers cost a handshake for two requests, so
 /// they are what a deployment gets that puts no price on handshakes; elsewhere answers are compared.
-pub fn usual_reuse(settings: &Settings) -> Reuse {
+pub fn default_reuse(settings: &Settings) -> Reuse {
     if settings.prices.handshake > 0.0 { Reuse::Compared } else { Reuse::Proven }
 }
 
 /// How the view of the fleet is kept, if it is.
-pub fn fleet(product: &Product) -> Option<FleetSettings> {
+pub fn fleet_settings(product: &Product) -> Option<FleetSettings> {
     let of = product.fleet.as_ref()?;
     Some(FleetSettings {
         name: of.name.clone(),
--- a/crates/millethook/src/config.rs
+++ b/crates/millethook/src/config.rs
@@ -180,10 +180,10 @@
         let membership_store =
             product::membership_store_config(&product, &self.name).map_err(OpenError::Config)?;
         self.membership_store = membership_store;
-        self.view = product::fleet(&product);
-        self.connections = product::connections(&product, self.connections);
-        self.reuse = product::reuse(&product).or(self.reuse);
-        product::retune(&product, &mut self.settings);
+        self.view = product::fleet_settings(&product);
+        self.connections = product::connection_limits(&product, self.connections);
+        self.reuse = product::configured_reuse(&product).or(self.reuse);
+        product::apply_decision_settings(&product, &mut self.settings);
         // Another opening of the fleet has to have the same file.
         self.given["product"] = format!("{product:?}").into();
         Ok(self)
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -91,7 +91,7 @@
     let seat = place.as_ref().map(|place| place.seat.clone());
     let Config { peers, peers_all: all, .. } = config;
     let membership_store = product::membership_store_config(&config.product, &config.name)?;
-    let connections = product::connections(&config.product, Limits::default());
+    let connections = product::connection_limits(&config.product, Limits::default());
     let peers = config.peer_listen.map(|listen| PeerConfig { listen, peers, all });
     let sockets = Rc::new(Sockets::new(config.sockets));
     let engine = EngineConfig {
@@ -102,10 +102,10 @@
         known: config.known,
         begins: config.begins,
         connections,
-        reuse: product::reuse(&config.product),
+        reuse: product::configured_reuse(&config.product),
         membership_store: membership_store.map(|settings| (config.name.clone(), settings)),
         peers,
-        fleet: product::fleet(&config.product),
+        fleet: product::fleet_settings(&config.product),
         distribution,
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
--- a/crates/plankvale/src/tuning.rs
+++ b/crates/plankvale/src/tuning.rs
@@ -6,7 +6,7 @@
 use coppercart::settings::Settings;
 use millethook_config::Product;
 use millethook_engine::names::Names;
-use millethook_engine::product::retune;
+use millethook_engine::product::apply_decision_settings;
 use millethook_http::edge::add_classes;
 use serde_json::Value;
 
@@ -49,7 +49,7 @@
         if self.peers > 0 && self.peers != settings.instances as usize {
             return Err("peers: as many as settings.instances expected".into());
         }
-        retune(&self.product, &mut settings);
+        apply_decision_settings(&self.product, &mut settings);
         if let Some(edge) = &self.product.edge {
             add_classes(&edge.classes, &mut settings);
         }
