--- a/crates/millethook-engine/src/distribution/mod.rs
+++ b/crates/millethook-engine/src/distribution/mod.rs
@@ -61,12 +61,12 @@
 
 impl DistributionSettings {
     /// Whether the list of servers is taken from the control nodes.
-    pub fn takes_list(&self) -> bool {
+    pub fn subscribes_to_list(&self) -> bool {
         self.list.as_ref().is_some_and(|list| !list.from_discovery)
     }
 
     /// The list of servers is not taken from the control nodes.
-    pub fn take_no_list(&mut self) {
+    pub fn disable_list(&mut self) {
         self.list = None;
         self.config.lists.clear();
     }
@@ -87,7 +87,7 @@
     offered_lists: OfferedLists,
     control_events: RefCell<VecDeque<ControlEvent>>,
     /// Something for the host.
-    news: Notify,
+    host_events: Notify,
     /// Something to be sent.
     pub(crate) wake: Arc<Notify>,
     stores: Vec<Store>,
@@ -127,7 +127,7 @@
             list,
             offered_lists: OfferedLists::default(),
             control_events: RefCell::default(),
-            news: Notify::new(),
+            host_events: Notify::new(),
             wake: Arc::new(Notify::new()),
             stores: of_subscriber.into_iter().chain(of_control).collect(),
             unsaved: Notify::new(),
@@ -253,7 +253,7 @@
             }
         }
         if news {
-            self.news.notify_one();
+            self.host_events.notify_one();
         }
     }
 
@@ -267,8 +267,8 @@
     }
 
     /// Waits until there is something for the host. It takes all that there is then.
-    pub async fn news(&self) {
-        self.news.notified().await;
+    pub async fn wait_for_events(&self) {
+        self.host_events.notified().await;
     }
 
     /// Documents of configuration that wait for a decision.
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -23,7 +23,7 @@
 use crate::distribution::Distribution;
 use crate::driver::Driver;
 use crate::figures::Figures;
-use crate::fleet::{Fleet, FleetSettings, obstacle};
+use crate::fleet::{Fleet, FleetSettings, unavailable_reason};
 use crate::list::List;
 use crate::membership_store::{MembershipStore, MembershipStoreConfig};
 use crate::names::Names;
@@ -123,8 +123,8 @@
             None => None,
         };
         let fleet = config.fleet.and_then(|of| {
-            if let Some(obstacle) = obstacle(&config.settings, members) {
-                tracing::warn!(event = "fleet_off", "no view of the fleet: {obstacle}");
+            if let Some(reason) = unavailable_reason(&config.settings, members) {
+                tracing::warn!(event = "fleet_off", "no view of the fleet: {reason}");
                 return None;
             }
             let sender = peers.clone()?;
@@ -335,7 +335,7 @@
             let publisher = ListPublisher::start(settings, fleet, distribution);
             let sink = PublishingSink { sink, publisher: publisher.clone() };
             spawn_local(discovery.run(sink, calls));
-            Some(ListRole::Publishes(publisher))
+            Some(ListRole::Publisher(publisher))
         }
         (Some(settings), Some(distribution), Some(fleet), Some(membership_store)) => {
             // Sidecars that share a seed wait differently all the same.
@@ -355,7 +355,7 @@
             let sink = SubscribedSink { sink, subscription: subscription.clone() };
             spawn_local(discovery.run(sink, own_calls));
             spawn_local(subscription.clone().run(calls));
-            Some(ListRole::Takes(subscription))
+            Some(ListRole::Subscriber(subscription))
         }
         _ => {
             spawn_local(discovery.run(sink, calls));
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -92,7 +92,7 @@
 }
 
 /// Why the settings do not allow a view; None: they do.
-pub fn obstacle(settings: &Settings, peers: usize) -> Option<String> {
+pub fn unavailable_reason(settings: &Settings, peers: usize) -> Option<String> {
     if !settings.limits.may_tell {
         return Some("settings.limits.mayTell does not allow it".into());
     }
@@ -105,7 +105,7 @@
 }
 
 impl Fleet {
-    /// Starts the tasks on the present `LocalSet`. [`obstacle`] has to have returned None.
+    /// Starts the tasks on the present `LocalSet`. [`unavailable_reason`] has to have returned None.
     pub fn start(
         settings: &FleetSettings,
         (me, members): (u32, usize),
--- a/crates/millethook-engine/src/server_lists/mod.rs
+++ b/crates/millethook-engine/src/server_lists/mod.rs
@@ -30,7 +30,7 @@
 #[derive(Clone)]
 pub enum ListRole {
     /// It has it from discovery and publishes it.
-    Publishes(Rc<ListPublisher>),
+    Publisher(Rc<ListPublisher>),
     /// It takes it from the control nodes.
-    Takes(Rc<ListSubscription>),
+    Subscriber(Rc<ListSubscription>),
 }
--- a/crates/plankvale/src/distribution/figures.rs
+++ b/crates/plankvale/src/distribution/figures.rs
@@ -50,13 +50,13 @@
 /// Adds the figures of the list of servers that comes by distribution.
 pub fn write_list(lines: &mut Lines, role: &ListRole) {
     match role {
-        ListRole::Publishes(publisher) => {
+        ListRole::Publisher(publisher) => {
             let figures = publisher.figures();
             lines.count("distribution.list.published", figures.published);
             lines.count("distribution.list.confirmed", figures.confirmed);
             lines.count("distribution.list.not_published", figures.not_published);
         }
-        ListRole::Takes(subscription) => {
+        ListRole::Subscriber(subscription) => {
             let figures = subscription.figures();
             let position = figures.position.unwrap_or_default();
             lines.gauge("distribution.list.follows", usize::from(figures.follows));
--- a/crates/plankvale/src/distribution/mod.rs
+++ b/crates/plankvale/src/distribution/mod.rs
@@ -16,7 +16,7 @@
 use millethook_engine::distribution::{
     Distribution, DistributionSettings, Document, DocumentKind, settings,
 };
-use millethook_engine::fleet::obstacle;
+use millethook_engine::fleet::unavailable_reason;
 
 pub use figures::{write as write_figures, write_list as write_list_figures};
 pub use spool::Spool;
@@ -62,18 +62,18 @@
     if config.product.distribution.is_none() {
         return Ok(None);
     }
-    if let Some(obstacle) = obstacle(&config.settings, members) {
-        tracing::warn!(event = "distribution_off", "no documents are taken: {obstacle}");
+    if let Some(reason) = unavailable_reason(&config.settings, members) {
+        tracing::warn!(event = "distribution_off", "no documents are taken: {reason}");
         return Ok(None);
     }
     let mut set_up = settings(&config.product, (config.settings.me, members), config.seed)?;
     let pushed = config.settings.discovery == How::Pushed;
-    if let Some(of) = set_up.as_mut().filter(|of| pushed && of.takes_list()) {
+    if let Some(of) = set_up.as_mut().filter(|of| pushed && of.subscribes_to_list()) {
         tracing::warn!(
             event = "distribution_list_off",
             "distribution.list: no list is taken: settings.discovery is \"pushed\", \"on_request\" expected"
         );
-        of.take_no_list();
+        of.disable_list();
     }
     Ok(set_up)
 }
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/follower.rs
@@ -81,7 +81,7 @@
         loop {
             let news = async {
                 match &distribution {
-                    Some(distribution) => distribution.news().await,
+                    Some(distribution) => distribution.wait_for_events().await,
                     None => std::future::pending().await,
                 }
             };
