--- a/crates/millethook-engine/src/list_clock.rs
+++ b/crates/millethook-engine/src/list_clock.rs
@@ -1,7 +1,8 @@
-//! Whether the list of servers is as new as it can be, where lists are pushed.
+//! Tracks whether the list of servers is current, where lists are pushed.
 //!
-//! What the agent has counts as told, and a watch is always out, so ordinarily a change is here as it happens. A process
-//! that stood still wakes up with requests that came meanwhile, and with a watch that ended before the change.
+//! Everything that the local agent has counts as delivered, and a watch is always pending, so normally a change
+//! arrives as it happens. A process that was suspended wakes up with requests that arrived meanwhile, and with a watch
+//! that ended before the change.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -9,33 +10,35 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// A list that was confirmed so long ago is old: a watch is held for half of that, and what it ends without may count as
-/// told for another half.
-const OLD: Duration = Duration::from_secs(1);
-/// How long a request waits until an old list is confirmed.
-const PATIENCE: Duration = Duration::from_millis(100);
+/// A list that was last confirmed this long ago is stale. A watch is held for half of this time, and a change that it
+/// missed may already count as delivered for the other half.
+const STALE_AFTER: Duration = Duration::from_secs(1);
+/// How long a request waits for the confirmation of a stale list.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// When the list was last confirmed by the agent. Where nobody confirms lists, none is ever old.
+/// The time at which the agent last confirmed the list. Without an agent that confirms lists, none ever gets stale.
 #[derive(Debug, Default)]
 pub struct ListClock {
-    /// None: never, or the agent said nothing when that was waited for.
+    /// None: never confirmed, or the last wait for a confirmation timed out.
     confirmed: Cell<Option<Instant>>,
-    told: Notify,
+    on_confirmed: Notify,
 }
 
 impl ListClock {
-    /// All that the agent has is here.
+    /// Records that this process has everything that the agent has.
     pub fn confirm(&self) {
         self.confirmed.set(Some(Instant::now()));
-        self.told.notify_waiters();
+        self.on_confirmed.notify_waiters();
     }
 
-    /// Waits until an old list is confirmed. An agent that says nothing is waited for once, for 0.1 s: what it has to tell
-    /// cannot be known before it speaks.
+    /// Waits until a stale list is confirmed. If the agent is silent, only one wait of 0.1 s takes place: whether it
+    /// has changes cannot be known before it answers.
     pub async fn wait_until_current(&self) {
-        let told = self.told.notified();
-        let is_old = |confirmed: Instant| confirmed.elapsed() >= OLD;
-        if self.confirmed.get().is_some_and(is_old) && timeout(PATIENCE, told).await.is_err() {
+        let confirmation = self.on_confirmed.notified();
+        let is_stale = |confirmed: Instant| confirmed.elapsed() >= STALE_AFTER;
+        if self.confirmed.get().is_some_and(is_stale)
+            && timeout(CONFIRMATION_TIMEOUT, confirmation).await.is_err()
+        {
             self.confirmed.set(None);
         }
     }
--- a/crates/millethook-engine/src/membership_store.rs
+++ b/crates/millethook-engine/src/membership_store.rs
@@ -1,5 +1,5 @@
-//! Tasks around a [`Membership`]: lists of the sources go into it, what changes goes to the driver, trials are sent,
-//! and the snapshot on disk is read and written.
+//! Runs a [`Membership`]: feeds it the lists of all sources, forwards its updates to the driver, sends trials, and
+//! reads and writes the snapshot on disk.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,32 +18,33 @@
 use crate::sinks::MembershipSink;
 use crate::upstream::{TrialPage, Upstream};
 
-/// How often a list without changes is written again. After a restart the age of its servers counts from the last time.
-const REFRESH: Duration = Duration::from_secs(300);
+/// The snapshot is rewritten after this time even if the list has not changed. After a restart the age of its servers
+/// counts from the last write.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(300);
 
 /// Settings of a [`MembershipStore`].
 #[derive(Clone, Debug)]
 pub struct MembershipStoreConfig {
     /// Settings of the membership.
-    pub weigh: Config,
-    /// The file of the snapshot; None: nothing is written.
+    pub membership: Config,
+    /// The snapshot file; None disables snapshots.
     pub store: Option<Store>,
-    /// The least time between two writes.
+    /// The minimum time between two writes.
     pub write_every: Duration,
-    /// The page that trials of doubtful servers ask for.
-    pub trial: TrialPage,
+    /// The page that trials request from doubtful servers.
+    pub trial_page: TrialPage,
 }
 
-/// Counts of writes of the snapshot.
+/// Counts of snapshot writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Writes {
+pub struct SnapshotWrites {
     /// Writes that succeeded.
     pub done: u64,
-    /// Writes that failed; the old file was kept.
+    /// Writes that failed; the previous file is still there.
     pub failed: u64,
 }
 
-/// The tasks of one membership, between the sources of lists and the driver.
+/// The membership of one fleet with its tasks, between the sources of lists and the driver.
 pub struct MembershipStore {
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
@@ -51,16 +52,16 @@
     fleet: String,
     membership: RefCell<Membership>,
     /// Notified when something may be due earlier than before.
-    woken: Notify,
-    /// Notified when the list is not as it was written.
+    schedule_changed: Notify,
+    /// Notified when the list differs from the written snapshot.
     changed: Notify,
-    writes: Cell<Writes>,
+    writes: Cell<SnapshotWrites>,
     clock: Clock,
 }
 
 impl MembershipStore {
-    /// Starts the tasks for a fleet of this name. The usable servers of the snapshot go to the driver at once, together
-    /// with those of `known`, the list of the platform's configuration.
+    /// Starts the tasks for the fleet with this name. Passes the usable servers of the snapshot to the driver at once,
+    /// together with those of `known`, the list from the platform's configuration.
     pub(crate) fn start(
         driver: Rc<Driver>,
         upstream: Rc<Upstream>,
@@ -70,12 +71,12 @@
         known: Option<&List>,
     ) -> Rc<MembershipStore> {
         let membership_store = Rc::new(MembershipStore {
-            membership: RefCell::new(Membership::new(config.weigh, seed)),
+            membership: RefCell::new(Membership::new(config.membership, seed)),
             driver,
             upstream,
             config,
             fleet: fleet.to_owned(),
-            woken: Notify::new(),
+            schedule_changed: Notify::new(),
             changed: Notify::new(),
             writes: Cell::default(),
             clock: Clock::start(),
@@ -90,7 +91,7 @@
                 .hosts;
         }
         hosts.extend(membership_store.load());
-        // The balancer subscribes after its first list, even if that is empty.
+        // The balancer subscribes to discovery after its first list, even an empty one.
         membership_store.driver.servers(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
         spawn_local(membership_store.clone().run());
         if membership_store.config.store.is_some() {
@@ -99,7 +100,7 @@
         membership_store
     }
 
-    /// Reads the snapshot; its usable servers.
+    /// Reads the snapshot and returns its usable servers.
     fn load(&self) -> Vec<crate::list::Host> {
         let Some(store) = &self.config.store else { return Vec::new() };
         match store.load() {
@@ -115,34 +116,34 @@
                     doubtful = counts.doubtful,
                     dropped = counts.dropped,
                     age_s = now.saturating_sub(written_ms) / 1000,
-                    "a list of servers from before"
+                    "loaded the snapshot of the server list"
                 );
                 usable
             }
             Ok(None) => {
-                tracing::info!(event = "snapshot_missing", path = %store.path().display(), "no list of servers from before");
+                tracing::info!(event = "snapshot_missing", path = %store.path().display(), "no snapshot of the server list found");
                 Vec::new()
             }
             Err(error) => {
-                tracing::error!(event = "snapshot_unusable", %error, "started without the list of servers from before");
+                tracing::error!(event = "snapshot_unusable", %error, "cannot use the snapshot of the server list; starting without it");
                 Vec::new()
             }
         }
     }
 
-    /// Servers by trust, and counts since the start.
+    /// Returns the number of servers by trust, and counts since the start.
     pub fn counts(&self) -> Counts {
         self.membership.borrow().counts()
     }
 
-    /// Counts of writes of the snapshot.
-    pub fn writes(&self) -> Writes {
+    /// Returns the counts of snapshot writes.
+    pub fn writes(&self) -> SnapshotWrites {
         self.writes.get()
     }
 
-    /// Hands an update to the driver, unless it is empty.
-    fn tell(&self, update: Update) {
-        self.woken.notify_one();
+    /// Passes an update to the driver, unless it is empty.
+    fn forward_update(&self, update: Update) {
+        self.schedule_changed.notify_one();
         if update.is_empty() {
             return;
         }
@@ -165,41 +166,41 @@
             };
             tokio::select! {
                 () = wait => {}
-                () = self.woken.notified() => continue,
+                () = self.schedule_changed.notified() => continue,
             }
             let now = self.clock.now();
-            let held = self.membership.borrow_mut().on_time(now);
-            if let Some(update) = held {
+            let accepted = self.membership.borrow_mut().on_time(now);
+            if let Some(update) = accepted {
                 tracing::warn!(
                     event = "suspect_list_taken",
                     listed = update.hosts.len(),
-                    "nobody took the short list back: it holds from now on"
+                    "no source corrected the short server list within the hold time; applying it"
                 );
-                self.tell(update);
+                self.forward_update(update);
             }
             let trial = self.membership.borrow_mut().poll_trial(now);
             match trial {
-                Some(trial) => drop(spawn_local(self.clone().try_out(trial))),
-                // The wall clock and the timer's clock may differ by a little; this wait prevents a busy loop.
+                Some(trial) => drop(spawn_local(self.clone().run_trial(trial))),
+                // The wall clock and the timer's clock may differ slightly; this wait prevents a busy loop.
                 None => sleep(Duration::from_millis(1)).await,
             }
         }
     }
 
-    /// Sends one trial and hands its outcome to the membership.
-    async fn try_out(self: Rc<MembershipStore>, trial: Trial) {
-        let outcome = self.upstream.identify(&trial.host, &self.config.trial).await;
+    /// Sends one trial and passes its outcome to the membership.
+    async fn run_trial(self: Rc<MembershipStore>, trial: Trial) {
+        let outcome = self.upstream.identify(&trial.host, &self.config.trial_page).await;
         let name = &trial.host.host;
-        tracing::info!(event = "server_tried", server = %name, ?outcome, "a server of the old list");
+        tracing::info!(event = "server_tried", server = %name, ?outcome, "trial of a remembered server ended");
         let update = self.membership.borrow_mut().trial_ended(self.clock.now(), name, outcome);
-        self.tell(update);
+        self.forward_update(update);
     }
 
-    /// Writes the snapshot after changes, at most every `write_every`, and after [`REFRESH`] also without one.
+    /// Writes the snapshot after changes, at most once per `write_every`, and after [`REFRESH_INTERVAL`] without one.
     async fn write(self: Rc<MembershipStore>) {
         let mut next = Instant::now();
         loop {
-            let refresh = Instant::now() + REFRESH;
+            let refresh = Instant::now() + REFRESH_INTERVAL;
             let _ = timeout_at(refresh, self.changed.notified()).await;
             sleep_until(next).await;
             self.save().await;
@@ -207,12 +208,13 @@
         }
     }
 
-    /// Writes the snapshot now, on a thread that may block. Nothing is written if there are no servers.
+    /// Writes the snapshot now, on a blocking thread. Writes nothing if the list is empty.
     pub async fn save(&self) {
         let Some(store) = self.config.store.clone() else { return };
         let mut snapshot = self.membership.borrow().snapshot(&self.fleet, self.clock.now());
-        self.clock.to_wall(wall_ms(), &mut snapshot);
-        // Without this, a process that never had a list would remove the servers that the next one could start with.
+        self.clock.convert_to_wall_clock(wall_clock_ms(), &mut snapshot);
+        // Without this check a process that never had a list would overwrite the servers that the next process could
+        // start with.
         if snapshot.servers.is_empty() {
             return;
         }
@@ -223,14 +225,18 @@
         match saved {
             Ok(Ok(())) => {
                 writes.done += 1;
-                tracing::debug!(event = "snapshot_written", servers, "the list of servers is kept");
+                tracing::debug!(
+                    event = "snapshot_written",
+                    servers,
+                    "wrote the snapshot of the server list"
+                );
             }
             Ok(Err(error)) => {
                 writes.failed += 1;
-                // Not each of many failures in a row is logged: a full disk stays full.
+                // Logs only some of many failures: a full disk makes every write fail.
                 if writes.failed.is_power_of_two() {
                     let failed = writes.failed;
-                    tracing::error!(event = "snapshot_not_written", %error, failed, "the list of servers is not kept");
+                    tracing::error!(event = "snapshot_not_written", %error, failed, "cannot write the snapshot of the server list");
                 }
             }
             Err(_) => writes.failed += 1,
@@ -259,12 +265,12 @@
 }
 
 impl MembershipStore {
-    /// The source of lists is silent: their age counts from now on.
+    /// Records that the source of lists is silent: the age of the list counts from now on.
     pub(crate) fn source_lost(&self) {
         self.membership.borrow_mut().source_lost(self.clock.now());
     }
 
-    /// Applies a list, or changes of one, from a live source.
+    /// Applies a list, or changes to one, from a live source.
     pub(crate) fn apply_list(&self, source: Source, list: &List) {
         let held = self.counts().held;
         let update = self.membership.borrow_mut().apply_list(self.clock.now(), source, list);
@@ -274,17 +280,17 @@
                 event = "suspect_list_held",
                 listed = list.hosts.len(),
                 believed = counts.live + counts.remembered,
-                "the list is far shorter than what is known: held for a while"
+                "the new list is far shorter than the known one; holding it back for now"
             );
         }
-        self.tell(update);
+        self.forward_update(update);
     }
 }
 
-/// Unix time: the wall clock at the start, advanced by the monotonic clock.
+/// Unix time that starts at the wall clock and advances with the monotonic clock.
 ///
-/// With the wall clock alone, a clock that is set back by a month would delay trials, and the end of a suspect list, by
-/// a month.
+/// With the wall clock alone, setting the clock back by a month would delay trials, and the end of the hold on a
+/// suspect list, by a month.
 #[derive(Debug)]
 struct Clock {
     start_ms: UnixMs,
@@ -293,27 +299,27 @@
 
 impl Clock {
     fn start() -> Clock {
-        Clock { start_ms: wall_ms(), start: Instant::now() }
+        Clock { start_ms: wall_clock_ms(), start: Instant::now() }
     }
 
     fn now(&self) -> UnixMs {
         self.start_ms + self.start.elapsed().as_millis() as UnixMs
     }
 
-    /// Converts times of this clock to those of the wall clock, which shows `wall` now, because the next process
-    /// compares them with the wall clock. Times before the start of this process are kept.
-    fn to_wall(&self, wall: UnixMs, snapshot: &mut Snapshot) {
+    /// Converts times of this clock to wall-clock times, where `wall` is the wall clock now, because the next process
+    /// compares them with its wall clock. Leaves times before the start of this process as they are.
+    fn convert_to_wall_clock(&self, wall: UnixMs, snapshot: &mut Snapshot) {
         let now = self.now();
-        let moved = |at: UnixMs| wall.saturating_sub(now.saturating_sub(at));
+        let to_wall_clock = |at: UnixMs| wall.saturating_sub(now.saturating_sub(at));
         for server in snapshot.servers.iter_mut().filter(|s| s.confirmed_ms >= self.start_ms) {
-            server.confirmed_ms = moved(server.confirmed_ms);
+            server.confirmed_ms = to_wall_clock(server.confirmed_ms);
         }
         snapshot.written_ms = wall;
     }
 }
 
-/// The wall clock; 0 if it shows a time before 1970.
-fn wall_ms() -> UnixMs {
+/// Returns the wall clock; 0 if it shows a time before 1970.
+fn wall_clock_ms() -> UnixMs {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as UnixMs
 }
 
--- a/crates/millethook-engine/src/membership_store/tests.rs
+++ b/crates/millethook-engine/src/membership_store/tests.rs
@@ -1,13 +1,13 @@
-//! Times in the snapshot.
+//! Tests of the times in the snapshot.
 
 use millethook_membership::History;
 use millethook_membership::snapshot::Remembered;
 
 use super::*;
 
-/// The wall clock was set while the process ran: ages in the file are true by the new one.
+/// The wall clock was set while the process ran: the times in the file have to be correct by the new setting.
 #[test]
-fn a_snapshot_is_written_by_the_wall_clock_as_it_is_set() {
+fn snapshot_times_follow_a_wall_clock_that_was_set() {
     const MONTH: u64 = 30 * 86_400_000;
     let clock = Clock { start_ms: 10 * MONTH, start: Instant::now() };
     let host = || crate::list::Host {
@@ -31,7 +31,7 @@
             history: History::default(),
             servers: servers.to_vec(),
         };
-        clock.to_wall(wall, &mut snapshot);
+        clock.convert_to_wall_clock(wall, &mut snapshot);
         assert_eq!((snapshot.written_ms, snapshot.servers[0].confirmed_ms), (wall, before));
         let age = wall - snapshot.servers[1].confirmed_ms;
         assert!(age <= clock.now() - 10 * MONTH, "{age} ms");
--- a/crates/millethook-engine/src/peers.rs
+++ b/crates/millethook-engine/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between sidecars of the tier.
+//! Sends and receives datagrams between the sidecars of a tier.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,14 +10,14 @@
 
 use crate::sinks::PeerSender;
 
-/// The longest datagram.
-const LONGEST: usize = 256;
-/// After an error.
-const PAUSE: Duration = Duration::from_millis(1);
-/// The peer that stands for all of them.
+/// The maximum size of a datagram.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// The wait after a failed receive.
+const ERROR_BACKOFF: Duration = Duration::from_millis(1);
+/// The peer number that addresses all sidecars.
 const EVERYONE: u32 = u32::MAX;
 
-/// The way to the other sidecars.
+/// Sends datagrams to the other sidecars and receives theirs.
 pub struct Peers {
     socket: UdpSocket,
     addresses: RefCell<Addresses>,
@@ -26,7 +26,7 @@
 
 struct Addresses {
     peers: Vec<SocketAddr>,
-    /// The number of each peer's address.
+    /// The peer number by address.
     numbers: HashMap<SocketAddr, u32>,
     everyone: Option<SocketAddr>,
 }
@@ -35,7 +35,7 @@
     fn new(peers: Vec<SocketAddr>, everyone: Option<SocketAddr>) -> Addresses {
         let mut numbers = HashMap::with_capacity(peers.len());
         for (number, address) in (0..).zip(&peers) {
-            // Of an address that stands there twice the first number counts.
+            // An address that is listed twice gets its first number.
             numbers.entry(*address).or_insert(number);
         }
         Addresses { peers, numbers, everyone }
@@ -48,14 +48,15 @@
             EVERYONE => self.addresses.borrow().everyone,
             n => self.addresses.borrow().peers.get(n as usize).copied(),
         };
-        if let (Some(to), true) = (to, data.len() <= LONGEST) {
+        if let (Some(to), true) = (to, data.len() <= MAX_DATAGRAM_BYTES) {
             let _ = self.socket.try_send_to(data, to);
         }
     }
 }
 
 impl Peers {
-    /// `socket` is bound to where datagrams arrive.
+    /// Creates the sender and receiver of datagrams on a bound socket; `everyone` is the address that reaches all
+    /// peers.
     pub fn new(
         socket: UdpSocket,
         peers: Vec<SocketAddr>,
@@ -65,30 +66,30 @@
         Rc::new(Peers { socket, addresses, discarded: Cell::new(0) })
     }
 
-    /// The other sidecars are elsewhere from now on.
+    /// Replaces the addresses of the other sidecars.
     pub fn set_addresses(&self, peers: Vec<SocketAddr>, everyone: Option<SocketAddr>) {
         self.addresses.replace(Addresses::new(peers, everyone));
     }
 
-    /// Datagrams that were passed over: not from a peer's address, or too long.
+    /// Returns how many datagrams were discarded: not from a peer's address, or too long.
     pub fn discarded(&self) -> u64 {
         self.discarded.get()
     }
 
-    /// Takes in datagrams, and gives them to `take` with the number of the peer. Those of strangers and those that
-    /// are too long are passed over.
-    pub async fn receive(self: Rc<Peers>, take: impl Fn(u32, &[u8])) {
-        let mut buf = [0; LONGEST + 1];
+    /// Receives datagrams and passes them to `handle` with the number of the sender. Discards those from unknown
+    /// addresses and those that are too long.
+    pub async fn receive(self: Rc<Peers>, handle: impl Fn(u32, &[u8])) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            // An error tells of a datagram that was sent, and that no reader waited for. Danger: an
-            // error that stays would keep this loop, and with it all else, busy for ever.
-            let Ok((n, from)) = self.socket.recv_from(&mut buf).await else {
-                tokio::time::sleep(PAUSE).await;
+            // An error reports that an earlier datagram found no receiver. Without the wait a permanent error would
+            // make this a busy loop that blocks all other tasks of the thread.
+            let Ok((n, from)) = self.socket.recv_from(&mut buffer).await else {
+                tokio::time::sleep(ERROR_BACKOFF).await;
                 continue;
             };
             let peer = self.addresses.borrow().numbers.get(&from).copied();
-            match peer.filter(|_| n <= LONGEST) {
-                Some(peer) => take(peer, &buf[..n]),
+            match peer.filter(|_| n <= MAX_DATAGRAM_BYTES) {
+                Some(peer) => handle(peer, &buffer[..n]),
                 None => self.discarded.set(self.discarded.get() + 1),
             }
         }
--- a/crates/millethook-engine/src/product.rs
+++ b/crates/millethook-engine/src/product.rs
@@ -1,4 +1,5 @@
-//! What the product's file says, in the engine's terms. Daemon and library read it by the same functions.
+//! Converts the product's configuration file into the engine's settings. The daemon and the library share these
+//! functions.
 
 use coppercart::settings::{Failover, Settings};
 use http::{HeaderName, Uri};
@@ -11,86 +12,88 @@
 use crate::membership_store::MembershipStoreConfig;
 use crate::upstream::TrialPage;
 
-/// How the list of servers is kept, if it is.
+/// Returns the settings of the membership store, if the file has a membership section.
 ///
 /// # Errors
-/// Names the key that makes no sense on a connection.
+/// Names the key whose value is no valid path or header name.
 pub fn membership_store_config(
     product: &Product,
     name: &str,
 ) -> Result<Option<MembershipStoreConfig>, String> {
-    let Some(of) = &product.membership else { return Ok(None) };
-    let path: Uri = of.trial_page.parse().map_err(|e| format!("membership.trial_page: {e}"))?;
+    let Some(section) = &product.membership else { return Ok(None) };
+    let path: Uri =
+        section.trial_page.parse().map_err(|e| format!("membership.trial_page: {e}"))?;
     let header = |name: &String| HeaderName::from_bytes(name.as_bytes());
-    let identity = of.identity_header.as_ref().map(header).transpose();
+    let identity = section.identity_header.as_ref().map(header).transpose();
     let identity = identity.map_err(|e| format!("membership.identity_header: {e}"))?;
     Ok(Some(MembershipStoreConfig {
-        weigh: weigh(of),
-        store: of.snapshot.as_ref().map(|path| Store::new(path, name)),
-        write_every: of.write_every,
-        trial: TrialPage { path, identity },
+        membership: membership_config(section),
+        store: section.snapshot.as_ref().map(|path| Store::new(path, name)),
+        write_every: section.write_every,
+        trial_page: TrialPage { path, identity },
     }))
 }
 
-fn weigh(of: &Membership) -> millethook_membership::Config {
+fn membership_config(section: &Membership) -> millethook_membership::Config {
     millethook_membership::Config {
-        usable_above: of.usable_above,
-        dropped_below: of.dropped_below,
-        trials_per_second: of.trials_per_second,
-        trials_at_once: of.trials_at_once,
-        spread_ms: of.trial_spread.as_millis() as u64,
-        suspect_share: of.suspect_share,
-        suspect_hold_ms: of.suspect_hold.as_millis() as u64,
+        usable_above: section.usable_above,
+        dropped_below: section.dropped_below,
+        trials_per_second: section.trials_per_second,
+        trials_at_once: section.trials_at_once,
+        spread_ms: section.trial_spread.as_millis() as u64,
+        suspect_share: section.suspect_share,
+        suspect_hold_ms: section.suspect_hold.as_millis() as u64,
     }
 }
 
-/// Puts into the settings what the file says of decisions.
+/// Applies the file's settings of decisions to `settings`.
 pub fn apply_decision_settings(product: &Product, settings: &mut Settings) {
-    if let Some(of) = &product.failover {
+    if let Some(section) = &product.failover {
         settings.failover =
-            Failover { copy_at_aim: of.copy_at_aim, slow_exponent: of.slow_exponent };
+            Failover { copy_at_aim: section.copy_at_aim, slow_exponent: section.slow_exponent };
     }
 }
 
-/// What bounds connections to one server; `usual` where the file says nothing.
-pub fn connection_limits(product: &Product, usual: Limits) -> Limits {
-    let given = &product.connections;
+/// Returns the limits on connections to one server; `defaults` where the file sets none.
+pub fn connection_limits(product: &Product, defaults: Limits) -> Limits {
+    let configured = &product.connections;
     Limits {
-        per_server: given.per_server.unwrap_or(usual.per_server),
-        opening: given.opening.unwrap_or(usual.opening),
-        spare: given.spare.unwrap_or(usual.spare),
-        ..usual
+        per_server: configured.per_server.unwrap_or(defaults.per_server),
+        opening: configured.opening.unwrap_or(defaults.opening),
+        spare: configured.spare.unwrap_or(defaults.spare),
+        ..defaults
     }
 }
 
-/// For how many requests a connection is used, where the file says so.
+/// Returns for how many requests a connection is reused, where the file sets it.
 pub fn configured_reuse(product: &Product) -> Option<Reuse> {
-    product.connections.reuse.map(|given| match given {
+    product.connections.reuse.map(|configured| match configured {
         millethook_config::Reuse::Unlimited => Reuse::Unlimited,
         millethook_config::Reuse::Proven => Reuse::Proven,
     })
 }
 
-/// For how many requests a connection is used, where nothing says so. Proven answers cost a handshake for two requests, so
-/// they are what a deployment gets that puts no price on handshakes; elsewhere answers are compared.
+/// Returns for how many requests a connection is reused where the file does not set it. Proving answers costs one
+/// handshake for two requests, so it is the default only where the settings put no price on handshakes; elsewhere
+/// answers are compared.
 pub fn default_reuse(settings: &Settings) -> Reuse {
     if settings.prices.handshake > 0.0 { Reuse::Compared } else { Reuse::Proven }
 }
 
-/// How the view of the fleet is kept, if it is.
+/// Returns the settings of the fleet, if the file has a fleet section.
 pub fn fleet_settings(product: &Product) -> Option<FleetSettings> {
-    let of = product.fleet.as_ref()?;
+    let section = product.fleet.as_ref()?;
     Some(FleetSettings {
-        name: of.name.clone(),
-        period: of.period,
-        bytes_per_second: of.bytes_per_second,
-        share_evidence: of.share_evidence,
-        lease: product.lease.as_ref().map(|of| LeaseSettings {
-            seats: of.seats,
-            longest: of.longest,
-            drift: of.drift,
-            change: of.change,
-            dead_servers: of.dead_servers,
+        name: section.name.clone(),
+        period: section.period,
+        bytes_per_second: section.bytes_per_second,
+        share_evidence: section.share_evidence,
+        lease: product.lease.as_ref().map(|lease| LeaseSettings {
+            seats: lease.seats,
+            longest: lease.longest,
+            drift: lease.drift,
+            change: lease.change,
+            dead_servers: lease.dead_servers,
         }),
     })
 }
--- a/crates/millethook-engine/src/sinks.rs
+++ b/crates/millethook-engine/src/sinks.rs
@@ -1,17 +1,17 @@
-//! What the engine's sources and the engine tell one another, so that neither has to know the
-//! other: discovery and peers bring news, and datagrams go out by whatever carries them.
+//! Traits between the engine and its sources, so that neither depends on the other: sinks for lists of servers,
+//! messages of peers and verdicts, and a sender of datagrams.
 
 use coppercart::api::{ListKind, ServerId, Standing};
 
 use crate::list::List;
 
-/// Whoever wants to hear of servers and other sidecars.
+/// Receives lists of servers and messages of other sidecars.
 pub trait MembershipSink {
-    /// A list of servers, or what changed in it.
+    /// Applies a list of servers, or changes to it.
     fn update_servers(&self, kind: ListKind, list: &List);
-    /// A call of discovery failed, or the subscription broke.
+    /// Records that a discovery request failed or the subscription broke.
     fn discovery_failed(&self);
-    /// A datagram of another sidecar, by its number.
+    /// Handles a datagram from the sidecar with the number `from`.
     fn handle_message(&self, from: u32, data: &[u8]);
 }
 
@@ -29,14 +29,14 @@
     }
 }
 
-/// What carries datagrams to other sidecars.
+/// Sends datagrams to other sidecars.
 pub trait PeerSender {
-    /// Sends a datagram to a sidecar by its number, or to all; it may be lost, like any.
+    /// Sends a datagram to the sidecar with the number `peer`, or to all of them. It may be lost.
     fn send(&self, peer: u32, data: &[u8]);
 }
 
-/// Whoever wants to hear what the fleet makes of servers.
+/// Receives the fleet's verdicts on servers.
 pub trait VerdictSink {
-    /// A server stands otherwise than before.
-    fn apply_verdict(&self, server: ServerId, standing: Standing);
+    /// Applies a changed verdict on a server.
+    fn apply_verdict(&self, server: ServerId, verdict: Standing);
 }
