--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -1,5 +1,5 @@
-//! Connects the driver with the replica of [`millethook_replica`]: outcomes of attempts and lists go in, changes of the
-//! standings of servers come out.
+//! Connects the driver with the replica of [`millethook_replica`]: takes outcomes of attempts and lists of servers, and
+//! reports changed verdicts on servers.
 
 use std::cell::{Cell, RefCell};
 
@@ -12,22 +12,22 @@
 
 use crate::sinks::VerdictSink;
 
-/// So many present members after one that has joined send it their shared entries, each a part.
-const WELCOMING: usize = 3;
+/// The number of present members that each send a joined member a part of the shared entries.
+const STATE_SENDERS: usize = 3;
 
-/// The replica of this process, and the receiver of standings.
+/// The replica of this process, and the receiver of verdicts.
 pub(crate) struct Evidence {
     replica: RefCell<Replica>,
-    /// Whether reports on servers are shared; if not, only entries of jobs and stores are.
-    shares: bool,
-    /// Counts the entries that were written about own jobs.
-    said: Cell<u16>,
+    /// Whether evidence about servers is shared; if not, only entries of jobs and stores are.
+    shares_evidence: bool,
+    /// Counts the entries that were published about own jobs.
+    job_entries: Cell<u16>,
     sink: RefCell<Option<Box<dyn VerdictSink>>>,
 }
 
-/// A standing in the balancer's terms.
-fn told(standing: Standing) -> coppercart::api::Standing {
-    match standing {
+/// Converts a verdict of the replica to the balancer's type.
+fn to_server_verdict(verdict: Standing) -> coppercart::api::Standing {
+    match verdict {
         Standing::Trusted => coppercart::api::Standing::Trusted,
         Standing::Suspected => coppercart::api::Standing::Doubted,
         Standing::Leaving => coppercart::api::Standing::Leaving,
@@ -35,13 +35,13 @@
 }
 
 impl Evidence {
-    /// An empty replica. `shares`: reports on servers are shared.
-    pub fn new(config: ReplicaConfig, shares: bool, now: Micros) -> Evidence {
-        let (replica, said) = (RefCell::new(Replica::new(config, now)), Cell::new(0));
-        Evidence { replica, shares, said, sink: RefCell::default() }
+    /// Creates an empty replica. `shares_evidence`: whether evidence about servers is shared.
+    pub fn new(config: ReplicaConfig, shares_evidence: bool, now: Micros) -> Evidence {
+        let (replica, job_entries) = (RefCell::new(Replica::new(config, now)), Cell::new(0));
+        Evidence { replica, shares_evidence, job_entries, sink: RefCell::default() }
     }
 
-    /// The token of a job's owner as that has published it, and the age of this entry in microseconds.
+    /// Returns the token that the owner of a job has published, and the age of that entry in microseconds.
     pub fn job(&self, now: Micros, job: JobId) -> Option<(Token, Micros)> {
         let entry = self.replica.borrow().get(now, Key::Job { job: job.0 })?;
         match entry.value {
@@ -50,24 +50,24 @@
         }
     }
 
-    /// Publishes that this process owns a job, or still does.
-    pub fn say_job(&self, now: Micros, job: JobId, token: Token) {
-        let said = self.said.get().wrapping_add(1);
-        self.said.set(said);
+    /// Publishes that this process owns a job, or still owns it.
+    pub fn publish_job(&self, now: Micros, job: JobId, token: Token) {
+        let counter = self.job_entries.get().wrapping_add(1);
+        self.job_entries.set(counter);
         self.replica.borrow_mut().publish_owned(
             now,
             Key::Job { job: job.0 },
-            EntryValue::Job { token, said },
+            EntryValue::Job { token, said: counter },
         );
     }
 
-    /// Publishes how far a store of kept writes has been replayed. False: a higher token is known, and nothing was
-    /// published.
+    /// Publishes how far a store of buffered writes has been replayed. Returns false, and publishes nothing, if a
+    /// higher token is known.
     pub fn publish_edge(&self, now: Micros, edge: u64, value: EntryValue) -> bool {
         self.replica.borrow_mut().publish_owned(now, Key::Edge { edge }, value)
     }
 
-    /// The latest entry of a store, and its age in microseconds.
+    /// Returns the latest entry of a store, and its age in microseconds.
     pub fn edge(&self, now: Micros, edge: u64) -> Option<(EntryValue, Micros)> {
         let entry = self.replica.borrow().get(now, Key::Edge { edge })?;
         Some((entry.value, entry.age))
@@ -78,44 +78,44 @@
         self.replica.borrow_mut().query_edge(now, member, edge);
     }
 
-    /// Reports a standing to the sink that is not the replica's own. No `RefCell` may be borrowed by the caller, because
-    /// the balancer acts on it at once.
-    pub fn report(&self, server: ServerId, standing: coppercart::api::Standing) {
+    /// Reports a verdict to the sink that is not the replica's own. The caller must not hold a borrow of a `RefCell`,
+    /// because the balancer acts on the verdict at once.
+    pub fn report(&self, server: ServerId, verdict: coppercart::api::Standing) {
         if let Some(sink) = self.sink.borrow().as_deref() {
-            sink.apply_verdict(server, standing);
+            sink.apply_verdict(server, verdict);
         }
     }
 
-    /// Sets the receiver of standings.
-    pub fn tell_to(&self, sink: Box<dyn VerdictSink>) {
+    /// Sets the receiver of verdicts.
+    pub fn set_sink(&self, sink: Box<dyn VerdictSink>) {
         *self.sink.borrow_mut() = Some(sink);
     }
 
-    /// Takes a message of a member.
+    /// Handles a message of a member.
     pub fn handle(&self, now: Micros, from: u16, content: &[u8]) {
-        // The replica counts what is malformed.
+        // The replica counts malformed messages.
         let _ = self.replica.borrow_mut().handle(now, from, content);
     }
 
-    /// A member has joined or has come back: it is sent a part of the shared entries, if this process is one of those
-    /// that do so.
+    /// Sends a part of the shared entries to a member that has joined or returned, if this process is one of the
+    /// senders.
     pub fn on_joined(&self, now: Micros, number: u16, view: &View) {
-        if let Some(part) = view.place_after(number, WELCOMING) {
-            self.replica.borrow_mut().send_state(now, number, part, WELCOMING);
+        if let Some(part) = view.place_after(number, STATE_SENDERS) {
+            self.replica.borrow_mut().send_state(now, number, part, STATE_SENDERS);
         }
     }
 
-    /// Runs the replica and hands its messages to `send`. Returns when it has to be called next.
+    /// Runs the replica and passes its messages to `send`. Returns the time of the next call.
     pub fn pump(
         &self,
         now: Micros,
         view: &mut View,
-        short: bool,
+        congested: bool,
         mut send: impl FnMut(u16, Vec<u8>),
     ) -> Micros {
         let mut replica = self.replica.borrow_mut();
         replica.set_epoch(view.epoch());
-        replica.set_congested(short);
+        replica.set_congested(congested);
         if replica.poll_timeout() <= now {
             replica.tick(now);
         }
@@ -127,28 +127,28 @@
         replica.poll_timeout()
     }
 
-    /// Reports all changes of standings to the sink and to `also`. No `RefCell` may be borrowed by the caller, because
-    /// the balancer acts on them at once.
-    pub fn tell(&self, also: impl Fn(ServerId, coppercart::api::Standing)) {
+    /// Reports all changed verdicts to the sink and to `observer`. The caller must not hold a borrow of a `RefCell`,
+    /// because the balancer acts on the verdicts at once.
+    pub fn report_changes(&self, observer: impl Fn(ServerId, coppercart::api::Standing)) {
         let sink = self.sink.borrow();
         loop {
             let event = self.replica.borrow_mut().poll_event();
             let Some(event) = event else { return };
-            also(ServerId(event.server), told(event.standing));
+            observer(ServerId(event.server), to_server_verdict(event.standing));
             if let Some(sink) = sink.as_deref() {
-                sink.apply_verdict(ServerId(event.server), told(event.standing));
+                sink.apply_verdict(ServerId(event.server), to_server_verdict(event.standing));
             }
         }
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub fn on_attempt_sent(&self, now: Micros, server: ServerId) {
-        if self.shares {
+        if self.shares_evidence {
             self.replica.borrow_mut().on_attempt_sent(now, server.0);
         }
     }
 
-    /// An attempt has ended `latency` microseconds after it was sent.
+    /// Records that an attempt has ended `latency` microseconds after it was sent.
     pub fn on_attempt_ended(
         &self,
         now: Micros,
@@ -156,10 +156,10 @@
         outcome: Outcome,
         latency: Micros,
     ) {
-        if !self.shares {
+        if !self.shares_evidence {
             return;
         }
-        let seen = match outcome {
+        let observed = match outcome {
             Outcome::Served | Outcome::Full => ObservedOutcome::Answered,
             Outcome::Error => ObservedOutcome::Error,
             Outcome::TimedOut => ObservedOutcome::TimedOut,
@@ -171,14 +171,14 @@
             now,
             server.0,
             now.saturating_sub(latency),
-            seen,
+            observed,
         );
     }
 
-    /// Entries of the own list, or changes of it.
+    /// Records entries of the own list, or changes to it.
     pub fn on_listed(&self, now: Micros, entries: &[ServerEntry]) {
         let mut replica = self.replica.borrow_mut();
-        for entry in entries.iter().filter(|_| self.shares) {
+        for entry in entries.iter().filter(|_| self.shares_evidence) {
             let (server, epoch) = (entry.id.0, entry.started / 1_000);
             match entry.health {
                 Health::Ready => replica.listed(now, server, epoch),
@@ -191,23 +191,23 @@
         }
     }
 
-    /// The own list does not have these servers any more.
+    /// Records that the own list no longer has these servers.
     pub fn on_unlisted(&self, servers: &[ServerId]) {
         let mut replica = self.replica.borrow_mut();
         servers.iter().for_each(|server| replica.unlisted(server.0));
     }
 
-    /// The standing of a server.
-    pub fn standing(&self, server: ServerId) -> coppercart::api::Standing {
-        told(self.replica.borrow().standing(server.0))
+    /// Returns the verdict on a server.
+    pub fn verdict(&self, server: ServerId) -> coppercart::api::Standing {
+        to_server_verdict(self.replica.borrow().standing(server.0))
     }
 
-    /// Counts of the replica.
+    /// Returns the counts of the replica.
     pub fn figures(&self) -> Figures {
         self.replica.borrow().figures()
     }
 
-    /// A hash that is equal for all members that hold the same shared entries.
+    /// Returns a hash that is equal at all members that hold the same shared entries.
     pub fn hash(&self, now: Micros) -> u32 {
         self.replica.borrow().hash(now)
     }
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Connects the state machines between sidecars (view, replica, leases, documents) with clock and sockets, and shares
-//! one budget of bytes among their messages.
+//! Drives the state machines that communicate between sidecars (view, replica, leases, documents) with the clock and
+//! sockets, and shares one byte budget among their messages.
 
 mod figures;
 mod jobs;
@@ -27,52 +27,52 @@
 use crate::trials::Turn;
 use log_budget::LogBudget;
 
-/// The number of the view's messages in frames.
+/// Messages of the view.
 pub const VIEW: Kind = Kind { number: 1, weight: 4 };
-/// The number of what is told of servers.
+/// Messages of the replica: evidence about servers, and entries of jobs and stores.
 const EVIDENCE: Kind = Kind { number: 2, weight: 2 };
-/// The number of what is said about leases. They go before the others. Danger: after many members have changed the others use
-/// up the budget of every seat for minutes. Answers to claims wait behind them then, rounds end before these have come, and
-/// a job that many want, such as the writer's, goes without an owner. What it could cost: claims that cannot succeed, in
-/// the small part of a fleet that is cut off, hold up the view; three of four are put off while the budget is short.
+/// Messages of leases. Their weight puts them ahead of the others: after many members have changed, the other kinds
+/// use up the budget of every seat for minutes. With a low weight, answers to claims wait behind them, rounds end
+/// before the answers arrive, and a job with many candidates, such as the writer's, has no owner. The cost: in a small
+/// partition, claims that cannot succeed delay the view; leases defer three of four of them while the budget is short.
 pub const LEASE: Kind = Kind { number: 3, weight: 1024 };
-/// The number of what is said about documents.
+/// Messages about documents.
 const DISTRIBUTION: Kind = Kind { number: 4, weight: 4 };
-/// The kinds of messages that share the budget.
+/// Returns the kinds of messages that share the budget.
 pub fn message_kinds() -> Vec<Kind> {
     vec![VIEW, EVIDENCE, LEASE, DISTRIBUTION]
 }
 
-/// Bytes that may go out at once, in seconds of the budget.
+/// The burst that the budget allows, in seconds of its rate.
 const BURST_S: u32 = 2;
 
-/// Settings of the fleet.
+/// Settings of a [`Fleet`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
     /// The name of the fleet. Datagrams of other fleets are dropped.
     pub name: String,
-    /// Time between two probes.
+    /// The time between two probes.
     pub period: Duration,
-    /// Bytes a second that this process may send to others.
+    /// The bytes per second that this process may send to other members.
     pub bytes_per_second: u32,
-    /// Whether sidecars share reports on servers: failures, and departures.
+    /// Whether sidecars share evidence about servers: failures and departures.
     pub share_evidence: bool,
-    /// Settings of leases; None: there are none.
+    /// Settings of leases; None disables leases.
     pub lease: Option<LeaseSettings>,
 }
 
 /// Counts of datagrams that were dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// No valid frame, or one of another version.
+    /// The datagram is no valid frame, or one of another version.
     pub unreadable: u64,
-    /// A frame of another fleet.
+    /// The frame belongs to another fleet.
     pub foreign: u64,
-    /// A frame from the address of one peer that names another as its sender.
+    /// The frame came from the address of one peer and names another as its sender.
     pub misnamed: u64,
 }
 
-/// The state machines of one process, with their channel.
+/// The state machines of one process, with the channel that they share.
 pub struct Fleet {
     name: String,
     id: u32,
@@ -81,17 +81,17 @@
     channel: RefCell<Channel>,
     evidence: Option<Evidence>,
     leases: Option<Leases>,
-    /// Documents for sidecars, where there are any.
+    /// The distribution of documents, if it is enabled.
     pub distribution: Option<Rc<Distribution>>,
-    /// What is to be done about suspected servers.
+    /// Pending actions on suspected servers.
     turns: RefCell<Vec<Turn>>,
     peers: Rc<dyn PeerSender>,
     wake: Arc<Notify>,
     dropped: Cell<Dropped>,
-    log: RefCell<LogBudget>,
+    log_budget: RefCell<LogBudget>,
 }
 
-/// Why the settings do not allow a view; None: they do.
+/// Returns why the settings rule out a fleet view; None if they allow one.
 pub fn unavailable_reason(settings: &Settings, peers: usize) -> Option<String> {
     if !settings.limits.may_tell {
         return Some("settings.limits.mayTell does not allow it".into());
@@ -105,7 +105,7 @@
 }
 
 impl Fleet {
-    /// Starts the tasks on the present `LocalSet`. [`unavailable_reason`] has to have returned None.
+    /// Starts the tasks on the current `LocalSet`. The caller has checked that [`unavailable_reason`] returns None.
     pub fn start(
         settings: &FleetSettings,
         (me, members): (u32, usize),
@@ -114,9 +114,9 @@
         peers: Rc<dyn PeerSender>,
     ) -> Rc<Fleet> {
         let distribution = distribution.map(Rc::new);
-        // All state machines have the same clock.
+        // All state machines share one clock.
         let started = distribution.as_ref().map_or_else(Instant::now, |d| d.started());
-        // A clock before 1970 gives the lowest epoch; the view raises it when it learns a later one.
+        // A clock before 1970 yields the lowest epoch; the view raises it when it learns of a later one.
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         let config = ViewConfig {
             me: me as u16,
@@ -150,7 +150,7 @@
             wake: distribution.as_ref().map_or_else(Arc::default, |d| d.wake.clone()),
             distribution,
             dropped: Cell::default(),
-            log: RefCell::new(LogBudget::full()),
+            log_budget: RefCell::new(LogBudget::full()),
         });
         spawn_local(fleet.clone().run());
         if let Some(distribution) = &fleet.distribution {
@@ -159,12 +159,12 @@
         fleet
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the start.
     fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// Takes a datagram from the address of the peer `from`.
+    /// Handles a datagram that came from the address of the peer `from`.
     pub fn handle_datagram(&self, from: u32, data: &[u8]) {
         let mut dropped = self.dropped.get();
         match Frame::parse(data) {
@@ -176,7 +176,7 @@
                 let mut view = self.view.borrow_mut();
                 for (kind, content) in frame.records() {
                     match &self.evidence {
-                        // The view counts what is malformed.
+                        // The view counts malformed messages.
                         _ if kind == VIEW.number => drop(view.handle(now, from, epoch, content)),
                         Some(evidence) if kind == EVIDENCE.number => {
                             evidence.handle(now, from, content)
@@ -186,9 +186,9 @@
                     if let Some(leases) = self.leases.as_ref().filter(|_| kind == LEASE.number) {
                         leases.handle(now, from, content);
                     }
-                    let of_documents = kind == DISTRIBUTION.number;
-                    if let Some(documents) = self.distribution.as_ref().filter(|_| of_documents) {
-                        documents.handle(now, from, content);
+                    let is_document = kind == DISTRIBUTION.number;
+                    if let Some(distribution) = self.distribution.as_ref().filter(|_| is_document) {
+                        distribution.handle(now, from, content);
                     }
                 }
                 drop(view);
@@ -198,7 +198,7 @@
         self.dropped.set(dropped);
     }
 
-    /// This process is about to end: the view and the leases announce it.
+    /// Announces by the view and the leases that this process is about to end.
     pub fn leave(&self) {
         let now = self.now();
         if let Some(leases) = &self.leases {
@@ -208,17 +208,17 @@
         self.pump();
     }
 
-    /// Runs all state machines whenever something is due or a message has come.
+    /// Runs all state machines whenever one is due or a message has arrived.
     async fn run(self: Rc<Fleet>) {
         loop {
             let next = self.pump();
             if let Some(evidence) = &self.evidence {
-                evidence.tell(|server, standing| {
+                evidence.report_changes(|server, verdict| {
                     if let Some(leases) = &self.leases {
-                        leases.stands(self.now(), server, standing);
+                        leases.apply_verdict(self.now(), server, verdict);
                     }
                 });
-                self.take_turns(evidence);
+                self.run_turns(evidence);
             }
             let next = self.started + Duration::from_micros(next);
             tokio::select! {
@@ -228,29 +228,29 @@
         }
     }
 
-    /// Carries out what is to be done about suspected servers. The balancer acts on it at once.
-    fn take_turns(&self, evidence: &Evidence) {
+    /// Carries out the pending actions on suspected servers. The balancer acts on them at once.
+    fn run_turns(&self, evidence: &Evidence) {
         for turn in self.turns.take() {
             match turn {
-                Turn::Stand(server, standing) => evidence.report(server, standing),
+                Turn::Stand(server, verdict) => evidence.report(server, verdict),
                 Turn::GiveUp(server, job) => tracing::info!(
                     event = "trial_given_up",
                     server = server.0,
                     job = job.0,
-                    "job {:016x} is given up: this sidecar has sent nothing to the suspected server",
+                    "released job {:016x}: this sidecar sent no attempt to the suspected server",
                     job.0
                 ),
-                Turn::Say(job, token) => evidence.say_job(self.now(), job, token),
+                Turn::Say(job, token) => evidence.publish_job(self.now(), job, token),
             }
         }
     }
 
-    /// Runs all state machines and sends their messages. Returns when it has to be called next.
+    /// Runs all state machines and sends their messages. Returns the time of the next call.
     fn pump(&self) -> Micros {
         let now = self.now();
         let (mut view, mut channel) = (self.view.borrow_mut(), self.channel.borrow_mut());
-        let short = channel.is_short(now);
-        view.set_congested(short);
+        let congested = channel.is_short(now);
+        view.set_congested(congested);
         if view.poll_timeout() <= now {
             view.tick(now);
         }
@@ -259,7 +259,7 @@
         }
         let mut joined = Vec::new();
         while let Some(event) = view.poll_event() {
-            self.tell(&event, now);
+            self.log_change(&event, now);
             if event.new_status == Status::Alive && event.old_status != Status::Suspect {
                 joined.push(event.number);
             }
@@ -268,34 +268,40 @@
         if let Some(evidence) = &self.evidence {
             joined.into_iter().for_each(|number| evidence.on_joined(now, number, &view));
             let send = |to, content| {
-                // Its kind is one of the channel's.
+                // The channel takes messages of this kind.
                 let _ = channel.offer(to, EVIDENCE.number, content);
             };
-            next = next.min(evidence.pump(now, &mut view, short, send));
+            next = next.min(evidence.pump(now, &mut view, congested, send));
         }
         if let Some(leases) = &self.leases {
-            let known = |job| self.evidence.as_ref().and_then(|e| e.job(now, job));
+            let published_owner = |job| self.evidence.as_ref().and_then(|e| e.job(now, job));
             let send = |to, content| {
-                // Its kind is one of the channel's.
+                // The channel takes messages of this kind.
                 let _ = channel.offer(to, LEASE.number, content);
             };
             let turns = &mut self.turns.borrow_mut();
-            next = next.min(leases.pump(now, (view.epoch(), short), turns, &known, send));
+            next = next.min(leases.pump(
+                now,
+                (view.epoch(), congested),
+                turns,
+                &published_owner,
+                send,
+            ));
         }
         let header = Header { fleet: self.id, from: view.me(), epoch: view.epoch() };
         if let Some(distribution) = &self.distribution {
-            let say = |to, content| {
-                // Its kind is one of the channel's.
+            let send = |to, content| {
+                // The channel takes messages of this kind.
                 let _ = channel.offer(to, DISTRIBUTION.number, content);
             };
-            let push = |to: u16, content: Vec<u8>| {
+            let push_document = |to: u16, content: Vec<u8>| {
                 let mut frame = FrameWriter::new(header);
                 if frame.push(DISTRIBUTION.number, &content) {
                     self.peers.send(u32::from(to), &frame.finish());
                 }
             };
-            let of_fleet = (view.me(), self.leases.as_ref());
-            next = next.min(distribution.pump(now, of_fleet, say, push));
+            let member = (view.me(), self.leases.as_ref());
+            next = next.min(distribution.pump(now, member, send, push_document));
         }
         while let Some((to, bytes)) = channel.poll(now, header) {
             self.peers.send(u32::from(to), &bytes);
@@ -303,14 +309,14 @@
         channel.poll_timeout().map_or(next, |at| next.min(at))
     }
 
-    /// Sets the receiver of standings.
+    /// Sets the receiver of verdicts on servers.
     pub fn set_verdict_sink(&self, sink: Box<dyn VerdictSink>) {
         if let Some(evidence) = &self.evidence {
-            evidence.tell_to(sink);
+            evidence.set_sink(sink);
         }
     }
 
-    /// An attempt is sent to a server.
+    /// Records that an attempt is sent to a server.
     pub fn on_attempt_sent(&self, server: ServerId) {
         if let Some(evidence) = &self.evidence {
             evidence.on_attempt_sent(self.now(), server);
@@ -321,7 +327,7 @@
         }
     }
 
-    /// An attempt at a server has ended.
+    /// Records how an attempt at a server ended.
     pub fn on_attempt_ended(&self, server: ServerId, outcome: Outcome, latency: Micros) {
         if let Some(evidence) = &self.evidence {
             evidence.on_attempt_ended(self.now(), server, outcome, latency);
@@ -329,24 +335,25 @@
         }
     }
 
-    /// The own list of servers, or changes of it, was handed to the balancer. Returns the servers among them that are
-    /// not trusted.
+    /// Records the own list of servers, or changes to it, that were passed to the balancer. Returns the servers among
+    /// them that are not trusted.
     pub fn on_listed(&self, entries: &[ServerEntry]) -> Vec<(ServerId, Standing)> {
         let Some(evidence) = &self.evidence else { return Vec::new() };
         evidence.on_listed(self.now(), entries);
         self.wake.notify_one();
-        let stands = entries.iter().map(|e| (e.id, evidence.standing(e.id)));
-        stands.filter(|(_, standing)| *standing != Standing::Trusted).collect()
+        let verdicts = entries.iter().map(|e| (e.id, evidence.verdict(e.id)));
+        verdicts.filter(|(_, verdict)| *verdict != Standing::Trusted).collect()
     }
 
-    /// The own list does not have these servers any more. This is not published, because a whole list may be outdated.
+    /// Records that the own list no longer has these servers. This is not published, because a whole list may be
+    /// outdated.
     pub fn on_unlisted(&self, servers: &[ServerId]) {
         if let Some(evidence) = &self.evidence {
             evidence.on_unlisted(servers);
         }
     }
 
-    /// The fleet has `count` configured members from now on.
+    /// Sets the number of configured members of the fleet.
     pub fn set_member_count(&self, count: usize) {
         if let Some(leases) = &self.leases {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -355,21 +362,21 @@
         }
     }
 
-    /// Whether the view takes a member for alive.
+    /// Returns whether the view considers a member alive.
     pub fn is_alive(&self, member: u16) -> bool {
         self.view.borrow().member(member).is_some_and(|m| m.status == Status::Alive)
     }
 
-    /// The number and the epoch of this process.
+    /// Returns the number and the epoch of this process.
     pub fn own_identity(&self) -> (u16, u64) {
         let view = self.view.borrow();
         (view.me(), view.epoch())
     }
 
-    /// Logs a change of a member, unless there were too many lately.
-    fn tell(&self, event: &Event, now: Micros) {
-        let mut log = self.log.borrow_mut();
-        let Some(held_back) = log.line(now) else { return };
+    /// Logs a change of a member, unless too many changes were logged recently.
+    fn log_change(&self, event: &Event, now: Micros) {
+        let mut log_budget = self.log_budget.borrow_mut();
+        let Some(held_back) = log_budget.acquire_line(now) else { return };
         let Event { number, epoch, old_status, new_status } = event;
         tracing::info!(
             event = "peer_changed",
@@ -377,7 +384,7 @@
             peer = number,
             epoch,
             held_back,
-            "peer {number} was {old_status:?} and is {new_status:?}"
+            "peer {number} changed from {old_status:?} to {new_status:?}"
         );
     }
 }
--- a/crates/millethook-engine/src/fleet/jobs.rs
+++ b/crates/millethook-engine/src/fleet/jobs.rs
@@ -1,4 +1,4 @@
-//! Work of the fleet: its jobs, documents that are published, and stores of kept writes.
+//! Jobs of the fleet, publication of documents, and the replay progress of stores of buffered writes.
 
 use std::time::Duration;
 
@@ -10,17 +10,18 @@
 use crate::distribution::{DocumentKey, PublishError, Version};
 
 impl Fleet {
-    /// Asks for a job of the fleet after `wait`, with leases of `length`. False: there are no leases, or too many jobs.
+    /// Requests a job of the fleet after `wait`, with leases of `length`. Returns false without leases or with too many
+    /// jobs.
     pub fn request_job(&self, job: JobId, length: Duration, wait: Duration) -> bool {
-        let wanted = self.leases.as_ref().is_some_and(|leases| {
+        let requested = self.leases.as_ref().is_some_and(|leases| {
             let micros = |d: Duration| d.as_micros() as Micros;
             leases.request(self.now(), job, micros(length), micros(wait))
         });
         self.wake.notify_one();
-        wanted
+        requested
     }
 
-    /// Stops asking for a job, and releases it if it is owned.
+    /// Withdraws the request for a job and releases the job if it is owned.
     pub fn release_job(&self, job: JobId) {
         if let Some(leases) = &self.leases {
             leases.release(self.now(), job);
@@ -28,22 +29,22 @@
         }
     }
 
-    /// The token under which this process owns a job now. To be asked immediately before each effect.
+    /// Returns the token under which this process owns a job now. Callers check it immediately before each side effect.
     pub fn holds(&self, job: JobId) -> Option<Token> {
         self.leases.as_ref()?.holds(self.now(), job)
     }
 
-    /// This token was seen elsewhere, by whatever the job changes: the next claim goes above it.
+    /// Records a token that was seen on whatever the job changes: the next claim uses a higher one.
     pub fn observe_token(&self, job: JobId, token: Token) {
         if let Some(leases) = &self.leases {
             leases.observe_token(job, token);
         }
     }
 
-    /// Publishes a document, or with None retracts it, if this process is the writer.
+    /// Publishes a document, or retracts it with None, if this process is the writer.
     ///
     /// # Errors
-    /// This process is not the writer, or the document is refused.
+    /// This process is not the writer, or the document is rejected.
     pub fn publish(
         &self,
         key: DocumentKey,
@@ -57,21 +58,22 @@
         distribution.publish(leases, key, body)
     }
 
-    /// Publishes how far a store of kept writes has been replayed. False: a higher token is known, or nothing is
-    /// shared.
+    /// Publishes how far a store of buffered writes has been replayed. Returns false if a higher token is known or
+    /// nothing is shared.
     pub fn publish_edge(&self, edge: u64, value: EntryValue) -> bool {
-        let said = self.evidence.as_ref().is_some_and(|e| e.publish_edge(self.now(), edge, value));
+        let published =
+            self.evidence.as_ref().is_some_and(|e| e.publish_edge(self.now(), edge, value));
         self.wake.notify_one();
-        said
+        published
     }
 
-    /// The latest entry of a store of kept writes, and its age.
+    /// Returns the latest entry of a store of buffered writes, and its age.
     pub fn edge(&self, edge: u64) -> Option<(EntryValue, Duration)> {
         let (value, age) = self.evidence.as_ref()?.edge(self.now(), edge)?;
         Some((value, Duration::from_micros(age)))
     }
 
-    /// Queries a member for the entry of a store; once the answer has come, [`Fleet::edge`] returns it.
+    /// Queries a member for the entry of a store; [`Fleet::edge`] returns it after the answer has arrived.
     pub fn query_edge(&self, member: u16, edge: u64) {
         if let Some(evidence) = &self.evidence {
             evidence.query_edge(self.now(), member, edge);
--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -1,5 +1,5 @@
-//! Connects [`millethook_lease`] with clock, channel and view, and uses leases for the job of testing a suspected
-//! server.
+//! Connects [`millethook_lease`] with the clock, the channel and the view, and uses leases for the job of probing a
+//! suspected server.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -15,22 +15,23 @@
 /// Settings of leases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// Seats of each job; a majority of them grants a lease.
+    /// The number of seats of each job; a majority of them grants a lease.
     pub seats: usize,
-    /// The longest lease.
+    /// The maximum length of a lease.
     pub longest: Duration,
-    /// The greatest difference between the speed of a clock and true time: 0.01 is one part in a hundred.
+    /// The maximum drift of a clock from true time: 0.01 is one part in a hundred.
     pub drift: f64,
-    /// How long a replaced list of members counts at most.
+    /// The maximum time for which a replaced list of members stays valid.
     pub change: Duration,
-    /// Whether one sidecar of each zone tests a suspected server, instead of all.
+    /// Whether a single sidecar of each zone probes a suspected server, instead of all.
     pub dead_servers: bool,
 }
 
-/// The most owned jobs that are listed for operators.
-const NAMED: usize = 64;
+/// The maximum number of owned jobs that are listed for operators.
+const MAX_LISTED: usize = 64;
 
-/// The members of a fleet of this size. They are named by their numbers, because addresses may differ between members.
+/// Returns the members of a fleet of this size. Their ids derive from their numbers, because members may be configured
+/// with different addresses for the same member.
 fn members(count: usize) -> Members {
     Members::new((0..count as u64).map(|n| Member(mix(n + 1))).collect())
 }
@@ -41,12 +42,13 @@
     trials: Option<RefCell<Trials>>,
 }
 
-/// The job of testing a server in a zone.
+/// Returns the job of probing a server from a zone.
 fn trial_job(zone: u8, server: u64) -> JobId {
     JobId(mix(mix(server) ^ u64::from(zone) << 8 ^ 0x7e57))
 }
 
 impl Leases {
+    /// Creates the leases of the member `me`; `hold` is the time for which the balancer avoids a suspected server.
     pub fn new(
         settings: &LeaseSettings,
         (me, count, epoch, seed): (u16, usize, u64, u64),
@@ -69,44 +71,44 @@
         Leases { lease: RefCell::new(Lease::new(config, members(count), now)), trials }
     }
 
-    /// Takes a message of a member.
+    /// Handles a message of a member.
     pub fn handle(&self, now: Micros, from: u16, content: &[u8]) {
         self.lease.borrow_mut().handle(now, from, content);
     }
 
-    /// The fleet has `count` configured members from now on.
+    /// Sets the number of configured members of the fleet.
     pub fn set_member_count(&self, now: Micros, count: usize, unix_ms: u64) {
         if !self.lease.borrow_mut().set_members(now, members(count), unix_ms) {
             tracing::error!(
                 event = "members_refused",
-                "leases: three changes of peers are not through yet; this one is not heeded"
+                "leases: ignored a change of peers because three earlier changes are still in progress"
             );
         }
     }
 
-    /// Runs leases and trials: messages go to `send`, what is to be done about suspected servers into `turns`. Returns
-    /// when it has to be called next. `known` returns the owner of a job as the replica has it, and the age of that
-    /// entry.
+    /// Runs leases and trials: passes messages to `send` and adds pending actions on suspected servers to `turns`.
+    /// Returns the time of the next call. `published_owner` returns the owner of a job according to the replica, and
+    /// the age of that entry.
     pub fn pump(
         &self,
         now: Micros,
-        (epoch, short): (u64, bool),
+        (epoch, congested): (u64, bool),
         turns: &mut Vec<Turn>,
-        known: &dyn Fn(JobId) -> Option<(Token, Micros)>,
+        published_owner: &dyn Fn(JobId) -> Option<(Token, Micros)>,
         mut send: impl FnMut(u16, Vec<u8>),
     ) -> Micros {
         let mut lease = self.lease.borrow_mut();
         lease.set_epoch(epoch);
-        lease.set_congested(short);
+        lease.set_congested(congested);
         if lease.poll_timeout() <= now {
             lease.tick(now);
         }
         while let Some(event) = lease.poll_event() {
-            Leases::tell(&event);
+            Leases::log_change(&event);
         }
         let mut next = Micros::MAX;
         if let Some(trials) = &self.trials {
-            next = trials.borrow_mut().tick(now, &mut lease, known, turns);
+            next = trials.borrow_mut().tick(now, &mut lease, published_owner, turns);
         }
         while let Some((to, content)) = lease.poll_transmit() {
             send(to, content);
@@ -114,31 +116,31 @@
         next.min(lease.poll_timeout())
     }
 
-    /// Logs a change of an owner.
-    fn tell(event: &Event) {
-        let (job, word) = match event {
-            Event::Granted(job, _) => (job, "is"),
-            Event::Lost(job, _) => (job, "is no longer"),
+    /// Logs that this sidecar got or lost a job.
+    fn log_change(event: &Event) {
+        let (job, change) = match event {
+            Event::Granted(job, _) => (job, "now owns"),
+            Event::Lost(job, _) => (job, "no longer owns"),
             Event::Held(..) => return,
         };
-        tracing::info!(event = "lease", job = job.0, "job {:016x} {word} this sidecar's", job.0);
+        tracing::info!(event = "lease", job = job.0, "this sidecar {change} job {:016x}", job.0);
     }
 
-    /// The standing of a server has changed.
-    pub fn stands(&self, now: Micros, server: ServerId, standing: Standing) {
+    /// Applies a changed verdict on a server.
+    pub fn apply_verdict(&self, now: Micros, server: ServerId, verdict: Standing) {
         if let Some(trials) = &self.trials {
-            trials.borrow_mut().stands(now, server, standing, &mut self.lease.borrow_mut());
+            trials.borrow_mut().stands(now, server, verdict, &mut self.lease.borrow_mut());
         }
     }
 
-    /// An attempt is sent to a server.
+    /// Records that an attempt is sent to a server.
     pub fn on_attempt_sent(&self, server: ServerId) {
         if let Some(trials) = &self.trials {
             trials.borrow_mut().tried(server);
         }
     }
 
-    /// Asks for a job; see [`Lease::request`].
+    /// Requests a job; see [`Lease::request`].
     pub fn request(&self, now: Micros, job: JobId, length: Micros, wait: Micros) -> bool {
         self.lease.borrow_mut().request(now, job, length, wait)
     }
@@ -148,42 +150,42 @@
         self.lease.borrow_mut().release(now, job, None);
     }
 
-    /// The token under which this process owns a job now; see [`Lease::holds`].
+    /// Returns the token under which this process owns a job now; see [`Lease::holds`].
     pub fn holds(&self, now: Micros, job: JobId) -> Option<Token> {
         self.lease.borrow().holds(now, job)
     }
 
-    /// This token was seen elsewhere; see [`Lease::observe_token`].
+    /// Records a token that was seen elsewhere; see [`Lease::observe_token`].
     pub fn observe_token(&self, job: JobId, token: Token) {
         self.lease.borrow_mut().observe_token(job, token);
     }
 
-    /// This process is about to end: its leases are released, and for each job the first of the other present members
-    /// is invited to claim it.
+    /// Releases all leases because this process is about to end, and invites the highest-ranked other present member
+    /// of each job to claim it.
     pub fn shutdown(&self, now: Micros, view: &View) {
         let mut lease = self.lease.borrow_mut();
-        let list = lease.members().clone();
+        let members = lease.members().clone();
         let others: Vec<u16> = present(view).filter(|n| *n != view.me()).collect();
-        let first = |job| {
+        let successor = |job| {
             let others = others.iter().copied();
-            others.min_by_key(|n| list.rank(job, *n, present(view).filter(|n| *n != view.me())))
+            others.min_by_key(|n| members.rank(job, *n, present(view).filter(|n| *n != view.me())))
         };
-        lease.shutdown(now, first);
+        lease.shutdown(now, successor);
     }
 
-    /// Owned jobs with their tokens, at most [`NAMED`].
+    /// Returns the owned jobs with their tokens, at most [`MAX_LISTED`].
     pub fn owned(&self, now: Micros) -> Vec<(JobId, Token)> {
-        self.lease.borrow().owned(now).take(NAMED).collect()
+        self.lease.borrow().owned(now).take(MAX_LISTED).collect()
     }
 
-    /// Counts of leases, and whether a change of the members is in progress.
+    /// Returns the counts of leases, and whether a change of the members is in progress.
     pub fn figures(&self, now: Micros) -> (Figures, bool) {
         let lease = self.lease.borrow();
         (lease.figures(now), lease.is_changing())
     }
 }
 
-/// Members that are alive or suspect.
+/// Returns the members that are alive or suspect.
 fn present(view: &View) -> impl Iterator<Item = u16> {
     let all = (0..).map_while(|n| Some((n, view.member(n)?.status)));
     all.filter(|(_, status)| matches!(status, Status::Alive | Status::Suspect)).map(|(n, _)| n)
