--- a/crates/millethook-engine/src/distribution/lists.rs
+++ b/crates/millethook-engine/src/distribution/lists.rs
@@ -1,4 +1,4 @@
-//! The documents of lists of servers: which ones this process takes or publishes, and those that are offered.
+//! Documents of server lists: which ones this process receives or publishes, and the offered ones.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -8,50 +8,51 @@
 
 use super::Distribution;
 
-/// The list of servers that this process takes from the control nodes, or publishes.
+/// The list of servers that this process receives from the control nodes or publishes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListSettings {
-    /// Its name.
+    /// The name of the list.
     pub name: String,
     /// The key of its documents.
     pub list: DocumentKey,
-    /// The key of the documents that confirm it.
+    /// The key of the documents that confirm the list.
     pub confirmation: DocumentKey,
-    /// Whether this process asks discovery and publishes what that says.
+    /// Whether this process watches discovery and publishes its list.
     pub from_discovery: bool,
 }
 
-/// Documents of lists that wait for a decision.
+/// Offered documents of lists that the host has not accepted or refused yet.
 #[derive(Default)]
 pub(super) struct OfferedLists {
     documents: RefCell<Vec<Arc<Document>>>,
-    news: Notify,
+    changed: Notify,
 }
 
 impl OfferedLists {
+    /// Replaces the offered documents.
     pub fn replace(&self, documents: Vec<Arc<Document>>) {
         self.documents.replace(documents);
-        self.news.notify_one();
+        self.changed.notify_one();
     }
 }
 
 impl Distribution {
-    /// Which list of servers comes by distribution.
+    /// Returns the distributed list of servers, if there is one.
     pub(crate) fn list(&self) -> Option<&ListSettings> {
         self.list.as_ref()
     }
 
-    /// Waits until lists of servers, or their confirmations, are offered.
-    pub(crate) async fn list_news(&self) {
-        self.offered_lists.news.notified().await;
+    /// Waits until lists of servers or their confirmations are offered.
+    pub(crate) async fn wait_for_offered_lists(&self) {
+        self.offered_lists.changed.notified().await;
     }
 
-    /// Lists of servers, and their confirmations, that wait for a decision.
+    /// Takes the offered lists of servers and confirmations.
     pub(crate) fn take_offered_lists(&self) -> Vec<Arc<Document>> {
         self.offered_lists.documents.take()
     }
 
-    /// The committed document of a key, at a control node.
+    /// Returns the committed document of a key; None if this process is no control node.
     pub(crate) fn committed(&self, key: DocumentKey) -> Option<Arc<Document>> {
         self.control.as_ref()?.borrow().document(key)
     }
--- a/crates/millethook-engine/src/distribution/mod.rs
+++ b/crates/millethook-engine/src/distribution/mod.rs
@@ -1,5 +1,5 @@
-//! Distribution at work: the clock, the channel and the disk that [`millethook_distribution`] has not. The host of the
-//! engine decides about documents that are offered and makes requests to publish; this passes on both.
+//! Connects [`millethook_distribution`] with the clock, the channel and the disk. The host of the engine accepts or
+//! refuses offered documents and requests publications; this module forwards both.
 
 mod lists;
 mod settings;
@@ -32,81 +32,83 @@
 
 /// The job of writing documents.
 pub const WRITER: JobId = JobId(mix(0x636f_6e66_6967_7572));
-/// Events of the control node that wait for the host, at most.
-const EVENTS: usize = 1024;
-/// Contents that a member hands to itself in one go, at most.
-const TO_ITSELF: usize = 256;
-/// The least time between two writes of a snapshot.
-const WRITE_EVERY: Duration = Duration::from_millis(200);
-
-/// The number of a region's, zone's or service's name: the same at all members.
+/// The maximum number of control node events that wait for the host.
+const MAX_PENDING_EVENTS: usize = 1024;
+/// The maximum number of rounds of messages to itself that a member handles in one call.
+const MAX_SELF_ROUNDS: usize = 256;
+/// The minimum time between two snapshot writes.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Returns the number of the name of a region, zone or service, which is equal at all members.
 pub fn name_number(name: &str) -> u32 {
     stable_hash(name.as_bytes()) as u32
 }
 
-/// How distribution is set up at one process.
+/// The settings of distribution for one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DistributionSettings {
-    /// As all members have it.
+    /// The configuration of the protocol.
     pub config: DistributionConfig,
-    /// Where the documents in force are kept.
+    /// The path of the snapshot of the documents in force.
     pub snapshot: Option<PathBuf>,
-    /// Whether this process wants to be the writer.
+    /// Whether this process is a candidate for the writer.
     pub publishes: bool,
-    /// Bytes of the receive buffer that a control node asks the system for.
+    /// The size of the receive buffer in bytes that a control node requests from the system.
     pub receive_buffer: usize,
-    /// The list of servers that comes by distribution; None: none does.
+    /// The distributed list of servers; None if there is none.
     pub list: Option<ListSettings>,
 }
 
 impl DistributionSettings {
-    /// Whether the list of servers is taken from the control nodes.
+    /// Returns whether this process gets its list of servers from the control nodes.
     pub fn subscribes_to_list(&self) -> bool {
         self.list.as_ref().is_some_and(|list| !list.from_discovery)
     }
 
-    /// The list of servers is not taken from the control nodes.
+    /// Disables the distributed list of servers.
     pub fn disable_list(&mut self) {
         self.list = None;
         self.config.lists.clear();
     }
 }
 
-/// A sidecar's part of distribution, and a control node's where this process is one.
+/// The subscriber of this process and, at a control node, its control node.
 pub struct Distribution {
     started: Instant,
     subscriber: RefCell<Subscriber>,
     control: Option<RefCell<ControlNode>>,
     publishes: bool,
     receive_buffer: usize,
-    wanted: Cell<bool>,
-    /// The token that the control node was told.
-    writer: Cell<Option<Token>>,
+    /// Whether the lease of the writer was requested.
+    lease_requested: Cell<bool>,
+    /// The token that the control node last got.
+    writer_token: Cell<Option<Token>>,
     offered: RefCell<Option<Vec<Arc<Document>>>>,
     list: Option<ListSettings>,
     offered_lists: OfferedLists,
     control_events: RefCell<VecDeque<ControlEvent>>,
-    /// Something for the host.
+    /// Notified when the host has something to process.
     host_events: Notify,
-    /// Something to be sent.
+    /// Notified when there is something to send.
     pub(crate) wake: Arc<Notify>,
     stores: Vec<Store>,
     unsaved: Notify,
 }
 
 impl Distribution {
-    /// One that has in force what the snapshot holds. Nothing is sent before it is handed to an engine.
+    /// Creates the state from the snapshot, whose documents are in force at once. Nothing is sent before an engine
+    /// runs it.
     pub fn new(settings: DistributionSettings) -> Distribution {
-        Distribution::with(settings, true)
+        Distribution::create(settings, true)
     }
 
-    /// One that has nothing in force: what its snapshot holds cannot be used here. A control node still keeps what it
-    /// kept.
+    /// Creates the state with no document in force, for a snapshot whose documents cannot be used here. A control node
+    /// still loads its own snapshot.
     pub fn with_nothing_in_force(settings: DistributionSettings) -> Distribution {
-        Distribution::with(settings, false)
+        Distribution::create(settings, false)
     }
 
-    fn with(settings: DistributionSettings, take_up: bool) -> Distribution {
+    fn create(settings: DistributionSettings, use_snapshot: bool) -> Distribution {
         let DistributionSettings { config, snapshot, publishes, receive_buffer, list } = settings;
         let is_control = config.control_nodes.iter().any(|node| node.number == config.me);
         let of_subscriber = snapshot.clone().map(Store::of_subscriber);
@@ -114,15 +116,15 @@
         let load = |store: &Option<Store>| store.as_ref().and_then(Store::load);
         let control = is_control
             .then(|| RefCell::new(ControlNode::new(config.clone(), load(&of_control), 0)));
-        let own = load(&of_subscriber).filter(|_| take_up);
+        let own = load(&of_subscriber).filter(|_| use_snapshot);
         Distribution {
             started: Instant::now(),
             subscriber: RefCell::new(Subscriber::new(config, own, 0)),
             control,
             publishes: publishes && is_control,
             receive_buffer,
-            wanted: Cell::new(false),
-            writer: Cell::new(None),
+            lease_requested: Cell::new(false),
+            writer_token: Cell::new(None),
             offered: RefCell::default(),
             list,
             offered_lists: OfferedLists::default(),
@@ -134,7 +136,7 @@
         }
     }
 
-    /// When its clock began.
+    /// Returns the time at which the clock of this process starts.
     pub(crate) fn started(&self) -> Instant {
         self.started
     }
@@ -143,35 +145,35 @@
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// A content of a member.
+    /// Handles a message of a member.
     pub(crate) fn handle(&self, now: Micros, from: u16, content: &[u8]) {
-        // Each knows which ones are for it.
+        // The subscriber and the control node each ignore messages for the other.
         self.subscriber.borrow_mut().handle(now, from, content);
         if let Some(control) = &self.control {
             control.borrow_mut().handle(now, from, content);
         }
     }
 
-    /// Does what is due and hands out what is to be sent: what a sidecar says by `say`, within the budget of all that it
-    /// says, and what a control node says by `push`, which has a budget of its own. When there is something to do
-    /// again.
+    /// Runs the state machines and sends their messages: those of the sidecar with `send`, within the budget of all its
+    /// messages, and those of the control node with `push`, which has a budget of its own. Returns the time of the next
+    /// call.
     pub(crate) fn pump(
         &self,
         now: Micros,
         (me, leases): (u16, Option<&Leases>),
-        mut say: impl FnMut(u16, Vec<u8>),
+        mut send: impl FnMut(u16, Vec<u8>),
         mut push: impl FnMut(u16, Vec<u8>),
     ) -> Micros {
         if let Some(leases) = leases {
-            self.follow_lease(now, leases);
+            self.sync_writer_lease(now, leases);
         }
-        for _ in 0..TO_ITSELF {
-            let mut own = Vec::new();
-            let to_all = |(to, content): (u16, Vec<u8>), send: &mut dyn FnMut(u16, Vec<u8>)| {
+        for _ in 0..MAX_SELF_ROUNDS {
+            let mut to_self = Vec::new();
+            let route = |(to, content): (u16, Vec<u8>), send_to: &mut dyn FnMut(u16, Vec<u8>)| {
                 if to == me {
                     Some(content)
                 } else {
-                    send(to, content);
+                    send_to(to, content);
                     None
                 }
             };
@@ -180,7 +182,7 @@
                 subscriber.tick(now);
             }
             while let Some(message) = subscriber.poll_transmit() {
-                own.extend(to_all(message, &mut say));
+                to_self.extend(route(message, &mut send));
             }
             drop(subscriber);
             if let Some(mut control) = self.control.as_ref().map(RefCell::borrow_mut) {
@@ -188,28 +190,28 @@
                     control.tick(now);
                 }
                 while let Some(message) = control.poll_transmit() {
-                    own.extend(to_all(message, &mut push));
+                    to_self.extend(route(message, &mut push));
                 }
             }
-            if own.is_empty() {
+            if to_self.is_empty() {
                 break;
             }
-            own.iter().for_each(|content| self.handle(now, me, content));
+            to_self.iter().for_each(|content| self.handle(now, me, content));
         }
         self.fetch_events(leases);
         let control = self.control.as_ref().map_or(Micros::MAX, |c| c.borrow().poll_timeout());
         control.min(self.subscriber.borrow().poll_timeout())
     }
 
-    /// Tells the control node whether this process holds the writer's lease.
-    fn follow_lease(&self, now: Micros, leases: &Leases) {
+    /// Informs the control node whether this process holds the lease of the writer.
+    fn sync_writer_lease(&self, now: Micros, leases: &Leases) {
         let Some(control) = self.control.as_ref().filter(|_| self.publishes) else { return };
-        if !self.wanted.replace(true) {
-            // The longest lease that there is.
+        if !self.lease_requested.replace(true) {
+            // Requests the longest lease that the settings allow.
             leases.request(now, WRITER, Micros::MAX, 0);
         }
         let token = leases.holds(now, WRITER);
-        if self.writer.replace(token) == token {
+        if self.writer_token.replace(token) == token {
             return;
         }
         match token {
@@ -218,47 +220,48 @@
         }
     }
 
+    /// Moves the events of the state machines to where the host fetches them.
     fn fetch_events(&self, leases: Option<&Leases>) {
-        let mut news = false;
+        let mut has_host_events = false;
         while let Some(event) = self.subscriber.borrow_mut().poll_event() {
             let SubscriberEvent::Offered { documents } = event;
             let (configuration, lists): (Vec<_>, Vec<_>) = (documents.into_iter())
                 .partition(|document| document.key.kind == DocumentKind::Configuration);
-            // Each is decided on by another part of the host.
+            // Different parts of the host accept lists and configuration.
             if !lists.is_empty() {
                 self.offered_lists.replace(lists);
             }
             if !configuration.is_empty() {
                 self.offered.replace(Some(configuration));
-                news = true;
+                has_host_events = true;
             }
         }
         if let Some(control) = &self.control {
-            let mut waiting = self.control_events.borrow_mut();
+            let mut pending = self.control_events.borrow_mut();
             loop {
                 let Some(event) = control.borrow_mut().poll_event() else { break };
                 if let (ControlEvent::Deposed { by, .. }, Some(leases)) = (&event, leases) {
-                    // The next lease goes above it.
+                    // The next lease has to use a higher token.
                     leases.observe_token(WRITER, *by);
                 }
                 if let ControlEvent::Stored(id) = &event {
-                    self.stored(id.key);
+                    self.on_stored(id.key);
                     continue;
                 }
-                waiting.push_back(event);
-                if waiting.len() > EVENTS {
-                    waiting.pop_front();
+                pending.push_back(event);
+                if pending.len() > MAX_PENDING_EVENTS {
+                    pending.pop_front();
                 }
-                news = true;
+                has_host_events = true;
             }
         }
-        if news {
+        if has_host_events {
             self.host_events.notify_one();
         }
     }
 
-    /// The document of a key has changed: the snapshot is to be written, unless it is not kept anyway.
-    fn stored(&self, key: DocumentKey) {
+    /// Schedules a snapshot write after the document of a key has changed, unless the snapshot omits it.
+    fn on_stored(&self, key: DocumentKey) {
         let document = self.committed(key);
         let body = document.as_ref().and_then(|document| document.body.as_deref());
         if !body.is_some_and(is_confirmation) {
@@ -266,30 +269,30 @@
         }
     }
 
-    /// Waits until there is something for the host. It takes all that there is then.
+    /// Waits until the host has something to process. The host then takes everything that is pending.
     pub async fn wait_for_events(&self) {
         self.host_events.notified().await;
     }
 
-    /// Documents of configuration that wait for a decision.
+    /// Takes the offered documents of configuration.
     pub fn take_offered(&self) -> Option<Vec<Arc<Document>>> {
         self.offered.take()
     }
 
-    /// The next event of the control node.
+    /// Takes the next event of the control node.
     pub fn take_control_event(&self) -> Option<ControlEvent> {
         self.control_events.borrow_mut().pop_front()
     }
 
-    /// The documents of configuration in force, in the order of merge.
+    /// Returns the documents of configuration in force, in merge order.
     pub fn in_force(&self) -> Vec<Arc<Document>> {
         let mut documents = self.subscriber.borrow().in_force();
         documents.retain(|document| document.key.kind == DocumentKind::Configuration);
         documents
     }
 
-    /// These are in force now, together. False: one of them is not offered any more, and what was in force before is
-    /// to be in force again.
+    /// Accepts these versions, which are in force together from now on. Returns false if one of them is no longer
+    /// offered; the caller has to put the previous documents in force again.
     pub fn accept(&self, versions: &[Version]) -> bool {
         let accepted = self.subscriber.borrow_mut().accept(self.now(), versions).is_ok();
         self.unsaved.notify_one();
@@ -297,18 +300,18 @@
         accepted
     }
 
-    /// This one is not taken.
-    pub fn refuse(&self, version: Version, why: Refusal) {
-        // One that is not offered any more needs no answer.
-        let _ = self.subscriber.borrow_mut().refuse(self.now(), version, why);
+    /// Refuses an offered document.
+    pub fn refuse(&self, version: Version, refusal: Refusal) {
+        // A document that is no longer offered needs no answer.
+        let _ = self.subscriber.borrow_mut().refuse(self.now(), version, refusal);
         self.unsaved.notify_one();
         self.wake.notify_one();
     }
 
-    /// Publishes a document, or with None retracts it; see [`ControlNode::publish`].
+    /// Publishes a document, or retracts it with None; see [`ControlNode::publish`].
     ///
     /// # Errors
-    /// Says why not; where this process is no control node, that it is not the writer.
+    /// Names the reason. A process that is no control node is not the writer.
     pub(crate) fn publish(
         &self,
         leases: &Leases,
@@ -317,40 +320,40 @@
     ) -> Result<Version, PublishError> {
         let control = self.control.as_ref().ok_or(PublishError::NotWriter(None))?;
         let now = self.now();
-        // The last look before an effect: a process that stood still may have lost the lease.
-        self.follow_lease(now, leases);
+        // Checks the lease right before the effect, because a process that was suspended may have lost it.
+        self.sync_writer_lease(now, leases);
         let published = control.borrow_mut().publish(now, key, body);
         self.wake.notify_one();
         published
     }
 
-    /// How far a version has come; None: this is no control node, or it knows nothing of it.
+    /// Returns the rollout state of a version; None if this is no control node or it does not know the version.
     pub fn report(&self, version: Version) -> Option<Rollout> {
         self.control.as_ref()?.borrow().report(self.now(), version)
     }
 
-    /// Counts of the sidecar's part.
+    /// Returns the counts of the subscriber.
     pub fn figures(&self) -> SubscriberFigures {
         self.subscriber.borrow().figures()
     }
 
-    /// Counts of the control node, where this process is one.
+    /// Returns the counts of the control node, if this process is one.
     pub fn control_figures(&self) -> Option<ControlFigures> {
         Some(self.control.as_ref()?.borrow().figures(self.now()))
     }
 
-    /// Whether this process is a control node.
+    /// Returns whether this process is a control node.
     pub fn is_control_node(&self) -> bool {
         self.control.is_some()
     }
 
-    /// Bytes of the receive buffer that the socket of this process needs; None: it is no control node, and needs no more
-    /// than any.
+    /// Returns the size of the receive buffer in bytes that the socket of this process needs; None for the system's
+    /// default, which suffices for a process that is no control node.
     pub fn receive_buffer(&self) -> Option<usize> {
         self.is_control_node().then_some(self.receive_buffer)
     }
 
-    /// A hash of all versions of configuration in force: the same at sidecars that go by the same documents.
+    /// Returns a hash of all versions of configuration in force, equal at sidecars that use the same documents.
     pub fn hash(&self) -> u32 {
         let versions = self.in_force();
         let text: Vec<String> =
@@ -358,27 +361,28 @@
         name_number(&text.join("\n"))
     }
 
-    /// Writes snapshots as they change, until the present `LocalSet` ends.
-    pub(crate) async fn keep(self: Rc<Distribution>) {
+    /// Writes snapshots as they change, until the current `LocalSet` ends.
+    pub(crate) async fn run_snapshot_writer(self: Rc<Distribution>) {
         loop {
             self.unsaved.notified().await;
             self.save().await;
-            tokio::time::sleep(WRITE_EVERY).await;
+            tokio::time::sleep(MIN_WRITE_INTERVAL).await;
         }
     }
 
-    /// Writes what has changed since the last write.
+    /// Writes the snapshots that have changed since the last write.
     pub async fn save(&self) {
         for store in &self.stores {
             match self.control.as_ref().filter(|_| store.is_of_control_node()) {
                 Some(control) => {
-                    let snapshot = Arc::new(store.kept_part(control.borrow().snapshot()));
+                    let snapshot = Arc::new(store.persisted_part(control.borrow().snapshot()));
                     if store.save(&snapshot).await {
                         control.borrow_mut().kept(&snapshot);
                     }
                 }
                 None => {
-                    let snapshot = Arc::new(store.kept_part(self.subscriber.borrow().snapshot()));
+                    let snapshot =
+                        Arc::new(store.persisted_part(self.subscriber.borrow().snapshot()));
                     store.save(&snapshot).await;
                 }
             }
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -154,7 +154,7 @@
         });
         spawn_local(fleet.clone().run());
         if let Some(distribution) = &fleet.distribution {
-            spawn_local(distribution.clone().keep());
+            spawn_local(distribution.clone().run_snapshot_writer());
         }
         fleet
     }
--- a/crates/millethook-engine/src/server_lists/follower.rs
+++ b/crates/millethook-engine/src/server_lists/follower.rs
@@ -1,4 +1,4 @@
-//! A sidecar that takes its list from the control nodes: when it asks discovery itself after all. No clock and no I/O.
+//! Decides when a sidecar that gets its list from the control nodes falls back to discovery. No clock and no I/O.
 
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
@@ -9,151 +9,159 @@
 use crate::discovery::patience::wait_by_fleet;
 use crate::list::List;
 
-/// A list that was not confirmed for so long is old. Confirmations come once a second, and one may be lost and come again
-/// ([`super::source::CONFIRM_EVERY`]). With the wait of a small fleet and one call it is less than the 6 s after which
-/// news counts as told.
-pub const SILENT_AFTER: Duration = Duration::from_secs(3);
-/// A process without any list waits so long for its first one: a fleet that starts together has to find a writer first.
-pub const FIRST_LIST: Duration = Duration::from_secs(5);
+/// A list without a confirmation for this time is stale. Confirmations come once a second, and one of them may be lost
+/// and sent again ([`super::source::CONFIRM_INTERVAL`]). Together with the wait of a small fleet and one request this
+/// is less than the 6 s after which a change counts as delivered.
+pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(3);
+/// A process without any list waits this long for its first one, since a fleet that starts together has to elect a
+/// writer first.
+pub const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is to be done.
+/// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowerStep {
-    /// Nothing confirms the list any more: its age counts from now on.
+    /// No control node confirms the list any more: its age counts from now on.
     Silent,
-    /// Discovery is to be asked for what is newer than this version; None: than what it told last.
-    AskDiscovery {
-        /// The version of the list at hand.
+    /// Watch discovery for changes after this version; None: after what discovery sent last.
+    WatchDiscovery {
+        /// The version of the current list.
         newer_than: Option<u64>,
     },
-    /// Discovery is not to be asked any more.
-    StopAsking,
+    /// Stop watching discovery.
+    StopWatching,
 }
 
-/// What a list from the control nodes is to this sidecar.
+/// How a list from the control nodes compares with the current list of this sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is newer: it takes the place of what is at hand.
+pub enum Freshness {
+    /// It is newer and replaces the current list.
     Newer,
-    /// It is what is at hand.
+    /// It is the current list.
     Same,
-    /// What is at hand is newer: discovery told it itself.
+    /// The current list is newer, since it came from discovery.
     Older,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The control nodes are heard.
+    /// The control nodes confirm the list.
     Following,
-    /// They are not; discovery is asked from this time on.
+    /// They do not confirm it; discovery is watched from this time on.
     Waiting(Instant),
-    /// Discovery is asked.
-    Asking,
+    /// Discovery is watched.
+    WatchingDiscovery,
 }
 
-/// The list of one sidecar.
+/// The list of one sidecar, with the source that it comes from.
 #[derive(Debug)]
 pub struct ListFollower {
     list: Option<KnownList>,
     state: State,
-    /// The list is old from this time on.
-    silent_at: Instant,
-    /// A step that was not fetched yet.
-    stop: bool,
+    /// The list is stale from this time on.
+    stale_at: Instant,
+    /// [`FollowerStep::StopWatching`] is pending.
+    stop_pending: bool,
 }
 
 impl ListFollower {
-    /// One that has just started; `has_list`: it has servers from before.
+    /// Creates the state of a process that has just started; `has_list`: it already has servers from its snapshot.
     pub fn new(now: Instant, has_list: bool) -> ListFollower {
-        let patience = if has_list { SILENT_AFTER } else { FIRST_LIST };
-        ListFollower { list: None, state: State::Following, silent_at: now + patience, stop: false }
+        let timeout = if has_list { CONFIRMATION_TIMEOUT } else { FIRST_LIST_TIMEOUT };
+        ListFollower {
+            list: None,
+            state: State::Following,
+            stale_at: now + timeout,
+            stop_pending: false,
+        }
     }
 
-    /// The position of the list at hand.
+    /// Returns the position of the current list.
     pub fn position(&self) -> Option<ListPosition> {
         self.list.as_ref().map(KnownList::position)
     }
 
-    /// Whether discovery is asked.
-    pub fn asks(&self) -> bool {
-        self.state == State::Asking
+    /// Returns whether discovery is watched.
+    pub fn watches_discovery(&self) -> bool {
+        self.state == State::WatchingDiscovery
     }
 
-    /// Whether the control nodes are heard.
-    pub fn follows(&self) -> bool {
+    /// Returns whether the control nodes confirm the list.
+    pub fn follows_control_nodes(&self) -> bool {
         self.state == State::Following
     }
 
-    /// A list has come from the control nodes. It has to be applied if it is [`Verdict::Newer`].
-    pub fn on_published(&mut self, now: Instant, published: &PublishedList) -> Verdict {
+    /// Handles a list from the control nodes. The caller applies it if the result is [`Freshness::Newer`].
+    pub fn on_published(&mut self, now: Instant, published: &PublishedList) -> Freshness {
         let Some(list) = &mut self.list else {
             self.list = Some(KnownList::from(published));
-            self.confirmed(now);
-            return Verdict::Newer;
+            self.record_confirmation(now);
+            return Freshness::Newer;
         };
-        list.agree_on_generation(published);
+        list.adopt_generation(published);
         match published.position.cmp(&list.position()) {
-            Ordering::Less => Verdict::Older,
+            Ordering::Less => Freshness::Older,
             Ordering::Equal => {
-                self.confirmed(now);
-                Verdict::Same
+                self.record_confirmation(now);
+                Freshness::Same
             }
             Ordering::Greater => {
                 *list = KnownList::from(published);
-                self.confirmed(now);
-                Verdict::Newer
+                self.record_confirmation(now);
+                Freshness::Newer
             }
         }
     }
 
-    /// The writer says that the list at this position is what discovery says now. True: it is the one at hand.
+    /// Handles the confirmation of the writer that discovery still has the list at `position`. Returns whether that is
+    /// the current list.
     pub fn on_confirmation(&mut self, now: Instant, position: ListPosition) -> bool {
-        // One that confirms another list says nothing of the one at hand: a newer one is on its way, or the writer's
-        // discovery is behind what discovery has told this sidecar.
-        let mine = self.position() == Some(position);
-        if mine {
-            self.confirmed(now);
+        // A confirmation of another list says nothing about the current one: a newer one is in transit, or the writer's
+        // discovery lags behind the one that this sidecar has watched.
+        let is_current = self.position() == Some(position);
+        if is_current {
+            self.record_confirmation(now);
         }
-        mine
+        is_current
     }
 
-    /// Discovery has told a list, or changes of it.
+    /// Applies a list from discovery, or changes to it.
     pub fn on_discovered(&mut self, whole: bool, list: &List) {
         self.list.get_or_insert_default().apply(whole, list);
     }
 
-    fn confirmed(&mut self, now: Instant) {
-        self.silent_at = now + SILENT_AFTER;
-        self.stop |= self.state == State::Asking;
+    fn record_confirmation(&mut self, now: Instant) {
+        self.stale_at = now + CONFIRMATION_TIMEOUT;
+        self.stop_pending |= self.state == State::WatchingDiscovery;
         self.state = State::Following;
     }
 
-    /// What is to be done now. `random` is of `0.0..1.0`.
+    /// Returns the next step that is due now. `random` lies in `0.0..1.0`.
     pub fn poll(&mut self, now: Instant, fleet: u32, random: f64) -> Option<FollowerStep> {
-        if std::mem::take(&mut self.stop) {
-            return Some(FollowerStep::StopAsking);
+        if std::mem::take(&mut self.stop_pending) {
+            return Some(FollowerStep::StopWatching);
         }
         match self.state {
-            State::Following if self.silent_at <= now => {
-                // All others are silent for the same reason, at the same time.
+            State::Following if self.stale_at <= now => {
+                // All other sidecars lose the control nodes at the same time, so the fallback is spread out.
                 self.state = State::Waiting(now + wait_by_fleet(fleet, random));
                 Some(FollowerStep::Silent)
             }
             State::Waiting(until) if until <= now => {
-                self.state = State::Asking;
+                self.state = State::WatchingDiscovery;
                 let newer_than = self.position().map(|position| position.seq);
-                Some(FollowerStep::AskDiscovery { newer_than })
+                Some(FollowerStep::WatchDiscovery { newer_than })
             }
             _ => None,
         }
     }
 
-    /// When [`ListFollower::poll`] has to be called at the latest; None: not before something has come.
+    /// Returns when [`ListFollower::poll`] has to be called at the latest; None: not before the next list or
+    /// confirmation.
     pub fn next_due(&self) -> Option<Instant> {
         match self.state {
-            State::Following => Some(self.silent_at),
+            State::Following => Some(self.stale_at),
             State::Waiting(until) => Some(until),
-            State::Asking => None,
+            State::WatchingDiscovery => None,
         }
     }
 }
--- a/crates/millethook-engine/src/server_lists/known_list.rs
+++ b/crates/millethook-engine/src/server_lists/known_list.rs
@@ -1,4 +1,4 @@
-//! A list as its source has told it, with all changes.
+//! The list of servers as known from one source, with all changes applied.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use super::published::PublishedList;
 use crate::list::{Host, List};
 
-/// A list as its source has told it. Entries that have left are not in it.
+/// The list of servers as known from one source. It holds no entries that have left.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KnownList {
     position: ListPosition,
@@ -14,12 +14,12 @@
 }
 
 impl KnownList {
-    /// How new it is.
+    /// Returns how new the list is.
     pub fn position(&self) -> ListPosition {
         self.position
     }
 
-    /// Discovery has told a list, or changes of it.
+    /// Applies a list from discovery, or changes to it.
     pub fn apply(&mut self, whole: bool, list: &List) {
         self.position = self.position.next(whole, list.seq);
         if whole {
@@ -34,16 +34,17 @@
         }
     }
 
-    /// Counts generations from this one on: nothing is known yet of how often versions began anew.
-    pub fn count_generations_from(&mut self, generation: u32) {
+    /// Adds `generation` to the generation of this list, which does not know of earlier restarts of discovery.
+    pub fn add_generations(&mut self, generation: u32) {
         self.position.generation = self.position.generation.saturating_add(generation);
     }
 
-    /// Takes over the generation of a published list that is this one. False: it is another one.
+    /// Adopts the generation of a published list that equals this list. Returns false if it is a different list.
     ///
-    /// Without it, a process that has not seen how versions began anew, or that took a lagging replica of discovery for
-    /// one that began anew, would count otherwise than the rest for good. Harm: none, since the list is the same.
-    pub fn agree_on_generation(&mut self, published: &PublishedList) -> bool {
+    /// Without this, a process that missed a restart of discovery's versions, or that mistook a lagging replica of
+    /// discovery for a restart, would count generations differently from the others for good. Adopting is harmless,
+    /// since the list is the same.
+    pub fn adopt_generation(&mut self, published: &PublishedList) -> bool {
         let same = published.position.seq == self.position.seq
             && published.hosts.len() == self.hosts.len()
             && published.hosts.iter().all(|host| self.hosts.get(&host.host) == Some(host));
@@ -53,7 +54,7 @@
         same
     }
 
-    /// It, as it is published.
+    /// Returns the list in its published form.
     pub fn to_published(&self) -> PublishedList {
         PublishedList { position: self.position, hosts: self.hosts.values().cloned().collect() }
     }
--- a/crates/millethook-engine/src/server_lists/mod.rs
+++ b/crates/millethook-engine/src/server_lists/mod.rs
@@ -1,8 +1,8 @@
-//! The list of servers by distribution: control nodes that ask discovery publish it, and all others take it from them, so
-//! that discovery has a few callers in place of a whole fleet.
+//! Distributes the list of servers: control nodes watch discovery and publish the list, and all other members get it
+//! from them, so that discovery serves a few clients instead of the whole fleet.
 //!
-//! [`ListSource`] and [`ListFollower`] decide, without clock and I/O; [`ListPublisher`] and [`ListSubscription`] are the
-//! tasks round them.
+//! [`ListSource`] and [`ListFollower`] decide, without clock and I/O; [`ListPublisher`] and [`ListSubscription`] are
+//! the tasks that run them.
 
 mod follower;
 mod known_list;
@@ -12,7 +12,9 @@
 mod source;
 mod subscription;
 
-pub use follower::{FIRST_LIST, FollowerStep, ListFollower, SILENT_AFTER, Verdict};
+pub use follower::{
+    CONFIRMATION_TIMEOUT, FIRST_LIST_TIMEOUT, FollowerStep, Freshness, ListFollower,
+};
 pub use known_list::KnownList;
 pub use position::ListPosition;
 pub use published::{
@@ -20,17 +22,17 @@
 };
 pub(crate) use publisher::PublishingSink;
 pub use publisher::{ListPublisher, PublisherFigures};
-pub use source::{CONFIRM_EVERY, ListSource, Publication, WriterState};
+pub use source::{CONFIRM_INTERVAL, ListSource, Publication, WriterState};
 pub(crate) use subscription::SubscribedSink;
 pub use subscription::{ListSubscription, SubscriptionFigures, SubscriptionParts};
 
 use std::rc::Rc;
 
-/// What this process does with the list that comes by distribution.
+/// The role of this process in the distribution of the list.
 #[derive(Clone)]
 pub enum ListRole {
-    /// It has it from discovery and publishes it.
+    /// It gets the list from discovery and publishes it.
     Publisher(Rc<ListPublisher>),
-    /// It takes it from the control nodes.
+    /// It gets the list from the control nodes.
     Subscriber(Rc<ListSubscription>),
 }
--- a/crates/millethook-engine/src/server_lists/position.rs
+++ b/crates/millethook-engine/src/server_lists/position.rs
@@ -1,25 +1,25 @@
-//! How new a list of servers is: by discovery's version, and by how often its versions have begun anew.
+//! Orders lists of servers by discovery's version and by how often that version was reset.
 
 use serde::{Deserialize, Serialize};
 
-/// How new a list is. Of two lists the greater position is the newer one.
+/// How new a list is. Of two lists, the one with the greater position is newer.
 ///
-/// Discovery's version alone does not tell: a discovery that starts anew counts from 1 again, and a replica of it that
-/// lags behind tells a low version, too. Whoever watched discovery as a whole list came with a lower version than the
-/// one before has seen the first, and counts the generation up.
+/// Discovery's version alone is ambiguous: a restarted discovery counts from 1 again, and a lagging replica of it also
+/// reports a low version. A process that gets a whole list with a lower version than before has seen a restart, and
+/// increments the generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ListPosition {
-    /// How often discovery's versions were seen to begin anew.
+    /// How many restarts of discovery's version were seen.
     pub generation: u32,
     /// Discovery's version.
     pub seq: u64,
 }
 
 impl ListPosition {
-    /// The position of what the same discovery tells after this.
+    /// Returns the position of the next list or change from the same discovery.
     pub fn next(self, whole: bool, seq: u64) -> ListPosition {
-        let began_anew = whole && seq < self.seq;
-        ListPosition { generation: self.generation.saturating_add(u32::from(began_anew)), seq }
+        let restarted = whole && seq < self.seq;
+        ListPosition { generation: self.generation.saturating_add(u32::from(restarted)), seq }
     }
 }
 
--- a/crates/millethook-engine/src/server_lists/published.rs
+++ b/crates/millethook-engine/src/server_lists/published.rs
@@ -1,5 +1,5 @@
-//! The bodies of documents about lists: one byte for the form, then what `postcard` writes. The document's hash covers
-//! them. Documents are at most 64 KiB long, which is some 1,800 servers.
+//! Encodes the bodies of documents about lists: one byte for the format, then `postcard` content. The document's hash
+//! covers them. A document holds at most 64 KiB, which is some 1,800 servers.
 
 use std::net::SocketAddr;
 
@@ -8,46 +8,46 @@
 use super::position::ListPosition;
 use crate::list::{Host, Listed};
 
-/// The form of a list.
-const LIST: u8 = 1;
-/// The form of a confirmation.
-const CONFIRMATION: u8 = 2;
+/// The format byte of a list.
+const LIST_FORMAT: u8 = 1;
+/// The format byte of a confirmation.
+const CONFIRMATION_FORMAT: u8 = 2;
 
-/// A list that is published.
+/// A published list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedList {
     /// How new it is.
     pub position: ListPosition,
-    /// Its entries; none that has left.
+    /// Its entries, without servers that have left.
     pub hosts: Vec<Host>,
 }
 
-/// Why a body is none of a list.
+/// Why a body cannot be read as a list or a confirmation.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is empty.
+    /// The body is empty.
     #[error("no content")]
     Empty,
-    /// It has another form.
+    /// The body has another format.
     #[error("form {found}: {expected} expected")]
     Form {
-        /// Its first byte.
+        /// The first byte of the body.
         found: u8,
-        /// What the first byte of such a body is.
+        /// The first byte of a body of the expected format.
         expected: u8,
     },
-    /// Its content cannot be read.
+    /// The content cannot be read.
     #[error("{0}")]
     Content(#[from] postcard::Error),
-    /// There is more behind it.
+    /// Further bytes follow the content.
     #[error("{0} bytes too many")]
     TooLong(usize),
-    /// The state of a server is none.
+    /// The state of a server is unknown.
     #[error("state {0} of a server: 0 to 2 expected")]
     State(u8),
 }
 
-/// An entry as it is written. It has a type of its own, so that a new field of [`Host`] does not change the form.
+/// The stored form of an entry. It is a separate type, so that a new field of [`Host`] does not change the format.
 #[derive(Serialize, Deserialize)]
 struct Entry {
     host: String,
@@ -67,7 +67,7 @@
 }
 
 impl Entry {
-    fn of(host: &Host) -> Entry {
+    fn from_host(host: &Host) -> Entry {
         Entry {
             host: host.host.clone(),
             dial: host.dial,
@@ -84,7 +84,7 @@
         }
     }
 
-    fn read(self) -> Result<Host, BodyError> {
+    fn into_host(self) -> Result<Host, BodyError> {
         let health = match self.state {
             0 => Listed::Active,
             1 => Listed::Leaving,
@@ -97,57 +97,58 @@
 }
 
 impl PublishedList {
-    /// The body of its document.
+    /// Encodes the body of the document.
     ///
     /// # Errors
-    /// `postcard` does not write it.
+    /// `postcard` cannot encode it.
     pub fn encode(&self) -> Result<Vec<u8>, BodyError> {
-        let entries = self.hosts.iter().filter(|host| !host.is_gone()).map(Entry::of).collect();
+        let entries =
+            self.hosts.iter().filter(|host| !host.is_gone()).map(Entry::from_host).collect();
         let content = Content { position: self.position, entries };
-        Ok(postcard::to_extend(&content, vec![LIST])?)
+        Ok(postcard::to_extend(&content, vec![LIST_FORMAT])?)
     }
 
-    /// Reads a body.
+    /// Decodes a body.
     ///
     /// # Errors
-    /// It is none of a list.
+    /// The body does not hold a list.
     pub fn decode(body: &[u8]) -> Result<PublishedList, BodyError> {
-        let content: Content = read(body, LIST)?;
+        let content: Content = decode_body(body, LIST_FORMAT)?;
         let hosts: Result<Vec<Host>, BodyError> =
-            content.entries.into_iter().map(Entry::read).collect();
+            content.entries.into_iter().map(Entry::into_host).collect();
         Ok(PublishedList { position: content.position, hosts: hosts? })
     }
 }
 
-/// The body that says: the list at this position is what discovery says now.
+/// Encodes the confirmation that discovery still has the list at this position.
 ///
 /// # Errors
-/// `postcard` does not write it.
+/// `postcard` cannot encode it.
 pub fn encode_confirmation(position: ListPosition) -> Result<Vec<u8>, BodyError> {
-    Ok(postcard::to_extend(&position, vec![CONFIRMATION])?)
+    Ok(postcard::to_extend(&position, vec![CONFIRMATION_FORMAT])?)
 }
 
-/// Reads the body of a confirmation.
+/// Decodes the body of a confirmation.
 ///
 /// # Errors
-/// It is none.
+/// The body does not hold a confirmation.
 pub fn decode_confirmation(body: &[u8]) -> Result<ListPosition, BodyError> {
-    read(body, CONFIRMATION)
+    decode_body(body, CONFIRMATION_FORMAT)
 }
 
-/// Whether a body is that of a confirmation.
+/// Returns whether a body holds a confirmation.
 pub fn is_confirmation(body: &[u8]) -> bool {
-    body.first() == Some(&CONFIRMATION)
+    body.first() == Some(&CONFIRMATION_FORMAT)
 }
 
-fn read<'b, T: Deserialize<'b>>(body: &'b [u8], expected: u8) -> Result<T, BodyError> {
+fn decode_body<'b, T: Deserialize<'b>>(body: &'b [u8], expected: u8) -> Result<T, BodyError> {
     let (&found, content) = body.split_first().ok_or(BodyError::Empty)?;
     if found != expected {
         return Err(BodyError::Form { found, expected });
     }
-    let (value, left) = postcard::take_from_bytes(content)?;
-    match left.len() {
+    let (value, rest) = postcard::take_from_bytes(content)?;
+    match rest.len() {
         0 => Ok(value),
-        more => Err(BodyError::TooLong(more)),
+        excess => Err(BodyError::TooLong(excess)),
     }
 }
--- a/crates/millethook-engine/src/server_lists/publisher.rs
+++ b/crates/millethook-engine/src/server_lists/publisher.rs
@@ -1,4 +1,4 @@
-//! The task of a control node that publishes the list which it has from discovery.
+//! The task of a control node that publishes the list from discovery.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,36 +17,36 @@
 use crate::list::List;
 use crate::sinks::MembershipSink;
 
-/// The control node is looked at so often: it may have become the writer, or have learned of another list.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// The interval of checks whether the control node has become the writer or has learned of another list.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PublisherFigures {
     /// Lists that were published.
     pub published: u64,
-    /// Times that the list in force was confirmed.
+    /// Confirmations of the list in force.
     pub confirmed: u64,
-    /// Lists that could not be published: too long, or no room.
+    /// Lists that could not be published because they were too long or there was no room.
     pub not_published: u64,
 }
 
-/// Publishes the list of one control node while that is the writer.
+/// Publishes the list of one control node while that node is the writer.
 pub struct ListPublisher {
     settings: ListSettings,
     source: RefCell<ListSource>,
     fleet: Rc<Fleet>,
     distribution: Rc<Distribution>,
-    /// The committed list as it was last read.
+    /// The committed list at the last read.
     committed: RefCell<Option<(Version, Rc<PublishedList>)>>,
-    /// The last list that could not be published.
+    /// The last list whose publication failed.
     failed: Cell<Option<ListPosition>>,
     changed: Notify,
     figures: Cell<PublisherFigures>,
 }
 
 impl ListPublisher {
-    /// Starts the task on the present `LocalSet`.
+    /// Starts the task on the current `LocalSet`.
     pub(crate) fn start(
         settings: ListSettings,
         fleet: Rc<Fleet>,
@@ -66,25 +66,25 @@
         publisher
     }
 
-    /// Counts since the start.
+    /// Returns the counts since the start.
     pub fn figures(&self) -> PublisherFigures {
         self.figures.get()
     }
 
     async fn run(self: Rc<ListPublisher>) {
         loop {
-            while let Some(publication) = self.next() {
+            while let Some(publication) = self.next_publication() {
                 if !self.publish(publication) {
                     break;
                 }
             }
-            // Either way it is time to look.
-            let _ = timeout(LOOK_EVERY, self.changed.notified()).await;
+            // Polls after a change and after a time-out alike.
+            let _ = timeout(POLL_INTERVAL, self.changed.notified()).await;
         }
     }
 
-    /// What is to be published now.
-    fn next(&self) -> Option<Publication> {
+    /// Returns what has to be published now.
+    fn next_publication(&self) -> Option<Publication> {
         let control = self.distribution.control_figures()?;
         let committed = self.committed();
         let writer = WriterState {
@@ -95,7 +95,7 @@
         self.source.borrow_mut().poll(Instant::now(), writer)
     }
 
-    /// The committed list; None: there is none, or it cannot be read.
+    /// Returns the committed list; None if there is none or it cannot be read.
     fn committed(&self) -> Option<Rc<PublishedList>> {
         let document = self.distribution.committed(self.settings.list)?;
         if let Some((version, list)) = &*self.committed.borrow()
@@ -108,7 +108,7 @@
         Some(list)
     }
 
-    /// False: it was not published, and more would not be.
+    /// Publishes a list or a confirmation. Returns false if that failed, in which case further ones would fail too.
     fn publish(&self, publication: Publication) -> bool {
         let mut figures = self.figures.get();
         let published = match &publication {
@@ -135,7 +135,7 @@
     fn publish_list(&self, list: &PublishedList) -> bool {
         let body = match list.encode() {
             Ok(body) => body,
-            Err(e) => return self.tell_failure(list, &e.to_string()),
+            Err(e) => return self.log_failure(list, &e.to_string()),
         };
         match self.fleet.publish(self.settings.list, Some(body)) {
             Ok(version) => {
@@ -145,36 +145,36 @@
                     version = %version,
                     position = %list.position,
                     servers = list.hosts.len(),
-                    "the list from discovery is published"
+                    "published the server list from discovery"
                 );
                 true
             }
-            // Another one is the writer by now, or this one will be ready soon.
+            // Another control node has become the writer, or this one is about to be ready.
             Err(PublishError::NotWriter(_) | PublishError::CatchingUp(_)) => false,
-            Err(e) => self.tell_failure(list, &e.to_string()),
+            Err(e) => self.log_failure(list, &e.to_string()),
         }
     }
 
-    /// Says once of each list why it is not published.
-    fn tell_failure(&self, list: &PublishedList, why: &str) -> bool {
+    /// Logs once per list why it was not published.
+    fn log_failure(&self, list: &PublishedList, reason: &str) -> bool {
         if self.failed.replace(Some(list.position)) != Some(list.position) {
             tracing::error!(
                 event = "distribution_list_not_published",
                 list = %self.settings.name,
                 position = %list.position,
                 servers = list.hosts.len(),
-                "sidecars ask discovery themselves: {why}"
+                "cannot publish the server list, so sidecars ask discovery themselves: {reason}"
             );
         }
         false
     }
 }
 
-/// Tells the publisher of what discovery says, on its way to the balancer.
+/// Passes lists from discovery to the publisher and on to the next sink.
 pub(crate) struct PublishingSink {
-    /// Where it is on its way to.
+    /// The next sink.
     pub sink: Box<dyn MembershipSink>,
-    /// Who is told.
+    /// The publisher.
     pub publisher: Rc<ListPublisher>,
 }
 
--- a/crates/millethook-engine/src/server_lists/subscription.rs
+++ b/crates/millethook-engine/src/server_lists/subscription.rs
@@ -1,4 +1,4 @@
-//! The task of a sidecar that takes its list from the control nodes.
+//! The task of a sidecar that gets its list from the control nodes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
-use super::follower::{FollowerStep, ListFollower, Verdict};
+use super::follower::{FollowerStep, Freshness, ListFollower};
 use super::position::ListPosition;
 use super::published::{BodyError, PublishedList, decode_confirmation};
 use crate::discovery::Call;
@@ -22,45 +22,45 @@
 use crate::membership_store::MembershipStore;
 use crate::sinks::MembershipSink;
 
-/// The code of a refusal: the body cannot be read. That of configuration that makes no sense by itself is the same.
+/// The refusal code for a body that cannot be read, the same as for configuration that is invalid by itself.
 const UNREADABLE: u8 = 1;
 
-/// What is there now, and counts since the start.
+/// The current state, and counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriptionFigures {
-    /// The control nodes are heard, and their list is used.
+    /// The control nodes confirm the list, and it is in use.
     pub follows: bool,
-    /// Discovery is asked.
+    /// Discovery is watched.
     pub asks: bool,
-    /// The list at hand.
+    /// The position of the current list.
     pub position: Option<ListPosition>,
-    /// Lists that were taken from the control nodes.
+    /// Lists that were accepted from the control nodes.
     pub taken: u64,
-    /// Lists from the control nodes that were older than what discovery had told here.
+    /// Lists from the control nodes that were older than the one from discovery.
     pub older: u64,
-    /// Times that nothing confirmed the list any more.
+    /// How often confirmations of the list timed out.
     pub silences: u64,
 }
 
-/// What a [`ListSubscription`] works with.
+/// The parts of a [`ListSubscription`].
 pub struct SubscriptionParts {
-    /// Which list.
+    /// The list to subscribe to.
     pub settings: ListSettings,
-    /// Where it comes from.
+    /// The source of the list.
     pub distribution: Rc<Distribution>,
-    /// Where it goes.
+    /// The receiver of the list.
     pub membership_store: Rc<MembershipStore>,
-    /// Calls to discovery.
+    /// The commands to discovery.
     pub to_discovery: mpsc::UnboundedSender<Call>,
-    /// What the settings say about them.
+    /// The limits on requests to discovery.
     pub call_limits: Rc<Cell<CallLimits>>,
-    /// Told when the first list has come.
+    /// Notified when the first list has arrived.
     pub tried: Rc<Notify>,
-    /// For random waits.
+    /// The seed of random waits.
     pub seed: u64,
 }
 
-/// The list of one sidecar, from the control nodes, or from discovery while these are silent.
+/// The list of one sidecar, from the control nodes or, while they are silent, from discovery.
 pub struct ListSubscription {
     parts: SubscriptionParts,
     follower: RefCell<ListFollower>,
@@ -69,7 +69,7 @@
 }
 
 impl ListSubscription {
-    /// One that has not taken anything yet.
+    /// Creates a subscription that has not received anything yet.
     pub(crate) fn new(parts: SubscriptionParts, has_list: bool) -> Rc<ListSubscription> {
         Rc::new(ListSubscription {
             follower: RefCell::new(ListFollower::new(Instant::now(), has_list)),
@@ -79,19 +79,19 @@
         })
     }
 
-    /// What is there now, and counts since the start.
+    /// Returns the current state, and counts since the start.
     pub fn figures(&self) -> SubscriptionFigures {
         let follower = self.follower.borrow();
         SubscriptionFigures {
-            follows: follower.follows(),
-            asks: follower.asks(),
+            follows: follower.follows_control_nodes(),
+            asks: follower.watches_discovery(),
             position: follower.position(),
             ..self.counts.get()
         }
     }
 
-    /// Takes lists until the present `LocalSet` ends. `calls` is what the decisions ask of discovery: they are passed on
-    /// while discovery is asked.
+    /// Receives lists until the current `LocalSet` ends. `calls` are the balancer's commands to discovery, which are
+    /// forwarded only while discovery is watched.
     pub(crate) async fn run(self: Rc<ListSubscription>, mut calls: mpsc::UnboundedReceiver<Call>) {
         self.call(Call::Stop);
         loop {
@@ -103,20 +103,20 @@
                 }
             };
             tokio::select! {
-                () = self.parts.distribution.list_news() => self.take_offered(),
+                () = self.parts.distribution.wait_for_offered_lists() => self.process_offered(),
                 call = calls.recv() => match call {
-                    Some(call) if self.follower.borrow().asks() => self.call(call),
+                    Some(call) if self.follower.borrow().watches_discovery() => self.call(call),
                     Some(_) => {}
                     None => return,
                 },
                 () = due => {}
             }
-            self.follow();
+            self.run_due_steps();
         }
     }
 
     fn call(&self, call: Call) {
-        // Discovery's side ends with the engine.
+        // The receiver lives as long as the engine.
         let _ = self.parts.to_discovery.send(call);
     }
 
@@ -126,8 +126,8 @@
         self.counts.set(counts);
     }
 
-    /// Does what is due.
-    fn follow(&self) {
+    /// Carries out all due steps.
+    fn run_due_steps(&self) {
         loop {
             let random = f64::from(self.random.borrow_mut().next_u32()) / f64::from(u32::MAX);
             let fleet = self.parts.call_limits.get().fleet;
@@ -141,46 +141,48 @@
                     tracing::warn!(
                         event = "distribution_list_silent",
                         %list,
-                        "no control node confirms the list of servers: discovery is asked soon"
+                        "no control node confirms the server list; falling back to discovery soon"
                     );
                 }
-                Some(FollowerStep::AskDiscovery { newer_than }) => {
+                Some(FollowerStep::WatchDiscovery { newer_than }) => {
                     self.call(newer_than.map_or(Call::Watch, Call::WatchFrom));
                 }
-                Some(FollowerStep::StopAsking) => {
+                Some(FollowerStep::StopWatching) => {
                     self.call(Call::Stop);
                     tracing::info!(
                         event = "distribution_list_heard",
                         %list,
-                        "the list of servers comes from the control nodes again"
+                        "the control nodes confirm the server list again; stopped watching discovery"
                     );
                 }
             }
         }
     }
 
-    fn take_offered(&self) {
+    fn process_offered(&self) {
         let mut documents = self.parts.distribution.take_offered_lists();
-        // A confirmation may be that of the list that has come with it.
+        // Lists first: a confirmation may belong to the list that arrived with it.
         documents.sort_by_key(|document| document.key != self.parts.settings.list);
         for document in documents {
-            match self.take(&document) {
+            match self.process(&document) {
                 Ok(()) => drop(self.parts.distribution.accept(&[document.version])),
                 Err(e) => self.refuse(&document, &e),
             }
         }
     }
 
+    /// Applies a document.
+    ///
     /// # Errors
-    /// The document makes no sense.
-    fn take(&self, document: &Document) -> Result<(), BodyError> {
-        // Nothing is published any more. What is at hand ages.
+    /// The body cannot be read.
+    fn process(&self, document: &Document) -> Result<(), BodyError> {
+        // The list was retracted. The current list stays in use and its age grows.
         let Some(body) = &document.body else { return Ok(()) };
         let now = Instant::now();
         if document.key == self.parts.settings.list {
             let published = PublishedList::decode(body)?;
-            let verdict = self.follower.borrow_mut().on_published(now, &published);
-            self.on_verdict(verdict, published, document);
+            let freshness = self.follower.borrow_mut().on_published(now, &published);
+            self.on_compared(freshness, published, document);
             return Ok(());
         }
         let position = decode_confirmation(body)?;
@@ -190,10 +192,10 @@
         Ok(())
     }
 
-    fn on_verdict(&self, verdict: Verdict, published: PublishedList, document: &Document) {
+    fn on_compared(&self, freshness: Freshness, published: PublishedList, document: &Document) {
         let PublishedList { position, hosts } = published;
-        match verdict {
-            Verdict::Newer => {
+        match freshness {
+            Freshness::Newer => {
                 let servers = hosts.len();
                 let list = List { seq: position.seq, whole: true, hosts };
                 self.parts.membership_store.apply_list(Source::Distribution, &list);
@@ -205,15 +207,15 @@
                     version = %document.version,
                     %position,
                     servers,
-                    "a list of servers from the control nodes"
+                    "applied a server list from the control nodes"
                 );
             }
-            Verdict::Same => self.confirm(position),
-            Verdict::Older => self.count(|counts| counts.older += 1),
+            Freshness::Same => self.confirm(position),
+            Freshness::Older => self.count(|counts| counts.older += 1),
         }
     }
 
-    /// The list at hand is what discovery says now: its age ends.
+    /// Resets the age of the current list, which discovery still has.
     fn confirm(&self, position: ListPosition) {
         let unchanged = List { seq: position.seq, whole: false, hosts: Vec::new() };
         self.parts.membership_store.apply_list(Source::Distribution, &unchanged);
@@ -224,18 +226,18 @@
             event = "distribution_list_refused",
             list = %self.parts.settings.name,
             version = %document.version,
-            "the list of servers stays as it was: {error}"
+            "cannot read a server list from the control nodes; keeping the current one: {error}"
         );
-        let why = Refusal { code: UNREADABLE, reason: error.to_string() };
-        self.parts.distribution.refuse(document.version, why);
+        let refusal = Refusal { code: UNREADABLE, reason: error.to_string() };
+        self.parts.distribution.refuse(document.version, refusal);
     }
 }
 
-/// Tells the subscription of what discovery says, on its way to the membership.
+/// Passes lists from discovery to the subscription and on to the next sink.
 pub(crate) struct SubscribedSink {
-    /// Where it is on its way to.
+    /// The next sink.
     pub sink: Box<dyn MembershipSink>,
-    /// Who is told.
+    /// The subscription.
     pub subscription: Rc<ListSubscription>,
 }
 
--- a/crates/millethook-engine/tests/it/lease_budget.rs
+++ b/crates/millethook-engine/tests/it/lease_budget.rs
@@ -1,6 +1,5 @@
-//! How long the fleet is without the owner of a job, such as the writer of documents, while the budget of all messages
-//! between sidecars is used up by other kinds: leases and the channel on the virtual clock, as the engine puts them
-//! together.
+//! Measures how long a job, such as the writer of documents, has no owner while other kinds of messages use up the
+//! shared budget. Runs leases and the channel on a virtual clock, combined as in the engine.
 
 use std::collections::VecDeque;
 
@@ -11,15 +10,16 @@
 use millethook_machine::sim::{Fleet, Machine, SECOND as S};
 
 const MEMBERS: u16 = 300;
-/// Members that want the job, as control nodes do.
+/// The number of members that request the job, like control nodes.
 const CANDIDATES: u16 = 36;
 const JOB: JobId = JobId(7);
-/// The settings of `[fleet]` and `[lease]` that nobody changed, but for the longest lease.
+/// The default budget in bytes per second.
 const RATE: u32 = 1_500;
-const LONGEST: Micros = 3 * S;
-/// Each member has so much more to say of another kind than the budget allows.
+/// The maximum lease length, shorter than the default of 6 s.
+const MAX_LEASE: Micros = 3 * S;
+/// The factor by which messages of another kind exceed the budget of a loaded member.
 const OVERLOAD: u32 = 2;
-const LOAD_EVERY: Micros = S / 10;
+const LOAD_INTERVAL: Micros = S / 10;
 
 struct Member {
     me: u16,
@@ -27,8 +27,8 @@
     channel: Channel,
     loaded: bool,
     load_at: Micros,
-    others: u16,
-    out: VecDeque<(u16, Vec<u8>)>,
+    load_receiver: u16,
+    outgoing: VecDeque<(u16, Vec<u8>)>,
 }
 
 impl Member {
@@ -38,32 +38,32 @@
             me,
             epoch: 1_700_000_000_000 + now / 1_000,
             seats: 5,
-            longest: LONGEST,
+            longest: MAX_LEASE,
             change: 60 * S,
             drift: 0.05,
             seed,
         };
         let mut lease = Lease::new(config, members, now);
         if me < CANDIDATES {
-            lease.request(now, JOB, LONGEST, 0);
+            lease.request(now, JOB, MAX_LEASE, 0);
         }
         let channel = ChannelConfig { rate: RATE, burst: 2 * RATE, kinds: message_kinds() };
         let channel = Channel::new(&channel, now);
-        let load_at = now + seed % LOAD_EVERY;
-        Member { me, lease, channel, loaded, load_at, others: 0, out: VecDeque::new() }
+        let load_at = now + seed % LOAD_INTERVAL;
+        Member { me, lease, channel, loaded, load_at, load_receiver: 0, outgoing: VecDeque::new() }
     }
 
     fn pump(&mut self, now: Micros) {
-        let short = self.channel.is_short(now);
+        let congested = self.channel.is_short(now);
         while self.loaded && self.load_at <= now {
-            self.load_at += LOAD_EVERY;
-            let bytes = (RATE * OVERLOAD) as usize / (S / LOAD_EVERY) as usize;
+            self.load_at += LOAD_INTERVAL;
+            let bytes = (RATE * OVERLOAD) as usize / (S / LOAD_INTERVAL) as usize;
             for _ in 0..2 {
-                self.others = (self.others + 1) % MEMBERS;
-                self.channel.offer(self.others, VIEW.number, vec![0; bytes / 2]);
+                self.load_receiver = (self.load_receiver + 1) % MEMBERS;
+                self.channel.offer(self.load_receiver, VIEW.number, vec![0; bytes / 2]);
             }
         }
-        self.lease.set_congested(short);
+        self.lease.set_congested(congested);
         if self.lease.poll_timeout() <= now {
             self.lease.tick(now);
         }
@@ -73,10 +73,10 @@
         }
         let header = Header { fleet: 1, from: self.me, epoch: 1 };
         while let Some((to, bytes)) = self.channel.poll(now, header) {
-            let frame = Frame::parse(&bytes).expect("the channel makes whole frames");
+            let frame = Frame::parse(&bytes).expect("the channel emits valid frames");
             for (kind, content) in frame.records() {
                 if kind == LEASE.number {
-                    self.out.push_back((to, content.to_vec()));
+                    self.outgoing.push_back((to, content.to_vec()));
                 }
             }
         }
@@ -101,7 +101,7 @@
         self.lease.poll_timeout().min(load).min(channel)
     }
     fn poll_transmit(&mut self) -> Option<(Option<u16>, Vec<u8>)> {
-        self.out.pop_front().map(|(to, content)| (Some(to), content))
+        self.outgoing.pop_front().map(|(to, content)| (Some(to), content))
     }
 }
 
@@ -113,52 +113,55 @@
     (0..CANDIDATES).find(holds)
 }
 
-/// Whose budget other messages use up.
+/// The members whose budget is used up by other messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum UsedUp {
-    Nobodys,
-    /// Those of the members that do not want the job; its seats are among them.
-    OfOthers,
-    Everybodys,
+enum Overloaded {
+    None,
+    /// Only members that do not request the job; its seats are among them.
+    NonCandidates,
+    All,
 }
 
-/// For how long of the 30 s after the job's owner was killed there is none, in seconds.
-fn without_owner(seed: u64, used_up: UsedUp) -> f64 {
+/// Kills the owner of the job and returns how many of the next 30 s no member owns it.
+fn seconds_without_owner(seed: u64, overloaded: Overloaded) -> f64 {
     let mut fleet = Fleet::new(MEMBERS, seed);
     for n in 0..MEMBERS {
         let seed = fleet.below(u64::MAX);
-        let loaded = match used_up {
-            UsedUp::Nobodys => false,
-            UsedUp::OfOthers => n >= CANDIDATES,
-            UsedUp::Everybodys => true,
+        let loaded = match overloaded {
+            Overloaded::None => false,
+            Overloaded::NonCandidates => n >= CANDIDATES,
+            Overloaded::All => true,
         };
         fleet.start(n, |now| Member::new(n, seed, loaded, now));
     }
-    fleet.run_until(60 * S, |fleet| owner(fleet).is_some()).expect("there is an owner");
+    fleet.run_until(60 * S, |fleet| owner(fleet).is_some()).expect("the job gets an owner");
     fleet.run(5 * S);
     let killed = owner(&fleet);
     killed.into_iter().for_each(|n| fleet.kill(n));
-    let mut without = 0;
+    let mut samples_without_owner = 0;
     for _ in 0..300 {
         fleet.run(S / 10);
-        without += u32::from(owner(&fleet).is_none());
+        samples_without_owner += u32::from(owner(&fleet).is_none());
     }
-    f64::from(without) / 10.0
+    f64::from(samples_without_owner) / 10.0
 }
 
-/// The mean over some seeds.
-fn mean_without_owner(used_up: UsedUp) -> f64 {
-    let all: Vec<f64> = (0..6).map(|seed| without_owner(seed, used_up)).collect();
+/// Returns the mean over six seeds.
+fn mean_without_owner(overloaded: Overloaded) -> f64 {
+    let all: Vec<f64> = (0..6).map(|seed| seconds_without_owner(seed, overloaded)).collect();
     let mean = all.iter().sum::<f64>() / all.len() as f64;
-    println!("{used_up:?}: without an owner for {all:?} of 30 s, {mean:.2} in the mean");
+    println!("{overloaded:?}: no owner for {all:?} of 30 s, mean {mean:.2}");
     mean
 }
 
 #[test]
-fn a_budget_that_other_messages_use_up_does_not_leave_the_fleet_without_an_owner() {
-    let calm = mean_without_owner(UsedUp::Nobodys);
-    for used_up in [UsedUp::OfOthers, UsedUp::Everybodys] {
-        let mean = mean_without_owner(used_up);
-        assert!(mean <= calm + 4.0, "{used_up:?}: {mean:.2} s, in calm {calm:.2} s");
+fn a_job_gets_an_owner_although_other_messages_use_up_the_budget() {
+    let baseline = mean_without_owner(Overloaded::None);
+    for overloaded in [Overloaded::NonCandidates, Overloaded::All] {
+        let mean = mean_without_owner(overloaded);
+        assert!(
+            mean <= baseline + 4.0,
+            "{overloaded:?}: {mean:.2} s, {baseline:.2} s without load"
+        );
     }
 }
