--- a/crates/millethook-engine/src/distribution/mod.rs
+++ b/crates/millethook-engine/src/distribution/mod.rs
@@ -111,15 +111,15 @@
     fn create(settings: DistributionSettings, use_snapshot: bool) -> Distribution {
         let DistributionSettings { config, snapshot, publishes, receive_buffer, list } = settings;
         let is_control = config.control_nodes.iter().any(|node| node.number == config.me);
-        let of_subscriber = snapshot.clone().map(Store::of_subscriber);
-        let of_control = snapshot.filter(|_| is_control).map(Store::of_control_node);
+        let subscriber_store = snapshot.clone().map(Store::for_subscriber);
+        let control_store = snapshot.filter(|_| is_control).map(Store::for_control_node);
         let load = |store: &Option<Store>| store.as_ref().and_then(Store::load);
         let control = is_control
-            .then(|| RefCell::new(ControlNode::new(config.clone(), load(&of_control), 0)));
-        let own = load(&of_subscriber).filter(|_| use_snapshot);
+            .then(|| RefCell::new(ControlNode::new(config.clone(), load(&control_store), 0)));
+        let loaded = load(&subscriber_store).filter(|_| use_snapshot);
         Distribution {
             started: Instant::now(),
-            subscriber: RefCell::new(Subscriber::new(config, own, 0)),
+            subscriber: RefCell::new(Subscriber::new(config, loaded, 0)),
             control,
             publishes: publishes && is_control,
             receive_buffer,
@@ -131,7 +131,7 @@
             control_events: RefCell::default(),
             host_events: Notify::new(),
             wake: Arc::new(Notify::new()),
-            stores: of_subscriber.into_iter().chain(of_control).collect(),
+            stores: subscriber_store.into_iter().chain(control_store).collect(),
             unsaved: Notify::new(),
         }
     }
@@ -373,7 +373,7 @@
     /// Writes the snapshots that have changed since the last write.
     pub async fn save(&self) {
         for store in &self.stores {
-            match self.control.as_ref().filter(|_| store.is_of_control_node()) {
+            match self.control.as_ref().filter(|_| store.is_for_control_node()) {
                 Some(control) => {
                     let snapshot = Arc::new(store.persisted_part(control.borrow().snapshot()));
                     if store.save(&snapshot).await {
--- a/crates/millethook-engine/src/distribution/snapshot.rs
+++ b/crates/millethook-engine/src/distribution/snapshot.rs
@@ -36,27 +36,27 @@
 /// The snapshot file of a subscriber or of a control node.
 pub(super) struct Store {
     path: PathBuf,
-    of_control_node: bool,
+    for_control_node: bool,
     /// The last snapshot that was written; None before the first write.
     written: RefCell<Option<Arc<Snapshot>>>,
 }
 
 impl Store {
     /// Creates the store of a subscriber.
-    pub fn of_subscriber(path: PathBuf) -> Store {
-        Store { path, of_control_node: false, written: RefCell::default() }
+    pub fn for_subscriber(path: PathBuf) -> Store {
+        Store { path, for_control_node: false, written: RefCell::default() }
     }
 
     /// Creates the store of a control node, whose file name gets a suffix.
-    pub fn of_control_node(path: PathBuf) -> Store {
+    pub fn for_control_node(path: PathBuf) -> Store {
         let mut name: OsString = path.into_os_string();
         name.push(CONTROL_NODE_SUFFIX);
-        Store { path: name.into(), of_control_node: true, written: RefCell::default() }
+        Store { path: name.into(), for_control_node: true, written: RefCell::default() }
     }
 
     /// Returns whether this is the store of a control node.
-    pub fn is_of_control_node(&self) -> bool {
-        self.of_control_node
+    pub fn is_for_control_node(&self) -> bool {
+        self.for_control_node
     }
 
     /// Reads the snapshot. Logs why a file cannot be used, and treats it as missing.
@@ -82,7 +82,7 @@
     pub fn persisted_part(&self, mut snapshot: Snapshot) -> Snapshot {
         let is_configuration =
             |document: &Document| document.key.kind == DocumentKind::Configuration;
-        if self.of_control_node {
+        if self.for_control_node {
             snapshot.documents.retain(|document| {
                 is_configuration(document) || !document.body.as_deref().is_some_and(is_confirmation)
             });
--- a/crates/millethook-engine/src/list_clock.rs
+++ b/crates/millethook-engine/src/list_clock.rs
@@ -16,7 +16,7 @@
 /// How long a request waits for the confirmation of a stale list.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The time at which the agent last confirmed the list. Without an agent that confirms lists, none ever gets stale.
+/// The time at which the agent last confirmed the list. Without an agent that confirms lists, no list becomes stale.
 #[derive(Debug, Default)]
 pub struct ListClock {
     /// None: never confirmed, or the last wait for a confirmation timed out.
