--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -287,7 +287,7 @@
 
     /// Datagrams that came from no peer's address, or were too long.
     pub fn strangers(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.discarded())
+        self.peers.as_ref().map_or(0, |peers| peers.rejected_datagrams())
     }
 
     /// Waits until discovery has first been tried.
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -84,7 +84,7 @@
     /// The distribution of documents, if it is enabled.
     pub distribution: Option<Rc<Distribution>>,
     /// Pending actions on suspected servers.
-    turns: RefCell<Vec<Turn>>,
+    trial_actions: RefCell<Vec<Turn>>,
     peers: Rc<dyn PeerSender>,
     wake: Arc<Notify>,
     dropped: Cell<Dropped>,
@@ -145,7 +145,7 @@
             channel: RefCell::new(Channel::new(&channel, 0)),
             evidence,
             leases,
-            turns: RefCell::default(),
+            trial_actions: RefCell::default(),
             peers,
             wake: distribution.as_ref().map_or_else(Arc::default, |d| d.wake.clone()),
             distribution,
@@ -218,7 +218,7 @@
                         leases.apply_verdict(self.now(), server, verdict);
                     }
                 });
-                self.run_turns(evidence);
+                self.run_trial_actions(evidence);
             }
             let next = self.started + Duration::from_micros(next);
             tokio::select! {
@@ -229,9 +229,9 @@
     }
 
     /// Carries out the pending actions on suspected servers. The balancer acts on them at once.
-    fn run_turns(&self, evidence: &Evidence) {
-        for turn in self.turns.take() {
-            match turn {
+    fn run_trial_actions(&self, evidence: &Evidence) {
+        for action in self.trial_actions.take() {
+            match action {
                 Turn::Stand(server, verdict) => evidence.report(server, verdict),
                 Turn::GiveUp(server, job) => tracing::info!(
                     event = "trial_given_up",
@@ -279,11 +279,11 @@
                 // The channel takes messages of this kind.
                 let _ = channel.offer(to, LEASE.number, content);
             };
-            let turns = &mut self.turns.borrow_mut();
+            let trial_actions = &mut self.trial_actions.borrow_mut();
             next = next.min(leases.pump(
                 now,
                 (view.epoch(), congested),
-                turns,
+                trial_actions,
                 &published_owner,
                 send,
             ));
--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Runs leases and trials: passes messages to `send` and adds pending actions on suspected servers to `turns`.
-    /// Returns the time of the next call. `published_owner` returns the owner of a job according to the replica, and
-    /// the age of that entry.
+    /// Runs leases and trials: passes messages to `send` and adds pending actions on suspected servers to
+    /// `trial_actions`. Returns the time of the next call. `published_owner` returns the owner of a job according to
+    /// the replica, and the age of that entry.
     pub fn pump(
         &self,
         now: Micros,
         (epoch, congested): (u64, bool),
-        turns: &mut Vec<Turn>,
+        trial_actions: &mut Vec<Turn>,
         published_owner: &dyn Fn(JobId) -> Option<(Token, Micros)>,
         mut send: impl FnMut(u16, Vec<u8>),
     ) -> Micros {
@@ -108,7 +108,7 @@
         }
         let mut next = Micros::MAX;
         if let Some(trials) = &self.trials {
-            next = trials.borrow_mut().tick(now, &mut lease, published_owner, turns);
+            next = trials.borrow_mut().tick(now, &mut lease, published_owner, trial_actions);
         }
         while let Some((to, content)) = lease.poll_transmit() {
             send(to, content);
--- a/crates/millethook-engine/src/list_clock.rs
+++ b/crates/millethook-engine/src/list_clock.rs
@@ -14,7 +14,7 @@
 /// missed may already count as delivered for the other half.
 const STALE_AFTER: Duration = Duration::from_secs(1);
 /// How long a request waits for the confirmation of a stale list.
-const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_CONFIRMATION_WAIT: Duration = Duration::from_millis(100);
 
 /// The time at which the agent last confirmed the list. Without an agent that confirms lists, no list becomes stale.
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
         let confirmation = self.on_confirmed.notified();
         let is_stale = |confirmed: Instant| confirmed.elapsed() >= STALE_AFTER;
         if self.confirmed.get().is_some_and(is_stale)
-            && timeout(CONFIRMATION_TIMEOUT, confirmation).await.is_err()
+            && timeout(MAX_CONFIRMATION_WAIT, confirmation).await.is_err()
         {
             self.confirmed.set(None);
         }
--- a/crates/millethook-engine/src/peers.rs
+++ b/crates/millethook-engine/src/peers.rs
@@ -21,7 +21,7 @@
 pub struct Peers {
     socket: UdpSocket,
     addresses: RefCell<Addresses>,
-    discarded: Cell<u64>,
+    rejected_datagrams: Cell<u64>,
 }
 
 struct Addresses {
@@ -63,7 +63,7 @@
         everyone: Option<SocketAddr>,
     ) -> Rc<Peers> {
         let addresses = RefCell::new(Addresses::new(peers, everyone));
-        Rc::new(Peers { socket, addresses, discarded: Cell::new(0) })
+        Rc::new(Peers { socket, addresses, rejected_datagrams: Cell::new(0) })
     }
 
     /// Replaces the addresses of the other sidecars.
@@ -71,12 +71,12 @@
         self.addresses.replace(Addresses::new(peers, everyone));
     }
 
-    /// Returns how many datagrams were discarded: not from a peer's address, or too long.
-    pub fn discarded(&self) -> u64 {
-        self.discarded.get()
+    /// Returns how many datagrams were rejected: not from a peer's address, or too long.
+    pub fn rejected_datagrams(&self) -> u64 {
+        self.rejected_datagrams.get()
     }
 
-    /// Receives datagrams and passes them to `handle` with the number of the sender. Discards those from unknown
+    /// Receives datagrams and passes them to `handle` with the number of the sender. Rejects those from unknown
     /// addresses and those that are too long.
     pub async fn receive(self: Rc<Peers>, handle: impl Fn(u32, &[u8])) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
@@ -90,7 +90,7 @@
             let peer = self.addresses.borrow().numbers.get(&from).copied();
             match peer.filter(|_| n <= MAX_DATAGRAM_BYTES) {
                 Some(peer) => handle(peer, &buffer[..n]),
-                None => self.discarded.set(self.discarded.get() + 1),
+                None => self.rejected_datagrams.set(self.rejected_datagrams.get() + 1),
             }
         }
     }
