--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -150,7 +150,7 @@
         let folder_error = |e: std::io::Error| format!("edge.folder: {}: {e}", folder.display());
         std::fs::create_dir_all(&folder).map_err(folder_error)?;
         folder::list_stores(&folder).map_err(folder_error)?;
-        let (own_number, epoch) = fleet.process();
+        let (own_number, epoch) = fleet.own_identity();
         let (own_store, wake) = (EdgeId::new(own_number, epoch), Arc::new(Notify::new()));
         let disk = DiskConfig { folder: folder.clone(), own_store, settled_changed: wake.clone() };
         let disk = Disk::start(disk, storage).map_err(folder_error)?;
@@ -222,7 +222,7 @@
         // Every second query goes to a member with a number close by.
         let step = if *count % 2 == 1 { 0 } else { *count / 2 };
         let member = (u32::from(edge.number()) + step) % members.max(1);
-        self.fleet.ask_edge(member as u16, edge.0);
+        self.fleet.query_edge(member as u16, edge.0);
     }
 
     /// Announced progress of a store, and its age.
