--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -10,11 +10,11 @@
 use crate::fleet::Fleet;
 use crate::list::{Host, List};
 use crate::list_clock::ListClock;
-use crate::news::{MembershipSink, StandingSink};
+use crate::sinks::{MembershipSink, VerdictSink};
 use crate::upstream::Admission;
 
 impl MembershipSink for Rc<Driver> {
-    fn servers(&self, kind: ListKind, list: &List) {
+    fn update_servers(&self, kind: ListKind, list: &List) {
         Driver::servers(self, kind, list);
     }
 
@@ -22,7 +22,7 @@
         self.event(Event::Servers { kind: ListKind::Failed, entries: &[] });
     }
 
-    fn note(&self, from: u32, data: &[u8]) {
+    fn handle_message(&self, from: u32, data: &[u8]) {
         self.event(Event::Note { from, data });
     }
 }
@@ -30,8 +30,8 @@
 /// The driver, as the fleet's words reach it.
 struct Hearer(Weak<Driver>);
 
-impl StandingSink for Hearer {
-    fn stands(&self, server: ServerId, standing: ServerVerdict) {
+impl VerdictSink for Hearer {
+    fn apply_verdict(&self, server: ServerId, standing: ServerVerdict) {
         if let Some(driver) = self.0.upgrade() {
             driver.event(Event::Stands { server, standing });
         }
@@ -64,7 +64,7 @@
     pub fn shares_with(self: &Rc<Driver>, fleet: &Rc<Fleet>) {
         // It is set once, as the engine starts.
         let _ = self.fleet.set(fleet.clone());
-        fleet.tell_standings_to(Box::new(Hearer(Rc::downgrade(self))));
+        fleet.set_verdict_sink(Box::new(Hearer(Rc::downgrade(self))));
     }
 
     /// A list of servers, or what changed in it.
@@ -85,7 +85,7 @@
                     kept
                 });
                 if let Some(fleet) = self.fleet.get() {
-                    fleet.unlisted(&lacking);
+                    fleet.on_unlisted(&lacking);
                 }
             }
             for host in &list.hosts {
@@ -116,7 +116,7 @@
         self.event(Event::Servers { kind, entries: &entries });
         if let Some(fleet) = self.fleet.get() {
             // Danger: an old list that names a server anew would bring it back.
-            for (server, standing) in fleet.listed(&entries) {
+            for (server, standing) in fleet.on_listed(&entries) {
                 self.event(Event::Stands { server, standing });
             }
         }
@@ -133,7 +133,7 @@
     /// Without this, requests that came while this process stood still go to servers that drain by now, or that have
     /// just started anew.
     pub async fn current_list(&self) {
-        self.list_clock.current().await;
+        self.list_clock.wait_until_current().await;
     }
 
     /// Whether any server was ever listed.
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -31,7 +31,7 @@
 use crate::fleet::Fleet;
 use crate::list_clock::ListClock;
 use crate::names::Names;
-use crate::news::PeerSender;
+use crate::sinks::PeerSender;
 use crate::upstream::{Admission, AttemptRequest, Calls, Upstream};
 
 use pauses::Pauses;
@@ -204,7 +204,7 @@
             Action::FetchList => drop(self.discovery.send(Call::Fetch)),
             Action::Tell { peer, data } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(peer, &data);
+                    peers.send(peer, &data);
                 }
             }
             Action::Log { text } => tracing::info!(event = "decisions", "{text}"),
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -23,16 +23,16 @@
 use crate::distribution::Distribution;
 use crate::driver::Driver;
 use crate::figures::Figures;
-use crate::fleet::{Fleet, FleetSettings, obstacle};
-use crate::keeper::{Keeper, KeeperConfig};
+use crate::fleet::{Fleet, FleetSettings, unavailable_reason};
 use crate::list::List;
+use crate::membership_store::{MembershipStore, MembershipStoreConfig};
 use crate::names::Names;
-use crate::news::{MembershipSink, PeerSender};
 use crate::peers::Peers;
-use crate::product::usual_reuse;
+use crate::product::default_reuse;
 use crate::server_lists::{
     ListPublisher, ListRole, ListSubscription, PublishingSink, SubscribedSink, SubscriptionParts,
 };
+use crate::sinks::{MembershipSink, PeerSender};
 use crate::upstream::{Upstream, UpstreamConfig};
 
 /// What an engine is built of.
@@ -50,7 +50,7 @@
     /// When servers may begin with a request.
     pub begins: Begins,
     /// How the list of servers outlives the process; None: what sources say is taken as it comes.
-    pub keeper: Option<(String, KeeperConfig)>,
+    pub membership_store: Option<(String, MembershipStoreConfig)>,
     /// What bounds connections to servers; `settings` tells how long they may rest.
     pub connections: Limits,
     /// For how many requests a connection is used; None: as `settings` price a handshake.
@@ -97,7 +97,7 @@
     /// The view of the fleet, where there is one.
     pub fleet: Option<Rc<Fleet>>,
     /// Where the list of servers is kept, if it is.
-    pub keeper: Option<Rc<Keeper>>,
+    pub membership_store: Option<Rc<MembershipStore>>,
     /// What this process does with the list that comes by distribution, if one does.
     pub list_role: Option<ListRole>,
 }
@@ -123,8 +123,8 @@
             None => None,
         };
         let fleet = config.fleet.and_then(|of| {
-            if let Some(obstacle) = obstacle(&config.settings, members) {
-                tracing::warn!(event = "fleet_off", "no view of the fleet: {obstacle}");
+            if let Some(reason) = unavailable_reason(&config.settings, members) {
+                tracing::warn!(event = "fleet_off", "no view of the fleet: {reason}");
                 return None;
             }
             let sender = peers.clone()?;
@@ -147,10 +147,10 @@
                 begins: config.begins,
                 connect_timeout: Duration::from_micros(limits.connect_timeout),
                 limits: Limits {
-                    idle: Duration::from_micros(limits.conn_idle),
+                    idle_timeout: Duration::from_micros(limits.conn_idle),
                     ..config.connections
                 },
-                reuse: config.reuse.unwrap_or_else(|| usual_reuse(&config.settings)),
+                reuse: config.reuse.unwrap_or_else(|| default_reuse(&config.settings)),
             },
         );
         let how = config.settings.discovery;
@@ -173,11 +173,11 @@
             driver.shares_with(fleet);
         }
         let version = config.known.as_ref().map_or(0, |known| known.seq);
-        let keeper = config.keeper.map(|(fleet, keeper)| {
+        let membership_store = config.membership_store.map(|(fleet, settings)| {
             let (driver, known) = (driver.clone(), config.known.as_ref());
-            Keeper::start(driver, upstream.clone(), keeper, &fleet, config.seed, known)
+            MembershipStore::start(driver, upstream.clone(), settings, &fleet, config.seed, known)
         });
-        if let Some(known) = config.known.as_ref().filter(|_| keeper.is_none()) {
+        if let Some(known) = config.known.as_ref().filter(|_| membership_store.is_none()) {
             let remembered = config.discovery.is_some();
             let kind = if remembered { ListKind::Remembered } else { ListKind::Whole };
             driver.servers(kind, known);
@@ -191,7 +191,7 @@
         // over some seconds, and it may turn many away. Whoever has a list from before serves by it meanwhile:
         // servers that are gone refuse, and the first answer puts the list right.
         let listed = config.known.as_ref().is_some_and(|known| !known.hosts.is_empty());
-        if how == How::OnRequest && listed || keeper.is_some() && driver.listed() {
+        if how == How::OnRequest && listed || membership_store.is_some() && driver.listed() {
             tried.notify_one();
         }
         let mut list_role = None;
@@ -208,7 +208,7 @@
                     clock: driver.list_clock(),
                 };
                 let listed = driver.listed();
-                let sinks = (driver.clone(), keeper.clone(), fleet.clone());
+                let sinks = (driver.clone(), membership_store.clone(), fleet.clone());
                 list_role = watch_lists(watching, sinks, listed, calls);
                 Some(discovery)
             }
@@ -219,9 +219,9 @@
         };
         if let Some(peers) = peers.clone() {
             let (driver, fleet) = (driver.clone(), fleet.clone());
-            spawn_local(peers.listen(move |from, data| match &fleet {
-                Some(fleet) => fleet.datagram(from, data),
-                None => driver.note(from, data),
+            spawn_local(peers.receive(move |from, data| match &fleet {
+                Some(fleet) => fleet.handle_datagram(from, data),
+                None => driver.handle_message(from, data),
             }));
         }
         Ok(Engine {
@@ -238,7 +238,7 @@
             call_limits,
             peers,
             fleet,
-            keeper,
+            membership_store,
             list_role,
         })
     }
@@ -269,7 +269,7 @@
         let longest = Duration::from_micros(settings.max_over_classes(|c| c.deadline));
         self.longest_deadline.set(longest.max(self.longest_deadline.get()));
         self.call_limits.set(CallLimits::from(&settings));
-        self.upstream.set_reuse(self.reuse.unwrap_or_else(|| usual_reuse(&settings)));
+        self.upstream.set_reuse(self.reuse.unwrap_or_else(|| default_reuse(&settings)));
         self.driver.retune(settings);
         self.figures.renamed(&names);
         before.push(self.names.replace(names.clone()));
@@ -279,8 +279,8 @@
     /// Takes a list of servers, or changes of it, that the application's own code knows. It is weighed like
     /// discovery's, where lists are.
     pub fn servers(&self, list: &List) {
-        match &self.keeper {
-            Some(keeper) => keeper.apply_list(Source::Code, list),
+        match &self.membership_store {
+            Some(membership_store) => membership_store.apply_list(Source::Code, list),
             None => {
                 let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
                 self.driver.servers(kind, list);
@@ -290,7 +290,7 @@
 
     /// Datagrams that came from no peer's address, or were too long.
     pub fn strangers(&self) -> u64 {
-        self.peers.as_ref().map_or(0, |peers| peers.strangers())
+        self.peers.as_ref().map_or(0, |peers| peers.rejected_datagrams())
     }
 
     /// Waits until discovery has first been tried.
@@ -302,10 +302,10 @@
     /// connections and what is known of servers stay as they are.
     pub fn moved(&self, discovery: SocketAddr, peers: Vec<SocketAddr>, all: Option<SocketAddr>) {
         if let Some(fleet) = &self.fleet {
-            fleet.resized(peers.len());
+            fleet.set_member_count(peers.len());
         }
         if let Some(known) = &self.peers {
-            known.moved(peers, all);
+            known.set_addresses(peers, all);
         }
         if let Some(to) = &self.discovery {
             to.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
@@ -315,40 +315,40 @@
 
 /// Where lists of servers go: to the membership where there is one, else to the driver; and the fleet, which may carry
 /// them.
-type ListParts = (Rc<Driver>, Option<Rc<Keeper>>, Option<Rc<Fleet>>);
+type ListParts = (Rc<Driver>, Option<Rc<MembershipStore>>, Option<Rc<Fleet>>);
 
 /// Starts the tasks that have lists from discovery, or from the control nodes. `calls` is what the decisions ask of
 /// discovery.
 fn watch_lists(
     config: DiscoveryConfig,
-    (driver, keeper, fleet): ListParts,
+    (driver, membership_store, fleet): ListParts,
     listed: bool,
     calls: mpsc::UnboundedReceiver<Call>,
 ) -> Option<ListRole> {
     let (limits, tried, seed) = (config.limits.clone(), config.tried.clone(), config.seed);
     let discovery = Discovery::new(config);
-    let sink: Box<dyn MembershipSink> = match &keeper {
-        Some(keeper) => Box::new(keeper.clone()),
+    let sink: Box<dyn MembershipSink> = match &membership_store {
+        Some(membership_store) => Box::new(membership_store.clone()),
         None => Box::new(driver),
     };
     let distribution = fleet.as_ref().and_then(|fleet| fleet.distribution.clone());
     let settings = distribution.as_ref().and_then(|of| of.list().cloned());
-    match (settings, distribution, fleet, keeper) {
+    match (settings, distribution, fleet, membership_store) {
         (Some(settings), Some(distribution), Some(fleet), _) if settings.from_discovery => {
             let publisher = ListPublisher::start(settings, fleet, distribution);
             let sink = PublishingSink { sink, publisher: publisher.clone() };
             spawn_local(discovery.run(sink, calls));
-            Some(ListRole::Publishes(publisher))
+            Some(ListRole::Publisher(publisher))
         }
-        (Some(settings), Some(distribution), Some(fleet), Some(keeper)) => {
+        (Some(settings), Some(distribution), Some(fleet), Some(membership_store)) => {
             // Sidecars that share a seed wait differently all the same.
-            let (me, epoch) = fleet.process();
+            let (me, epoch) = fleet.own_identity();
             let seed = mix(seed ^ mix(u64::from(me)) ^ epoch);
             let (to_discovery, own_calls) = mpsc::unbounded_channel();
             let parts = SubscriptionParts {
                 settings,
                 distribution,
-                keeper,
+                membership_store,
                 to_discovery,
                 call_limits: limits,
                 tried,
@@ -358,7 +358,7 @@
             let sink = SubscribedSink { sink, subscription: subscription.clone() };
             spawn_local(discovery.run(sink, own_calls));
             spawn_local(subscription.clone().run(calls));
-            Some(ListRole::Takes(subscription))
+            Some(ListRole::Subscriber(subscription))
         }
         _ => {
             spawn_local(discovery.run(sink, calls));
--- a/crates/millethook-engine/src/upstream/attempt/own_answer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/own_answer.rs
@@ -21,10 +21,10 @@
 use coppercart::api::ServerId;
 use http::StatusCode;
 use millethook_connect::answers::{Fingerprint, SeenAnswers};
-use millethook_connect::facts::Caught;
+use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::request::Persistence;
-use millethook_connect::response::is_other_answer;
+use millethook_connect::response::is_different_answer;
 use millethook_connect::{Event, Execution, ResponseHead};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -85,10 +85,14 @@
         if running.persistence == Persistence::KeepAlive {
             return true;
         }
-        let announced = running.exchange.announces_end();
+        let announced = running.exchange.announces_close();
         // Before that the server has not seen what the request asks for.
         if running.exchange.execution() == Execution::MayHaveRun {
-            self.pool.borrow_mut().end_was_asked(running.lease.server(), announced, Instant::now());
+            self.pool.borrow_mut().record_close_request(
+                running.lease.server(),
+                announced,
+                Instant::now(),
+            );
         }
         announced || !running.lease.is_used()
     }
@@ -102,10 +106,10 @@
         held: &Held,
     ) -> Verdict {
         let answer = self.fingerprints.fingerprint(status, held.bytes());
-        let is_compared =
-            running.matching == Matching::Content && running.persistence == Persistence::KeepAlive;
+        let is_compared = running.matching == Matching::DistinctContent
+            && running.persistence == Persistence::KeepAlive;
         if is_compared && running.lease.has_carried(answer) {
-            self.note(class, SeenAnswers::equal);
+            self.note(class, SeenAnswers::record_equal);
             return Verdict::Copy(answer);
         }
         if let Held::Whole(body) = held
@@ -136,8 +140,8 @@
 
     /// The last answer that equalled an earlier one was no answer to its request: the server is caught with a copy.
     pub(super) fn was_copy(&self, server: ServerId, class: Option<usize>) {
-        self.note(class, SeenAnswers::was_copy);
-        self.pool.borrow_mut().caught(server, Caught::Stray, Instant::now());
+        self.note(class, SeenAnswers::record_copy);
+        self.pool.borrow_mut().record_fault(server, ConnectionFault::StrayBytes, Instant::now());
     }
 
     /// Takes note of an answer to a request of a class.
@@ -154,10 +158,14 @@
     /// Whether another answer that differs stands behind this one. The server is caught with it.
     fn is_contradicted(&self, running: &mut Running, status: StatusCode, body: &[u8]) -> bool {
         let Some(connection) = running.lease.connection() else { return true };
-        let other = is_other_answer(connection.buf.clone(), status, body);
+        let other = is_different_answer(connection.buf.clone(), status, body);
         if other {
             let server = running.lease.server();
-            self.pool.borrow_mut().caught(server, Caught::Stray, Instant::now());
+            self.pool.borrow_mut().record_fault(
+                server,
+                ConnectionFault::StrayBytes,
+                Instant::now(),
+            );
         }
         other
     }
@@ -180,7 +188,7 @@
     /// Reads to the end of an answer that belongs to an earlier request; the head of the one behind it.
     async fn next_head(&mut self) -> Result<ResponseHead, Broken> {
         let mut left = WHOLE;
-        while !self.exchange.answer_is_whole() {
+        while !self.exchange.answer_is_complete() {
             if let Event::Data(piece) = self.event(false).await? {
                 left = left.checked_sub(piece.len()).ok_or(Broken)?;
             }
@@ -195,7 +203,7 @@
     /// Closes the connection once the server has ended its side. The side that ends first keeps the port occupied for a
     /// minute or more, and of ports to one server a client has some 28,000.
     async fn close_after_server(mut self) {
-        if self.exchange.announces_end() {
+        if self.exchange.announces_close() {
             self.server_end(SERVER_END).await;
         }
         self.lease.close();
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -12,7 +12,9 @@
 use millethook_engine::driver::Reply;
 use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
 use millethook_http::answer;
-use millethook_http::body::{FeedError, Held, Pace, ReadError, feed, framing, hold};
+use millethook_http::body::{
+    BufferedBody, ForwardError, ReadError, StallBudget, buffer_body, forward_rest, framing,
+};
 use millethook_view::Counts;
 use tokio::sync::oneshot;
 use tokio::time::{timeout, timeout_at};
@@ -109,8 +111,8 @@
         let until = began + request_head.left;
         let mut account = shared.bytes.account();
         // The host's body has its own pace; the request's time bounds it.
-        let (mut body, mut pace) = (Box::pin(body), Pace::unbounded());
-        let holding = hold(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
+        let (mut body, mut pace) = (Box::pin(body), StallBudget::unbounded());
+        let holding = buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
         let held = match timeout_at(until.into(), holding).await {
             Ok(Ok(held)) => held,
             Ok(Err(ReadError::TooLong)) => return Err(too_large()),
@@ -120,8 +122,8 @@
         };
         let left = request_head.left;
         let (pieces, rest) = match held {
-            Held::Whole(pieces) => (pieces, None),
-            Held::Part(pieces) => (pieces, Some(Upload::new(left))),
+            BufferedBody::Complete(pieces) => (pieces, None),
+            BufferedBody::Partial(pieces) => (pieces, Some(Upload::new(left))),
         };
         let length: u64 = pieces.iter().map(|piece| piece.len() as u64).sum();
         let (upload, rest) = rest.unzip();
@@ -133,19 +135,19 @@
         sent.map_err(|_| Error::Closed)?;
         let (mut until, mut early) = (until, None);
         if let Some(rest) = rest {
-            let feeding = pin!(feed(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+            let feeding = pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
             tokio::select! {
                 biased;
                 // It was refused, or a server had no need of the rest.
                 reply = &mut answer => early = Some(reply),
                 fed = feeding => match fed {
                     // The time runs from the last byte on.
-                    Ok(()) | Err(FeedError::NotTaken(NotTaken::Closed)) => {
+                    Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
                         until = Instant::now() + left;
                     }
-                    Err(FeedError::Read(ReadError::TooLong)) => return Err(too_large()),
+                    Err(ForwardError::Read(ReadError::TooLong)) => return Err(too_large()),
                     // A part of it has gone out, and a server may have begun on that.
-                    Err(FeedError::Read(ReadError::Broken(_))) => {
+                    Err(ForwardError::Read(ReadError::Broken(_))) => {
                         return Err(Error::Failed { timed_out: false });
                     }
                     Err(_) => return Err(Error::Failed { timed_out: true }),
@@ -164,10 +166,10 @@
         };
         match reply {
             Reply::Served(head, body) => {
-                Ok(answer::whole(head, body).map(|body| Body::new(body, None)))
+                Ok(answer::complete_response(head, body).map(|body| Body::new(body, None)))
             }
             Reply::Streaming(long) => {
-                Ok(answer::long(long).map(|body| Body::new(body, Some(entered))))
+                Ok(answer::streaming_response(long).map(|body| Body::new(body, Some(entered))))
             }
             Reply::Refused { retry_after, may_have_run } => {
                 let execution =
@@ -220,7 +222,7 @@
             undecided: engine.undecided,
             sockets: shared.sockets.taken(),
             opening: engine.connections.opening,
-            resting: engine.connections.resting,
+            resting: engine.connections.idle,
             ended: engine.ended,
             body_bytes: shared.bytes.taken(),
         })
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -11,7 +11,7 @@
 use millethook_engine::list::List;
 use millethook_engine::upstream::AttemptRequest;
 use millethook_engine::{Engine, EngineConfig, PeerConfig};
-use millethook_http::guard::OpenIds;
+use millethook_http::guard::RequestIdRegistry;
 use millethook_http::head::Invalid;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot, watch};
 use tokio::task::{LocalSet, spawn_local};
@@ -88,7 +88,10 @@
         }),
         fleet: config.view.clone(),
         distribution: None,
-        keeper: config.keeper.clone().map(|keeper| (config.name.clone(), keeper)),
+        membership_store: config
+            .membership_store
+            .clone()
+            .map(|settings| (config.name.clone(), settings)),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     // The kernel cuts names of threads after fifteen bytes.
@@ -116,7 +119,7 @@
         Ok(engine) => Rc::new(engine),
         Err(e) => return tracing::error!(event = "engine_failed", "no engine: {e}"),
     };
-    let ids = OpenIds::new(engine.longest_deadline());
+    let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ready = async {
         engine.discovery_tried().await;
         engine.driver.first_listed().await;
@@ -146,12 +149,12 @@
     if let Some(fleet) = &engine.fleet {
         fleet.leave();
     }
-    if let Some(keeper) = &engine.keeper {
-        keeper.save().await;
+    if let Some(membership_store) = &engine.membership_store {
+        membership_store.save().await;
     }
 }
 
-async fn serve(driver: Rc<Driver>, ids: Rc<OpenIds>, call: Call) {
+async fn serve(driver: Rc<Driver>, ids: Rc<RequestIdRegistry>, call: Call) {
     let Call { mut request_head, id, attempt_request, until, mut reply, permit } = call;
     // Without this, something is sent for a caller who has already gone.
     if reply.is_closed() {
@@ -161,7 +164,7 @@
         let _ = reply.send(Err(Invalid::IdInUse));
         return;
     };
-    reservation.keep();
+    reservation.commit();
     driver.current_list().await;
     request_head.left = until.saturating_duration_since(Instant::now());
     let mut ticket = driver.request(request_head, attempt_request);
