--- a/crates/millethook-engine/src/budget.rs
+++ b/crates/millethook-engine/src/budget.rs
@@ -131,7 +131,7 @@
 ///
 /// Danger: bodies that grow side by side until none may grow any more would wait for each other
 /// for ever. Room for one whole body is kept back for a single leader, which can always finish.
-pub struct Bytes {
+pub struct ByteBudget {
     total: usize,
     state: Mutex<State>,
     freed: Notify,
@@ -143,12 +143,12 @@
     next: u64,
 }
 
-impl Bytes {
+impl ByteBudget {
     /// A budget of `total` bytes, the leader's among them.
-    pub fn new(total: usize) -> Arc<Bytes> {
+    pub fn new(total: usize) -> Arc<ByteBudget> {
         let free = total.saturating_sub(LONGEST_BODY).max(1 << 20);
         let state = Mutex::new(State { free, leader: None, next: 0 });
-        Arc::new(Bytes { total: free, state, freed: Notify::new() })
+        Arc::new(ByteBudget { total: free, state, freed: Notify::new() })
     }
 
     /// Danger: a host's panic while an account grows must not keep all others from theirs; what the
@@ -158,7 +158,7 @@
     }
 
     /// An account for one body, empty at first.
-    pub fn account(self: &Arc<Bytes>) -> ByteReservation {
+    pub fn account(self: &Arc<ByteBudget>) -> ByteReservation {
         let mut state = self.state();
         state.next += 1;
         ByteReservation { id: state.next, shared: 0, of: Some(self.clone()) }
@@ -173,7 +173,7 @@
 /// What one body has taken of the budget; given back when dropped.
 #[derive(Default)]
 pub struct ByteReservation {
-    of: Option<Arc<Bytes>>,
+    of: Option<Arc<ByteBudget>>,
     id: u64,
     shared: usize,
 }
--- a/crates/millethook-engine/tests/it/budget.rs
+++ b/crates/millethook-engine/tests/it/budget.rs
@@ -5,7 +5,9 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-use millethook_engine::budget::{Bytes, ConnectionPermits, EnginePermits, LONGEST_BODY, Sockets};
+use millethook_engine::budget::{
+    ByteBudget, ConnectionPermits, EnginePermits, LONGEST_BODY, Sockets,
+};
 
 fn polled<F: Future>(future: std::pin::Pin<&mut F>) -> Poll<F::Output> {
     future.poll(&mut Context::from_waker(Waker::noop()))
@@ -14,7 +16,7 @@
 /// Danger: bodies that grow side by side until none may grow any more would wait for each other.
 #[test]
 fn one_body_can_always_finish() {
-    let bytes = Bytes::new((1 << 20) + LONGEST_BODY);
+    let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
     let (mut a, mut b, mut c) = (bytes.account(), bytes.account(), bytes.account());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
     assert_eq!(bytes.taken(), 1 << 20);
@@ -33,7 +35,7 @@
 
 #[test]
 fn who_goes_away_while_waiting_has_taken_nothing() {
-    let bytes = Bytes::new((1 << 20) + LONGEST_BODY);
+    let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
     let (mut a, mut lead, mut c) = (bytes.account(), bytes.account(), bytes.account());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
     assert_eq!(polled(pin!(lead.grow(1))), Poll::Ready(()));
@@ -49,7 +51,7 @@
 /// Accounts of many threads: every byte comes back, and nobody waits for ever.
 #[test]
 fn bytes_come_back_from_any_thread() {
-    let bytes = Bytes::new((1 << 20) + LONGEST_BODY);
+    let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
     std::thread::scope(|s| {
         for n in 0..8usize {
             let bytes = bytes.clone();
--- a/crates/millethook-http/src/ingress/mod.rs
+++ b/crates/millethook-http/src/ingress/mod.rs
@@ -42,7 +42,7 @@
     driver: Rc<Driver>,
     names: RefCell<Arc<Names>>,
     sockets: Rc<Sockets>,
-    bytes: Arc<budget::Bytes>,
+    bytes: Arc<budget::ByteBudget>,
     ids: Rc<OpenIds>,
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     accepted: Cell<(u64, Instant)>,
@@ -77,7 +77,7 @@
         driver: Rc<Driver>,
         names: Arc<Names>,
         sockets: Rc<Sockets>,
-        bytes: Arc<budget::Bytes>,
+        bytes: Arc<budget::ByteBudget>,
         ids: Rc<OpenIds>,
     ) -> Rc<Ingress> {
         Rc::new(Ingress {
--- a/crates/millethook/src/budget.rs
+++ b/crates/millethook/src/budget.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use millethook_engine::budget::{Bytes, ConnectionPermits};
+use millethook_engine::budget::{ByteBudget, ConnectionPermits};
 
 /// Sockets and bytes that several fleets of one process share. A clone is the same budget.
 ///
@@ -11,14 +11,14 @@
 #[derive(Clone)]
 pub struct Budget {
     pub(crate) sockets: Arc<ConnectionPermits>,
-    pub(crate) bytes: Arc<Bytes>,
+    pub(crate) bytes: Arc<ByteBudget>,
 }
 
 impl Budget {
     /// A budget of so many connections to servers, and so many bytes for bodies of requests that are
     /// under way (1 MiB and one body of 64 KiB at the least).
     pub fn new(sockets: usize, bytes: usize) -> Budget {
-        Budget { sockets: ConnectionPermits::new(sockets.max(1)), bytes: Bytes::new(bytes) }
+        Budget { sockets: ConnectionPermits::new(sockets.max(1)), bytes: ByteBudget::new(bytes) }
     }
 
     /// How many connections to servers there are now.
--- a/crates/millethook/src/shared.rs
+++ b/crates/millethook/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-use millethook_engine::budget::{Bytes, ConnectionPermits};
+use millethook_engine::budget::{ByteBudget, ConnectionPermits};
 use tokio::sync::{Semaphore, mpsc, watch};
 
 use crate::config::{FleetConfig, random};
@@ -18,7 +18,7 @@
     pub(crate) life: watch::Receiver<Life>,
     pub(crate) permits: Arc<Semaphore>,
     pub(crate) sockets: Arc<ConnectionPermits>,
-    pub(crate) bytes: Arc<Bytes>,
+    pub(crate) bytes: Arc<ByteBudget>,
     ids: (u64, AtomicU64),
     /// Openings that have been neither dropped nor drained. None: the last of them has been.
     openings: Mutex<Option<usize>>,
@@ -31,7 +31,7 @@
     ) -> Result<(Arc<Shared>, JoinHandle<()>), OpenError> {
         let (sockets, bytes) = match &config.budget {
             Some(budget) => (budget.sockets.clone(), budget.bytes.clone()),
-            None => (ConnectionPermits::new(config.sockets), Bytes::new(config.body_bytes)),
+            None => (ConnectionPermits::new(config.sockets), ByteBudget::new(config.body_bytes)),
         };
         let Started { commands, life, thread } =
             start(&config, sockets.clone()).map_err(OpenError::System)?;
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use millethook_connect::pool::Limits;
-use millethook_engine::budget::{Bytes, Sockets};
+use millethook_engine::budget::{ByteBudget, Sockets};
 use millethook_engine::distribution::Distribution;
 use millethook_engine::product;
 use millethook_engine::{Engine, EngineConfig, PeerConfig};
@@ -109,7 +109,7 @@
         distribution,
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
-    let bytes = Bytes::new((config.memory as f64 * BODIES) as usize);
+    let bytes = ByteBudget::new((config.memory as f64 * BODIES) as usize);
     let ids = OpenIds::new(engine.longest_deadline());
     let ingress = Ingress::new(
         engine.driver.clone(),
