--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -16,7 +16,7 @@
 use super::request::{Reply, StreamingReply};
 use crate::figures::Disposition;
 use crate::upload::Upload;
-use crate::upstream::{AttemptOutcome, AttemptRequest, Gate, Head, StreamingResponse};
+use crate::upstream::{AnswerHead, AttemptOutcome, AttemptRequest, Gate, StreamingResponse};
 
 /// A server that stops within an answer for so long will not go on with it.
 const SERVER_STALL: Duration = Duration::from_secs(10);
@@ -207,7 +207,7 @@
         outcome: Outcome,
         latency: Micros,
         report: LoadReport,
-        answer: Option<(Head, Bytes)>,
+        answer: Option<(AnswerHead, Bytes)>,
     ) {
         match outcome {
             Outcome::Served | Outcome::Error | Outcome::Full => self.reach.borrow_mut().heard(),
--- a/crates/millethook-engine/src/driver/request.rs
+++ b/crates/millethook-engine/src/driver/request.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::Driver;
-use crate::upstream::{AttemptRequest, Head};
+use crate::upstream::{AnswerHead, AttemptRequest};
 
 /// What a client's request says of itself.
 pub struct RequestHead {
@@ -35,7 +35,7 @@
 /// The final answer to a request.
 pub enum Reply {
     /// A server's answer, whole.
-    Served(Head, Bytes),
+    Served(AnswerHead, Bytes),
     /// A server's answer that is still coming in.
     Streaming(StreamingReply),
     /// Trying again is harmless.
@@ -52,7 +52,7 @@
 /// A long answer as the client gets it.
 pub struct StreamingReply {
     /// Its head.
-    pub head: Head,
+    pub head: AnswerHead,
     /// Its length, if it was announced.
     pub length: Option<u64>,
     /// Its pieces. They end with `Ok(None)` if the answer is whole.
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -45,7 +45,7 @@
 
 /// The head of an answer that goes to the caller.
 #[derive(Clone, Debug, Default)]
-pub struct Head {
+pub struct AnswerHead {
     /// Its status.
     pub status: StatusCode,
     /// Its fields.
@@ -89,7 +89,7 @@
         /// The load report that came with it.
         report: LoadReport,
         /// What was served.
-        answer: Option<(Head, Bytes)>,
+        answer: Option<(AnswerHead, Bytes)>,
     },
     /// A long answer has begun.
     Streaming(Box<StreamingResponse>),
@@ -114,7 +114,7 @@
         };
         running.end();
         let ResponseHead { status, headers, .. } = head;
-        let answer = Some((Head { status, headers }, body));
+        let answer = Some((AnswerHead { status, headers }, body));
         AttemptOutcome::End { outcome: Outcome::Served, report, answer }
     }
 
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -28,7 +28,7 @@
 use crate::figures::Figures;
 use crate::names::Names;
 
-pub use attempt::{AttemptOutcome, AttemptRequest, Head};
+pub use attempt::{AnswerHead, AttemptOutcome, AttemptRequest};
 pub use connection::Calls;
 use connection::{Connection, Lease, Shared};
 pub use gate::{Admission, Gate};
--- a/crates/millethook-engine/src/upstream/streaming.rs
+++ b/crates/millethook-engine/src/upstream/streaming.rs
@@ -4,7 +4,7 @@
 use coppercart::api::LoadReport;
 use millethook_connect::{Event, ResponseHead};
 
-use super::Head;
+use super::AnswerHead;
 use super::attempt::Running;
 
 /// The answer has broken off.
@@ -14,7 +14,7 @@
 /// A long answer under way. Dropped before its end, it closes its connection.
 pub struct StreamingResponse {
     /// Its head.
-    pub head: Head,
+    pub head: AnswerHead,
     /// Its length, if it was announced.
     pub length: Option<u64>,
     /// The load report in its head.
@@ -36,7 +36,7 @@
         let first = Some(first).filter(|first| !first.is_empty());
         let ResponseHead { status, headers, length } = head;
         StreamingResponse {
-            head: Head { status, headers },
+            head: AnswerHead { status, headers },
             length,
             report,
             first,
--- a/crates/millethook-http/src/answer.rs
+++ b/crates/millethook-http/src/answer.rs
@@ -13,7 +13,7 @@
 use millethook_engine::budget::ByteReservation;
 use millethook_engine::driver::{RequestHead, StreamingReply};
 use millethook_engine::upload::Upload;
-use millethook_engine::upstream::{AttemptRequest, Head};
+use millethook_engine::upstream::{AnswerHead, AttemptRequest};
 
 use crate::body::Pieces;
 use crate::head::passed_on;
@@ -46,7 +46,7 @@
 }
 
 /// A server's answer that is whole.
-pub fn whole(head: Head, body: Bytes) -> Response<AnswerBody> {
+pub fn whole(head: AnswerHead, body: Bytes) -> Response<AnswerBody> {
     answer(head, Either::Left(Full::new(body)))
 }
 
@@ -56,7 +56,7 @@
     answer(head, Either::Right(Pieces::from(long)))
 }
 
-fn answer(head: Head, body: AnswerBody) -> Response<AnswerBody> {
+fn answer(head: AnswerHead, body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = passed_on(head.headers);
