--- a/crates/millethook-engine/src/upload.rs
+++ b/crates/millethook-engine/src/upload.rs
@@ -40,9 +40,9 @@
     told: Notify,
 }
 
-/// The other end, where the caller's bytes come in. Dropped before [`Feed::end`], the body has broken off.
+/// The other end, where the caller's bytes come in. Dropped before [`UploadSender::end`], the body has broken off.
 #[derive(Debug)]
-pub struct Feed {
+pub struct UploadSender {
     to: mpsc::Sender<Piece>,
     ended: Arc<Ended>,
 }
@@ -58,11 +58,11 @@
 
 impl Upload {
     /// A body whose caller waits for `left` once it has sent all of it.
-    pub fn new(left: Duration) -> (Upload, Feed) {
+    pub fn new(left: Duration) -> (Upload, UploadSender) {
         // One piece under way keeps the line busy; what follows waits in the caller's socket.
         let (feed, rest) = mpsc::channel(1);
         let ended = Arc::<Ended>::default();
-        let feed = Feed { to: feed, ended: ended.clone() };
+        let feed = UploadSender { to: feed, ended: ended.clone() };
         (Upload { rest: Mutex::new(Some(rest)), ended, left }, feed)
     }
 
@@ -93,7 +93,7 @@
     }
 }
 
-impl Feed {
+impl UploadSender {
     /// Passes a piece on, when the server has taken the one before.
     ///
     /// # Errors
--- a/crates/millethook-http/src/body.rs
+++ b/crates/millethook-http/src/body.rs
@@ -12,7 +12,7 @@
 use millethook_connect::request::Framing;
 use millethook_engine::budget::{ByteReservation, LONGEST_BODY};
 use millethook_engine::driver::StreamingReply;
-use millethook_engine::upload::{Feed, NotTaken};
+use millethook_engine::upload::{NotTaken, UploadSender};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
@@ -171,7 +171,7 @@
     held: u64,
     most: u64,
     pace: &mut Pace,
-    feed: Feed,
+    feed: UploadSender,
 ) -> Result<(), FeedError<B::Error>>
 where
     B: Body + Unpin,
