--- a/crates/millethook-engine/src/upload.rs
+++ b/crates/millethook-engine/src/upload.rs
@@ -49,7 +49,7 @@
 
 /// Nobody takes the rest of the body any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum UploadError {
     /// The attempt is over.
     Closed,
     /// The server has taken nothing for ten seconds.
@@ -98,10 +98,10 @@
     ///
     /// # Errors
     /// Nobody takes it.
-    pub async fn send(&self, piece: Bytes) -> Result<(), NotTaken> {
+    pub async fn send(&self, piece: Bytes) -> Result<(), UploadError> {
         match tokio::time::timeout(SERVER_STALL, self.to.send(Piece::Data(piece))).await {
-            Ok(sent) => sent.map_err(|_| NotTaken::Closed),
-            Err(_) => Err(NotTaken::Stalled),
+            Ok(sent) => sent.map_err(|_| UploadError::Closed),
+            Err(_) => Err(UploadError::Stalled),
         }
     }
 
@@ -109,13 +109,13 @@
     ///
     /// # Errors
     /// Nobody takes that.
-    pub async fn end(self) -> Result<(), NotTaken> {
+    pub async fn end(self) -> Result<(), UploadError> {
         // The caller's time runs from now on, whenever the server takes the last of it.
         let _ = self.ended.at.set(Instant::now());
         self.ended.told.notify_waiters();
         match tokio::time::timeout(SERVER_STALL, self.to.send(Piece::End)).await {
-            Ok(sent) => sent.map_err(|_| NotTaken::Closed),
-            Err(_) => Err(NotTaken::Stalled),
+            Ok(sent) => sent.map_err(|_| UploadError::Closed),
+            Err(_) => Err(UploadError::Stalled),
         }
     }
 }
--- a/crates/millethook-http/src/body.rs
+++ b/crates/millethook-http/src/body.rs
@@ -12,7 +12,7 @@
 use millethook_connect::request::Framing;
 use millethook_engine::budget::{ByteReservation, LONGEST_BODY};
 use millethook_engine::driver::StreamingReply;
-use millethook_engine::upload::{NotTaken, UploadSender};
+use millethook_engine::upload::{UploadError, UploadSender};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
@@ -158,7 +158,7 @@
     /// The sender's part.
     Read(ReadError<E>),
     /// The server's part.
-    NotTaken(NotTaken),
+    NotTaken(UploadError),
 }
 
 /// Passes on what follows the part of a body that is held, `held` bytes long, up to `most` bytes in all.
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode, Version};
 use millethook_engine::driver::{Reply, RequestHead};
-use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
+use millethook_engine::upload::{LONGEST_UPLOAD, Upload, UploadError};
 
 use super::Ingress;
 use super::client::{Client, Phase};
@@ -181,9 +181,11 @@
         };
         match fed {
             Err(FeedError::Read(e)) => unread(e).map(Err),
-            Err(FeedError::NotTaken(NotTaken::Stalled)) => Ok(Ok(Answered::Driver(Reply::Failed))),
+            Err(FeedError::NotTaken(UploadError::Stalled)) => {
+                Ok(Ok(Answered::Driver(Reply::Failed)))
+            }
             // Why nobody takes it, the reply tells.
-            Ok(()) | Err(FeedError::NotTaken(NotTaken::Closed)) => {
+            Ok(()) | Err(FeedError::NotTaken(UploadError::Closed)) => {
                 Ok(Ok(Answered::Driver(ticket.reply().await)))
             }
         }
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -10,7 +10,7 @@
 
 use http::{Request, Response};
 use millethook_engine::driver::Reply;
-use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
+use millethook_engine::upload::{LONGEST_UPLOAD, Upload, UploadError};
 use millethook_http::answer;
 use millethook_http::body::{FeedError, Held, Pace, ReadError, feed, framing, hold};
 use millethook_view::Counts;
@@ -140,7 +140,7 @@
                 reply = &mut answer => early = Some(reply),
                 fed = feeding => match fed {
                     // The time runs from the last byte on.
-                    Ok(()) | Err(FeedError::NotTaken(NotTaken::Closed)) => {
+                    Ok(()) | Err(FeedError::NotTaken(UploadError::Closed)) => {
                         until = Instant::now() + left;
                     }
                     Err(FeedError::Read(ReadError::TooLong)) => return Err(too_large()),
