--- a/crates/millethook-engine/src/budget.rs
+++ b/crates/millethook-engine/src/budget.rs
@@ -158,7 +158,7 @@
     }
 
     /// An account for one body, empty at first.
-    pub fn account(self: &Arc<ByteBudget>) -> ByteReservation {
+    pub fn reservation(self: &Arc<ByteBudget>) -> ByteReservation {
         let mut state = self.state();
         state.next += 1;
         ByteReservation { id: state.next, shared: 0, of: Some(self.clone()) }
--- a/crates/millethook-engine/src/upstream/attempt/request.rs
+++ b/crates/millethook-engine/src/upstream/attempt/request.rs
@@ -26,7 +26,7 @@
     /// Answers within this time count in full.
     pub aim: Duration,
     /// What the body takes of the budget.
-    pub account: ByteReservation,
+    pub reservation: ByteReservation,
     /// What follows the part of the body that is held.
     pub upload: Option<Upload>,
     /// It has its answer, or its client has gone: no attempt of it may begin any more.
@@ -42,7 +42,7 @@
             repeatable: true,
             streaming: false,
             aim: patience * HANDSHAKE_SHARE,
-            account: ByteReservation::default(),
+            reservation: ByteReservation::default(),
             upload: None,
             withdrawn: Cell::default(),
         }
--- a/crates/millethook-engine/tests/cost.rs
+++ b/crates/millethook-engine/tests/cost.rs
@@ -61,7 +61,7 @@
         repeatable: true,
         streaming: false,
         aim,
-        account: ByteReservation::default(),
+        reservation: ByteReservation::default(),
         upload: None,
         withdrawn: Default::default(),
     };
--- a/crates/millethook-engine/tests/it/budget.rs
+++ b/crates/millethook-engine/tests/it/budget.rs
@@ -17,7 +17,7 @@
 #[test]
 fn one_body_can_always_finish() {
     let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
-    let (mut a, mut b, mut c) = (bytes.account(), bytes.account(), bytes.account());
+    let (mut a, mut b, mut c) = (bytes.reservation(), bytes.reservation(), bytes.reservation());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
     assert_eq!(bytes.taken(), 1 << 20);
     // All is taken: the next one leads, and may grow on; whoever comes after it waits.
@@ -36,13 +36,13 @@
 #[test]
 fn who_goes_away_while_waiting_has_taken_nothing() {
     let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
-    let (mut a, mut lead, mut c) = (bytes.account(), bytes.account(), bytes.account());
+    let (mut a, mut lead, mut c) = (bytes.reservation(), bytes.reservation(), bytes.reservation());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
     assert_eq!(polled(pin!(lead.grow(1))), Poll::Ready(()));
     assert_eq!(polled(pin!(c.grow(1))), Poll::Pending);
     drop(c);
     drop(lead);
-    let mut next = bytes.account();
+    let mut next = bytes.reservation();
     assert_eq!(polled(pin!(next.grow(1))), Poll::Ready(()));
     drop((a, next));
     assert_eq!(bytes.taken(), 0);
@@ -59,10 +59,10 @@
                 let runtime = tokio::runtime::Builder::new_current_thread().build();
                 runtime.expect("a runtime").block_on(async {
                     for i in 0..200usize {
-                        let mut account = bytes.account();
-                        account.grow(LONGEST_BODY * (1 + (n + i) % 3)).await;
+                        let mut reservation = bytes.reservation();
+                        reservation.grow(LONGEST_BODY * (1 + (n + i) % 3)).await;
                         tokio::task::yield_now().await;
-                        account.grow(LONGEST_BODY).await;
+                        reservation.grow(LONGEST_BODY).await;
                     }
                 });
             });
--- a/crates/millethook-http/src/answer.rs
+++ b/crates/millethook-http/src/answer.rs
@@ -39,7 +39,7 @@
         repeatable: request_head.repeatable,
         streaming: request_head.streaming,
         aim: request_head.aim,
-        account,
+        reservation: account,
         upload,
         withdrawn: Default::default(),
     }
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -100,7 +100,7 @@
         }
         client.enter(Phase::Body);
         let (mut body, mut pace) = (body, Pace::new());
-        let mut account = self.bytes.account();
+        let mut account = self.bytes.reservation();
         let held = match hold(&mut body, LONGEST_UPLOAD, &mut account, &mut pace).await {
             Ok(held) => held,
             Err(e) => return unread(e).map(Err),
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -107,7 +107,7 @@
             return Err(unsent());
         };
         let until = began + request_head.left;
-        let mut account = shared.bytes.account();
+        let mut account = shared.bytes.reservation();
         // The host's body has its own pace; the request's time bounds it.
         let (mut body, mut pace) = (Box::pin(body), Pace::unbounded());
         let holding = hold(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
