--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -252,7 +252,7 @@
         if request.upload.is_some() {
             exchange.follow();
         }
-        let figures = (!request.own_page).then(|| self.figures.clone());
+        let figures = (!request.internal).then(|| self.figures.clone());
         let message = (request.clone(), head);
         let mut running = Running::new(lease, exchange, message, gate.clone(), figures);
         running.matching = matching;
--- a/crates/millethook-engine/src/upstream/attempt/request.rs
+++ b/crates/millethook-engine/src/upstream/attempt/request.rs
@@ -18,7 +18,7 @@
     /// What goes out.
     pub encoded: EncodedRequest,
     /// It asks for a page of the server's own, and no caller for it.
-    pub own_page: bool,
+    pub internal: bool,
     /// Sent twice, it does no harm.
     pub repeatable: bool,
     /// Its answer may be long, and take its time.
@@ -38,7 +38,7 @@
     pub(in crate::upstream) fn page(path: &Uri, patience: Duration) -> AttemptRequest {
         AttemptRequest {
             encoded: EncodedRequest::new(&Method::GET, path, &HeaderMap::new(), Vec::new()),
-            own_page: true,
+            internal: true,
             repeatable: true,
             streaming: false,
             aim: patience * HANDSHAKE_SHARE,
--- a/crates/millethook-engine/tests/cost.rs
+++ b/crates/millethook-engine/tests/cost.rs
@@ -57,7 +57,7 @@
     let aim = Duration::from_millis(200);
     let request = AttemptRequest {
         encoded,
-        own_page: false,
+        internal: false,
         repeatable: true,
         streaming: false,
         aim,
--- a/crates/millethook-http/src/answer.rs
+++ b/crates/millethook-http/src/answer.rs
@@ -35,7 +35,7 @@
     let headers = passed_on(head.headers);
     AttemptRequest {
         encoded: EncodedRequest::framed(&head.method, &target, &headers, body, framing),
-        own_page: false,
+        internal: false,
         repeatable: request_head.repeatable,
         streaming: request_head.streaming,
         aim: request_head.aim,
