--- a/crates/millethook-engine/src/budget.rs
+++ b/crates/millethook-engine/src/budget.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// The longest body of a request, as the protocol has it.
-pub const LONGEST_BODY: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Descriptors that are neither a client's nor a server's: the listener, the event queue,
 /// discovery, peers, standard streams, and those whose closing is still under way.
 const RESERVE: usize = 32;
@@ -146,7 +146,7 @@
 impl ByteBudget {
     /// A budget of `total` bytes, the leader's among them.
     pub fn new(total: usize) -> Arc<ByteBudget> {
-        let free = total.saturating_sub(LONGEST_BODY).max(1 << 20);
+        let free = total.saturating_sub(MAX_BODY_BYTES).max(1 << 20);
         let state = Mutex::new(State { free, leader: None, next: 0 });
         Arc::new(ByteBudget { total: free, state, freed: Notify::new() })
     }
--- a/crates/millethook-engine/tests/it/budget.rs
+++ b/crates/millethook-engine/tests/it/budget.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use millethook_engine::budget::{
-    ByteBudget, ConnectionPermits, EnginePermits, LONGEST_BODY, Sockets,
+    ByteBudget, ConnectionPermits, EnginePermits, MAX_BODY_BYTES, Sockets,
 };
 
 fn polled<F: Future>(future: std::pin::Pin<&mut F>) -> Poll<F::Output> {
@@ -16,15 +16,15 @@
 /// Danger: bodies that grow side by side until none may grow any more would wait for each other.
 #[test]
 fn one_body_can_always_finish() {
-    let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
+    let bytes = ByteBudget::new((1 << 20) + MAX_BODY_BYTES);
     let (mut a, mut b, mut c) = (bytes.reservation(), bytes.reservation(), bytes.reservation());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
     assert_eq!(bytes.taken(), 1 << 20);
     // All is taken: the next one leads, and may grow on; whoever comes after it waits.
-    assert_eq!(polled(pin!(b.grow(LONGEST_BODY))), Poll::Ready(()));
-    assert_eq!(polled(pin!(b.grow(LONGEST_BODY))), Poll::Ready(()));
+    assert_eq!(polled(pin!(b.grow(MAX_BODY_BYTES))), Poll::Ready(()));
+    assert_eq!(polled(pin!(b.grow(MAX_BODY_BYTES))), Poll::Ready(()));
     {
-        let mut waiting = pin!(c.grow(LONGEST_BODY));
+        let mut waiting = pin!(c.grow(MAX_BODY_BYTES));
         assert_eq!(polled(waiting.as_mut()), Poll::Pending);
         drop(b);
         assert_eq!(polled(waiting.as_mut()), Poll::Ready(()));
@@ -35,7 +35,7 @@
 
 #[test]
 fn who_goes_away_while_waiting_has_taken_nothing() {
-    let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
+    let bytes = ByteBudget::new((1 << 20) + MAX_BODY_BYTES);
     let (mut a, mut lead, mut c) = (bytes.reservation(), bytes.reservation(), bytes.reservation());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
     assert_eq!(polled(pin!(lead.grow(1))), Poll::Ready(()));
@@ -51,7 +51,7 @@
 /// Accounts of many threads: every byte comes back, and nobody waits for ever.
 #[test]
 fn bytes_come_back_from_any_thread() {
-    let bytes = ByteBudget::new((1 << 20) + LONGEST_BODY);
+    let bytes = ByteBudget::new((1 << 20) + MAX_BODY_BYTES);
     std::thread::scope(|s| {
         for n in 0..8usize {
             let bytes = bytes.clone();
@@ -60,9 +60,9 @@
                 runtime.expect("a runtime").block_on(async {
                     for i in 0..200usize {
                         let mut reservation = bytes.reservation();
-                        reservation.grow(LONGEST_BODY * (1 + (n + i) % 3)).await;
+                        reservation.grow(MAX_BODY_BYTES * (1 + (n + i) % 3)).await;
                         tokio::task::yield_now().await;
-                        reservation.grow(LONGEST_BODY).await;
+                        reservation.grow(MAX_BODY_BYTES).await;
                     }
                 });
             });
--- a/crates/millethook-http/src/body.rs
+++ b/crates/millethook-http/src/body.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, SizeHint};
 use millethook_connect::request::Framing;
-use millethook_engine::budget::{ByteReservation, LONGEST_BODY};
+use millethook_engine::budget::{ByteReservation, MAX_BODY_BYTES};
 use millethook_engine::driver::StreamingReply;
 use millethook_engine::upload::{UploadError, UploadSender};
 use tokio::sync::mpsc;
@@ -86,11 +86,11 @@
 pub enum Held {
     /// All of it.
     Whole(Vec<Bytes>),
-    /// More than [`LONGEST_BODY`] bytes, and more may follow.
+    /// More than [`MAX_BODY_BYTES`] bytes, and more may follow.
     Part(Vec<Bytes>),
 }
 
-/// Reads as much of a body as is held, on the `account`: all of it, or its first [`LONGEST_BODY`] bytes and
+/// Reads as much of a body as is held, on the `account`: all of it, or its first [`MAX_BODY_BYTES`] bytes and
 /// the piece in which they end.
 ///
 /// Room is taken before bytes are here; else the budget would be overdrawn by all who send
@@ -111,7 +111,7 @@
 {
     let mut pieces = Vec::new();
     let mut piece = BytesMut::new();
-    let mut left = LONGEST_BODY;
+    let mut left = MAX_BODY_BYTES;
     // What is announced as too long need not be waited for.
     if body.size_hint().lower() > most {
         return Err(ReadError::TooLong);
