--- a/crates/millethook-engine/src/upload.rs
+++ b/crates/millethook-engine/src/upload.rs
@@ -11,7 +11,7 @@
 
 /// The longest body that is passed on. Danger: whoever sends without end would keep a connection for
 /// ever, and a server busy with it.
-pub const LONGEST_UPLOAD: u64 = 32 << 20;
+pub const MAX_UPLOAD_BYTES: u64 = 32 << 20;
 /// How long a server may take none of a body before its attempt is given up.
 const SERVER_STALL: Duration = Duration::from_secs(10);
 
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -23,7 +23,7 @@
 
 use super::connection::Lease;
 use super::{Gate, StreamingResponse, Upstream};
-use crate::upload::LONGEST_UPLOAD;
+use crate::upload::MAX_UPLOAD_BYTES;
 
 use held::Held;
 pub use held::WHOLE;
@@ -35,7 +35,7 @@
 
 /// Longer answers are passed on up to this size, as long as a body may be; those of classes that stream have
 /// no bound. Danger: spoilt heads announce gigabytes, and what follows is noise.
-pub(super) const LONGEST_ANSWER: u64 = LONGEST_UPLOAD;
+pub(super) const LONGEST_ANSWER: u64 = MAX_UPLOAD_BYTES;
 /// The share of the time that is left which a trial takes at most. Danger: what breaks without one may
 /// have run, where a trial would have told that it has not; but timers would make a trial some two of a
 /// hurried client's twenty milliseconds.
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode, Version};
 use millethook_engine::driver::{Reply, RequestHead};
-use millethook_engine::upload::{LONGEST_UPLOAD, Upload, UploadError};
+use millethook_engine::upload::{MAX_UPLOAD_BYTES, Upload, UploadError};
 
 use super::Ingress;
 use super::client::{Client, Phase};
@@ -101,7 +101,7 @@
         client.enter(Phase::Body);
         let (mut body, mut pace) = (body, Pace::new());
         let mut account = self.bytes.reservation();
-        let held = match hold(&mut body, LONGEST_UPLOAD, &mut account, &mut pace).await {
+        let held = match hold(&mut body, MAX_UPLOAD_BYTES, &mut account, &mut pace).await {
             Ok(held) => held,
             Err(e) => return unread(e).map(Err),
         };
@@ -171,7 +171,7 @@
         let mut ticket = self.driver.request(request_head, attempt_request);
         drop(names);
         let fed = {
-            let feeding = pin!(feed(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+            let feeding = pin!(feed(&mut body, length, MAX_UPLOAD_BYTES, &mut pace, rest));
             tokio::select! {
                 biased;
                 // It was refused, or a server had no need of the rest.
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -10,7 +10,7 @@
 
 use http::{Request, Response};
 use millethook_engine::driver::Reply;
-use millethook_engine::upload::{LONGEST_UPLOAD, Upload, UploadError};
+use millethook_engine::upload::{MAX_UPLOAD_BYTES, Upload, UploadError};
 use millethook_http::answer;
 use millethook_http::body::{FeedError, Held, Pace, ReadError, feed, framing, hold};
 use millethook_view::Counts;
@@ -110,7 +110,7 @@
         let mut account = shared.bytes.reservation();
         // The host's body has its own pace; the request's time bounds it.
         let (mut body, mut pace) = (Box::pin(body), Pace::unbounded());
-        let holding = hold(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
+        let holding = hold(&mut body, MAX_UPLOAD_BYTES, &mut account, &mut pace);
         let held = match timeout_at(until.into(), holding).await {
             Ok(Ok(held)) => held,
             Ok(Err(ReadError::TooLong)) => return Err(too_large()),
@@ -133,7 +133,7 @@
         sent.map_err(|_| Error::Closed)?;
         let (mut until, mut early) = (until, None);
         if let Some(rest) = rest {
-            let feeding = pin!(feed(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+            let feeding = pin!(feed(&mut body, length, MAX_UPLOAD_BYTES, &mut pace, rest));
             tokio::select! {
                 biased;
                 // It was refused, or a server had no need of the rest.
@@ -271,5 +271,5 @@
 }
 
 fn too_large() -> Error {
-    Error::TooLarge { limit: LONGEST_UPLOAD as usize }
+    Error::TooLarge { limit: MAX_UPLOAD_BYTES as usize }
 }
