--- a/crates/millethook-engine/src/budget.rs
+++ b/crates/millethook-engine/src/budget.rs
@@ -73,7 +73,7 @@
     }
 
     /// How many are taken.
-    pub fn taken(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.total - self.free.available_permits()
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// How many bytes are taken, a leader's beyond the shared ones aside.
-    pub fn taken(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.total - self.state().free
     }
 }
--- a/crates/millethook-engine/tests/it/budget.rs
+++ b/crates/millethook-engine/tests/it/budget.rs
@@ -19,7 +19,7 @@
     let bytes = ByteBudget::new((1 << 20) + MAX_BODY_BYTES);
     let (mut a, mut b, mut c) = (bytes.reservation(), bytes.reservation(), bytes.reservation());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
-    assert_eq!(bytes.taken(), 1 << 20);
+    assert_eq!(bytes.in_use(), 1 << 20);
     // All is taken: the next one leads, and may grow on; whoever comes after it waits.
     assert_eq!(polled(pin!(b.grow(MAX_BODY_BYTES))), Poll::Ready(()));
     assert_eq!(polled(pin!(b.grow(MAX_BODY_BYTES))), Poll::Ready(()));
@@ -30,7 +30,7 @@
         assert_eq!(polled(waiting.as_mut()), Poll::Ready(()));
     }
     drop((a, c));
-    assert_eq!(bytes.taken(), 0);
+    assert_eq!(bytes.in_use(), 0);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     let mut next = bytes.reservation();
     assert_eq!(polled(pin!(next.grow(1))), Poll::Ready(()));
     drop((a, next));
-    assert_eq!(bytes.taken(), 0);
+    assert_eq!(bytes.in_use(), 0);
 }
 
 /// Accounts of many threads: every byte comes back, and nobody waits for ever.
@@ -68,7 +68,7 @@
             });
         }
     });
-    assert_eq!(bytes.taken(), 0);
+    assert_eq!(bytes.in_use(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -77,7 +77,7 @@
     let (places, other) = (EnginePermits::new(all.clone()), EnginePermits::new(all.clone()));
     let (first, second) = (places.try_take().expect("one"), places.try_take().expect("two"));
     assert!(places.try_take().is_none());
-    assert_eq!(all.taken(), 2);
+    assert_eq!(all.in_use(), 2);
     assert!(places.take(Duration::from_millis(50)).await.is_none(), "nobody gives one up");
     // Another engine hears that one is wanted, and gives up what rests.
     let giving = tokio::spawn(async move {
@@ -89,7 +89,7 @@
     let taken = places.take(Duration::from_secs(5)).await.expect("given up");
     giving.await.expect("no panic");
     drop((first, taken));
-    assert_eq!(all.taken(), 0);
+    assert_eq!(all.in_use(), 0);
 }
 
 /// An engine that heard its own call would close a connection that its own requests need.
--- a/crates/millethook/src/budget.rs
+++ b/crates/millethook/src/budget.rs
@@ -23,12 +23,12 @@
 
     /// How many connections to servers there are now.
     pub fn sockets(&self) -> usize {
-        self.sockets.taken()
+        self.sockets.in_use()
     }
 
     /// How many bytes bodies of requests take now.
     pub fn bytes(&self) -> usize {
-        self.bytes.taken()
+        self.bytes.in_use()
     }
 
     pub(crate) fn is(&self, other: &Budget) -> bool {
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -218,11 +218,11 @@
             requests: engine.requests,
             attempts: engine.attempts,
             undecided: engine.undecided,
-            sockets: shared.sockets.taken(),
+            sockets: shared.sockets.in_use(),
             opening: engine.connections.opening,
             resting: engine.connections.resting,
             ended: engine.ended,
-            body_bytes: shared.bytes.taken(),
+            body_bytes: shared.bytes.in_use(),
         })
     }
 
