--- a/crates/millethook-engine/src/budget.rs
+++ b/crates/millethook-engine/src/budget.rs
@@ -50,7 +50,7 @@
     }
 
     /// For engines whose clients need no sockets: all places are for servers.
-    pub fn of_servers(servers: Arc<ConnectionPermits>) -> Sockets {
+    pub fn for_servers(servers: Arc<ConnectionPermits>) -> Sockets {
         let none = || Arc::new(Semaphore::new(0));
         let servers = EnginePermits::new(servers);
         Sockets { clients: none(), client_permits: 0, closing: none(), servers }
--- a/crates/millethook-engine/tests/cost.rs
+++ b/crates/millethook-engine/tests/cost.rs
@@ -47,7 +47,7 @@
         distribution: None,
         keeper: None,
     };
-    let sockets = Rc::new(Sockets::of_servers(ConnectionPermits::new(64)));
+    let sockets = Rc::new(Sockets::for_servers(ConnectionPermits::new(64)));
     Engine::start(config, sockets).await.expect("an engine")
 }
 
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -111,7 +111,7 @@
     mut queue: mpsc::UnboundedReceiver<Command>,
     life: &watch::Sender<Life>,
 ) {
-    let sockets = Rc::new(Sockets::of_servers(servers));
+    let sockets = Rc::new(Sockets::for_servers(servers));
     let engine = match Engine::start(config, sockets).await {
         Ok(engine) => Rc::new(engine),
         Err(e) => return tracing::error!(event = "engine_failed", "no engine: {e}"),
