--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -303,7 +303,7 @@
     }
 
     /// Whether clients that are refused are told when to come back.
-    pub fn tells_when(&self) -> bool {
+    pub fn sends_retry_after(&self) -> bool {
         self.core.borrow().balancer.settings().limits.retry_after
     }
 
--- a/crates/millethook-http/src/edge/intake.rs
+++ b/crates/millethook-http/src/edge/intake.rs
@@ -233,7 +233,7 @@
 
     /// Whether clients are told when to come back.
     pub fn come_back(&self, after: Duration) -> Option<Duration> {
-        self.driver.tells_when().then_some(after)
+        self.driver.sends_retry_after().then_some(after)
     }
 
     /// Writes of the own store that have no end, for all that is known here.
