--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -314,7 +314,7 @@
     }
 
     /// Whether no server can be reached, for all that is known here. Once that is so it stays so until one answers
-    /// or takes a connection ([`Driver::try_any`]).
+    /// or takes a connection ([`Driver::try_connect`]).
     pub fn is_isolated(&self) -> bool {
         let core = self.core.borrow();
         let patience = Duration::from_micros(core.balancer.settings().longest(|c| c.aim));
@@ -322,7 +322,7 @@
     }
 
     /// Tries whether one server takes a connection, the `nth` of those that are listed; nothing is sent on it.
-    pub async fn try_any(&self, nth: usize) -> bool {
+    pub async fn try_connect(&self, nth: usize) -> bool {
         let dial = {
             let core = self.core.borrow();
             let mut dials: Vec<SocketAddr> = core.servers.values().map(|s| s.dial).collect();
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -68,7 +68,7 @@
                 tried = Instant::now();
                 nth = nth.wrapping_add(1);
                 let (driver, nth) = (self.driver.clone(), nth);
-                spawn_local(async move { driver.try_any(nth).await });
+                spawn_local(async move { driver.try_connect(nth).await });
             }
             let stores: Vec<Rc<Store>> = self.replays.borrow().values().cloned().collect();
             // As many stores as sidecars may be on their way; how many are, nobody knows.
