--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -142,7 +142,7 @@
     }
 
     /// Waits until some server was listed.
-    pub async fn first_listed(&self) {
+    pub async fn wait_for_first_list(&self) {
         let told = self.first_list.notified();
         if !self.listed() {
             told.await;
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -148,7 +148,7 @@
         // The process beside this one serves until this one can, and then until it hands over: the two do not know
         // which requests the other one has open.
         if shares_listener {
-            let _ = timeout(UNLISTED, driver.first_listed()).await;
+            let _ = timeout(UNLISTED, driver.wait_for_first_list()).await;
         }
         if let Some(turn) = turn {
             turn.await;
