--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -129,7 +129,7 @@
             AttemptOutcome::End { outcome, report, answer } => {
                 if outcome != Outcome::Served {
                     // Without this, what failed while this process stood still is repeated by the list from before.
-                    self.current_list().await;
+                    self.wait_for_current_list().await;
                 }
                 self.over(id, n, server, outcome, latency, report, answer);
             }
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -132,7 +132,7 @@
     ///
     /// Without this, requests that came while this process stood still go to servers that drain by now, or that have
     /// just started anew.
-    pub async fn current_list(&self) {
+    pub async fn wait_for_current_list(&self) {
         self.list_clock.current().await;
     }
 
--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -32,7 +32,7 @@
             _ => return Outcome::Spoilt,
         };
         let Some((head, attempt_request)) = self.request(*write) else { return Outcome::NotRun };
-        self.driver.current_list().await;
+        self.driver.wait_for_current_list().await;
         // The last look. A process that stops behind it has marked the write, and whoever takes over does not send it.
         if self.fleet.holds(job(store.edge)) != Some(store.token) || store.fenced.get() {
             return Outcome::NotRun;
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -112,7 +112,7 @@
         client.enter(Phase::Taken);
         reservation.keep();
         let taken = Instant::now();
-        self.driver.current_list().await;
+        self.driver.wait_for_current_list().await;
         let left = request_head.left.saturating_sub(taken.elapsed());
         let request_head = RequestHead { left, ..request_head };
         let pieces = match held {
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -162,7 +162,7 @@
         return;
     };
     reservation.keep();
-    driver.current_list().await;
+    driver.wait_for_current_list().await;
     request_head.left = until.saturating_duration_since(Instant::now());
     let mut ticket = driver.request(request_head, attempt_request);
     tokio::select! {
