--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -137,14 +137,14 @@
     }
 
     /// Whether any server was ever listed.
-    pub fn listed(&self) -> bool {
+    pub fn has_listed_servers(&self) -> bool {
         self.core.borrow().listed
     }
 
     /// Waits until some server was listed.
     pub async fn wait_for_first_list(&self) {
         let told = self.first_list.notified();
-        if !self.listed() {
+        if !self.has_listed_servers() {
             told.await;
         }
     }
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -179,7 +179,7 @@
             let kind = if remembered { ListKind::Remembered } else { ListKind::Whole };
             driver.servers(kind, known);
         }
-        if how == How::OnRequest && config.known.is_none() && !driver.listed() {
+        if how == How::OnRequest && config.known.is_none() && !driver.has_listed_servers() {
             // The decisions ask again for what they had; who has nothing yet asks at once. Discovery runs below.
             let _ = first_call.send(Call::Watch);
         }
@@ -188,7 +188,7 @@
         // over some seconds, and it may turn many away. Whoever has a list from before serves by it meanwhile:
         // servers that are gone refuse, and the first answer puts the list right.
         let listed = config.known.as_ref().is_some_and(|known| !known.hosts.is_empty());
-        if how == How::OnRequest && listed || keeper.is_some() && driver.listed() {
+        if how == How::OnRequest && listed || keeper.is_some() && driver.has_listed_servers() {
             tried.notify_one();
         }
         let mut list_role = None;
@@ -204,7 +204,7 @@
                     tried: tried.clone(),
                     clock: driver.list_clock(),
                 };
-                let listed = driver.listed();
+                let listed = driver.has_listed_servers();
                 let sinks = (driver.clone(), keeper.clone(), fleet.clone());
                 list_role = watch_lists(watching, sinks, listed, calls);
                 Some(discovery)
--- a/crates/millethook-http/src/ingress/mod.rs
+++ b/crates/millethook-http/src/ingress/mod.rs
@@ -110,7 +110,7 @@
 
     /// Whether requests can be served: discovery was tried, and there is a list of servers.
     pub fn is_ready(&self) -> bool {
-        self.tried.get() && self.driver.listed()
+        self.tried.get() && self.driver.has_listed_servers()
     }
 
     /// How many clients are connected.
