--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -15,7 +15,7 @@
 
 impl MembershipSink for Rc<Driver> {
     fn servers(&self, kind: ListKind, list: &List) {
-        Driver::servers(self, kind, list);
+        Driver::apply_list(self, kind, list);
     }
 
     fn discovery_failed(&self) {
@@ -68,7 +68,7 @@
     }
 
     /// A list of servers, or what changed in it.
-    pub fn servers(self: &Rc<Driver>, kind: ListKind, list: &List) {
+    pub fn apply_list(self: &Rc<Driver>, kind: ListKind, list: &List) {
         {
             let mut core = self.core.borrow_mut();
             if kind != ListKind::Changes {
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -177,7 +177,7 @@
         if let Some(known) = config.known.as_ref().filter(|_| keeper.is_none()) {
             let remembered = config.discovery.is_some();
             let kind = if remembered { ListKind::Remembered } else { ListKind::Whole };
-            driver.servers(kind, known);
+            driver.apply_list(kind, known);
         }
         if how == How::OnRequest && config.known.is_none() && !driver.has_listed_servers() {
             // The decisions ask again for what they had; who has nothing yet asks at once. Discovery runs below.
@@ -275,12 +275,12 @@
 
     /// Takes a list of servers, or changes of it, that the application's own code knows. It is weighed like
     /// discovery's, where lists are.
-    pub fn servers(&self, list: &List) {
+    pub fn apply_list(&self, list: &List) {
         match &self.keeper {
             Some(keeper) => keeper.apply_list(Source::Code, list),
             None => {
                 let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
-                self.driver.servers(kind, list);
+                self.driver.apply_list(kind, list);
             }
         }
     }
--- a/crates/millethook-engine/src/keeper.rs
+++ b/crates/millethook-engine/src/keeper.rs
@@ -87,7 +87,7 @@
         }
         hosts.extend(keeper.load());
         // The balancer subscribes after its first list, even if that is empty.
-        keeper.driver.servers(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
+        keeper.driver.apply_list(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
         spawn_local(keeper.clone().run());
         if keeper.config.store.is_some() {
             spawn_local(keeper.clone().write());
@@ -144,7 +144,7 @@
         }
         self.changed.notify_one();
         let kind = if update.whole { ListKind::Whole } else { ListKind::Changes };
-        self.driver.servers(kind, &List { seq: 0, whole: update.whole, hosts: update.hosts });
+        self.driver.apply_list(kind, &List { seq: 0, whole: update.whole, hosts: update.hosts });
     }
 
     /// Starts trials and applies suspect lists when they are due.
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -134,7 +134,7 @@
                     let view = engine.fleet.as_ref().map(|fleet| (fleet.counts(), fleet.hash()));
                     let _ = to.send(view);
                 }
-                Command::Servers(list) => engine.servers(&list),
+                Command::Servers(list) => engine.apply_list(&list),
                 Command::Stop => return,
             }
         }
