--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -297,7 +297,12 @@
 
     /// Discovery, and the other sidecars, are elsewhere from now on. Requests under way,
     /// connections and what is known of servers stay as they are.
-    pub fn moved(&self, discovery: SocketAddr, peers: Vec<SocketAddr>, all: Option<SocketAddr>) {
+    pub fn update_addresses(
+        &self,
+        discovery: SocketAddr,
+        peers: Vec<SocketAddr>,
+        all: Option<SocketAddr>,
+    ) {
         if let Some(fleet) = &self.fleet {
             fleet.resized(peers.len());
         }
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/follower.rs
@@ -123,7 +123,7 @@
             "new configuration: discovery at {}",
             config.discovery
         );
-        self.engine.moved(config.discovery, config.peers, config.peers_all);
+        self.engine.update_addresses(config.discovery, config.peers, config.peers_all);
         self.whole = config.raw;
         self.source = config.source;
         Ok(())
