--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -288,7 +288,7 @@
     }
 
     /// Takes settings of [`Driver::settings_with`].
-    pub fn retune(&self, settings: Settings) {
+    pub fn apply_settings(&self, settings: Settings) {
         self.core.borrow_mut().balancer.retune(settings);
     }
 
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -251,7 +251,7 @@
     ///
     /// # Errors
     /// Names the key that makes no sense; nothing has changed then.
-    pub fn retune(&self, new: Settings, raw: &Value) -> Result<Arc<Names>, String> {
+    pub fn apply_settings(&self, new: Settings, raw: &Value) -> Result<Arc<Names>, String> {
         let mut before = self.before.borrow_mut();
         before.retain(|names| Arc::strong_count(names) > 1);
         // Danger: a request whose body is still coming names its class by its place, and the decisions
@@ -267,7 +267,7 @@
         self.longest_deadline.set(longest.max(self.longest_deadline.get()));
         self.call_limits.set(CallLimits::from(&settings));
         self.upstream.set_reuse(self.reuse.unwrap_or_else(|| usual_reuse(&settings)));
-        self.driver.retune(settings);
+        self.driver.apply_settings(settings);
         self.figures.renamed(&names);
         before.push(self.names.replace(names.clone()));
         Ok(names)
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/follower.rs
@@ -131,7 +131,7 @@
 
     /// Puts settings into force, or nothing of them.
     fn apply(&self, tuned: Tuned) -> Result<(), String> {
-        let names = self.engine.retune(tuned.settings, &tuned.raw)?;
+        let names = self.engine.apply_settings(tuned.settings, &tuned.raw)?;
         if let Some(edge) = &self.edge {
             edge.renamed(names.clone());
         }
