--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -286,7 +286,7 @@
     }
 
     /// Datagrams that came from no peer's address, or were too long.
-    pub fn strangers(&self) -> u64 {
+    pub fn rejected_datagrams(&self) -> u64 {
         self.peers.as_ref().map_or(0, |peers| peers.strangers())
     }
 
--- a/crates/plankvale/src/operated.rs
+++ b/crates/plankvale/src/operated.rs
@@ -119,7 +119,7 @@
             lines.count("membership.snapshots_failed", writes.failed);
         }
         if let Some(fleet) = &self.engine.fleet {
-            view(&mut lines, fleet, self.engine.strangers());
+            view(&mut lines, fleet, self.engine.rejected_datagrams());
             if let Some(distribution) = &fleet.distribution {
                 let took = self.spool.as_ref().and_then(|spool| spool.in_force_after_ms());
                 write_figures(&mut lines, distribution, took);
