--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -291,7 +291,7 @@
     }
 
     /// Waits until discovery has first been tried.
-    pub async fn discovery_tried(&self) {
+    pub async fn wait_for_discovery(&self) {
         self.tried.notified().await;
     }
 
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -118,7 +118,7 @@
     };
     let ids = OpenIds::new(engine.longest_deadline());
     let ready = async {
-        engine.discovery_tried().await;
+        engine.wait_for_discovery().await;
         engine.driver.wait_for_first_list().await;
         life.send_replace(Life::Ready);
         std::future::pending::<()>().await;
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -242,7 +242,7 @@
 
 /// Marks the ingress ready when discovery has first been tried; never ends.
 async fn first_try(ingress: &Ingress, engine: &Engine) {
-    engine.discovery_tried().await;
+    engine.wait_for_discovery().await;
     ingress.discovery_tried();
     std::future::pending().await
 }
