--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -46,7 +46,7 @@
     /// Where discovery is; None: `known` is the list, and stays so.
     pub discovery: Option<SocketAddr>,
     /// The list of servers as it was last had.
-    pub known: Option<List>,
+    pub initial_list: Option<List>,
     /// When servers may begin with a request.
     pub begins: Begins,
     /// How the list of servers outlives the process; None: what sources say is taken as it comes.
@@ -169,17 +169,17 @@
         if let Some(fleet) = &fleet {
             driver.shares_with(fleet);
         }
-        let version = config.known.as_ref().map_or(0, |known| known.seq);
+        let version = config.initial_list.as_ref().map_or(0, |known| known.seq);
         let keeper = config.keeper.map(|(fleet, keeper)| {
-            let (driver, known) = (driver.clone(), config.known.as_ref());
+            let (driver, known) = (driver.clone(), config.initial_list.as_ref());
             Keeper::start(driver, upstream.clone(), keeper, &fleet, config.seed, known)
         });
-        if let Some(known) = config.known.as_ref().filter(|_| keeper.is_none()) {
+        if let Some(known) = config.initial_list.as_ref().filter(|_| keeper.is_none()) {
             let remembered = config.discovery.is_some();
             let kind = if remembered { ListKind::Remembered } else { ListKind::Whole };
             driver.apply_list(kind, known);
         }
-        if how == How::OnRequest && config.known.is_none() && !driver.has_listed_servers() {
+        if how == How::OnRequest && config.initial_list.is_none() && !driver.has_listed_servers() {
             // The decisions ask again for what they had; who has nothing yet asks at once. Discovery runs below.
             let _ = first_call.send(Call::Watch);
         }
@@ -187,7 +187,7 @@
         // Danger: where discovery is asked, thousands of sidecars that start together ask one after the other
         // over some seconds, and it may turn many away. Whoever has a list from before serves by it meanwhile:
         // servers that are gone refuse, and the first answer puts the list right.
-        let listed = config.known.as_ref().is_some_and(|known| !known.hosts.is_empty());
+        let listed = config.initial_list.as_ref().is_some_and(|known| !known.hosts.is_empty());
         if how == How::OnRequest && listed || keeper.is_some() && driver.has_listed_servers() {
             tried.notify_one();
         }
--- a/crates/millethook-engine/tests/cost.rs
+++ b/crates/millethook-engine/tests/cost.rs
@@ -37,7 +37,7 @@
         names,
         seed: 7,
         discovery: None,
-        known: Some(known),
+        initial_list: Some(known),
         begins: Begins::Head,
         connections: Limits::default(),
         // What a used connection costs is what is counted.
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -76,7 +76,7 @@
         names: config.names.clone(),
         seed: config.seed,
         discovery: config.discovery,
-        known: config.known.clone(),
+        initial_list: config.known.clone(),
         begins: config.begins,
         connections: config.connections,
         reuse: config.reuse,
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -99,7 +99,7 @@
         names: Arc::new(tuned.names),
         seed: config.seed,
         discovery: Some(config.discovery),
-        known: config.known,
+        initial_list: config.known,
         begins: config.begins,
         connections,
         reuse: product::reuse(&config.product),
