--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -50,7 +50,7 @@
     /// When servers may begin with a request.
     pub begins: Begins,
     /// How the list of servers outlives the process; None: what sources say is taken as it comes.
-    pub keeper: Option<(String, KeeperConfig)>,
+    pub membership_store: Option<(String, KeeperConfig)>,
     /// What bounds connections to servers; `settings` tells how long they may rest.
     pub connections: Limits,
     /// For how many requests a connection is used; None: as `settings` price a handshake.
@@ -97,7 +97,7 @@
     /// The view of the fleet, where there is one.
     pub fleet: Option<Rc<Fleet>>,
     /// Where the list of servers is kept, if it is.
-    pub keeper: Option<Rc<Keeper>>,
+    pub membership_store: Option<Rc<Keeper>>,
     /// What this process does with the list that comes by distribution, if one does.
     pub list_role: Option<ListRole>,
 }
@@ -170,7 +170,7 @@
             driver.shares_with(fleet);
         }
         let version = config.initial_list.as_ref().map_or(0, |known| known.seq);
-        let keeper = config.keeper.map(|(fleet, keeper)| {
+        let keeper = config.membership_store.map(|(fleet, keeper)| {
             let (driver, known) = (driver.clone(), config.initial_list.as_ref());
             Keeper::start(driver, upstream.clone(), keeper, &fleet, config.seed, known)
         });
@@ -235,7 +235,7 @@
             call_limits,
             peers,
             fleet,
-            keeper,
+            membership_store: keeper,
             list_role,
         })
     }
@@ -276,7 +276,7 @@
     /// Takes a list of servers, or changes of it, that the application's own code knows. It is weighed like
     /// discovery's, where lists are.
     pub fn apply_list(&self, list: &List) {
-        match &self.keeper {
+        match &self.membership_store {
             Some(keeper) => keeper.apply_list(Source::Code, list),
             None => {
                 let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
--- a/crates/millethook-engine/tests/cost.rs
+++ b/crates/millethook-engine/tests/cost.rs
@@ -45,7 +45,7 @@
         peers: None,
         fleet: None,
         distribution: None,
-        keeper: None,
+        membership_store: None,
     };
     let sockets = Rc::new(Sockets::for_servers(ConnectionPermits::new(64)));
     Engine::start(config, sockets).await.expect("an engine")
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -88,7 +88,7 @@
         }),
         fleet: config.view.clone(),
         distribution: None,
-        keeper: config.keeper.clone().map(|keeper| (config.name.clone(), keeper)),
+        membership_store: config.keeper.clone().map(|keeper| (config.name.clone(), keeper)),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     // The kernel cuts names of threads after fifteen bytes.
@@ -146,7 +146,7 @@
     if let Some(fleet) = &engine.fleet {
         fleet.leave();
     }
-    if let Some(keeper) = &engine.keeper {
+    if let Some(keeper) = &engine.membership_store {
         keeper.save().await;
     }
 }
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -103,7 +103,7 @@
         begins: config.begins,
         connections,
         reuse: product::reuse(&config.product),
-        keeper: keeper.map(|keeper| (config.name.clone(), keeper)),
+        membership_store: keeper.map(|keeper| (config.name.clone(), keeper)),
         peers,
         fleet: product::fleet(&config.product),
         distribution,
@@ -166,7 +166,7 @@
         fleet.leave();
     }
     // What is known at the end is kept, however the rest goes.
-    if let Some(keeper) = engine.keeper.clone() {
+    if let Some(keeper) = engine.membership_store.clone() {
         spawn_local(async move { keeper.save().await });
     }
     if let Some(successor) = seat.and_then(|seat| seat.successor()) {
@@ -187,7 +187,7 @@
         () = accepting => {}
         () = shutdown::drain(ingress, engine.longest_deadline()) => {}
     }
-    if let Some(keeper) = &engine.keeper {
+    if let Some(keeper) = &engine.membership_store {
         let _ = timeout(LAST_WRITE, keeper.save()).await;
     }
     if let Some(documents) = documents {
--- a/crates/plankvale/src/operated.rs
+++ b/crates/plankvale/src/operated.rs
@@ -105,7 +105,7 @@
     fn metrics(&self) -> String {
         let mut lines = statsd::Lines::default();
         statsd::engine(&mut lines, &self.engine);
-        if let Some(keeper) = &self.engine.keeper {
+        if let Some(keeper) = &self.engine.membership_store {
             let (counts, writes) = (keeper.counts(), keeper.writes());
             lines.gauge("membership.live", counts.live);
             lines.gauge("membership.remembered", counts.remembered);
