--- a/crates/millethook-engine/src/discovery/asked.rs
+++ b/crates/millethook-engine/src/discovery/asked.rs
@@ -11,7 +11,7 @@
 use super::call::{AnswerTimes, CallError, Connection, call};
 use super::opening::{Opening, Step};
 use super::patience::Patience;
-use super::{Call, Discovery};
+use super::{Discovery, DiscoveryCommand};
 use crate::list::List;
 use crate::news::MembershipSink;
 
@@ -63,7 +63,7 @@
     pub(super) async fn run(
         mut self,
         news: &impl MembershipSink,
-        mut asks: mpsc::UnboundedReceiver<Call>,
+        mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>,
     ) {
         let mut moves = self.discovery.config.address.clone();
         loop {
@@ -127,19 +127,19 @@
 
     /// Danger: a call that waits in line, or a watch that is held, is what the module asks for. One more would be
     /// work for discovery and lose the place.
-    fn on_ask(&mut self, ask: Call) {
+    fn on_ask(&mut self, ask: DiscoveryCommand) {
         match ask {
-            Call::Watch => self.watches = true,
-            Call::Fetch => {
+            DiscoveryCommand::Watch => self.watches = true,
+            DiscoveryCommand::Fetch => {
                 self.discovery.whole = true;
                 self.hang_up();
             }
-            Call::WatchFrom(version) => {
+            DiscoveryCommand::WatchFrom(version) => {
                 // After a move of discovery the next call is for all, whatever version is at hand.
                 self.discovery.version = version;
                 self.watches = true;
             }
-            Call::Stop => {
+            DiscoveryCommand::Stop => {
                 self.hang_up();
                 (self.watches, self.state) = (false, State::Stopped);
                 return;
--- a/crates/millethook-engine/src/discovery/mod.rs
+++ b/crates/millethook-engine/src/discovery/mod.rs
@@ -23,7 +23,7 @@
 
 /// What the module asks of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum DiscoveryCommand {
     /// Changes from now on.
     Watch,
     /// The whole list, once.
@@ -72,7 +72,11 @@
     }
 
     /// Keeps the list as new as it can be; `calls` is what the module asks.
-    pub async fn run(self, news: impl MembershipSink, calls: mpsc::UnboundedReceiver<Call>) {
+    pub async fn run(
+        self,
+        news: impl MembershipSink,
+        calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
+    ) {
         match self.config.how {
             How::Pushed => pushed::Pushed::new(self).run(&news, calls).await,
             How::OnRequest => asked::Asked::new(self).run(&news, calls).await,
--- a/crates/millethook-engine/src/discovery/pushed.rs
+++ b/crates/millethook-engine/src/discovery/pushed.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc;
 
 use super::call::{AnswerTimes, CallError, Connection, Query, call};
-use super::{Call, Discovery};
+use super::{Discovery, DiscoveryCommand};
 use crate::list::List;
 use crate::news::MembershipSink;
 
@@ -35,7 +35,7 @@
     pub(super) async fn run(
         mut self,
         news: &impl MembershipSink,
-        mut calls: mpsc::UnboundedReceiver<Call>,
+        mut calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
     ) {
         let mut moves = self.discovery.config.address.clone();
         loop {
@@ -65,7 +65,7 @@
                     }
                 },
                 call = calls.recv() => {
-                    self.discovery.whole |= call == Some(Call::Fetch);
+                    self.discovery.whole |= call == Some(DiscoveryCommand::Fetch);
                     self.connection = None;
                 }
             }
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -26,7 +26,7 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::spawn_local;
 
-use crate::discovery::Call;
+use crate::discovery::DiscoveryCommand;
 use crate::figures::{Disposition, Figures};
 use crate::fleet::Fleet;
 use crate::list_clock::ListClock;
@@ -71,7 +71,7 @@
     clock: (Micros, Instant),
     names: Arc<Names>,
     upstream: Rc<Upstream>,
-    discovery: mpsc::UnboundedSender<Call>,
+    discovery: mpsc::UnboundedSender<DiscoveryCommand>,
     peers: Option<Rc<dyn PeerSender>>,
     /// The other sidecars, where evidence is shared with them.
     fleet: OnceCell<Rc<Fleet>>,
@@ -110,7 +110,7 @@
         seed: u64,
         names: Arc<Names>,
         upstream: Rc<Upstream>,
-        discovery: mpsc::UnboundedSender<Call>,
+        discovery: mpsc::UnboundedSender<DiscoveryCommand>,
         peers: Option<Rc<dyn PeerSender>>,
         figures: Rc<Figures>,
     ) -> Rc<Driver> {
@@ -200,8 +200,8 @@
             }
             Action::CloseIdle { server } => self.upstream.close_idle(server, false),
             // Discovery runs as long as the driver does.
-            Action::Subscribe => drop(self.discovery.send(Call::Watch)),
-            Action::FetchList => drop(self.discovery.send(Call::Fetch)),
+            Action::Subscribe => drop(self.discovery.send(DiscoveryCommand::Watch)),
+            Action::FetchList => drop(self.discovery.send(DiscoveryCommand::Fetch)),
             Action::Tell { peer, data } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(peer, &data);
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::budget::Sockets;
 use crate::datagrams;
 use crate::discovery::patience::CallLimits;
-use crate::discovery::{Call, Discovery, DiscoveryConfig};
+use crate::discovery::{Discovery, DiscoveryCommand, DiscoveryConfig};
 use crate::distribution::Distribution;
 use crate::driver::Driver;
 use crate::figures::Figures;
@@ -181,7 +181,7 @@
         }
         if how == How::OnRequest && config.initial_list.is_none() && !driver.has_listed_servers() {
             // The decisions ask again for what they had; who has nothing yet asks at once. Discovery runs below.
-            let _ = first_call.send(Call::Watch);
+            let _ = first_call.send(DiscoveryCommand::Watch);
         }
         let tried = Rc::new(Notify::new());
         // Danger: where discovery is asked, thousands of sidecars that start together ask one after the other
@@ -325,7 +325,7 @@
     config: DiscoveryConfig,
     (driver, keeper, fleet): ListParts,
     listed: bool,
-    calls: mpsc::UnboundedReceiver<Call>,
+    calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) -> Option<ListRole> {
     let (limits, tried, seed) = (config.limits.clone(), config.tried.clone(), config.seed);
     let discovery = Discovery::new(config);
--- a/crates/millethook-engine/src/server_lists/subscription.rs
+++ b/crates/millethook-engine/src/server_lists/subscription.rs
@@ -15,7 +15,7 @@
 use super::follower::{FollowerStep, ListFollower, Verdict};
 use super::position::ListPosition;
 use super::published::{BodyError, PublishedList, decode_confirmation};
-use crate::discovery::Call;
+use crate::discovery::DiscoveryCommand;
 use crate::discovery::patience::CallLimits;
 use crate::distribution::{Distribution, Document, ListSettings, Refusal};
 use crate::keeper::Keeper;
@@ -51,7 +51,7 @@
     /// Where it goes.
     pub keeper: Rc<Keeper>,
     /// Calls to discovery.
-    pub to_discovery: mpsc::UnboundedSender<Call>,
+    pub to_discovery: mpsc::UnboundedSender<DiscoveryCommand>,
     /// What the settings say about them.
     pub call_limits: Rc<Cell<CallLimits>>,
     /// Told when the first list has come.
@@ -92,8 +92,11 @@
 
     /// Takes lists until the present `LocalSet` ends. `calls` is what the decisions ask of discovery: they are passed on
     /// while discovery is asked.
-    pub(crate) async fn run(self: Rc<ListSubscription>, mut calls: mpsc::UnboundedReceiver<Call>) {
-        self.call(Call::Stop);
+    pub(crate) async fn run(
+        self: Rc<ListSubscription>,
+        mut calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
+    ) {
+        self.call(DiscoveryCommand::Stop);
         loop {
             let due = self.follower.borrow().next_due();
             let due = async {
@@ -115,7 +118,7 @@
         }
     }
 
-    fn call(&self, call: Call) {
+    fn call(&self, call: DiscoveryCommand) {
         // Discovery's side ends with the engine.
         let _ = self.parts.to_discovery.send(call);
     }
@@ -145,10 +148,12 @@
                     );
                 }
                 Some(FollowerStep::AskDiscovery { newer_than }) => {
-                    self.call(newer_than.map_or(Call::Watch, Call::WatchFrom));
+                    self.call(
+                        newer_than.map_or(DiscoveryCommand::Watch, DiscoveryCommand::WatchFrom),
+                    );
                 }
                 Some(FollowerStep::StopAsking) => {
-                    self.call(Call::Stop);
+                    self.call(DiscoveryCommand::Stop);
                     tracing::info!(
                         event = "distribution_list_heard",
                         %list,
