--- a/crates/millethook-engine/src/discovery/asked.rs
+++ b/crates/millethook-engine/src/discovery/asked.rs
@@ -9,8 +9,8 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::call::{AnswerTimes, CallError, Connection, call};
+use super::call_timing::CallTiming;
 use super::opening::{Opening, Step};
-use super::patience::Patience;
 use super::{Discovery, DiscoveryCommand};
 use crate::list::List;
 use crate::news::MembershipSink;
@@ -42,7 +42,7 @@
 
 pub(super) struct Asked {
     discovery: Discovery,
-    patience: Patience,
+    patience: CallTiming,
     state: State,
     /// The module has asked for changes from now on, and no call has failed since.
     watches: bool,
@@ -54,7 +54,7 @@
 
 impl Asked {
     pub(super) fn new(discovery: Discovery) -> Asked {
-        let patience = Patience::new(discovery.config.limits.get());
+        let patience = CallTiming::new(discovery.config.limits.get());
         let calls = JoinSet::new();
         Asked { discovery, patience, state: State::Idle, watches: false, connection: None, calls }
     }
@@ -227,7 +227,7 @@
         let stopped = matches!(self.state, State::Stopped);
         self.hang_up();
         self.discovery.whole = true;
-        self.patience = Patience::new(self.discovery.config.limits.get());
+        self.patience = CallTiming::new(self.discovery.config.limits.get());
         if stopped {
             self.state = State::Stopped;
         } else {
--- a/crates/millethook-engine/src/discovery/patience.rs
+++ b/crates/millethook-engine/src/discovery/call_timing.rs
@@ -64,7 +64,7 @@
 
 /// What calls have taken so far, and what follows for the next one.
 #[derive(Clone, Debug)]
-pub struct Patience {
+pub struct CallTiming {
     limits: CallLimits,
     /// The quickest answer to a call in line: no less than the work of one call. Forgotten slowly.
     quickest: Option<Duration>,
@@ -76,10 +76,10 @@
     given_up: u32,
 }
 
-impl Patience {
+impl CallTiming {
     /// Nothing is known of discovery yet.
-    pub fn new(limits: CallLimits) -> Patience {
-        Patience { limits, quickest: None, slowest: Duration::ZERO, refusals: 0, given_up: 0 }
+    pub fn new(limits: CallLimits) -> CallTiming {
+        CallTiming { limits, quickest: None, slowest: Duration::ZERO, refusals: 0, given_up: 0 }
     }
 
     /// The settings have changed.
--- a/crates/millethook-engine/src/discovery/mod.rs
+++ b/crates/millethook-engine/src/discovery/mod.rs
@@ -2,8 +2,8 @@
 
 mod asked;
 mod call;
+pub mod call_timing;
 pub mod opening;
-pub mod patience;
 mod pushed;
 
 use std::cell::Cell;
@@ -19,7 +19,7 @@
 use crate::list::List;
 use crate::list_clock::ListClock;
 use crate::news::MembershipSink;
-use patience::CallLimits;
+use call_timing::CallLimits;
 
 /// What the module asks of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/millethook-engine/src/discovery/opening.rs
+++ b/crates/millethook-engine/src/discovery/opening.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::patience::Patience;
+use super::call_timing::CallTiming;
 
 /// The most calls of one sidecar in line.
 const MOST_IN_LINE: u32 = 2;
@@ -48,7 +48,7 @@
     }
 
     /// A list is wanted, and discovery has just refused a call.
-    pub fn after_refusal(now: Instant, patience: &mut Patience, random: f64) -> Opening {
+    pub fn after_refusal(now: Instant, patience: &mut CallTiming, random: f64) -> Opening {
         let mut opening = Opening::new(now);
         opening.wait(now, patience, random);
         opening
@@ -62,7 +62,7 @@
     }
 
     /// What is to be done.
-    pub fn poll(&self, now: Instant, patience: &Patience) -> Step {
+    pub fn poll(&self, now: Instant, patience: &CallTiming) -> Step {
         let end = self.waits_since + patience.give_up_after();
         if self.in_line > 0 && now >= end {
             return Step::GiveUp;
@@ -77,7 +77,7 @@
     }
 
     /// A call was placed; `random` is of `0.0..1.0`.
-    pub fn on_placed(&mut self, now: Instant, patience: &Patience, random: f64) {
+    pub fn on_placed(&mut self, now: Instant, patience: &CallTiming, random: f64) {
         if self.in_line == 0 {
             self.waits_since = now;
         }
@@ -95,7 +95,7 @@
     }
 
     /// A call was refused. Another one in line keeps its place.
-    pub fn on_refused(&mut self, now: Instant, patience: &mut Patience, random: f64) {
+    pub fn on_refused(&mut self, now: Instant, patience: &mut CallTiming, random: f64) {
         self.in_line = self.in_line.saturating_sub(1);
         self.wait(now, patience, random);
     }
@@ -104,7 +104,7 @@
     ///
     /// Danger: a second connection may not come up because discovery has too many. The first call may be answered
     /// all the same.
-    pub fn on_broken(&mut self, now: Instant, patience: &mut Patience, random: f64) -> bool {
+    pub fn on_broken(&mut self, now: Instant, patience: &mut CallTiming, random: f64) -> bool {
         self.in_line = self.in_line.saturating_sub(1);
         if self.in_line > 0 {
             self.wait(now, patience, random);
@@ -112,7 +112,7 @@
         self.in_line > 0
     }
 
-    fn wait(&mut self, now: Instant, patience: &mut Patience, random: f64) {
+    fn wait(&mut self, now: Instant, patience: &mut CallTiming, random: f64) {
         let since = now.saturating_duration_since(self.began);
         let mut wait = patience.on_refusal(since, random);
         if self.in_line > 0 {
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -18,7 +18,7 @@
 
 use crate::budget::Sockets;
 use crate::datagrams;
-use crate::discovery::patience::CallLimits;
+use crate::discovery::call_timing::CallLimits;
 use crate::discovery::{Discovery, DiscoveryCommand, DiscoveryConfig};
 use crate::distribution::Distribution;
 use crate::driver::Driver;
--- a/crates/millethook-engine/src/server_lists/follower.rs
+++ b/crates/millethook-engine/src/server_lists/follower.rs
@@ -6,7 +6,7 @@
 use super::known_list::KnownList;
 use super::position::ListPosition;
 use super::published::PublishedList;
-use crate::discovery::patience::wait_by_fleet;
+use crate::discovery::call_timing::wait_by_fleet;
 use crate::list::List;
 
 /// A list that was not confirmed for so long is old. Confirmations come once a second, and one may be lost and come again
--- a/crates/millethook-engine/src/server_lists/subscription.rs
+++ b/crates/millethook-engine/src/server_lists/subscription.rs
@@ -16,7 +16,7 @@
 use super::position::ListPosition;
 use super::published::{BodyError, PublishedList, decode_confirmation};
 use crate::discovery::DiscoveryCommand;
-use crate::discovery::patience::CallLimits;
+use crate::discovery::call_timing::CallLimits;
 use crate::distribution::{Distribution, Document, ListSettings, Refusal};
 use crate::keeper::Keeper;
 use crate::list::List;
--- a/crates/millethook-engine/tests/it/discovery.rs
+++ b/crates/millethook-engine/tests/it/discovery.rs
@@ -5,8 +5,8 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::{Duration, Instant};
 
+use millethook_engine::discovery::call_timing::{CallLimits, CallTiming};
 use millethook_engine::discovery::opening::{Opening, Step};
-use millethook_engine::discovery::patience::{CallLimits, Patience};
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -62,7 +62,7 @@
 }
 
 struct Caller {
-    patience: Patience,
+    patience: CallTiming,
     opening: Opening,
     /// When it had the list.
     listed: Option<Instant>,
@@ -106,7 +106,7 @@
         Registry { work, line, calls: VecDeque::new(), worked: 0, down_until: start + down };
     let mut callers: Vec<Caller> = (0..fleet)
         .map(|_| Caller {
-            patience: Patience::new(limits(fleet as u32)),
+            patience: CallTiming::new(limits(fleet as u32)),
             opening: Opening::new(start),
             listed: None,
             placed: 0,
@@ -259,7 +259,7 @@
 fn a_second_call_comes_in_time_after_refusals_and_once_a_long_line_is_over() {
     for fleet in [1, 8, 48, 60, 300, 16_000] {
         for refusals in [0, 1, 10] {
-            let mut patience = Patience::new(limits(fleet));
+            let mut patience = CallTiming::new(limits(fleet));
             patience.on_answer(Duration::from_secs(60));
             assert!(patience.second_call_after() > TOLD_AFTER);
             (0..20).for_each(|_| patience.on_watch_answer(Duration::from_secs(3)));
@@ -286,7 +286,7 @@
 #[test]
 fn a_discovery_that_is_gone_for_good_gets_a_bounded_load() {
     for fleet in [8, 300, 16_000] {
-        let mut patience = Patience::new(limits(fleet));
+        let mut patience = CallTiming::new(limits(fleet));
         let waits: Vec<Duration> =
             (0..20).map(|n| patience.on_refusal(Duration::from_secs(4 * n), 1.0)).collect();
         let most = (ms(10) * fleet).max(LONGEST_WAIT.min(ms(100) * fleet));
@@ -301,7 +301,7 @@
 fn a_call_on_a_dead_connection_is_followed_by_a_second_one_in_time() {
     for fleet in [1, 8, 32, 300] {
         let now = Instant::now();
-        let patience = Patience::new(limits(fleet));
+        let patience = CallTiming::new(limits(fleet));
         let mut opening = Opening::new(now);
         opening.on_placed(now, &patience, 0.0);
         let Step::Wait(second) = opening.poll(now, &patience) else { panic!("it waits") };
@@ -344,7 +344,7 @@
         events in prop::collection::vec(happens(), 1..200),
     ) {
         let mut now = Instant::now();
-        let mut patience = Patience::new(limits(fleet));
+        let mut patience = CallTiming::new(limits(fleet));
         let mut opening = Opening::new(now);
         let mut in_line = 0;
         let most_wait = LONGEST_WAIT.max(ms(10) * fleet);
--- a/crates/millethook-engine/tests/server_lists.rs
+++ b/crates/millethook-engine/tests/server_lists.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use millethook_engine::discovery::patience::wait_by_fleet;
+use millethook_engine::discovery::call_timing::wait_by_fleet;
 use millethook_engine::list::{Host, List, Listed};
 use millethook_engine::server_lists::*;
 use proptest::prelude::*;
