--- a/crates/millethook-engine/src/discovery/call_timing.rs
+++ b/crates/millethook-engine/src/discovery/call_timing.rs
@@ -153,7 +153,7 @@
 
 /// How long a sidecar of so many waits before it calls discovery where all of them have the same reason to call it at
 /// the same time: 100 calls a second from all of them. `random` is of `0.0..1.0`.
-pub fn wait_by_fleet(fleet: u32, random: f64) -> Duration {
+pub fn fleet_spread_delay(fleet: u32, random: f64) -> Duration {
     times(REFUSED_EACH, fleet).max(REFUSED_LEAST).mul_f64(random.clamp(0.0, 1.0))
 }
 
--- a/crates/millethook-engine/src/server_lists/follower.rs
+++ b/crates/millethook-engine/src/server_lists/follower.rs
@@ -6,7 +6,7 @@
 use super::known_list::KnownList;
 use super::position::ListPosition;
 use super::published::PublishedList;
-use crate::discovery::call_timing::wait_by_fleet;
+use crate::discovery::call_timing::fleet_spread_delay;
 use crate::list::List;
 
 /// A list that was not confirmed for so long is old. Confirmations come once a second, and one may be lost and come again
@@ -136,7 +136,7 @@
         match self.state {
             State::Following if self.silent_at <= now => {
                 // All others are silent for the same reason, at the same time.
-                self.state = State::Waiting(now + wait_by_fleet(fleet, random));
+                self.state = State::Waiting(now + fleet_spread_delay(fleet, random));
                 Some(FollowerStep::Silent)
             }
             State::Waiting(until) if until <= now => {
--- a/crates/millethook-engine/tests/server_lists.rs
+++ b/crates/millethook-engine/tests/server_lists.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use millethook_engine::discovery::call_timing::wait_by_fleet;
+use millethook_engine::discovery::call_timing::fleet_spread_delay;
 use millethook_engine::list::{Host, List, Listed};
 use millethook_engine::server_lists::*;
 use proptest::prelude::*;
@@ -199,7 +199,7 @@
     assert_eq!(follower.next_due(), Some(silent));
     assert_eq!(follower.poll(silent, FLEET, 0.5), Some(FollowerStep::Silent));
     assert_eq!(follower.poll(silent, FLEET, 0.5), None);
-    let wait = wait_by_fleet(FLEET, 0.5);
+    let wait = fleet_spread_delay(FLEET, 0.5);
     assert_eq!(follower.next_due(), Some(silent + wait));
     let asks = Some(FollowerStep::AskDiscovery { newer_than: Some(7) });
     assert_eq!(follower.poll(silent + wait, FLEET, 0.9), asks);
@@ -262,7 +262,7 @@
 /// All sidecars lose their control nodes at the same time: their calls are spread, 100 a second at most in the mean.
 #[test]
 fn waits_grow_with_the_fleet() {
-    assert_eq!(wait_by_fleet(8, 1.0), Duration::from_millis(250));
-    assert_eq!(wait_by_fleet(300, 1.0), Duration::from_secs(3));
-    assert_eq!(wait_by_fleet(16_000, 0.5), Duration::from_secs(80));
+    assert_eq!(fleet_spread_delay(8, 1.0), Duration::from_millis(250));
+    assert_eq!(fleet_spread_delay(300, 1.0), Duration::from_secs(3));
+    assert_eq!(fleet_spread_delay(16_000, 0.5), Duration::from_secs(80));
 }
