--- a/crates/millethook-engine/src/discovery/asked.rs
+++ b/crates/millethook-engine/src/discovery/asked.rs
@@ -10,7 +10,7 @@
 
 use super::call::{AnswerTimes, CallError, Connection, call};
 use super::call_timing::CallTiming;
-use super::opening::{Opening, Step};
+use super::list_fetch::{ListFetch, Step};
 use super::{Discovery, DiscoveryCommand};
 use crate::list::List;
 use crate::news::MembershipSink;
@@ -35,7 +35,7 @@
     /// fleet whose configuration changes would call it together.
     Stopped,
     /// A list is to be had.
-    Opening(Opening),
+    Fetching(ListFetch),
     /// A watch is held by discovery.
     Watching,
 }
@@ -88,7 +88,7 @@
 
     /// When a call is to be placed or given up, if ever.
     fn due(&self) -> Option<Instant> {
-        let State::Opening(opening) = &self.state else { return None };
+        let State::Fetching(opening) = &self.state else { return None };
         let now = Instant::now();
         match opening.poll(now.into_std(), &self.patience) {
             Step::Wait(until) => Some(until.into()),
@@ -99,7 +99,7 @@
     fn on_due(&mut self, news: &impl MembershipSink) {
         let now = Instant::now().into_std();
         let random = self.random();
-        let State::Opening(opening) = &mut self.state else { return };
+        let State::Fetching(opening) = &mut self.state else { return };
         match opening.poll(now, &self.patience) {
             Step::Wait(_) => {}
             Step::Place => {
@@ -156,32 +156,32 @@
         match (ended.result, &mut self.state) {
             (Ok((connection, list)), state) => {
                 match state {
-                    State::Opening(_) => self.patience.on_answer(ended.took),
+                    State::Fetching(_) => self.patience.on_answer(ended.took),
                     State::Watching => self.patience.on_watch_answer(ended.took),
                     State::Idle | State::Stopped => {}
                 }
                 self.on_list(connection, &list, news);
             }
             // The decisions ask again in time by what they know; a refusal is answered in here.
-            (Err(CallError::Refused), State::Opening(opening)) => {
+            (Err(CallError::Refused), State::Fetching(opening)) => {
                 opening.on_refused(now, &mut self.patience, random);
                 news.discovery_failed();
             }
             (Err(CallError::Refused), State::Watching) => {
-                let opening = Opening::after_refusal(now, &mut self.patience, random);
-                self.state = State::Opening(opening);
+                let opening = ListFetch::after_refusal(now, &mut self.patience, random);
+                self.state = State::Fetching(opening);
                 news.discovery_failed();
             }
             // Danger: discovery did not answer for up to 4 s already. The decisions may wait for 2 s more.
-            (Err(CallError::Lost), State::Opening(opening)) => {
+            (Err(CallError::Lost), State::Fetching(opening)) => {
                 opening.on_lost(now, random);
                 news.discovery_failed();
             }
             (Err(CallError::Lost), State::Watching) => {
-                self.state = State::Opening(Opening::after_loss(now, random));
+                self.state = State::Fetching(ListFetch::after_loss(now, random));
                 news.discovery_failed();
             }
-            (Err(_), State::Opening(opening)) => {
+            (Err(_), State::Fetching(opening)) => {
                 if !opening.on_broken(now, &mut self.patience, random) {
                     self.fail(news);
                 }
@@ -237,7 +237,7 @@
 
     fn open(&mut self) {
         self.patience.set_limits(self.discovery.config.limits.get());
-        self.state = State::Opening(Opening::new(Instant::now().into_std()));
+        self.state = State::Fetching(ListFetch::new(Instant::now().into_std()));
     }
 
     fn hang_up(&mut self) {
--- a/crates/millethook-engine/src/discovery/opening.rs
+++ b/crates/millethook-engine/src/discovery/list_fetch.rs
@@ -20,7 +20,7 @@
 /// What is to be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A call is to be placed; [`Opening::on_placed`] is told of it.
+    /// A call is to be placed; [`ListFetch::on_placed`] is told of it.
     Place,
     /// Nothing until then, or until a call ends.
     Wait(Instant),
@@ -30,7 +30,7 @@
 
 /// The calls for one list.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct ListFetch {
     /// When the list was first asked for.
     began: Instant,
     /// Calls that wait for their answers.
@@ -41,22 +41,22 @@
     next: Instant,
 }
 
-impl Opening {
+impl ListFetch {
     /// A list is wanted now, and a call is due at once.
-    pub fn new(now: Instant) -> Opening {
-        Opening { began: now, in_line: 0, waits_since: now, next: now }
+    pub fn new(now: Instant) -> ListFetch {
+        ListFetch { began: now, in_line: 0, waits_since: now, next: now }
     }
 
     /// A list is wanted, and discovery has just refused a call.
-    pub fn after_refusal(now: Instant, patience: &mut CallTiming, random: f64) -> Opening {
-        let mut opening = Opening::new(now);
+    pub fn after_refusal(now: Instant, patience: &mut CallTiming, random: f64) -> ListFetch {
+        let mut opening = ListFetch::new(now);
         opening.wait(now, patience, random);
         opening
     }
 
     /// A list is wanted, and the connection of a call has just been lost; `random` is of `0.0..1.0`.
-    pub fn after_loss(now: Instant, random: f64) -> Opening {
-        let mut opening = Opening::new(now);
+    pub fn after_loss(now: Instant, random: f64) -> ListFetch {
+        let mut opening = ListFetch::new(now);
         opening.on_lost(now, random);
         opening
     }
--- a/crates/millethook-engine/src/discovery/mod.rs
+++ b/crates/millethook-engine/src/discovery/mod.rs
@@ -3,7 +3,7 @@
 mod asked;
 mod call;
 pub mod call_timing;
-pub mod opening;
+pub mod list_fetch;
 mod pushed;
 
 use std::cell::Cell;
--- a/crates/millethook-engine/tests/it/discovery.rs
+++ b/crates/millethook-engine/tests/it/discovery.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use millethook_engine::discovery::call_timing::{CallLimits, CallTiming};
-use millethook_engine::discovery::opening::{Opening, Step};
+use millethook_engine::discovery::list_fetch::{ListFetch, Step};
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -63,7 +63,7 @@
 
 struct Caller {
     patience: CallTiming,
-    opening: Opening,
+    opening: ListFetch,
     /// When it had the list.
     listed: Option<Instant>,
     placed: u32,
@@ -107,7 +107,7 @@
     let mut callers: Vec<Caller> = (0..fleet)
         .map(|_| Caller {
             patience: CallTiming::new(limits(fleet as u32)),
-            opening: Opening::new(start),
+            opening: ListFetch::new(start),
             listed: None,
             placed: 0,
             silent_since: None,
@@ -170,7 +170,7 @@
                     }
                     Step::GiveUp => {
                         caller.patience.on_give_up();
-                        caller.opening = Opening::new(now);
+                        caller.opening = ListFetch::new(now);
                     }
                     Step::Wait(_) => {}
                 }
@@ -268,7 +268,7 @@
             });
             for random in [0.0, 0.5, 1.0] {
                 let now = Instant::now();
-                let mut opening = Opening::new(now);
+                let mut opening = ListFetch::new(now);
                 opening.on_placed(now, &patience, random);
                 let Step::Wait(second) = opening.poll(now, &patience) else { panic!("it waits") };
                 assert!(second - now >= ms(1_500), "{fleet}, {refusals}: {:?}", second - now);
@@ -302,7 +302,7 @@
     for fleet in [1, 8, 32, 300] {
         let now = Instant::now();
         let patience = CallTiming::new(limits(fleet));
-        let mut opening = Opening::new(now);
+        let mut opening = ListFetch::new(now);
         opening.on_placed(now, &patience, 0.0);
         let Step::Wait(second) = opening.poll(now, &patience) else { panic!("it waits") };
         assert!(second - now <= ms(2_500));
@@ -345,7 +345,7 @@
     ) {
         let mut now = Instant::now();
         let mut patience = CallTiming::new(limits(fleet));
-        let mut opening = Opening::new(now);
+        let mut opening = ListFetch::new(now);
         let mut in_line = 0;
         let most_wait = LONGEST_WAIT.max(ms(10) * fleet);
         for event in events {
@@ -358,7 +358,7 @@
                 Step::GiveUp => {
                     prop_assert!(in_line > 0);
                     patience.on_give_up();
-                    (opening, in_line) = (Opening::new(now), 0);
+                    (opening, in_line) = (ListFetch::new(now), 0);
                 }
                 Step::Wait(until) => {
                     prop_assert!(until > now);
@@ -381,7 +381,7 @@
                     in_line -= 1;
                     prop_assert_eq!(opening.on_broken(now, &mut patience, random), in_line > 0);
                     if in_line == 0 {
-                        opening = Opening::new(now);
+                        opening = ListFetch::new(now);
                     }
                 }
                 Happens::Lost(random) if in_line > 0 => {
@@ -398,7 +398,7 @@
                 Happens::WatchAnswered(took) => patience.on_watch_answer(ms(took)),
                 Happens::Answered(took) if in_line > 0 => {
                     patience.on_answer(ms(took));
-                    (opening, in_line) = (Opening::new(now), 0);
+                    (opening, in_line) = (ListFetch::new(now), 0);
                 }
                 Happens::GivenUp => patience.on_give_up(),
                 Happens::Refused(_)
