--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -24,7 +24,7 @@
 use crate::evidence::Evidence;
 use crate::leases::{LeaseSettings, Leases};
 use crate::news::{PeerSender, StandingSink};
-use crate::trials::Turn;
+use crate::trials::TrialAction;
 use log_budget::LogBudget;
 
 /// The number of the view's messages in frames.
@@ -84,7 +84,7 @@
     /// Documents for sidecars, where there are any.
     pub distribution: Option<Rc<Distribution>>,
     /// What is to be done about suspected servers.
-    turns: RefCell<Vec<Turn>>,
+    turns: RefCell<Vec<TrialAction>>,
     peers: Rc<dyn PeerSender>,
     wake: Arc<Notify>,
     dropped: Cell<Dropped>,
@@ -232,15 +232,15 @@
     fn take_turns(&self, evidence: &Evidence) {
         for turn in self.turns.take() {
             match turn {
-                Turn::Stand(server, standing) => evidence.report(server, standing),
-                Turn::GiveUp(server, job) => tracing::info!(
+                TrialAction::ApplyVerdict(server, standing) => evidence.report(server, standing),
+                TrialAction::Release(server, job) => tracing::info!(
                     event = "trial_given_up",
                     server = server.0,
                     job = job.0,
                     "job {:016x} is given up: this sidecar has sent nothing to the suspected server",
                     job.0
                 ),
-                Turn::Say(job, token) => evidence.say_job(self.now(), job, token),
+                TrialAction::Announce(job, token) => evidence.say_job(self.now(), job, token),
             }
         }
     }
--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -10,7 +10,7 @@
 use millethook_machine::hash::mix;
 use millethook_view::{Status, View};
 
-use crate::trials::{Trials, Turn};
+use crate::trials::{TrialAction, Trials};
 
 /// Settings of leases.
 #[derive(Clone, Debug, PartialEq)]
@@ -91,7 +91,7 @@
         &self,
         now: Micros,
         (epoch, short): (u64, bool),
-        turns: &mut Vec<Turn>,
+        turns: &mut Vec<TrialAction>,
         known: &dyn Fn(JobId) -> Option<(Token, Micros)>,
         mut send: impl FnMut(u16, Vec<u8>),
     ) -> Micros {
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -10,13 +10,13 @@
 
 /// What is to be done about a doubted server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum TrialAction {
     /// The balancer is to go by this standing from now on, for a while.
-    Stand(ServerId, Standing),
+    ApplyVerdict(ServerId, Standing),
     /// The trial is given back, because nothing was sent to the server for [`IDLE_HOLDS`].
-    GiveUp(ServerId, JobId),
+    Release(ServerId, JobId),
     /// All are told that this sidecar tries it.
-    Say(JobId, Token),
+    Announce(JobId, Token),
 }
 
 /// Servers that are tried at once by one sidecar, at most.
@@ -90,7 +90,7 @@
         now: Micros,
         lease: &mut Lease,
         known: &dyn Fn(JobId) -> Option<(Token, Micros)>,
-        turns: &mut Vec<Turn>,
+        actions: &mut Vec<TrialAction>,
     ) -> Micros {
         let (hold, length) = (self.hold, self.length);
         let wait = hold + self.some(hold);
@@ -103,7 +103,7 @@
                 // Without this the owner leaves the server alone for as long as its own failures there and the verdicts of
                 // others have told it to, and in calm for ever: the server looks slow, and loses each tie of two picks.
                 // The owner would give the trial back before its first attempt, and so would each owner after it.
-                turns.push(Turn::Stand(ServerId(*server), Standing::Trusted));
+                actions.push(TrialAction::ApplyVerdict(ServerId(*server), Standing::Trusted));
                 doubt.owned = Some(Ownership { due_at: now, tried: false });
             }
             // Its word is as old as the last renewal; without another one its lease is over.
@@ -118,12 +118,12 @@
                         !owned.tried && now > owned.due_at + IDLE_HOLDS * hold
                     });
                     if idle {
-                        turns.push(Turn::GiveUp(ServerId(*server), doubt.job));
+                        actions.push(TrialAction::Release(ServerId(*server), doubt.job));
                         lease.release(now, doubt.job, None);
                         (doubt.owned, doubt.ask_at) = (None, now + length + wait);
                     } else if doubt.again_at <= now {
                         doubt.again_at = now + length / 2;
-                        turns.push(Turn::Say(doubt.job, token));
+                        actions.push(TrialAction::Announce(doubt.job, token));
                     }
                 }
                 (None, Some((_, until))) => {
@@ -134,7 +134,8 @@
                     }
                     if doubt.again_at <= now {
                         doubt.again_at = now + hold / 2;
-                        turns.push(Turn::Stand(ServerId(*server), Standing::Doubted));
+                        actions
+                            .push(TrialAction::ApplyVerdict(ServerId(*server), Standing::Doubted));
                     }
                 }
                 (None, None) if doubt.ask_at <= now => {
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -151,13 +151,15 @@
         if self.lease.poll_timeout() <= self.now {
             self.lease.tick(self.now);
         }
-        let mut turns = Vec::new();
-        self.trials.tick(self.now, &mut self.lease, &|_| None, &mut turns);
-        for turn in turns {
-            match turn {
-                Turn::Stand(server, standing) => self.event(Event::Stands { server, standing }),
-                Turn::GiveUp(..) => self.given_up.push(self.now),
-                Turn::Say(..) => {}
+        let mut actions = Vec::new();
+        self.trials.tick(self.now, &mut self.lease, &|_| None, &mut actions);
+        for action in actions {
+            match action {
+                TrialAction::ApplyVerdict(server, standing) => {
+                    self.event(Event::Stands { server, standing })
+                }
+                TrialAction::Release(..) => self.given_up.push(self.now),
+                TrialAction::Announce(..) => {}
             }
         }
     }
