--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -127,14 +127,14 @@
     /// The standing of a server has changed.
     pub fn stands(&self, now: Micros, server: ServerId, standing: Standing) {
         if let Some(trials) = &self.trials {
-            trials.borrow_mut().stands(now, server, standing, &mut self.lease.borrow_mut());
+            trials.borrow_mut().apply_verdict(now, server, standing, &mut self.lease.borrow_mut());
         }
     }
 
     /// An attempt is sent to a server.
     pub fn sends_to(&self, server: ServerId) {
         if let Some(trials) = &self.trials {
-            trials.borrow_mut().tried(server);
+            trials.borrow_mut().on_attempt(server);
         }
     }
 
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -63,7 +63,13 @@
         u64::from(self.random.next_u32()) % most.max(1)
     }
 
-    pub fn stands(&mut self, now: Micros, server: ServerId, standing: Standing, lease: &mut Lease) {
+    pub fn apply_verdict(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        standing: Standing,
+        lease: &mut Lease,
+    ) {
         let known = self.doubted.contains_key(&server.0);
         if standing == Standing::Doubted && !known && self.doubted.len() < MOST {
             // Not all at once: whoever is first is heard of by the others.
@@ -77,7 +83,7 @@
         }
     }
 
-    pub fn tried(&mut self, server: ServerId) {
+    pub fn on_attempt(&mut self, server: ServerId) {
         if let Some(owned) = self.doubted.get_mut(&server.0).and_then(|d| d.owned.as_mut()) {
             owned.tried = true;
         }
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -99,7 +99,7 @@
         *attempt += 1;
         let takes = if server == SILENT { timeout } else { ANSWER_TIME };
         self.due.insert((self.now + takes, id.0, number), server);
-        self.trials.tried(server);
+        self.trials.on_attempt(server);
         if server == SILENT {
             self.sent_to_silent.push(self.now);
         }
@@ -180,7 +180,7 @@
         sidecar.run(60 * S);
         let begins = sidecar.now;
         sidecar.event(Event::Stands { server: SILENT, standing: Standing::Doubted });
-        sidecar.trials.stands(begins, SILENT, Standing::Doubted, &mut sidecar.lease);
+        sidecar.trials.apply_verdict(begins, SILENT, Standing::Doubted, &mut sidecar.lease);
         sidecar.sent_to_silent.clear();
         sidecar.run(begins + 60 * S);
         assert!(sidecar.given_up.is_empty(), "seed {seed}: given up at {:?}", sidecar.given_up);
