--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -32,7 +32,7 @@
 use crate::list_clock::ListClock;
 use crate::names::Names;
 use crate::news::PeerSender;
-use crate::upstream::{Admission, AttemptRequest, Calls, Upstream};
+use crate::upstream::{Admission, AttemptRequest, SystemCalls, Upstream};
 
 use pauses::Pauses;
 use reach::Reach;
@@ -100,7 +100,7 @@
     /// Why connections to servers ended, in numbers so far.
     pub ended: Ended,
     /// Calls to the system on connections to servers so far.
-    pub calls: Calls,
+    pub calls: SystemCalls,
 }
 
 impl Driver {
--- a/crates/millethook-engine/src/upstream/attempt/collected.rs
+++ b/crates/millethook-engine/src/upstream/attempt/body_buffer.rs
@@ -1,15 +1,15 @@
-//! An answer that is held whole.
+//! A buffer for the body of an answer.
 
 use bytes::{Bytes, BytesMut};
 
-/// A body's pieces; one alone is not copied.
+/// The pieces of a body. A single piece is not copied.
 #[derive(Default)]
-pub(super) struct Collected {
+pub(super) struct BodyBuffer {
     first: Bytes,
     rest: BytesMut,
 }
 
-impl Collected {
+impl BodyBuffer {
     pub fn len(&self) -> usize {
         self.first.len() + self.rest.len()
     }
--- /dev/null
+++ b/crates/millethook-engine/src/upstream/attempt/buffered.rs
@@ -0,0 +1,69 @@
+//! Buffering an answer until its origin is decided.
+
+use std::time::Instant;
+
+use bytes::Bytes;
+use millethook_connect::answers::COMPARED;
+use millethook_connect::{Event, ResponseHead};
+
+use super::active::IncompleteAnswer;
+use super::body_buffer::BodyBuffer;
+use super::{ActiveRequest, AttemptRequest, MAX_ANSWER_BYTES};
+
+/// Answers up to this size are read completely before their outcome is reported.
+pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
+/// An answer without a length is passed on once this many bytes have arrived and they took longer than `aim /
+/// SLOW_AIM_DIVISOR`: it is probably a long answer whose first bytes the client waits for. Short and fast answers are
+/// buffered to their end, because an answer that is being passed on cannot be retried elsewhere.
+const SLOW_ANSWER_MIN_BYTES: usize = COMPARED;
+const SLOW_AIM_DIVISOR: u32 = 8;
+
+/// The buffered part of an answer.
+pub(super) enum BufferedAnswer {
+    /// The whole body.
+    Complete(Bytes),
+    /// At least the first [`COMPARED`] bytes of a long body.
+    Prefix(Bytes),
+}
+
+impl BufferedAnswer {
+    /// The buffered bytes of the body.
+    pub(super) fn bytes(&self) -> &[u8] {
+        match self {
+            BufferedAnswer::Complete(bytes) | BufferedAnswer::Prefix(bytes) => bytes,
+        }
+    }
+
+    /// Reads the body of an answer until it is complete, or is known to be long.
+    pub(super) async fn read(
+        active: &mut ActiveRequest,
+        head: &ResponseHead,
+        request: &AttemptRequest,
+    ) -> Result<BufferedAnswer, IncompleteAnswer> {
+        let max_bytes = if request.streaming { u64::MAX } else { MAX_ANSWER_BYTES };
+        // Rejects absurd lengths and endless answers: no body is longer than the protocol allows, and the memory is
+        // kept for other answers.
+        if head.length.is_some_and(|length| length > max_bytes) {
+            return Err(IncompleteAnswer);
+        }
+        let (mut buffer, started) = (BodyBuffer::default(), Instant::now());
+        loop {
+            let is_long = match head.length {
+                Some(length) => length > MAX_BUFFERED_BYTES as u64 && buffer.len() >= COMPARED,
+                None => {
+                    let is_slow = || started.elapsed() > request.aim / SLOW_AIM_DIVISOR;
+                    buffer.len() > MAX_BUFFERED_BYTES
+                        || (buffer.len() >= SLOW_ANSWER_MIN_BYTES && is_slow())
+                }
+            };
+            if is_long {
+                return Ok(BufferedAnswer::Prefix(buffer.take()));
+            }
+            match active.event(request.streaming).await? {
+                Event::Data(piece) => buffer.push(piece),
+                Event::End => return Ok(BufferedAnswer::Complete(buffer.take())),
+                Event::Head(_) => return Err(IncompleteAnswer),
+            }
+        }
+    }
+}
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -1,10 +1,10 @@
-//! One attempt of a request at one server. It has exactly one outcome.
+//! One attempt of a request at one server. Each attempt has exactly one outcome.
 
-mod collected;
-mod held;
-mod own_answer;
+mod active;
+mod body_buffer;
+mod buffered;
+mod matching;
 mod request;
-mod running;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,45 +21,45 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::connection::Lease;
+use super::connection::ConnectionGuard;
 use super::{Gate, StreamingResponse, Upstream};
 use crate::upload::MAX_UPLOAD_BYTES;
 
-use held::Held;
-pub use held::WHOLE;
-use own_answer::{MOST_SKIPPED, Verdict};
+pub(super) use active::ActiveRequest;
+use active::IncompleteAnswer;
+use buffered::BufferedAnswer;
+pub use buffered::MAX_BUFFERED_BYTES;
+use matching::{AnswerOrigin, MAX_SKIPPED_ANSWERS};
 pub use request::AttemptRequest;
-use request::HANDSHAKE_SHARE;
-use running::Broken;
-pub(super) use running::Running;
+use request::HANDSHAKE_AIM_DIVISOR;
 
-/// Longer answers are passed on up to this size, as long as a body may be; those of classes that stream have
-/// no bound. Danger: spoilt heads announce gigabytes, and what follows is noise.
-pub(super) const LONGEST_ANSWER: u64 = MAX_UPLOAD_BYTES;
-/// The share of the time that is left which a trial takes at most. Danger: what breaks without one may
-/// have run, where a trial would have told that it has not; but timers would make a trial some two of a
-/// hurried client's twenty milliseconds.
-const TRIAL_SHARE: u32 = 50;
-/// How long the rest of an answer that nobody wants may take before its connection is closed.
-const DISCARD: Duration = Duration::from_millis(500);
+/// The longest answer that is passed on, the same limit as for request bodies. Streaming classes have no limit.
+/// Corrupt heads announce gigabytes, followed by garbage.
+pub(super) const MAX_ANSWER_BYTES: u64 = MAX_UPLOAD_BYTES;
+/// The holding back of a request's last bytes takes at most this fraction of the remaining time. If a connection
+/// breaks without it, the request may have run, whereas a held-back request certainly has not. Without this limit,
+/// timer granularity would make it cost some 2 ms of the 20 ms that an impatient client waits.
+const HOLD_BACK_DIVISOR: u32 = 50;
+/// How long reading the rest of an unwanted answer may take before its connection is closed.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The head of an answer that goes to the caller.
+/// The head of an answer for the client.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerHead {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its fields.
+    /// The header fields.
     pub headers: HeaderMap,
 }
 
-/// Whether an answer is for the caller. All else is a failed attempt, which may have run.
+/// Whether an answer goes to the client. Any other answer is a failed attempt, which may have run.
 ///
-/// The platform's servers answer 200 or have failed. Any HTTP server may also answer that it has created
-/// something, or that the request asks for what is not there: that is its answer, and asking again brings no
-/// other one. Danger: 408, 421, 425 and 429 say in one way or another that the request may be sent again,
-/// and 429 from here would promise that it never ran.
+/// The platform's own servers answer 200 or have failed. A general HTTP server may also answer that it created
+/// something, or that the requested resource does not exist; that is its answer, and a retry would get the same one.
+/// 408, 421, 425 and 429 each say that the request may be sent again, and a 429 passed on from here would promise the
+/// client that the request never ran.
 fn is_served(begins: Begins, status: StatusCode) -> bool {
-    let again = [
+    let retryable = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_EARLY,
@@ -67,28 +67,28 @@
     ];
     match begins {
         Begins::Whole => status == StatusCode::OK,
-        Begins::Head => !status.is_server_error() && !again.contains(&status),
+        Begins::Head => !status.is_server_error() && !retryable.contains(&status),
     }
 }
 
 /// The connection of one attempt.
 struct AttemptConnection {
-    lease: Lease,
-    /// For how long it has rested; None: it is new.
-    rested: Option<Duration>,
-    /// How an answer on it is told to be the request's own.
+    guard: ConnectionGuard,
+    /// How long the connection was idle. `None`: it is new.
+    idle_time: Option<Duration>,
+    /// How an answer on it is recognised as the request's own.
     matching: Matching,
 }
 
-/// What has come of an attempt.
+/// The result of an attempt.
 pub enum AttemptOutcome {
-    /// It is over. An answer served is whole.
+    /// The attempt has ended. A served answer is complete.
     End {
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
         /// The load report that came with it.
         report: LoadReport,
-        /// What was served.
+        /// The answer, if one was served.
         answer: Option<(AnswerHead, Bytes)>,
     },
     /// A long answer has begun.
@@ -96,62 +96,66 @@
 }
 
 impl AttemptOutcome {
-    /// One that served an answer, of which so much is held.
+    /// An attempt that got an answer to serve, of which `buffered` has arrived.
     fn served(
-        running: Running,
+        active: ActiveRequest,
         head: ResponseHead,
         report: LoadReport,
-        held: Held,
+        buffered: BufferedAnswer,
         streaming: bool,
     ) -> AttemptOutcome {
-        let body = match held {
-            Held::Whole(body) => body,
-            Held::Long(first) => {
-                let most = if streaming { u64::MAX } else { LONGEST_ANSWER };
-                let long = StreamingResponse::new(head, report, first, running, most);
-                return AttemptOutcome::Streaming(Box::new(long));
+        let body = match buffered {
+            BufferedAnswer::Complete(body) => body,
+            BufferedAnswer::Prefix(prefix) => {
+                let max_bytes = if streaming { u64::MAX } else { MAX_ANSWER_BYTES };
+                let streaming_response =
+                    StreamingResponse::new(head, report, prefix, active, max_bytes);
+                return AttemptOutcome::Streaming(Box::new(streaming_response));
             }
         };
-        running.end();
+        active.finish();
         let ResponseHead { status, headers, .. } = head;
         let answer = Some((AnswerHead { status, headers }, body));
         AttemptOutcome::End { outcome: Outcome::Served, report, answer }
     }
 
-    /// One that served nothing.
+    /// An attempt that got no answer to serve.
     pub fn end(outcome: Outcome, report: LoadReport) -> AttemptOutcome {
         AttemptOutcome::End { outcome, report, answer: None }
     }
 }
 
 impl Upstream {
-    /// One attempt at `server`, to be dropped when it is no longer waited for: that ends it on the
-    /// connection, too. `class`: the request's place in the settings; None for a page of the server's own.
+    /// Runs one attempt at `server`. Dropping the future ends the attempt on its connection, too. `class`: the index
+    /// of the request's class in the settings; `None` for internal requests.
     pub async fn attempt(
         self: &Rc<Upstream>,
-        at: (ServerId, SocketAddr),
+        target: (ServerId, SocketAddr),
         class: Option<usize>,
         request: &Rc<AttemptRequest>,
         gate: Gate,
         until: Instant,
     ) -> AttemptOutcome {
-        let matching = || self.matching(at.0, class, request.repeatable);
-        let equal = match self.try_once(at, class, request, &gate, until, &matching).await {
-            Ok(outcome) => return outcome,
-            Err(equal) => equal,
-        };
-        // Answers of the class count as equal from now on, unless this one turns out to be a copy, whose server is caught: so
-        // this happens once in hundreds of answers, or once a minute at a server.
-        let on_new = || Matching::First;
-        let again = self.try_once(at, class, request, &gate, until, &on_new).await;
-        match again {
-            // The first one may have run, whatever became of this one.
+        let matching = || self.matching(target.0, class, request.repeatable);
+        let equal_answer =
+            match self.try_once(target, class, request, &gate, until, &matching).await {
+                Ok(outcome) => return outcome,
+                Err(equal_answer) => equal_answer,
+            };
+        // From now on answers of the class count as equal, unless this one turns out to be a duplicate, which is
+        // recorded against the server. So this second try happens once in hundreds of answers, or once a minute for a
+        // server.
+        let first_on_connection = || Matching::First;
+        let second =
+            self.try_once(target, class, request, &gate, until, &first_on_connection).await;
+        match second {
+            // The first try may have run, whatever became of the second.
             Ok(AttemptOutcome::End { outcome, report, .. }) if outcome.never_ran() => {
                 AttemptOutcome::end(Outcome::Reset, report)
             }
             Ok(outcome) => {
-                if self.is_another_answer(&outcome, equal) {
-                    self.was_copy(at.0, class);
+                if self.is_another_answer(&outcome, equal_answer) {
+                    self.record_duplicate(target.0, class);
                 }
                 outcome
             }
@@ -159,16 +163,17 @@
         }
     }
 
-    /// Whether an attempt was served an answer that differs from this one.
-    fn is_another_answer(&self, outcome: &AttemptOutcome, than: Fingerprint) -> bool {
+    /// Whether the attempt was served an answer that differs from `expected`.
+    fn is_another_answer(&self, outcome: &AttemptOutcome, expected: Fingerprint) -> bool {
         let AttemptOutcome::End { answer: Some((head, body)), .. } = outcome else { return false };
-        self.fingerprints.fingerprint(head.status, body) != than
+        self.fingerprints.fingerprint(head.status, body) != expected
     }
 
     /// Sends a request until it may have run.
     ///
     /// # Errors
-    /// Its answer, which equals an earlier one on its connection; the request may be repeated.
+    /// Returns the fingerprint of an answer that equals an earlier one on its connection; the request may be
+    /// repeated.
     async fn try_once(
         self: &Rc<Upstream>,
         (server, dial): (ServerId, SocketAddr),
@@ -178,152 +183,160 @@
         until: Instant,
         matching: &dyn Fn() -> Matching,
     ) -> Result<AttemptOutcome, Fingerprint> {
-        let none = LoadReport::default;
-        let patience = self.config.connect_timeout.min(request.aim / HANDSHAKE_SHARE);
+        let no_report = LoadReport::default;
+        let connect_timeout = self.config.connect_timeout.min(request.aim / HANDSHAKE_AIM_DIVISOR);
         loop {
             let matching = matching();
-            let (lease, rested) = match self.connection(server, dial, matching, patience).await {
-                Ok(found) => found,
-                Err(outcome) => return Ok(AttemptOutcome::end(outcome, none())),
-            };
+            let (guard, idle_time) =
+                match self.connection(server, dial, matching, connect_timeout).await {
+                    Ok(found) => found,
+                    Err(outcome) => return Ok(AttemptOutcome::end(outcome, no_report())),
+                };
             if !gate.may_begin(request, Instant::now()) {
-                lease.give_back();
-                return Ok(AttemptOutcome::end(Outcome::Moot, none()));
+                guard.return_unused();
+                return Ok(AttemptOutcome::end(Outcome::Moot, no_report()));
             }
-            let at = (server, dial);
-            let connection = AttemptConnection { lease, rested, matching };
-            let asked = match self.ask(at, connection, request, gate, until).await {
-                Ok((running, head)) => self.own_head(running, head).await,
-                Err(running) => Err(running),
+            let target = (server, dial);
+            let connection = AttemptConnection { guard, idle_time, matching };
+            let response = match self.send(target, connection, request, gate, until).await {
+                Ok((active, head)) => self.own_head(active, head).await,
+                Err(active) => Err(active),
             };
-            let running = match asked {
-                Ok((running, head)) => return self.answer(running, head, class, request).await,
-                Err(running) => running,
+            let active = match response {
+                Ok((active, head)) => return self.answer(active, head, class, request).await,
+                Err(active) => active,
             };
-            let never_ran = running.exchange.execution() == Execution::NeverRan;
-            // What was passed on cannot be sent once more.
-            let rested = rested.filter(|_| !running.follows());
-            if running.caller_gone() {
-                return Ok(AttemptOutcome::end(Outcome::Cancelled, none()));
+            let never_ran = active.exchange.execution() == Execution::NeverRan;
+            // A streamed body cannot be sent again.
+            let idle_time = idle_time.filter(|_| !active.streams_body());
+            if active.caller_gone() {
+                return Ok(AttemptOutcome::end(Outcome::Cancelled, no_report()));
             }
-            // What broke is closed before another connection is looked for.
-            drop(running);
+            // Closes the broken connection before another one is acquired.
+            drop(active);
             if never_ran && !gate.may_commit(request, Instant::now()) {
-                return Ok(AttemptOutcome::end(Outcome::Moot, none()));
+                return Ok(AttemptOutcome::end(Outcome::Moot, no_report()));
             }
-            match (never_ran, rested) {
-                (false, _) => return Ok(AttemptOutcome::end(Outcome::Reset, none())),
-                (true, None) => return Ok(AttemptOutcome::end(Outcome::ConnectFailed, none())),
-                // A connection that has rested may break as it is used. The server has not begun with
-                // the request, which gets another connection.
+            match (never_ran, idle_time) {
+                (false, _) => return Ok(AttemptOutcome::end(Outcome::Reset, no_report())),
+                (true, None) => {
+                    return Ok(AttemptOutcome::end(Outcome::ConnectFailed, no_report()));
+                }
+                // An idle connection may break when it is used. The server has not started the request, so it is sent
+                // on another connection.
                 (true, Some(_)) => {}
             }
         }
     }
 
     /// Writes the request and reads the head of its answer.
-    async fn ask(
+    async fn send(
         &self,
         (server, dial): (ServerId, SocketAddr),
         connection: AttemptConnection,
         request: &Rc<AttemptRequest>,
         gate: &Gate,
         until: Instant,
-    ) -> Result<(Running, ResponseHead), Running> {
-        let AttemptConnection { lease, rested, matching } = connection;
+    ) -> Result<(ActiveRequest, ResponseHead), ActiveRequest> {
+        let AttemptConnection { guard, idle_time, matching } = connection;
         let now = Instant::now();
         let left = until.saturating_duration_since(now);
-        // Danger: a connection that has rested may be reset by the first bytes written to it, and so may
-        // a new one whose server has nobody to serve it. What must not run twice could then be sent
-        // nowhere else, had all of it been written.
-        let trial = self.pool.borrow().trial(server, rested, request.repeatable, now);
-        let trial = trial.filter(|trial| *trial <= left / TRIAL_SHARE);
-        // The server may have been caught while a connection was waited for.
+        // The first bytes written to an idle connection may be answered with a reset, and so may those on a new
+        // connection to a server that has no worker for it. If the whole request had been written by then, one that
+        // must not run twice could not be retried elsewhere. So its last bytes are held back for a moment.
+        let hold_back = self.pool.borrow().trial(server, idle_time, request.repeatable, now);
+        let hold_back = hold_back.filter(|hold_back| *hold_back <= left / HOLD_BACK_DIVISOR);
+        // The server may have sent stray bytes while this attempt waited for a connection.
         let matching = if self.pool.borrow().answers_need_proof(server, now) {
             Matching::End
         } else {
             matching
         };
-        let persistence = self.pool.borrow().persistence(server, matching, lease.is_used(), now);
+        let persistence = self.pool.borrow().persistence(server, matching, guard.is_used(), now);
         let mut head = Vec::new();
         request.encoded.head_into(&mut head, left.as_millis() as u64, dial, persistence);
         let body = request.encoded.body_len();
-        let mut exchange = Exchange::new(self.config.begins, head.len(), body, trial.is_some());
+        let mut exchange = Exchange::new(self.config.begins, head.len(), body, hold_back.is_some());
         if request.upload.is_some() {
             exchange.follow();
         }
         let figures = (!request.internal).then(|| self.figures.clone());
         let message = (request.clone(), head);
-        let mut running = Running::new(lease, exchange, message, gate.clone(), figures);
-        running.matching = matching;
-        running.persistence = persistence;
+        let mut active = ActiveRequest::new(guard, exchange, message, gate.clone(), figures);
+        active.matching = matching;
+        active.persistence = persistence;
         let mut event = None;
-        if let Some(trial) = trial {
-            event = timeout(trial, running.event(false)).await.ok();
+        if let Some(hold_back) = hold_back {
+            event = timeout(hold_back, active.event(false)).await.ok();
             if event.as_ref().is_some_and(Result::is_err) {
-                let caught = if running.begun() { Caught::Stray } else { Caught::Break };
+                let caught = if active.answer_has_begun() { Caught::Stray } else { Caught::Break };
                 self.pool.borrow_mut().caught(server, caught, Instant::now());
             }
-            running.exchange.commit();
+            active.exchange.commit();
         }
         let event = match event {
             Some(event) => event,
-            None => running.event(false).await,
+            None => active.event(false).await,
         };
         match event {
-            Ok(Event::Head(head)) => Ok((running, head)),
-            _ => Err(running),
+            Ok(Event::Head(head)) => Ok((active, head)),
+            _ => Err(active),
         }
     }
 
-    /// How the answer to a request is told from others on its connection.
+    /// How the answer to a request is told apart from others on its connection.
     fn matching(&self, server: ServerId, class: Option<usize>, repeatable: bool) -> Matching {
         let answers = self.answers.borrow();
-        // A page of the server's own is the same each time.
+        // A page of the server itself is the same each time.
         let variety = class.map_or(Variety::Alike, |class| answers.variety(class, repeatable));
         self.pool.borrow().matching(server, variety, Instant::now())
     }
 
-    /// Reads the request's answer, `head` being the first head that came. A request that must not run twice waits for the
-    /// answer behind a copy.
+    /// Reads the request's answer; `head` is the first head that arrived. A request that must not run twice waits for
+    /// the answer behind a duplicate.
     ///
     /// # Errors
-    /// The answer, which equals an earlier one on its connection; the request may be repeated.
+    /// Returns the fingerprint of an answer that equals an earlier one on its connection; the request may be
+    /// repeated.
     async fn answer(
         &self,
-        mut running: Running,
+        mut active: ActiveRequest,
         mut head: ResponseHead,
         class: Option<usize>,
         request: &AttemptRequest,
     ) -> Result<AttemptOutcome, Fingerprint> {
-        for skipped in 0..=MOST_SKIPPED {
+        for skipped in 0..=MAX_SKIPPED_ANSWERS {
             let report = self.report(&head);
             if !is_served(self.config.begins, head.status) {
                 let outcome = if turns_away(&head) { Outcome::Full } else { Outcome::Error };
-                spawn_local(discard(running));
+                spawn_local(discard(active));
                 return Ok(AttemptOutcome::end(outcome, report));
             }
-            let Ok(held) = Held::read(&mut running, &head, request).await else {
+            let Ok(buffered) = BufferedAnswer::read(&mut active, &head, request).await else {
                 return Ok(AttemptOutcome::end(Outcome::Reset, report));
             };
-            match self.judge(&mut running, class, head.status, &held) {
-                Verdict::Own(answer) => {
-                    // Behind a copy the connection is not used again.
-                    running.answer = (skipped == 0).then_some(answer);
+            match self.answer_origin(&mut active, class, head.status, &buffered) {
+                AnswerOrigin::Own(answer) => {
+                    // A connection that carried a duplicate is not reused.
+                    active.answer = (skipped == 0).then_some(answer);
                     let streaming = request.streaming;
-                    return Ok(AttemptOutcome::served(running, head, report, held, streaming));
+                    return Ok(AttemptOutcome::served(active, head, report, buffered, streaming));
                 }
-                Verdict::Contradicted => {
+                AnswerOrigin::Ambiguous => {
                     return Ok(AttemptOutcome::end(Outcome::Reset, report));
                 }
-                // What was passed on cannot be sent once more.
-                Verdict::Copy(equal) if request.repeatable && !running.follows() => {
-                    return Err(equal);
+                // A streamed body cannot be sent again.
+                AnswerOrigin::Duplicate(equal_answer)
+                    if request.repeatable && !active.streams_body() =>
+                {
+                    return Err(equal_answer);
+                }
+                AnswerOrigin::Duplicate(_) => {
+                    match self.head_behind_duplicate(&mut active, class).await {
+                        Ok(next) => head = next,
+                        Err(IncompleteAnswer) => break,
+                    }
                 }
-                Verdict::Copy(_) => match self.head_behind_copy(&mut running, class).await {
-                    Ok(next) => head = next,
-                    Err(Broken) => break,
-                },
             }
         }
         Ok(AttemptOutcome::end(Outcome::Reset, LoadReport::default()))
@@ -336,24 +349,24 @@
     }
 }
 
-/// Reads what is left of a short answer that is not served, and closes its connection.
+/// Reads the rest of a short answer that is not served, and releases its connection.
 ///
-/// A second copy of that answer would be taken for the next request's: it would fail, or be sent again or refused as one
-/// that never ran.
-async fn discard(mut running: Running) {
-    let rest = async {
-        let mut left = WHOLE;
+/// Without this, a duplicate of that answer would be taken for the answer to the next request, which would fail, or
+/// be retried or rejected as one that never ran.
+async fn discard(mut active: ActiveRequest) {
+    let read_rest = async {
+        let mut left = MAX_BUFFERED_BYTES;
         loop {
-            match running.event(false).await {
+            match active.event(false).await {
                 Ok(Event::Data(piece)) => left = left.checked_sub(piece.len())?,
                 Ok(Event::End) => return Some(()),
                 _ => return None,
             }
         }
     };
-    let read = timeout(DISCARD, rest).await;
-    // An answer that came ahead of its request is no proof that the server sends nothing unasked.
-    if read == Ok(Some(())) && running.exchange.execution() == Execution::MayHaveRun {
-        running.end();
+    let read = timeout(DISCARD_TIMEOUT, read_rest).await;
+    // An answer that came before its request does not prove that the server sends nothing unsolicited.
+    if read == Ok(Some(())) && active.exchange.execution() == Execution::MayHaveRun {
+        active.finish();
     }
 }
--- a/crates/millethook-engine/src/upstream/attempt/request.rs
+++ b/crates/millethook-engine/src/upstream/attempt/request.rs
@@ -9,39 +9,42 @@
 use crate::budget::ByteReservation;
 use crate::upload::Upload;
 
-/// The share of the aim that a handshake may take. One that never comes up is known to have carried
-/// nothing, so another server may get the request while its answer can still be in time.
-pub(super) const HANDSHAKE_SHARE: u32 = 2;
+/// The fraction of the aim that a handshake may take. A connection that never came up has carried nothing, so another
+/// server may get the request while its answer can still be in time.
+pub(super) const HANDSHAKE_AIM_DIVISOR: u32 = 2;
 
-/// A client's request as servers get it, kept for repeats.
+/// A client's request in the form that servers get, kept for retries.
 pub struct AttemptRequest {
-    /// What goes out.
+    /// The encoded request.
     pub encoded: EncodedRequest,
-    /// It asks for a page of the server's own, and no caller for it.
+    /// Sent by the balancer itself, such as a probe; no client waits for it.
     pub internal: bool,
-    /// Sent twice, it does no harm.
+    /// Running it twice does no harm.
     pub repeatable: bool,
-    /// Its answer may be long, and take its time.
+    /// Its answer may be long and slow.
     pub streaming: bool,
     /// Answers within this time count in full.
     pub aim: Duration,
-    /// What the body takes of the budget.
+    /// The part of the byte budget that the body takes.
     pub reservation: ByteReservation,
-    /// What follows the part of the body that is held.
+    /// The rest of a body that exceeds the buffer.
     pub upload: Option<Upload>,
-    /// It has its answer, or its client has gone: no attempt of it may begin any more.
+    /// The request has its answer, or its client has gone; no further attempt may begin.
     pub withdrawn: Cell<bool>,
 }
 
 impl AttemptRequest {
-    /// A request for one of a server's own pages.
-    pub(in crate::upstream) fn page(path: &Uri, patience: Duration) -> AttemptRequest {
+    /// A `GET` of a page of the server itself, for a probe or a trial.
+    pub(in crate::upstream) fn internal_get(
+        path: &Uri,
+        connect_timeout: Duration,
+    ) -> AttemptRequest {
         AttemptRequest {
             encoded: EncodedRequest::new(&Method::GET, path, &HeaderMap::new(), Vec::new()),
             internal: true,
             repeatable: true,
             streaming: false,
-            aim: patience * HANDSHAKE_SHARE,
+            aim: connect_timeout * HANDSHAKE_AIM_DIVISOR,
             reservation: ByteReservation::default(),
             upload: None,
             withdrawn: Cell::default(),
--- a/crates/millethook-engine/src/upstream/connection.rs
+++ b/crates/millethook-engine/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server: its socket, and the bytes of an answer that are not yet used.
+//! One connection to a server: its socket and the bytes of an answer that are not yet consumed.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
@@ -22,46 +22,47 @@
 use super::Upstream;
 use crate::budget::Permit;
 
-/// The most bytes of one read. More than an ordinary answer, so that one read tells that there is
-/// nothing more.
-const READ: usize = 16 << 10;
+/// The most bytes of one read. It is larger than an ordinary answer, so that one read is enough.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Calls to the system on connections, in numbers since the start. What found nothing to read is not
-/// seen here.
+/// System calls on connections since the start. Reads that found nothing are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Calls {
-    /// Looks at a connection before its use.
-    pub looks: u64,
+pub struct SystemCalls {
+    /// Checks of a connection before its use.
+    pub peeks: u64,
     /// Writes that took bytes.
     pub writes: u64,
-    /// Reads that brought bytes, or an end.
+    /// Reads that returned bytes or end of file.
     pub reads: u64,
 }
 
-/// What all connections of an engine share: counts of their calls, and the buffer for their reads.
+/// State shared by all connections of an engine: counts of system calls and the read buffer.
 ///
-/// Each read goes to the same buffer and is copied from there, so that a connection holds what came and
-/// no more. Room of its own for each read cost an allocation too large for the allocator's caches.
+/// Each read fills this buffer, and the bytes are copied from there, so that a connection holds only what it
+/// received. With a buffer for each read, every read cost an allocation too large for the allocator's caches.
 #[derive(Debug)]
-pub(super) struct Shared {
-    calls: Cell<Calls>,
-    read: RefCell<Box<[u8]>>,
+pub(super) struct SharedIo {
+    calls: Cell<SystemCalls>,
+    read_buffer: RefCell<Box<[u8]>>,
 }
 
-impl Default for Shared {
-    fn default() -> Shared {
-        Shared { calls: Cell::default(), read: RefCell::new(vec![0; READ].into()) }
+impl Default for SharedIo {
+    fn default() -> SharedIo {
+        SharedIo {
+            calls: Cell::default(),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES].into()),
+        }
     }
 }
 
-impl Shared {
-    pub fn calls(&self) -> Calls {
+impl SharedIo {
+    pub fn calls(&self) -> SystemCalls {
         self.calls.get()
     }
 
-    fn add(&self, of: fn(&mut Calls) -> &mut u64) {
+    fn count(&self, counter: fn(&mut SystemCalls) -> &mut u64) {
         let mut calls = self.calls.get();
-        *of(&mut calls) += 1;
+        *counter(&mut calls) += 1;
         self.calls.set(calls);
     }
 }
@@ -69,55 +70,59 @@
 /// A connection. Dropping it closes it.
 pub(super) struct Connection {
     socket: TcpStream,
-    shared: Rc<Shared>,
-    /// What has come and is not yet used.
+    shared: Rc<SharedIo>,
+    /// Received bytes that are not yet consumed.
     pub buf: BytesMut,
     dial: SocketAddr,
-    carried: CarriedAnswers,
+    carried_answers: CarriedAnswers,
     _permit: Permit,
 }
 
 impl Connection {
-    /// Opens one within `patience`; how long the handshake took.
+    /// Opens a connection within `connect_timeout`. Also returns how long the handshake took.
     pub async fn open(
         dial: SocketAddr,
         permit: Permit,
-        shared: Rc<Shared>,
-        patience: Duration,
+        shared: Rc<SharedIo>,
+        connect_timeout: Duration,
     ) -> Option<(Connection, Duration)> {
-        let began = Instant::now();
-        let socket = timeout(patience, TcpStream::connect(dial)).await.ok()?.ok()?;
-        let took = began.elapsed();
+        let started = Instant::now();
+        let socket = timeout(connect_timeout, TcpStream::connect(dial)).await.ok()?.ok()?;
+        let handshake_time = started.elapsed();
         socket.set_nodelay(true).ok()?;
-        let (buf, carried) = (BytesMut::new(), CarriedAnswers::default());
-        Some((Connection { socket, shared, buf, dial, carried, _permit: permit }, took))
+        let (buf, carried_answers) = (BytesMut::new(), CarriedAnswers::default());
+        Some((
+            Connection { socket, shared, buf, dial, carried_answers, _permit: permit },
+            handshake_time,
+        ))
     }
 
-    /// Whether it has carried an answer.
+    /// Whether the connection has carried an answer.
     fn is_used(&self) -> bool {
-        !self.carried.is_empty()
+        !self.carried_answers.is_empty()
     }
 
-    /// How it is at this moment, while it rests; `dial` is where its server is.
+    /// Checks an idle connection right before its use; `dial` is the server's current address.
     ///
-    /// Danger: the server may have closed it, or sent something unasked, since the event loop last
-    /// heard of it. One look at the socket itself, right before use, is the surest that there is.
-    pub fn look(&self, dial: SocketAddr) -> Look {
+    /// The server may have closed the connection, or sent unsolicited bytes, since the event loop last reported on
+    /// it. Peeking at the socket itself is the most recent information there is.
+    pub fn check_idle(&self, dial: SocketAddr) -> Look {
         if self.dial != dial {
             return Look::Moved;
         }
-        self.shared.add(|calls| &mut calls.looks);
-        self.peek(|look| look())
+        self.shared.count(|calls| &mut calls.peeks);
+        self.peek(|peek_socket| peek_socket())
     }
 
-    /// The same for the watch, which is told through `cx` when that changes. It costs a system call
-    /// only where something happened.
-    pub fn watched(&self, cx: &mut Context<'_>) -> Look {
+    /// The same check for the watching task, which `cx` wakes when the state changes. It makes a system call only if
+    /// the socket reported an event.
+    pub fn poll_idle(&self, cx: &mut Context<'_>) -> Look {
         while self.socket.poll_read_ready(cx).is_ready() {
-            // Forgets a readiness that was for bytes which are read by now.
-            let looked = self.peek(|look| self.socket.try_io(Interest::READABLE, look));
-            if looked != Look::Quiet {
-                return looked;
+            // `try_io` clears a readiness that was caused by bytes already read.
+            let state =
+                self.peek(|peek_socket| self.socket.try_io(Interest::READABLE, peek_socket));
+            if state != Look::Quiet {
+                return state;
             }
         }
         Look::Quiet
@@ -125,10 +130,10 @@
 
     fn peek(
         &self,
-        with: impl FnOnce(&mut dyn FnMut() -> io::Result<usize>) -> io::Result<usize>,
+        run: impl FnOnce(&mut dyn FnMut() -> io::Result<usize>) -> io::Result<usize>,
     ) -> Look {
         let mut byte = [MaybeUninit::uninit()];
-        match with(&mut || SockRef::from(&self.socket).peek(&mut byte)) {
+        match run(&mut || SockRef::from(&self.socket).peek(&mut byte)) {
             Ok(0) => Look::Closed,
             Ok(_) => Look::Stray,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Look::Quiet,
@@ -136,7 +141,7 @@
         }
     }
 
-    /// Writes some of these bytes.
+    /// Writes as many of these bytes as the socket takes.
     pub fn poll_write(
         &mut self,
         cx: &mut Context<'_>,
@@ -144,32 +149,36 @@
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write_vectored(cx, slices);
         if written.is_ready() {
-            self.shared.add(|calls| &mut calls.writes);
+            self.shared.count(|calls| &mut calls.writes);
         }
         written
     }
 
-    /// Reads some bytes into the buffer; 0: the server sends no more.
+    /// Reads available bytes into the buffer. 0 means that the server has closed its side.
     pub fn poll_read(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let mut room = self.shared.read.borrow_mut();
-        let mut room = ReadBuf::new(&mut room);
-        ready!(Pin::new(&mut self.socket).poll_read(cx, &mut room))?;
-        self.shared.add(|calls| &mut calls.reads);
-        self.buf.extend_from_slice(room.filled());
-        Poll::Ready(Ok(room.filled().len()))
+        let mut buffer = self.shared.read_buffer.borrow_mut();
+        let mut buffer = ReadBuf::new(&mut buffer);
+        ready!(Pin::new(&mut self.socket).poll_read(cx, &mut buffer))?;
+        self.shared.count(|calls| &mut calls.reads);
+        self.buf.extend_from_slice(buffer.filled());
+        Poll::Ready(Ok(buffer.filled().len()))
     }
 }
 
-/// A connection in use. Dropped before it is released, it is closed and counted as gone.
-pub(super) struct Lease {
+/// A connection in use. Dropping it before it is released closes the connection and counts it as discarded.
+pub(super) struct ConnectionGuard {
     upstream: Rc<Upstream>,
     server: ServerId,
     connection: Option<Connection>,
 }
 
-impl Lease {
-    pub fn new(upstream: Rc<Upstream>, server: ServerId, connection: Connection) -> Lease {
-        Lease { upstream, server, connection: Some(connection) }
+impl ConnectionGuard {
+    pub fn new(
+        upstream: Rc<Upstream>,
+        server: ServerId,
+        connection: Connection,
+    ) -> ConnectionGuard {
+        ConnectionGuard { upstream, server, connection: Some(connection) }
     }
 
     /// Whether the connection has carried an answer before.
@@ -177,22 +186,24 @@
         self.connection.as_ref().is_some_and(Connection::is_used)
     }
 
-    /// Whether the connection has carried an answer that equals this one.
+    /// Whether the connection has carried an equal answer before.
     pub fn has_carried(&self, answer: Fingerprint) -> bool {
-        self.connection.as_ref().is_some_and(|connection| connection.carried.contains(answer))
+        self.connection
+            .as_ref()
+            .is_some_and(|connection| connection.carried_answers.contains(answer))
     }
 
-    /// The connection; None once it is released.
+    /// The connection; `None` once it is released.
     pub fn connection(&mut self) -> Option<&mut Connection> {
         self.connection.as_mut()
     }
 
-    /// Whose connection it is.
+    /// The server of the connection.
     pub fn server(&self) -> ServerId {
         self.server
     }
 
-    /// Closes a connection once its answer is whole.
+    /// Closes the connection once its answer is complete.
     pub fn close(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let stray = !connection.buf.is_empty();
@@ -203,15 +214,16 @@
         self.upstream.discarded(self.server, stray);
     }
 
-    /// Nothing was sent on it: the connection rests.
-    pub fn give_back(mut self) {
+    /// Returns a connection on which nothing was sent to the pool.
+    pub fn return_unused(mut self) {
         if let Some(connection) = self.connection.take() {
             self.upstream.release(self.server, connection);
         }
     }
 
-    /// The exchange is over, and brought this answer: the connection rests, if it may be used again, or is closed.
-    pub fn end(mut self, exchange: &Exchange, answer: Fingerprint) {
+    /// Ends an exchange that got this answer: the connection becomes idle if it can be reused, otherwise it is
+    /// closed.
+    pub fn finish(mut self, exchange: &Exchange, answer: Fingerprint) {
         let Some(mut connection) = self.connection.take() else { return };
         let stray = !connection.buf.is_empty();
         if !exchange.reusable(&connection.buf) {
@@ -221,18 +233,18 @@
         if connection.is_used() {
             self.upstream.used_quietly(self.server);
         }
-        connection.carried.add(answer);
-        if connection.carried.is_full() {
+        connection.carried_answers.add(answer);
+        if connection.carried_answers.is_full() {
             drop(connection);
             return self.upstream.discarded(self.server, false);
         }
-        // Danger: thousands of connections at rest, each with room for an answer, are memory.
+        // Thousands of idle connections, each with the buffer of an answer, would take much memory.
         connection.buf = BytesMut::new();
         self.upstream.release(self.server, connection);
     }
 }
 
-impl Drop for Lease {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         if self.connection.take().is_some() {
             self.upstream.discarded(self.server, false);
--- a/crates/millethook-engine/src/upstream/gate.rs
+++ b/crates/millethook-engine/src/upstream/gate.rs
@@ -1,4 +1,5 @@
-//! What has to hold in the instant in which bytes of a request go out, however long ago the attempt was decided on.
+//! Conditions that are checked at the moment when bytes of a request are written, however long ago the attempt was
+//! decided.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,23 +7,23 @@
 
 use super::AttemptRequest;
 
-/// Whether a server takes new requests, as far as lists tell: until it drains, leaves, moves or starts anew. One that
-/// does so and comes back gets another admission; attempts decided on before keep the one that has ended.
+/// Whether a server accepts new requests according to the server list, until it drains, leaves, moves or restarts. A
+/// server that returns gets a new admission; attempts decided earlier keep the revoked one.
 #[derive(Clone, Debug)]
 pub struct Admission(Rc<Cell<bool>>);
 
 impl Admission {
-    /// One that holds.
+    /// Creates a valid admission.
     pub fn new() -> Admission {
         Admission(Rc::new(Cell::new(true)))
     }
 
-    /// It holds no more.
+    /// Revokes the admission.
     pub fn revoke(&self) {
         self.0.set(false);
     }
 
-    /// Whether it holds.
+    /// Whether the admission is still valid.
     pub fn holds(&self) -> bool {
         self.0.get()
     }
@@ -34,26 +35,26 @@
     }
 }
 
-/// The terms of one attempt. What fails them never ran.
+/// The conditions of one attempt. An attempt that fails them never ran.
 ///
-/// Guards against all that may change while an attempt waits for a connection, for its handshake or to write: its
-/// client leaves or has another answer, its server begins to drain or starts anew, its window ends. It could harm only
-/// where a request is held back that had begun to run: after the commit point nothing is asked here.
+/// They cover all that may change while an attempt waits for a connection, for its handshake or for buffer space: its
+/// client leaves or has another answer, its server starts to drain or restarts, its time window ends. After the
+/// commit point nothing is checked here, because holding back a request that has started to run would do harm.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    /// Whether the server may be sent something new.
+    /// Whether the server may get new requests.
     pub admission: Admission,
-    /// From then on what would make it run must not go out. None: there is no such time.
+    /// Bytes that start execution must not be written after this time. `None`: no limit.
     pub commit_by: Option<Instant>,
 }
 
 impl Gate {
-    /// Whether the first byte may go out.
+    /// Whether the first byte may be written.
     pub(super) fn may_begin(&self, request: &AttemptRequest, now: Instant) -> bool {
         self.admission.holds() && self.may_commit(request, now)
     }
 
-    /// Whether the bytes may go out that make it run.
+    /// Whether the bytes that start execution may be written.
     pub(super) fn may_commit(&self, request: &AttemptRequest, now: Instant) -> bool {
         !request.withdrawn.get() && self.commit_by.is_none_or(|by| now < by)
     }
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, and single attempts on them: the sockets beneath [`millethook_connect`].
+//! Connections to servers and single attempts on them: the sockets beneath [`millethook_connect`].
 
 mod attempt;
 mod connection;
@@ -29,28 +29,29 @@
 use crate::names::Names;
 
 pub use attempt::{AnswerHead, AttemptOutcome, AttemptRequest};
-pub use connection::Calls;
-use connection::{Connection, Lease, Shared};
+pub use connection::SystemCalls;
+use connection::{Connection, ConnectionGuard, SharedIo};
 pub use gate::{Admission, Gate};
 pub use probe::TrialPage;
 pub use streaming::StreamingResponse;
 
-/// How long an attempt may wait for a connection: for a socket that others hold, for a handshake of
-/// others to end, for a connection to settle. Danger: a request that waits here is answered nowhere else.
+/// How long an attempt may wait for a connection: for a free socket, for other attempts' handshakes to end, or for a
+/// connection to leave quarantine. An attempt that waits here is not retried elsewhere, so a longer wait delays the
+/// request.
 const CONNECTION_WAIT: Duration = Duration::from_millis(50);
-/// Between two looks at how long connections have rested.
-const SWEEP: Duration = Duration::from_millis(500);
+/// How often idle connections are checked for expiry.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How servers and connections to them are met.
+/// Configuration of connections to servers.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamConfig {
-    /// When servers may begin with a request.
+    /// When a server may start to execute a request.
     pub begins: Begins,
-    /// The longest that a handshake may take.
+    /// Upper bound on a TCP handshake.
     pub connect_timeout: Duration,
-    /// What bounds connections.
+    /// Limits on connections.
     pub limits: Limits,
-    /// For how many requests each is used.
+    /// How many requests a connection carries.
     pub reuse: Reuse,
 }
 
@@ -58,25 +59,25 @@
 pub struct Upstream {
     pool: RefCell<Pool<ServerId, Connection>>,
     fingerprints: FingerprintKey,
-    /// What was seen of answers, by the class's place in the settings.
+    /// Fingerprints of answers, by the index of the class in the settings.
     answers: RefCell<SeenAnswers<usize, ServerId>>,
     sockets: Rc<Sockets>,
     names: Arc<Names>,
     config: UpstreamConfig,
-    /// Attempts that wait for a connection to one server.
-    waiting: RefCell<FxHashMap<ServerId, (usize, Rc<Waiters>)>>,
-    /// Turns of attempts that need a new connection to one server.
-    turns: RefCell<FxHashMap<ServerId, Arc<Semaphore>>>,
-    /// Attempts that wait for a socket.
-    starved: Cell<usize>,
-    /// Whom connections at rest wake.
-    watcher: RefCell<Waker>,
-    shared: Rc<Shared>,
+    /// Attempts that wait for a connection to a server: their number and their wake-ups.
+    waiting: RefCell<FxHashMap<ServerId, (usize, Rc<ConnectionSignals>)>>,
+    /// For each server, the semaphore that limits and orders attempts that need a new connection.
+    opening_slots: RefCell<FxHashMap<ServerId, Arc<Semaphore>>>,
+    /// Number of attempts that wait for a socket.
+    socket_waiters: Cell<usize>,
+    /// Waker of the task that watches idle connections.
+    idle_waker: RefCell<Waker>,
+    shared: Rc<SharedIo>,
     figures: Rc<Figures>,
 }
 
 impl Upstream {
-    /// No connections yet.
+    /// Creates an empty set of connections and starts the tasks that watch and expire idle ones.
     pub fn new(
         sockets: Rc<Sockets>,
         names: Arc<Names>,
@@ -91,64 +92,65 @@
             names,
             config,
             waiting: RefCell::default(),
-            turns: RefCell::default(),
-            starved: Cell::new(0),
-            watcher: RefCell::new(Waker::noop().clone()),
+            opening_slots: RefCell::default(),
+            socket_waiters: Cell::new(0),
+            idle_waker: RefCell::new(Waker::noop().clone()),
             shared: Rc::default(),
             figures,
         });
-        spawn_local(upstream.clone().watch());
+        spawn_local(upstream.clone().watch_idle());
         spawn_local(upstream.clone().sweep());
         upstream
     }
 
-    /// Drops what servers close, and what brings bytes unasked, as it happens.
-    async fn watch(self: Rc<Upstream>) {
+    /// Drops idle connections as soon as their server closes them or sends unsolicited bytes.
+    async fn watch_idle(self: Rc<Upstream>) {
         poll_fn(|cx| {
-            self.watcher.replace(cx.waker().clone());
-            self.pool.borrow_mut().watch(Instant::now(), |connection| connection.watched(cx));
+            self.idle_waker.replace(cx.waker().clone());
+            self.pool.borrow_mut().watch(Instant::now(), |connection| connection.poll_idle(cx));
             Poll::<()>::Pending
         })
         .await;
     }
 
-    /// Retires what has rested for long, and makes room for other engines of the budget.
+    /// Closes idle connections that have expired, and gives up one when another engine of the shared budget needs a
+    /// socket.
     async fn sweep(self: Rc<Upstream>) {
-        let mut next = Instant::now() + SWEEP;
+        let mut next = Instant::now() + SWEEP_INTERVAL;
         loop {
             tokio::select! {
                 () = self.sockets.servers.wanted() => {
                     self.pool.borrow_mut().give_up_one();
                 }
                 () = sleep_until(next.into()) => {
-                    next = Instant::now() + SWEEP;
+                    next = Instant::now() + SWEEP_INTERVAL;
                     let mut pool = self.pool.borrow_mut();
                     pool.watch(Instant::now(), |_| Look::Quiet);
                     pool.next_span();
-                    // Those that nobody holds or waits for.
-                    self.turns.borrow_mut().retain(|_, turns| Arc::strong_count(turns) > 1);
+                    // Removes semaphores that no attempt holds or waits for.
+                    self.opening_slots.borrow_mut().retain(|_, slots| Arc::strong_count(slots) > 1);
                 }
             }
         }
     }
 
-    /// From now on connections are used for so many requests.
+    /// Sets how many requests a connection carries.
     pub fn set_reuse(&self, reuse: Reuse) {
         self.pool.borrow_mut().set_reuse(reuse);
     }
 
-    /// Closes the connections to `server` that are at rest; `gone`: it has left for good.
+    /// Closes the idle connections to `server`. `gone`: the server has left for good.
     pub fn close_idle(&self, server: ServerId, gone: bool) {
         self.pool.borrow_mut().close_idle(server, gone);
     }
 
-    /// How many connections are in which state.
+    /// Number of connections by state.
     pub fn counts(&self) -> Counts {
         self.pool.borrow().counts()
     }
 
-    /// Calls to the system on connections so far.
-    pub fn calls(&self) -> Calls {
+    /// System calls on connections since the start.
+    pub fn calls(&self) -> SystemCalls {
         self.shared.calls()
     }
 
@@ -158,29 +160,30 @@
     }
 
     fn release(&self, server: ServerId, connection: Connection) {
-        // From now on the watch is woken by what happens on it.
-        let watcher = self.watcher.borrow().clone();
-        let looked = connection.watched(&mut std::task::Context::from_waker(&watcher));
-        if looked != Look::Quiet {
+        // Registers the watching task for events on this connection.
+        let idle_waker = self.idle_waker.borrow().clone();
+        let state = connection.poll_idle(&mut std::task::Context::from_waker(&idle_waker));
+        if state != Look::Quiet {
             drop(connection);
-            return self.discarded(server, looked == Look::Stray);
+            return self.discarded(server, state == Look::Stray);
         }
         let has_room = {
             let mut pool = self.pool.borrow_mut();
             pool.release(server, connection, Instant::now());
             pool.has_room(server)
         };
-        let waiters = self.waiting.borrow().get(&server).map(|(_, waiters)| waiters.clone());
-        match waiters {
-            Some(waiters) => {
-                waiters.rested.notify_one();
-                // A request that needs a new connection may close this one for it.
+        let signals = self.waiting.borrow().get(&server).map(|(_, signals)| signals.clone());
+        match signals {
+            Some(signals) => {
+                signals.idle.notify_one();
+                // An attempt that needs a new connection may close this one to make room.
                 if !has_room {
-                    waiters.room.notify_one();
+                    signals.capacity.notify_one();
                 }
             }
-            // Danger: what waits for a socket alone would not see that all of them rest.
-            None if self.starved.get() > 0 => {
+            // Attempts that wait only for a socket are not woken by idle connections. Without this line they would
+            // time out while every connection is idle.
+            None if self.socket_waiters.get() > 0 => {
                 self.pool.borrow_mut().give_up_one();
             }
             None => {}
@@ -193,132 +196,135 @@
 
     fn discarded(&self, server: ServerId, stray: bool) {
         self.pool.borrow_mut().discarded(server, stray, Instant::now());
-        self.room(server);
+        self.notify_capacity(server);
     }
 
-    /// One more connection to `server` may be opened.
-    fn room(&self, server: ServerId) {
-        if let Some((_, waiters)) = self.waiting.borrow().get(&server) {
-            waiters.room.notify_one();
+    /// Wakes an attempt that waits to open a connection to `server`.
+    fn notify_capacity(&self, server: ServerId) {
+        if let Some((_, signals)) = self.waiting.borrow().get(&server) {
+            signals.capacity.notify_one();
         }
     }
 
-    /// A connection to `server` for a request whose answer is told from others by `matching`: one at rest and for how long
-    /// it has rested, or a new one.
+    /// Returns a connection to `server` for a request whose answer is matched by `matching`: an idle one with the
+    /// time that it was idle, or a new one.
     ///
-    /// Cancel safe: what it has taken by then is given back.
+    /// Cancel safe: everything acquired so far is released.
     async fn connection(
         self: &Rc<Upstream>,
         server: ServerId,
         dial: SocketAddr,
         matching: Matching,
-        patience: Duration,
-    ) -> Result<(Lease, Option<Duration>), Outcome> {
-        let began = Instant::now();
-        let (until, mut now) = (began + CONNECTION_WAIT, began);
-        let mut turn = None;
+        connect_timeout: Duration,
+    ) -> Result<(ConnectionGuard, Option<Duration>), Outcome> {
+        let started = Instant::now();
+        let (deadline, mut now) = (started + CONNECTION_WAIT, started);
+        let mut opening_slot = None;
         loop {
             let needs_new = self.pool.borrow().needs_new(server, matching, now);
-            if needs_new && turn.is_none() {
-                turn = Some(self.turn(server, until).await?);
+            if needs_new && opening_slot.is_none() {
+                opening_slot = Some(self.opening_slot(server, deadline).await?);
                 now = Instant::now();
                 continue;
             }
             let found = if needs_new {
                 self.pool.borrow_mut().checkout_new(server)
             } else {
-                self.pool.borrow_mut().checkout(server, now, |c| c.look(dial))
+                self.pool.borrow_mut().checkout(server, now, |c| c.check_idle(dial))
             };
-            let settling = || {
+            let quarantine_end = || {
                 let until = self.pool.borrow().quarantined_until(server);
                 until.filter(|_| !needs_new)
             };
-            let settled = match found {
-                Checkout::Reuse(connection, rested) => {
-                    self.spare(server, dial);
-                    let lease = Lease::new(self.clone(), server, connection);
-                    return Ok((lease, Some(rested)));
+            let retry_at = match found {
+                Checkout::Reuse(connection, idle_time) => {
+                    self.open_spare_if_needed(server, dial);
+                    let guard = ConnectionGuard::new(self.clone(), server, connection);
+                    return Ok((guard, Some(idle_time)));
                 }
                 Checkout::Open => {
-                    let opening = Opening { upstream: self, server, took: None };
-                    // Meanwhile one that comes to rest here will do.
+                    let handshake = Handshake { upstream: self, server, handshake_time: None };
+                    // While this waits for a permit, a connection to the server that becomes idle is used instead.
                     let permit = match self.sockets.servers.try_take() {
                         Some(permit) => Some(permit),
-                        // One of its own is to be had sooner than another one's socket.
-                        None if settling().is_some() => None,
-                        None => self.scarce_permit(server, needs_new, until).await?,
+                        // A connection to this server leaves quarantine sooner than another one's socket becomes
+                        // free.
+                        None if quarantine_end().is_some() => None,
+                        None => self.wait_for_permit(server, needs_new, deadline).await?,
                     };
                     match permit {
                         Some(permit) => {
-                            let opened = opening.open(dial, permit, patience).await;
+                            let opened = handshake.open(dial, permit, connect_timeout).await;
                             let connection = opened.ok_or(Outcome::ConnectFailed)?;
-                            self.spare(server, dial);
-                            let lease = Lease::new(self.clone(), server, connection);
-                            return Ok((lease, None));
+                            self.open_spare_if_needed(server, dial);
+                            let guard = ConnectionGuard::new(self.clone(), server, connection);
+                            return Ok((guard, None));
                         }
-                        None => settling(),
+                        None => quarantine_end(),
                     }
                 }
-                Checkout::Wait(settled) => settled,
+                Checkout::Wait(retry_at) => retry_at,
             };
-            let waiting = Waiting::new(self, server);
-            let at = settled.map_or(until, |settled| settled.min(until));
+            let waiter = ConnectionWaiter::new(self, server);
+            let wake_at = retry_at.map_or(deadline, |retry_at| retry_at.min(deadline));
             tokio::select! {
-                () = waiting.at.rested.notified(), if !needs_new => {}
-                () = waiting.at.room.notified() => {}
-                () = sleep_until(at.into()) => {}
+                () = waiter.signals.idle.notified(), if !needs_new => {}
+                () = waiter.signals.capacity.notified() => {}
+                () = sleep_until(wake_at.into()) => {}
             }
             now = Instant::now();
-            if now >= until {
-                // For want of a connection here nothing is known of the server.
+            if now >= deadline {
+                // The attempt failed for lack of a connection; this says nothing about the server.
                 return Err(Outcome::Moot);
             }
         }
     }
 
-    /// A turn to open a new connection to `server`, held until its handshake is over. Turns are taken in the order in which
-    /// attempts came: without this, who comes later passes those that wait, and they wait in vain.
-    async fn turn(
+    /// Waits for permission to open a new connection to `server`; it is held until the handshake is over. Permissions
+    /// are granted in the order of the attempts. Without this order, later attempts overtake waiting ones, which then
+    /// time out.
+    async fn opening_slot(
         &self,
         server: ServerId,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<OwnedSemaphorePermit, Outcome> {
-        let turns = {
-            let mut turns = self.turns.borrow_mut();
-            let new = || Arc::new(Semaphore::new(self.config.limits.opening));
-            turns.entry(server).or_insert_with(new).clone()
+        let semaphore = {
+            let mut opening_slots = self.opening_slots.borrow_mut();
+            let new_semaphore = || Arc::new(Semaphore::new(self.config.limits.opening));
+            opening_slots.entry(server).or_insert_with(new_semaphore).clone()
         };
-        let turn = timeout_at(until.into(), turns.acquire_owned()).await;
-        turn.ok().and_then(Result::ok).ok_or(Outcome::Moot)
+        let slot = timeout_at(deadline.into(), semaphore.acquire_owned()).await;
+        slot.ok().and_then(Result::ok).ok_or(Outcome::Moot)
     }
 
-    /// A permit where none is free; None: a connection to `server` came to rest first, and will do.
-    async fn scarce_permit(
+    /// Waits for a socket permit when none is free. Returns `None` if a usable connection to `server` became idle
+    /// first.
+    async fn wait_for_permit(
         &self,
         server: ServerId,
         needs_new: bool,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Option<Permit>, Outcome> {
-        let waiting = Waiting::new(self, server);
-        self.starved.set(self.starved.get() + 1);
-        let _starved = Starved(&self.starved);
-        // A connection at rest, here or with another engine of the budget, makes room.
+        let waiter = ConnectionWaiter::new(self, server);
+        self.socket_waiters.set(self.socket_waiters.get() + 1);
+        let _socket_waiter = SocketWaiter(&self.socket_waiters);
+        // Closing an idle connection, here or in another engine of the budget, frees a socket.
         if !self.pool.borrow_mut().give_up_one() {
             self.sockets.servers.want();
         }
-        let left = until.saturating_duration_since(Instant::now());
-        let mut taken = pin!(self.sockets.servers.take(left));
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let mut acquiring = pin!(self.sockets.servers.take(remaining));
         loop {
             tokio::select! {
                 biased;
-                permit = &mut taken => return permit.map(Some).ok_or(Outcome::Moot),
-                () = waiting.at.rested.notified() => {
+                permit = &mut acquiring => return permit.map(Some).ok_or(Outcome::Moot),
+                () = waiter.signals.idle.notified() => {
                     if needs_new {
                         self.pool.borrow_mut().give_up_one();
                         continue;
                     }
-                    // Danger: whoever left for nothing would free a handshake's place, wake the next
-                    // one by that, and so on round all that wait.
+                    // Without this check an attempt that finds nothing usable would release its handshake slot, which
+                    // wakes the next attempt, and so on in an endless loop over all waiting attempts.
                     if self.pool.borrow().quarantined_until(server).is_some() {
                         return Ok(None);
                     }
@@ -327,8 +333,8 @@
         }
     }
 
-    /// Opens a connection ahead of need, where a rise shows.
-    fn spare(self: &Rc<Upstream>, server: ServerId, dial: SocketAddr) {
+    /// Opens a connection in advance when the number of connections in use rises.
+    fn open_spare_if_needed(self: &Rc<Upstream>, server: ServerId, dial: SocketAddr) {
         if self.config.limits.spare == 0 || !self.pool.borrow_mut().spare(server) {
             return;
         }
@@ -346,86 +352,87 @@
                 }
                 None => None,
             };
-            let watcher = upstream.watcher.borrow().clone();
-            let mut cx = std::task::Context::from_waker(&watcher);
-            let opened = opened.filter(|(c, _)| c.watched(&mut cx) == Look::Quiet);
+            let idle_waker = upstream.idle_waker.borrow().clone();
+            let mut cx = std::task::Context::from_waker(&idle_waker);
+            let opened = opened.filter(|(c, _)| c.poll_idle(&mut cx) == Look::Quiet);
             upstream.pool.borrow_mut().opened_spare(server, opened, Instant::now());
-            if let Some((_, waiters)) = upstream.waiting.borrow().get(&server) {
-                waiters.rested.notify_one();
+            if let Some((_, signals)) = upstream.waiting.borrow().get(&server) {
+                signals.idle.notify_one();
             }
         });
     }
 }
 
-/// A handshake that the pool has allowed. Dropped, it has failed.
-struct Opening<'a> {
+/// A handshake that the pool has allowed. If it is dropped before it completes, it counts as failed.
+struct Handshake<'a> {
     upstream: &'a Upstream,
     server: ServerId,
-    took: Option<Duration>,
+    handshake_time: Option<Duration>,
 }
 
-impl Opening<'_> {
+impl Handshake<'_> {
     async fn open(
         mut self,
         dial: SocketAddr,
         permit: Permit,
-        patience: Duration,
+        connect_timeout: Duration,
     ) -> Option<Connection> {
-        let (connection, took) =
-            Connection::open(dial, permit, self.upstream.shared.clone(), patience).await?;
-        self.took = Some(took);
+        let (connection, handshake_time) =
+            Connection::open(dial, permit, self.upstream.shared.clone(), connect_timeout).await?;
+        self.handshake_time = Some(handshake_time);
         Some(connection)
     }
 }
 
-impl Drop for Opening<'_> {
+impl Drop for Handshake<'_> {
     fn drop(&mut self) {
-        self.upstream.pool.borrow_mut().opened(self.server, self.took);
-        self.upstream.room(self.server);
+        self.upstream.pool.borrow_mut().opened(self.server, self.handshake_time);
+        self.upstream.notify_capacity(self.server);
     }
 }
 
-/// How attempts that wait for a connection to one server are woken.
+/// Wake-ups for attempts that wait for a connection to one server.
 #[derive(Default)]
-struct Waiters {
-    /// One has come to rest. Who needs a new one does not wait for this: it would keep the news from those that do not.
-    rested: Notify,
-    /// One may be opened, perhaps in the place of one at rest.
-    room: Notify,
+struct ConnectionSignals {
+    /// A connection has become idle. Attempts that need a new connection do not wait for this: they would consume the
+    /// notification of an attempt that can use the idle connection.
+    idle: Notify,
+    /// A connection may be opened, possibly in place of an idle one.
+    capacity: Notify,
 }
 
-/// An attempt's place among those that wait for a connection to one server.
-struct Waiting<'a> {
+/// Registration of an attempt that waits for a connection to one server.
+struct ConnectionWaiter<'a> {
     upstream: &'a Upstream,
     server: ServerId,
-    at: Rc<Waiters>,
+    signals: Rc<ConnectionSignals>,
 }
 
-impl<'a> Waiting<'a> {
-    fn new(upstream: &'a Upstream, server: ServerId) -> Waiting<'a> {
+impl<'a> ConnectionWaiter<'a> {
+    fn new(upstream: &'a Upstream, server: ServerId) -> ConnectionWaiter<'a> {
         let mut waiting = upstream.waiting.borrow_mut();
-        let (n, at) = waiting.entry(server).or_default();
-        *n += 1;
-        Waiting { upstream, server, at: at.clone() }
+        let (count, signals) = waiting.entry(server).or_default();
+        *count += 1;
+        ConnectionWaiter { upstream, server, signals: signals.clone() }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for ConnectionWaiter<'_> {
     fn drop(&mut self) {
         let mut waiting = self.upstream.waiting.borrow_mut();
-        if let Some((n, _)) = waiting.get_mut(&self.server) {
-            *n -= 1;
-            if *n == 0 {
+        if let Some((count, _)) = waiting.get_mut(&self.server) {
+            *count -= 1;
+            if *count == 0 {
                 waiting.remove(&self.server);
             }
         }
     }
 }
 
-/// An attempt's place among those that wait for a socket.
-struct Starved<'a>(&'a Cell<usize>);
+/// Registration of an attempt that waits for a socket.
+struct SocketWaiter<'a>(&'a Cell<usize>);
 
-impl Drop for Starved<'_> {
+impl Drop for SocketWaiter<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/millethook-engine/src/upstream/probe.rs
+++ b/crates/millethook-engine/src/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: how a server is, asked on a connection of its own.
+//! Probes of servers and trials of remembered servers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,17 +13,17 @@
 use super::attempt::{AttemptOutcome, AttemptRequest};
 use super::{Admission, Gate, Upstream};
 
-/// How a server of an old list shows that it is there.
+/// How a server of an old list proves its identity.
 #[derive(Clone, Debug)]
 pub struct TrialPage {
-    /// A page that it answers 200, without any effect.
+    /// A page without side effects that the server answers with 200.
     pub path: Uri,
-    /// The header in which it tells its name; None: any 200 will do.
+    /// The header that carries the server's name. `None`: any 200 counts.
     pub identity: Option<HeaderName>,
 }
 
 impl Upstream {
-    /// Asks a server how it is.
+    /// Asks a server for its health or its load report.
     pub async fn probe(
         self: &Rc<Upstream>,
         server: ServerId,
@@ -31,42 +31,43 @@
         with_report: bool,
     ) -> (Outcome, LoadReport) {
         let path = Uri::from_static(if with_report { "/stats" } else { "/health/live" });
-        let patience = self.config.connect_timeout;
-        let request = Rc::new(AttemptRequest::page(&path, patience));
-        let until = Instant::now() + patience;
-        let gate = Gate { admission: Admission::new(), commit_by: Some(until) };
-        let asked = self.attempt((server, dial), None, &request, gate, until);
-        let asked = timeout(patience + Duration::from_secs(1), asked).await;
-        let Ok(AttemptOutcome::End { outcome, answer, .. }) = asked else {
+        let connect_timeout = self.config.connect_timeout;
+        let request = Rc::new(AttemptRequest::internal_get(&path, connect_timeout));
+        let deadline = Instant::now() + connect_timeout;
+        let gate = Gate { admission: Admission::new(), commit_by: Some(deadline) };
+        let attempt = self.attempt((server, dial), None, &request, gate, deadline);
+        let attempt = timeout(connect_timeout + Duration::from_secs(1), attempt).await;
+        let Ok(AttemptOutcome::End { outcome, answer, .. }) = attempt else {
             return (Outcome::TimedOut, LoadReport::default());
         };
-        // Where there is no such page, nothing was learned.
+        // Any other status means that the server has no such page: the probe learned nothing.
         let answer = answer.filter(|(head, _)| head.status == StatusCode::OK);
         let outcome =
             if outcome == Outcome::Served && answer.is_none() { Outcome::Error } else { outcome };
-        let text = answer.map(|(_, body)| String::from_utf8_lossy(&body).into_owned());
-        (outcome, text.map(|text| self.names.report(&text)).unwrap_or_default())
+        let report_text = answer.map(|(_, body)| String::from_utf8_lossy(&body).into_owned());
+        (outcome, report_text.map(|text| self.names.report(&text)).unwrap_or_default())
     }
 
-    /// Tries a server of an old list: whether somebody listens there, and whether it is that server.
+    /// Sends a trial to a server of an old list: whether something listens there, and whether it is that server.
     ///
-    /// Danger: its address may be another program's by now. The request is a `GET` of a page without effect, and
-    /// nobody's request goes there before this has been answered.
+    /// The address may belong to another program by now. The trial is a `GET` of a page without side effects, and no
+    /// client's request is sent there before it has been answered.
     pub async fn identify(self: &Rc<Upstream>, host: &Host, trial: &TrialPage) -> TrialOutcome {
         let Some(dial) = host.dial else { return TrialOutcome::Refused };
-        let (patience, began) = (self.config.connect_timeout, Instant::now());
-        let request = Rc::new(AttemptRequest::page(&trial.path, patience));
-        let until = began + 2 * patience;
-        let gate = Gate { admission: Admission::new(), commit_by: Some(until) };
-        let asked = self.attempt((host.id(), dial), None, &request, gate, until);
-        let Ok(AttemptOutcome::End { outcome, answer, .. }) = timeout(2 * patience, asked).await
+        let (connect_timeout, started) = (self.config.connect_timeout, Instant::now());
+        let request = Rc::new(AttemptRequest::internal_get(&trial.path, connect_timeout));
+        let deadline = started + 2 * connect_timeout;
+        let gate = Gate { admission: Admission::new(), commit_by: Some(deadline) };
+        let attempt = self.attempt((host.id(), dial), None, &request, gate, deadline);
+        let Ok(AttemptOutcome::End { outcome, answer, .. }) =
+            timeout(2 * connect_timeout, attempt).await
         else {
             return TrialOutcome::Silent;
         };
         match (outcome, answer) {
             (Outcome::Served, Some((head, _))) if head.status == StatusCode::OK => {
-                let named = trial.identity.as_ref().map(|name| head.headers.get(name));
-                match named {
+                let claimed = trial.identity.as_ref().map(|name| head.headers.get(name));
+                match claimed {
                     Some(Some(name)) if name.as_bytes() == host.host.as_bytes() => {
                         TrialOutcome::Answered
                     }
@@ -74,8 +75,10 @@
                     None => TrialOutcome::Answered,
                 }
             }
-            // A handshake that never comes up ends like one that is refused, but later.
-            (Outcome::ConnectFailed, _) if began.elapsed() >= patience => TrialOutcome::Silent,
+            // A handshake that times out ends like one that is refused, only later.
+            (Outcome::ConnectFailed, _) if started.elapsed() >= connect_timeout => {
+                TrialOutcome::Silent
+            }
             (Outcome::ConnectFailed, _) => TrialOutcome::Refused,
             (Outcome::Moot | Outcome::TimedOut | Outcome::Cancelled, _) => TrialOutcome::Silent,
             _ => TrialOutcome::Stranger,
--- a/crates/millethook-engine/src/upstream/streaming.rs
+++ b/crates/millethook-engine/src/upstream/streaming.rs
@@ -1,28 +1,28 @@
-//! A long answer under way.
+//! A long answer that is still being received.
 
 use bytes::Bytes;
 use coppercart::api::LoadReport;
 use millethook_connect::{Event, ResponseHead};
 
 use super::AnswerHead;
-use super::attempt::Running;
+use super::attempt::ActiveRequest;
 
-/// The answer has broken off.
+/// The answer ended before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct AnswerTruncated;
 
-/// A long answer under way. Dropped before its end, it closes its connection.
+/// A long answer that is still being received. Dropping it before its end closes its connection.
 pub struct StreamingResponse {
-    /// Its head.
+    /// Status and header fields.
     pub head: AnswerHead,
-    /// Its length, if it was announced.
+    /// The length, if the server announced it.
     pub length: Option<u64>,
-    /// The load report in its head.
+    /// The load report in the header.
     pub report: LoadReport,
     first: Option<Bytes>,
-    running: Option<Running>,
-    /// How many bytes more it may have.
-    room: u64,
+    active: Option<ActiveRequest>,
+    /// How many more bytes the answer may have.
+    remaining_bytes: u64,
 }
 
 impl StreamingResponse {
@@ -30,8 +30,8 @@
         head: ResponseHead,
         report: LoadReport,
         first: Bytes,
-        running: Running,
-        most: u64,
+        active: ActiveRequest,
+        max_bytes: u64,
     ) -> StreamingResponse {
         let first = Some(first).filter(|first| !first.is_empty());
         let ResponseHead { status, headers, length } = head;
@@ -40,32 +40,32 @@
             length,
             report,
             first,
-            running: Some(running),
-            room: most,
+            active: Some(active),
+            remaining_bytes: max_bytes,
         }
     }
 
-    /// The next piece; None at the end of the whole answer. Cancel safe.
+    /// Returns the next piece, or `None` at the end of a complete answer. Cancel safe.
     ///
     /// # Errors
-    /// The connection broke, or brought what is no answer.
-    pub async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    /// The connection broke, or the bytes are not a valid answer.
+    pub async fn next(&mut self) -> Option<Result<Bytes, AnswerTruncated>> {
         if let Some(first) = self.first.take() {
-            self.room = self.room.saturating_sub(first.len() as u64);
+            self.remaining_bytes = self.remaining_bytes.saturating_sub(first.len() as u64);
             return Some(Ok(first));
         }
-        match self.running.as_mut()?.event(true).await {
-            Ok(Event::Data(piece)) if piece.len() as u64 <= self.room => {
-                self.room -= piece.len() as u64;
+        match self.active.as_mut()?.event(true).await {
+            Ok(Event::Data(piece)) if piece.len() as u64 <= self.remaining_bytes => {
+                self.remaining_bytes -= piece.len() as u64;
                 Some(Ok(piece))
             }
             Ok(Event::End) => {
-                self.running.take()?.end();
+                self.active.take()?.finish();
                 None
             }
             Ok(Event::Head(_) | Event::Data(_)) | Err(_) => {
-                self.running = None;
-                Some(Err(BrokenOff))
+                self.active = None;
+                Some(Err(AnswerTruncated))
             }
         }
     }
--- a/crates/millethook-engine/tests/cost.rs
+++ b/crates/millethook-engine/tests/cost.rs
@@ -14,7 +14,7 @@
 use millethook_engine::driver::{Reply, RequestHead};
 use millethook_engine::list::List;
 use millethook_engine::names::Names;
-use millethook_engine::upstream::{AttemptRequest, Calls};
+use millethook_engine::upstream::{AttemptRequest, SystemCalls};
 use millethook_engine::{Engine, EngineConfig};
 use millethook_testkit::{Server, hosts, settings_json};
 use tokio::task::LocalSet;
@@ -104,12 +104,12 @@
     let each = counted.count_total as f64 / REQUESTS as f64;
     assert!(each <= ALLOCATIONS, "{each} allocations a request");
     assert!(counted.bytes_max < 256 << 10, "{} bytes held at once", counted.bytes_max);
-    let calls = Calls {
-        looks: after.looks - before.looks,
+    let calls = SystemCalls {
+        peeks: after.peeks - before.peeks,
         writes: after.writes - before.writes,
         reads: after.reads - before.reads,
     };
     // One look at the connection, one write of the whole request, one read of the whole answer.
-    let one_each = Calls { looks: REQUESTS, writes: REQUESTS, reads: REQUESTS };
+    let one_each = SystemCalls { peeks: REQUESTS, writes: REQUESTS, reads: REQUESTS };
     assert_eq!(calls, one_each);
 }
