--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from the decision to send one to its outcome.
+//! Attempts, from the decision to send one to its outcome.
 
 use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
@@ -18,166 +18,179 @@
 use crate::upload::Upload;
 use crate::upstream::{AnswerHead, AttemptOutcome, AttemptRequest, Gate, StreamingResponse};
 
-/// A server that stops within an answer for so long will not go on with it.
-const SERVER_STALL: Duration = Duration::from_secs(10);
+/// A server that pauses this long within an answer will not continue it.
+const SERVER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Driver {
     pub(super) fn send(
         self: &Rc<Driver>,
         id: RequestId,
         server: ServerId,
-        (wait, commit_within): (Micros, Micros),
+        (attempt_timeout, commit_within): (Micros, Micros),
     ) {
         let (cancel, cancelled) = oneshot::channel();
-        let (n, class, way) = {
-            let mut core = self.core.borrow_mut();
-            let listed = core.servers.get(&server).cloned();
-            let Some(request) = core.requests.get_mut(&id) else {
-                drop(core);
-                return self.moot(id, 0, server);
+        let (number, class, destination) = {
+            let mut state = self.state.borrow_mut();
+            let server_entry = state.servers.get(&server).cloned();
+            let Some(request) = state.requests.get_mut(&id) else {
+                drop(state);
+                return self.report_never_sent(id, 0, server);
             };
             request.attempts.push(Some(cancel));
-            let spec =
-                request.spec.clone().filter(|_| !request.ended() && request.streaming.is_none());
-            (request.attempts.len() - 1, request.class, spec.zip(listed))
+            let attempt_request = request
+                .attempt_request
+                .clone()
+                .filter(|_| !request.is_closed() && request.streaming.is_none());
+            (request.attempts.len() - 1, request.class, attempt_request.zip(server_entry))
         };
-        let Some((spec, listed)) = way else {
-            return self.moot(id, n, server);
+        let Some((attempt_request, server_entry)) = destination else {
+            return self.report_never_sent(id, number, server);
         };
         let now = Instant::now();
-        // The time of a body that is passed on is its own, and no second attempt can have it.
-        let commit_by = match spec.upload {
+        // A streamed body takes its own time, and no second attempt can send it, so there is no commit deadline.
+        let commit_by = match attempt_request.upload {
             Some(_) => None,
             None => Some(now + Duration::from_micros(commit_within)),
         };
-        let gate = Gate { admission: listed.admission, commit_by };
-        // Counted from the decision: time that passes until the attempt's task runs is the caller's, too, and servers would
-        // else be told of more than is left.
-        let until = now + Duration::from_micros(wait);
-        self.reach.borrow_mut().sent(server, now);
+        let gate = Gate { admission: server_entry.admission, commit_by };
+        // Counted from the decision: the time until the attempt's task runs also counts against the client, and
+        // otherwise the server would be told a longer remaining time than is left.
+        let deadline = now + Duration::from_micros(attempt_timeout);
+        self.reachability.borrow_mut().on_sent(server, now);
         if let Some(fleet) = self.fleet.get() {
             fleet.sends_to(server);
         }
         spawn_local(self.clone().attempt(
             id,
-            n,
-            (server, listed.dial),
-            (class, spec),
-            (gate, until),
+            number,
+            (server, server_entry.dial),
+            (class, attempt_request),
+            (gate, deadline),
             cancelled,
         ));
     }
 
-    /// Tells, not before the present event is dealt with, that an attempt was never sent.
-    fn moot(self: &Rc<Driver>, id: RequestId, n: usize, server: ServerId) {
+    /// Reports that an attempt was never sent, after the current event has been handled.
+    fn report_never_sent(self: &Rc<Driver>, id: RequestId, number: usize, server: ServerId) {
         let driver = self.clone();
         spawn_local(async move {
-            driver.over(id, n, server, Outcome::Moot, 0, LoadReport::default(), None);
+            driver.attempt_ended(id, number, server, Outcome::Moot, 0, LoadReport::default(), None);
         });
     }
 
     async fn attempt(
         self: Rc<Driver>,
         id: RequestId,
-        n: usize,
+        number: usize,
         (server, dial): (ServerId, SocketAddr),
-        (class, spec): (usize, Rc<AttemptRequest>),
-        (gate, until): (Gate, Instant),
+        (class, attempt_request): (usize, Rc<AttemptRequest>),
+        (gate, deadline): (Gate, Instant),
         cancelled: oneshot::Receiver<()>,
     ) {
         let sent = Instant::now();
-        // What a server did in its caller's time says nothing of the server, and neither does a pause of this process.
-        let elapsed = |spec: &AttemptRequest| {
-            let ended = spec.upload.as_ref().and_then(Upload::ended_at);
-            let begun = ended.map_or(sent, |ended| ended.max(sent));
+        // Time in which the client was still sending says nothing about the server, and neither does a pause of this
+        // process.
+        let elapsed = |attempt_request: &AttemptRequest| {
+            let upload_ended = attempt_request.upload.as_ref().and_then(Upload::ended_at);
+            let started = upload_ended.map_or(sent, |upload_ended| upload_ended.max(sent));
             let now = Instant::now();
-            self.pauses.look(now);
-            self.pauses.running_time(begun, now).as_micros() as Micros
+            self.pauses.check(now);
+            self.pauses.running_time(started, now).as_micros() as Micros
         };
-        let end = |outcome| AttemptOutcome::end(outcome, LoadReport::default());
-        let reached = {
-            let upload = spec.upload.as_ref();
-            let mut attempt =
-                pin!(self.upstream.attempt((server, dial), Some(class), &spec, gate, until));
-            let mut passed_on = upload.is_none();
-            let attempt = poll_fn(|cx| {
-                let reached = attempt.as_mut().poll(cx);
-                // From the first piece that is not held on the request belongs to this attempt.
-                if !passed_on && upload.is_some_and(Upload::is_taken) {
-                    passed_on = true;
-                    self.passes_on(id, n);
+        let ended = |outcome| AttemptOutcome::end(outcome, LoadReport::default());
+        let result = {
+            let upload = attempt_request.upload.as_ref();
+            let mut attempt = pin!(self.upstream.attempt(
+                (server, dial),
+                Some(class),
+                &attempt_request,
+                gate,
+                deadline
+            ));
+            let mut body_bound = upload.is_none();
+            let watched_attempt = poll_fn(|cx| {
+                let result = attempt.as_mut().poll(cx);
+                // From the first piece beyond the buffer on, only this attempt can send the body.
+                if !body_bound && upload.is_some_and(Upload::is_taken) {
+                    body_bound = true;
+                    self.bind_body_to_attempt(id, number);
                 }
-                reached
+                result
             });
-            let late = async {
+            let timed_out = async {
                 match upload {
                     Some(upload) => upload.expired().await,
-                    None => tokio::time::sleep_until(until.into()).await,
+                    None => tokio::time::sleep_until(deadline.into()).await,
                 }
             };
             tokio::select! {
                 biased;
-                reached = attempt => reached,
-                // Given up by the module, or because nothing can come of it any more.
-                _ = cancelled => end(Outcome::Cancelled),
-                () = late => end(Outcome::TimedOut),
+                result = watched_attempt => result,
+                // Cancelled by the balancer, or because its result is no longer needed.
+                _ = cancelled => ended(Outcome::Cancelled),
+                () = timed_out => ended(Outcome::TimedOut),
             }
         };
-        let latency = elapsed(&spec);
-        drop(spec);
-        match reached {
+        let latency = elapsed(&attempt_request);
+        drop(attempt_request);
+        match result {
             AttemptOutcome::End { outcome, report, answer } => {
                 if outcome != Outcome::Served {
-                    // Without this, what failed while this process stood still is repeated by the list from before.
+                    // Without this, requests that failed while this process was paused are retried with an outdated
+                    // server list.
                     self.wait_for_current_list().await;
                 }
-                self.over(id, n, server, outcome, latency, report, answer);
+                self.attempt_ended(id, number, server, outcome, latency, report, answer);
             }
-            AttemptOutcome::Streaming(long) => {
-                let report = long.report.clone();
-                let outcome = self.pass_on(id, n, *long).await;
-                self.over(id, n, server, outcome, latency, report, None);
+            AttemptOutcome::Streaming(response) => {
+                let report = response.report.clone();
+                let outcome = self.stream_answer(id, number, *response).await;
+                self.attempt_ended(id, number, server, outcome, latency, report, None);
             }
         }
     }
 
-    /// The body of a request passes to this attempt: it can be sent to no other one.
-    fn passes_on(self: &Rc<Driver>, id: RequestId, attempt: usize) {
-        let mine = {
-            let mut core = self.core.borrow_mut();
-            let request = core.requests.get_mut(&id);
+    /// Records that the body streams to this attempt; no other attempt can send it.
+    fn bind_body_to_attempt(self: &Rc<Driver>, id: RequestId, attempt: usize) {
+        let is_first = {
+            let mut state = self.state.borrow_mut();
+            let request = state.requests.get_mut(&id);
             request.is_some_and(|r| r.uploading.replace(attempt).is_none())
         };
-        if mine {
+        if is_first {
             self.event(Event::FirstByte { id, attempt });
         }
     }
 
-    /// Passes a long answer on as it comes, at the client's pace.
-    async fn pass_on(
+    /// Passes a long answer on as it arrives, at the client's pace.
+    async fn stream_answer(
         self: &Rc<Driver>,
         id: RequestId,
-        n: usize,
-        mut long: StreamingResponse,
+        number: usize,
+        mut response: StreamingResponse,
     ) -> Outcome {
         let (to_client, pieces) = mpsc::channel(1);
         {
-            let mut core = self.core.borrow_mut();
-            let request = core.requests.get_mut(&id).filter(|r| r.streaming.is_none());
-            let Some((request, reply)) = request.and_then(|r| r.reply.take().map(|to| (r, to)))
+            let mut state = self.state.borrow_mut();
+            let request = state.requests.get_mut(&id).filter(|r| r.streaming.is_none());
+            let Some((request, reply)) =
+                request.and_then(|r| r.reply.take().map(|reply| (r, reply)))
             else {
                 return Outcome::Cancelled;
             };
-            request.streaming = Some(n);
+            request.streaming = Some(number);
             request.withdraw();
-            let head = std::mem::take(&mut long.head);
-            let _ =
-                reply.send(Reply::Streaming(StreamingReply { head, length: long.length, pieces }));
+            let head = std::mem::take(&mut response.head);
+            let _ = reply.send(Reply::Streaming(StreamingReply {
+                head,
+                length: response.length,
+                pieces,
+            }));
         }
-        self.event(Event::FirstByte { id, attempt: n });
+        self.event(Event::FirstByte { id, attempt: number });
         loop {
             let piece = tokio::select! {
-                piece = timeout(SERVER_STALL, long.next()) => piece,
+                piece = timeout(SERVER_STALL_TIMEOUT, response.next()) => piece,
                 () = to_client.closed() => return Outcome::Cancelled,
             };
             match piece {
@@ -190,16 +203,15 @@
                     let _ = to_client.send(None).await;
                     return Outcome::Served;
                 }
-                // Danger: the channel's end without a word is how the client comes to see that
-                // the answer is not whole.
+                // Closing the channel without a final `None` tells the client that the answer is incomplete.
                 Ok(Some(Err(_))) | Err(_) => return Outcome::Reset,
             }
         }
     }
 
-    /// Tells an attempt's outcome. The first answer served goes to the client.
+    /// Reports the outcome of an attempt. The first served answer goes to the client.
     #[allow(clippy::too_many_arguments)]
-    fn over(
+    fn attempt_ended(
         self: &Rc<Driver>,
         id: RequestId,
         attempt: usize,
@@ -210,32 +222,35 @@
         answer: Option<(AnswerHead, Bytes)>,
     ) {
         match outcome {
-            Outcome::Served | Outcome::Error | Outcome::Full => self.reach.borrow_mut().heard(),
+            Outcome::Served | Outcome::Error | Outcome::Full => {
+                self.reachability.borrow_mut().on_response()
+            }
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-                self.reach.borrow_mut().failed(server, Instant::now());
+                self.reachability.borrow_mut().on_failed(server, Instant::now());
             }
             Outcome::Cancelled | Outcome::Moot => {}
         }
         let mut finished = true;
-        if let Some(request) = self.core.borrow_mut().requests.get_mut(&id) {
-            if let Some(out) = request.attempts.get_mut(attempt) {
-                *out = None;
+        if let Some(request) = self.state.borrow_mut().requests.get_mut(&id) {
+            if let Some(cancel) = request.attempts.get_mut(attempt) {
+                *cancel = None;
             }
-            request.touched |= !outcome.never_ran();
+            request.ended_attempt_may_have_run |= !outcome.never_ran();
             if request.streaming == Some(attempt) {
                 request.streaming = None;
-                // Of a caller that is gone any count will do.
+                // If the client is gone, it does not matter which count is used.
                 let served = outcome == Outcome::Served;
-                let how = if served { Disposition::Succeeded } else { Disposition::Aborted };
-                self.figures.ended(request.class, how);
+                let disposition =
+                    if served { Disposition::Succeeded } else { Disposition::Aborted };
+                self.figures.request_ended(request.class, disposition);
             }
             if let Some((head, body)) = answer
                 && let Some(reply) = request.reply.take()
             {
-                self.figures.ended(request.class, Disposition::Succeeded);
+                self.figures.request_ended(request.class, Disposition::Succeeded);
                 let _ = reply.send(Reply::Served(head, body));
             }
-            finished = request.ended();
+            finished = request.is_closed();
             if finished {
                 request.withdraw();
             }
@@ -244,6 +259,6 @@
         if let Some(fleet) = self.fleet.get() {
             fleet.saw(server, outcome, latency);
         }
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 }
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -1,4 +1,4 @@
-//! Lists of servers on their way to the decisions, and where each server is.
+//! Applies server lists, and keeps the address and admission of each server.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -27,10 +27,10 @@
     }
 }
 
-/// The driver, as the fleet's words reach it.
-struct Hearer(Weak<Driver>);
+/// Forwards verdicts of the fleet to the driver.
+struct VerdictListener(Weak<Driver>);
 
-impl StandingSink for Hearer {
+impl StandingSink for VerdictListener {
     fn stands(&self, server: ServerId, standing: Standing) {
         if let Some(driver) = self.0.upgrade() {
             driver.event(Event::Stands { server, standing });
@@ -38,9 +38,9 @@
     }
 }
 
-/// What attempts at a server go by from now on. One that may get nothing new, and one that is not what it was,
-/// ends what held before.
-fn admitted(before: Option<&ListedServer>, host: &Host, dial: SocketAddr) -> Admission {
+/// Returns the admission for new attempts at a server. If the server may get nothing new, or has moved or restarted,
+/// the previous admission is revoked.
+fn admission_for(before: Option<&ListedServer>, host: &Host, dial: SocketAddr) -> Admission {
     let admission = match before {
         Some(before) => {
             let same = before.dial == dial && before.born_ms == host.born_ms;
@@ -60,92 +60,92 @@
 }
 
 impl Driver {
-    /// What is met at servers goes to the fleet from now on, and what it makes of them to the decisions.
-    pub fn shares_with(self: &Rc<Driver>, fleet: &Rc<Fleet>) {
-        // It is set once, as the engine starts.
+    /// Shares observations of servers with the fleet from now on, and takes the fleet's verdicts.
+    pub fn share_evidence_with(self: &Rc<Driver>, fleet: &Rc<Fleet>) {
+        // This is called once, when the engine starts.
         let _ = self.fleet.set(fleet.clone());
-        fleet.tell_standings_to(Box::new(Hearer(Rc::downgrade(self))));
+        fleet.tell_standings_to(Box::new(VerdictListener(Rc::downgrade(self))));
     }
 
-    /// A list of servers, or what changed in it.
+    /// Applies a list of servers, or changes of one.
     pub fn apply_list(self: &Rc<Driver>, kind: ListKind, list: &List) {
         {
-            let mut core = self.core.borrow_mut();
+            let mut state = self.state.borrow_mut();
             if kind != ListKind::Changes {
-                // What a whole list lacks is gone.
+                // Servers that are missing in a complete list are gone.
                 let listed: HashSet<ServerId> = list.hosts.iter().map(Host::id).collect();
-                let mut lacking = Vec::new();
-                core.servers.retain(|id, server| {
+                let mut unlisted = Vec::new();
+                state.servers.retain(|id, server| {
                     let kept = listed.contains(id);
                     if !kept {
                         server.admission.revoke();
                         self.upstream.close_idle(*id, true);
-                        lacking.push(*id);
+                        unlisted.push(*id);
                     }
                     kept
                 });
                 if let Some(fleet) = self.fleet.get() {
-                    fleet.unlisted(&lacking);
+                    fleet.unlisted(&unlisted);
                 }
             }
             for host in &list.hosts {
                 let id = host.id();
-                // Danger: servers are ever new. One that is gone gets nothing more, and neither
-                // its address nor a connection to it is kept.
+                // A server that is gone gets no further requests, and its address and connections are dropped. New
+                // servers appear all the time, so keeping old ones would use memory without bound.
                 if host.is_gone() {
-                    if let Some(server) = core.servers.remove(&id) {
+                    if let Some(server) = state.servers.remove(&id) {
                         server.admission.revoke();
                     }
                     self.upstream.close_idle(id, true);
                     continue;
                 }
                 let Some(dial) = host.dial else { continue };
-                let before = core.servers.get(&id);
+                let before = state.servers.get(&id);
                 if before.is_some_and(|before| before.dial != dial) {
                     self.upstream.close_idle(id, false);
                 }
-                let admission = admitted(before, host, dial);
-                core.servers.insert(id, ListedServer { dial, born_ms: host.born_ms, admission });
+                let admission = admission_for(before, host, dial);
+                state.servers.insert(id, ListedServer { dial, born_ms: host.born_ms, admission });
             }
-            core.listed |= !list.hosts.is_empty();
-            if core.listed {
+            state.listed |= !list.hosts.is_empty();
+            if state.listed {
                 self.first_list.notify_waiters();
             }
         }
         let entries: Vec<_> = list.hosts.iter().map(|h| self.names.entry(h)).collect();
         self.event(Event::Servers { kind, entries: &entries });
         if let Some(fleet) = self.fleet.get() {
-            // Danger: an old list that names a server anew would bring it back.
+            // An old list that names a dead server again would otherwise bring it back.
             for (server, standing) in fleet.listed(&entries) {
                 self.event(Event::Stands { server, standing });
             }
         }
     }
 
-    /// Told by discovery that the list is as new as it can be.
+    /// The clock by which discovery confirms that the list is current.
     pub fn list_clock(&self) -> Rc<ListClock> {
         self.list_clock.clone()
     }
 
-    /// Waits until the list is as new as it can be, for 0.1 s at most. To be awaited before [`Driver::request`],
-    /// and before what may have a request repeated.
+    /// Waits until the list is current, for 0.1 s at most. Await it before [`Driver::request`], and before anything
+    /// that may cause a retry.
     ///
-    /// Without this, requests that came while this process stood still go to servers that drain by now, or that have
-    /// just started anew.
+    /// Without this, requests that arrived while this process was paused go to servers that have started to drain or
+    /// have just restarted.
     pub async fn wait_for_current_list(&self) {
         self.list_clock.current().await;
     }
 
     /// Whether any server was ever listed.
     pub fn has_listed_servers(&self) -> bool {
-        self.core.borrow().listed
+        self.state.borrow().listed
     }
 
-    /// Waits until some server was listed.
+    /// Waits until a server is listed.
     pub async fn wait_for_first_list(&self) {
-        let told = self.first_list.notified();
+        let notified = self.first_list.notified();
         if !self.has_listed_servers() {
-            told.await;
+            notified.await;
         }
     }
 }
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -1,11 +1,10 @@
-//! The sole owner of the decisions. What happens on sockets goes in as events; every action that
-//! comes out is carried out here, in order. Nothing else reasons about servers, retries or
-//! refusals.
+//! The sole owner of the balancer. Whatever happens on sockets is passed to it as events, and each action that it
+//! returns is executed here, in order. No other module decides about servers, retries or refusals.
 
 mod attempts;
 mod membership;
 mod pauses;
-mod reach;
+mod reachability;
 mod request;
 mod timers;
 
@@ -35,49 +34,50 @@
 use crate::upstream::{Admission, AttemptRequest, SystemCalls, Upstream};
 
 use pauses::Pauses;
-use reach::Reach;
-use request::Pending;
+use reachability::Reachability;
+use request::PendingRequest;
 pub use request::{Reply, RequestHead, StreamingReply, Ticket};
 use timers::Timers;
 
-/// A final answer should be on its way this long before the client stops waiting: to get there takes
-/// one or two milliseconds. Of a hurried client's time it is this share at most; the rest is the server's.
-const MARGIN: Duration = Duration::from_millis(5);
-const MARGIN_SHARE: u32 = 20;
+/// The final answer should be sent this long before the client stops waiting: delivery takes one or two milliseconds.
+/// For impatient clients the margin is at most this fraction of their time; the rest is the server's.
+const REPLY_MARGIN: Duration = Duration::from_millis(5);
+const REPLY_MARGIN_DIVISOR: u32 = 20;
 
-/// How long a server has for a connection that only tells whether it is there.
-const TRIAL: Duration = Duration::from_millis(500);
+/// Timeout of a connection that only tests whether a server is reachable.
+const CONNECT_TEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A server of the list.
 #[derive(Clone)]
 struct ListedServer {
     dial: SocketAddr,
     born_ms: u64,
-    /// What attempts go by that are decided on from now on.
+    /// The admission of attempts that are decided from now on.
     admission: Admission,
 }
 
-struct Core {
+/// The mutable state of a driver.
+struct DriverState {
     balancer: Balancer,
-    requests: FxHashMap<RequestId, Pending>,
+    requests: FxHashMap<RequestId, PendingRequest>,
     next_id: u64,
     servers: FxHashMap<ServerId, ListedServer>,
     listed: bool,
 }
 
-/// Owns the decisions and carries them out.
+/// Owns the balancer and executes its actions.
 pub struct Driver {
-    core: RefCell<Core>,
+    state: RefCell<DriverState>,
     clock: (Micros, Instant),
     names: Arc<Names>,
     upstream: Rc<Upstream>,
     discovery: mpsc::UnboundedSender<DiscoveryCommand>,
     peers: Option<Rc<dyn PeerSender>>,
-    /// The other sidecars, where evidence is shared with them.
+    /// The view of the fleet, if evidence is shared with other sidecars.
     fleet: OnceCell<Rc<Fleet>>,
-    reach: RefCell<Reach>,
+    reachability: RefCell<Reachability>,
     probe_reports: bool,
-    /// Room for actions, kept between events.
+    /// A buffer for actions that is reused between events.
     actions: Cell<Vec<Action>>,
     timers: Timers,
     pauses: Pauses,
@@ -86,25 +86,25 @@
     figures: Rc<Figures>,
 }
 
-/// What an engine has under way and holds.
+/// What an engine has in progress and holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Requests whose books are open: unanswered, or with attempts still out.
+    /// Requests that are unanswered or have attempts in flight.
     pub requests: usize,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub attempts: usize,
-    /// Requests that the decisions still know.
+    /// Requests that the balancer still tracks.
     pub undecided: usize,
     /// Connections to servers, by state.
     pub connections: Counts,
-    /// Why connections to servers ended, in numbers so far.
+    /// Why connections to servers ended, as counts since the start.
     pub ended: Ended,
-    /// Calls to the system on connections to servers so far.
+    /// System calls on connections to servers since the start.
     pub calls: SystemCalls,
 }
 
 impl Driver {
-    /// A driver with nothing under way.
+    /// Creates a driver without requests.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -114,11 +114,11 @@
         peers: Option<Rc<dyn PeerSender>>,
         figures: Rc<Figures>,
     ) -> Rc<Driver> {
-        // `born_ms` of servers is Unix time, so the module's clock is, too; it never steps back.
+        // `born_ms` of servers is Unix time, so the balancer's clock is Unix time, too. It never steps back.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clock = (unix.as_micros() as Micros, Instant::now());
         let probe_reports = settings.report.how != ReportHow::Silent;
-        let core = RefCell::new(Core {
+        let state = RefCell::new(DriverState {
             balancer: Balancer::new(settings, seed, clock.0),
             requests: FxHashMap::default(),
             next_id: 0,
@@ -126,14 +126,14 @@
             listed: false,
         });
         let driver = Rc::new(Driver {
-            core,
+            state,
             clock,
             names,
             upstream,
             discovery,
             peers,
             fleet: OnceCell::new(),
-            reach: RefCell::default(),
+            reachability: RefCell::default(),
             probe_reports,
             actions: Cell::default(),
             timers: Timers::default(),
@@ -151,25 +151,25 @@
     }
 
     fn event(self: &Rc<Driver>, event: Event<'_>) {
-        // What is carried out may bring the next event, which then has a list of its own.
+        // Executing an action may cause a nested event, which uses a buffer of its own.
         let mut actions = self.actions.take();
         let now = self.now();
-        self.core.borrow_mut().balancer.handle(now, event, &mut actions);
+        self.state.borrow_mut().balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions.set(actions);
     }
 
-    fn carry_out(self: &Rc<Driver>, action: Action) {
+    fn execute(self: &Rc<Driver>, action: Action) {
         match action {
             Action::Send { id, server, timeout, commit_within } => {
                 self.send(id, server, (timeout, commit_within));
             }
             Action::Cancel { id, attempt } => {
-                let mut core = self.core.borrow_mut();
-                let request = core.requests.get_mut(&id).filter(|r| r.streaming.is_none());
-                // The attempt goes on to be told as cancelled, or as what it came to just now.
+                let mut state = self.state.borrow_mut();
+                let request = state.requests.get_mut(&id).filter(|r| r.streaming.is_none());
+                // The attempt still reports its outcome: cancelled, or whatever it reached just now.
                 let cancel = request.and_then(|r| r.attempts.get_mut(attempt)?.take());
                 if let Some(cancel) = cancel {
                     let _ = cancel.send(());
@@ -178,13 +178,13 @@
             Action::Refuse { id, retry_after } => {
                 let retry_after = (retry_after > 0).then(|| Duration::from_micros(retry_after));
                 let may_have_run =
-                    self.core.borrow().requests.get(&id).is_some_and(Pending::may_have_run);
-                self.end(id, Reply::Refused { retry_after, may_have_run });
+                    self.state.borrow().requests.get(&id).is_some_and(PendingRequest::may_have_run);
+                self.finish_request(id, Reply::Refused { retry_after, may_have_run });
             }
-            Action::Fail { id } => self.end(id, Reply::Failed),
+            Action::Fail { id } => self.finish_request(id, Reply::Failed),
             Action::Timer { delay, token } => self.timers.set(delay, token),
             Action::Probe { server } => {
-                let dial = self.core.borrow().servers.get(&server).map(|s| s.dial);
+                let dial = self.state.borrow().servers.get(&server).map(|s| s.dial);
                 let driver = self.clone();
                 spawn_local(async move {
                     let sent = Instant::now();
@@ -199,7 +199,7 @@
                 });
             }
             Action::CloseIdle { server } => self.upstream.close_idle(server, false),
-            // Discovery runs as long as the driver does.
+            // Discovery runs as long as the driver does, so sending cannot fail.
             Action::Subscribe => drop(self.discovery.send(DiscoveryCommand::Watch)),
             Action::FetchList => drop(self.discovery.send(DiscoveryCommand::Fetch)),
             Action::Tell { peer, data } => {
@@ -211,155 +211,165 @@
         }
     }
 
-    /// Takes a whole request.
-    pub fn request(self: &Rc<Driver>, asked: RequestHead, spec: AttemptRequest) -> Ticket {
-        let (reply, waiting) = oneshot::channel();
+    /// Takes a request.
+    pub fn request(
+        self: &Rc<Driver>,
+        head: RequestHead,
+        attempt_request: AttemptRequest,
+    ) -> Ticket {
+        let (sender, receiver) = oneshot::channel();
         let id = {
-            let mut core = self.core.borrow_mut();
-            core.next_id += 1;
-            let id = RequestId(core.next_id);
-            let pending = Pending {
-                class: asked.class,
-                reply: Some(reply),
-                spec: Some(Rc::new(spec)),
+            let mut state = self.state.borrow_mut();
+            state.next_id += 1;
+            let id = RequestId(state.next_id);
+            let pending = PendingRequest {
+                class: head.class,
+                reply: Some(sender),
+                attempt_request: Some(Rc::new(attempt_request)),
                 attempts: Vec::new(),
                 uploading: None,
                 streaming: None,
-                touched: false,
+                ended_attempt_may_have_run: false,
             };
-            core.requests.insert(id, pending);
+            state.requests.insert(id, pending);
             id
         };
-        let margin = MARGIN.min(asked.left / MARGIN_SHARE);
+        let margin = REPLY_MARGIN.min(head.left / REPLY_MARGIN_DIVISOR);
         self.event(Event::Request(NewRequest {
             id,
-            class: asked.class,
-            tenant: asked.tenant,
-            key: asked.key,
-            left: (asked.left - margin).as_micros() as Micros,
-            hint: asked.hint,
-            repeat: asked.repeat,
+            class: head.class,
+            tenant: head.tenant,
+            key: head.key,
+            left: (head.left - margin).as_micros() as Micros,
+            hint: head.hint,
+            repeat: head.repeat,
         }));
-        Ticket { id, driver: self.clone(), reply: waiting }
+        Ticket { id, driver: self.clone(), reply: receiver }
     }
 
     fn client_gone(self: &Rc<Driver>, id: RequestId) {
         {
-            let mut core = self.core.borrow_mut();
-            let Some(request) = core.requests.get_mut(&id).filter(|r| !r.ended()) else {
+            let mut state = self.state.borrow_mut();
+            let Some(request) = state.requests.get_mut(&id).filter(|r| !r.is_closed()) else {
                 return;
             };
             request.reply = None;
             request.withdraw();
-            // The decisions call off nothing whose bytes pass from side to side.
+            // The balancer does not cancel an attempt that streams a body or an answer.
             let uploading = request.uploading.and_then(|n| request.attempts.get_mut(n)?.take());
             if let Some(cancel) = uploading {
                 let _ = cancel.send(());
             }
             if request.streaming.is_some() {
-                // The attempt itself finds nobody to pass the answer on to.
+                // The attempt itself notices that the client is gone.
                 return;
             }
         }
         self.event(Event::ClientGone { id });
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    /// What is under way and held here.
+    /// What the engine has in progress and holds.
     pub fn usage(&self) -> Usage {
-        let core = self.core.borrow();
-        let out = |r: &Pending| r.attempts.iter().filter(|a| a.is_some()).count();
+        let state = self.state.borrow();
+        let in_flight = |r: &PendingRequest| r.attempts.iter().filter(|a| a.is_some()).count();
         Usage {
-            requests: core.requests.len(),
-            attempts: core.requests.values().map(out).sum(),
-            undecided: core.balancer.open(),
+            requests: state.requests.len(),
+            attempts: state.requests.values().map(in_flight).sum(),
+            undecided: state.balancer.open(),
             connections: self.upstream.counts(),
             ended: self.upstream.ended(),
             calls: self.upstream.calls(),
         }
     }
 
-    /// What the settings would be if `new` followed those in force now; `held` tells of places of retired
-    /// classes that something beside open requests still goes by.
-    pub fn settings_with(&self, new: Settings, held: impl Fn(usize) -> bool) -> Settings {
-        let core = self.core.borrow();
-        let balancer = &core.balancer;
-        balancer.settings().followed_by(new, |place| held(place) || balancer.uses_class(place))
+    /// Merges `new` settings with those in force. `held` says whether a retired class at an index is still used by
+    /// something besides open requests.
+    pub fn merge_settings(&self, new: Settings, held: impl Fn(usize) -> bool) -> Settings {
+        let state = self.state.borrow();
+        let balancer = &state.balancer;
+        balancer.settings().followed_by(new, |index| held(index) || balancer.uses_class(index))
     }
 
-    /// Takes settings of [`Driver::settings_with`].
+    /// Takes the settings that [`Driver::merge_settings`] returned.
     pub fn apply_settings(&self, settings: Settings) {
-        self.core.borrow_mut().balancer.retune(settings);
+        self.state.borrow_mut().balancer.retune(settings);
     }
 
-    /// Servers on the list, and those of them that are avoided.
+    /// The number of listed servers, and how many of them are avoided.
     pub fn server_counts(&self) -> ServerCounts {
-        self.core.borrow().balancer.server_counts()
+        self.state.borrow().balancer.server_counts()
     }
 
-    /// The class at this place of the settings.
-    pub fn class(&self, place: usize) -> Option<Class> {
-        self.core.borrow().balancer.settings().classes.get(place).cloned()
+    /// The class at this index of the settings.
+    pub fn class(&self, index: usize) -> Option<Class> {
+        self.state.borrow().balancer.settings().classes.get(index).cloned()
     }
 
-    /// Whether clients that are refused are told when to come back.
+    /// Whether refusals carry a time to retry after.
     pub fn sends_retry_after(&self) -> bool {
-        self.core.borrow().balancer.settings().limits.retry_after
+        self.state.borrow().balancer.settings().limits.retry_after
     }
 
-    /// The longest deadline of a class in force.
+    /// The longest deadline of the classes in force.
     pub fn longest_deadline(&self) -> Duration {
-        let longest = self.core.borrow().balancer.settings().longest(|c| c.deadline);
+        let longest = self.state.borrow().balancer.settings().longest(|c| c.deadline);
         Duration::from_micros(longest)
     }
 
-    /// Whether no server can be reached, for all that is known here. Once that is so it stays so until one answers
-    /// or takes a connection ([`Driver::try_connect`]).
+    /// Whether no server can be reached, as far as is known. Once true, it stays true until a server answers or
+    /// accepts a connection ([`Driver::try_connect`]).
     pub fn is_isolated(&self) -> bool {
-        let core = self.core.borrow();
-        let patience = Duration::from_micros(core.balancer.settings().longest(|c| c.aim));
-        self.reach.borrow_mut().is_isolated(Instant::now(), core.servers.len(), patience)
+        let state = self.state.borrow();
+        let response_timeout = Duration::from_micros(state.balancer.settings().longest(|c| c.aim));
+        self.reachability.borrow_mut().is_isolated(
+            Instant::now(),
+            state.servers.len(),
+            response_timeout,
+        )
     }
 
-    /// Tries whether one server takes a connection, the `nth` of those that are listed; nothing is sent on it.
+    /// Tests whether the `nth` listed server accepts a connection. Nothing is sent on it.
     pub async fn try_connect(&self, nth: usize) -> bool {
         let dial = {
-            let core = self.core.borrow();
-            let mut dials: Vec<SocketAddr> = core.servers.values().map(|s| s.dial).collect();
+            let state = self.state.borrow();
+            let mut dials: Vec<SocketAddr> = state.servers.values().map(|s| s.dial).collect();
             dials.sort_unstable();
             (!dials.is_empty()).then(|| dials[nth % dials.len()])
         };
         let Some(dial) = dial else { return false };
-        let connected = tokio::time::timeout(TRIAL, tokio::net::TcpStream::connect(dial)).await;
-        let well = matches!(connected, Ok(Ok(_)));
-        if well {
-            self.reach.borrow_mut().heard();
+        let connected =
+            tokio::time::timeout(CONNECT_TEST_TIMEOUT, tokio::net::TcpStream::connect(dial)).await;
+        let is_reachable = matches!(connected, Ok(Ok(_)));
+        if is_reachable {
+            self.reachability.borrow_mut().on_response();
         }
-        well
+        is_reachable
     }
 
-    /// Requests that are taken and have no end yet.
+    /// Number of requests that have not ended.
     pub fn outstanding(&self) -> usize {
-        self.core.borrow().requests.values().filter(|r| !r.ended()).count()
+        self.state.borrow().requests.values().filter(|r| !r.is_closed()).count()
     }
 
-    fn end(self: &Rc<Driver>, id: RequestId, reply: Reply) {
-        if let Some(request) = self.core.borrow_mut().requests.get_mut(&id) {
+    fn finish_request(self: &Rc<Driver>, id: RequestId, reply: Reply) {
+        if let Some(request) = self.state.borrow_mut().requests.get_mut(&id) {
             request.withdraw();
-            if let Some(to) = request.reply.take() {
+            if let Some(sender) = request.reply.take() {
                 let refused = matches!(reply, Reply::Refused { .. });
-                let how = if refused { Disposition::Declined } else { Disposition::Aborted };
-                self.figures.ended(request.class, how);
-                let _ = to.send(reply);
+                let disposition =
+                    if refused { Disposition::Declined } else { Disposition::Aborted };
+                self.figures.request_ended(request.class, disposition);
+                let _ = sender.send(reply);
             }
         }
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    fn forget(&self, id: RequestId) {
-        let mut core = self.core.borrow_mut();
-        if core.requests.get(&id).is_some_and(Pending::forgettable) {
-            core.requests.remove(&id);
+    fn remove_if_finished(&self, id: RequestId) {
+        let mut state = self.state.borrow_mut();
+        if state.requests.get(&id).is_some_and(PendingRequest::is_finished) {
+            state.requests.remove(&id);
         }
     }
 }
--- a/crates/millethook-engine/src/driver/request.rs
+++ b/crates/millethook-engine/src/driver/request.rs
@@ -1,4 +1,4 @@
-//! Requests as the driver has them: what they ask for, what becomes of them.
+//! Requests in the driver: their properties and their state.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,57 +10,57 @@
 use super::Driver;
 use crate::upstream::{AnswerHead, AttemptRequest};
 
-/// What a client's request says of itself.
+/// Properties of a client's request.
 pub struct RequestHead {
-    /// Its class's place in the settings.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// Whether its class may be sent again once it may have run.
+    /// Whether its class allows a retry after it may have run.
     pub repeatable: bool,
     /// Whether its answer may be long.
     pub streaming: bool,
     /// Answers within this time count in full.
     pub aim: Duration,
-    /// Its tenant's place in the settings.
+    /// The index of its tenant in the settings.
     pub tenant: usize,
-    /// What it is about; 0: unknown.
+    /// A key of the object that it concerns. 0: unknown.
     pub key: u64,
     /// How long the client will wait.
     pub left: Duration,
-    /// The client's guess at the work.
+    /// The client's estimate of the work.
     pub hint: Option<Micros>,
-    /// A client's repeat.
+    /// Whether the client has sent it before.
     pub repeat: bool,
 }
 
 /// The final answer to a request.
 pub enum Reply {
-    /// A server's answer, whole.
+    /// A complete answer of a server.
     Served(AnswerHead, Bytes),
-    /// A server's answer that is still coming in.
+    /// An answer of a server that is still arriving.
     Streaming(StreamingReply),
-    /// Trying again is harmless.
+    /// The request was refused; a retry is harmless.
     Refused {
-        /// When to, if told.
+        /// When to retry, if the client is told.
         retry_after: Option<Duration>,
-        /// Some attempt may have run, which for its class does no harm.
+        /// An attempt may have run, which is harmless for its class.
         may_have_run: bool,
     },
-    /// No promise: it may have run.
+    /// The request failed; it may have run.
     Failed,
 }
 
-/// A long answer as the client gets it.
+/// A long answer on its way to the client.
 pub struct StreamingReply {
-    /// Its head.
+    /// Status and header fields.
     pub head: AnswerHead,
-    /// Its length, if it was announced.
+    /// The length, if the server announced it.
     pub length: Option<u64>,
-    /// Its pieces. They end with `Ok(None)` if the answer is whole.
+    /// The pieces of the body. They end with `Some(None)` only if the answer is complete.
     pub pieces: mpsc::Receiver<Option<Bytes>>,
 }
 
-/// A request that the driver has taken. Dropping it before its final answer is written means that
-/// the client has gone.
+/// A request that the driver has accepted. Dropping it before its final answer is written means that the client is
+/// gone.
 pub struct Ticket {
     pub(super) id: RequestId,
     pub(super) driver: Rc<Driver>,
@@ -68,7 +68,7 @@
 }
 
 impl Ticket {
-    /// The final answer.
+    /// Waits for the final answer.
     pub async fn reply(&mut self) -> Reply {
         (&mut self.reply).await.unwrap_or(Reply::Failed)
     }
@@ -80,40 +80,41 @@
     }
 }
 
-pub(super) struct Pending {
-    /// Its class's place in the settings.
+/// A request that the driver still tracks.
+pub(super) struct PendingRequest {
+    /// The index of its class in the settings.
     pub class: usize,
     pub reply: Option<oneshot::Sender<Reply>>,
-    /// None once no further attempt can need it.
-    pub spec: Option<Rc<AttemptRequest>>,
-    /// What calls off each attempt that is out.
+    /// `None` once no further attempt can need it.
+    pub attempt_request: Option<Rc<AttemptRequest>>,
+    /// For each attempt in flight, the channel that cancels it.
     pub attempts: Vec<Option<oneshot::Sender<()>>>,
-    /// The attempt to which the body is being passed on.
+    /// The attempt that streams the body.
     pub uploading: Option<usize>,
-    /// The attempt whose long answer is being passed on.
+    /// The attempt whose long answer is passed on.
     pub streaming: Option<usize>,
-    /// An attempt that is over may have run.
-    pub touched: bool,
+    /// An attempt that has ended may have run.
+    pub ended_attempt_may_have_run: bool,
 }
 
-impl Pending {
-    /// No attempt may begin any more: it has its answer, or its client has gone.
+impl PendingRequest {
+    /// Prevents further attempts: the request has its answer, or its client is gone.
     pub fn withdraw(&mut self) {
-        if let Some(spec) = self.spec.take() {
-            spec.withdrawn.set(true);
+        if let Some(attempt_request) = self.attempt_request.take() {
+            attempt_request.withdrawn.set(true);
         }
     }
 
-    pub fn ended(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.reply.is_none() && self.streaming.is_none()
     }
 
-    /// Whether some attempt has run or may yet, for all that is known.
+    /// Whether an attempt has run or may still run, as far as is known.
     pub fn may_have_run(&self) -> bool {
-        self.touched || self.attempts.iter().any(Option::is_some)
+        self.ended_attempt_may_have_run || self.attempts.iter().any(Option::is_some)
     }
 
-    pub fn forgettable(&self) -> bool {
-        self.ended() && self.attempts.iter().all(Option::is_none)
+    pub fn is_finished(&self) -> bool {
+        self.is_closed() && self.attempts.iter().all(Option::is_none)
     }
 }
--- a/crates/millethook-engine/src/driver/timers.rs
+++ b/crates/millethook-engine/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! The decisions' timers.
+//! The balancer's timers.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -9,82 +9,83 @@
 use coppercart::api::{Event, Micros};
 use tokio::sync::Notify;
 
-use super::{Driver, MARGIN};
+use super::{Driver, REPLY_MARGIN};
 
-/// Timers that ran out in a pause of this process wait for so long, until the answers that came in it are read.
-const CATCH_UP: Duration = Duration::from_millis(25);
+/// Timers that expired in a pause of this process are postponed by this, until the answers that arrived in it are
+/// read.
+const CATCH_UP_DELAY: Duration = Duration::from_millis(25);
 
-/// Timers that are set, the next to run out first.
+/// The timers that are set, the next to expire first.
 ///
-/// Danger: a task for each would cost a sidecar memory for as long as clients say that they wait; here
-/// one is a few bytes.
+/// With a task for each timer, a sidecar's memory would grow with the deadlines that clients state. Here a timer
+/// takes a few bytes.
 #[derive(Default)]
 pub(super) struct Timers {
-    set: RefCell<BinaryHeap<Reverse<(Instant, u32)>>>,
-    /// Told of one that runs out before all others.
-    sooner: Notify,
+    heap: RefCell<BinaryHeap<Reverse<(Instant, u32)>>>,
+    /// Notified when a timer is set that expires before all others.
+    earlier_timer_set: Notify,
 }
 
 impl Timers {
-    /// Sets one.
+    /// Sets a timer.
     pub fn set(&self, delay: Micros, token: u32) {
         let at = Instant::now() + Duration::from_micros(delay);
-        let mut set = self.set.borrow_mut();
-        let first = set.peek().is_none_or(|Reverse((next, _))| at < *next);
-        set.push(Reverse((at, token)));
+        let mut heap = self.heap.borrow_mut();
+        let first = heap.peek().is_none_or(|Reverse((next, _))| at < *next);
+        heap.push(Reverse((at, token)));
         if first {
-            self.sooner.notify_one();
+            self.earlier_timer_set.notify_one();
         }
     }
 
-    /// Sets those that ran out by `until` anew, for `later` and in the same order.
-    fn put_off(&self, until: Instant, later: Instant) {
-        let mut set = self.set.borrow_mut();
-        let mut ran_out = Vec::new();
-        while set.peek().is_some_and(|Reverse((at, _))| *at <= until) {
-            ran_out.extend(set.pop());
+    /// Sets the timers that expired by `until` again, at `new_time` and in the same order.
+    fn postpone(&self, until: Instant, new_time: Instant) {
+        let mut heap = self.heap.borrow_mut();
+        let mut expired = Vec::new();
+        while heap.peek().is_some_and(|Reverse((at, _))| *at <= until) {
+            expired.extend(heap.pop());
         }
-        let mut at = later;
-        for Reverse((_, token)) in ran_out {
-            set.push(Reverse((at, token)));
+        let mut at = new_time;
+        for Reverse((_, token)) in expired {
+            heap.push(Reverse((at, token)));
             at += Duration::from_nanos(1);
         }
     }
 
-    /// One that has run out, or when the next one does.
+    /// Returns a timer that has expired, or the time at which the next one does.
     fn due(&self, now: Instant) -> Result<u32, Option<Instant>> {
-        let mut set = self.set.borrow_mut();
-        let Some(Reverse((at, token))) = set.peek().copied() else { return Err(None) };
+        let mut heap = self.heap.borrow_mut();
+        let Some(Reverse((at, token))) = heap.peek().copied() else { return Err(None) };
         if at > now {
             return Err(Some(at));
         }
-        set.pop();
+        heap.pop();
         Ok(token)
     }
 }
 
 impl Driver {
-    /// Tells the decisions of their timers as they run out.
+    /// Reports timers to the balancer when they expire.
     pub(super) async fn run_timers(self: Rc<Driver>) {
         loop {
             let now = Instant::now();
-            // Danger: after a pause of this process the timers that ran out in it would come before the answers
-            // that are waiting on sockets. All servers would look late alike, as in an overload, and what comes
-            // next would be refused for about a second. What this puts off is late already, and is not put off
-            // twice; it could harm where servers do stop answering in the same moment, for `CATCH_UP`.
-            self.pauses.look(now);
+            // After a pause of this process, the timers that expired in it would be handled before the answers that
+            // wait on sockets. All servers would look late at once, as in an overload, and requests would be refused
+            // for about a second. The postponed timers are late already, and are not postponed twice. The cost: where
+            // servers really stop answering at that moment, this is noticed later by `CATCH_UP_DELAY`.
+            self.pauses.check(now);
             if self.pauses.take_ended() {
-                self.timers.put_off(now - MARGIN, now + CATCH_UP);
+                self.timers.postpone(now - REPLY_MARGIN, now + CATCH_UP_DELAY);
             }
             let next = self.timers.due(now);
-            self.pauses.expect(next.as_ref().err().copied().flatten());
+            self.pauses.expect_wakeup(next.as_ref().err().copied().flatten());
             match next {
                 Ok(token) => self.event(Event::Timer { token }),
                 Err(Some(at)) => tokio::select! {
                     () = tokio::time::sleep_until(at.into()) => {}
-                    () = self.timers.sooner.notified() => {}
+                    () = self.timers.earlier_timer_set.notified() => {}
                 },
-                Err(None) => self.timers.sooner.notified().await,
+                Err(None) => self.timers.earlier_timer_set.notified().await,
             }
         }
     }
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -167,7 +167,7 @@
             figures.clone(),
         );
         if let Some(fleet) = &fleet {
-            driver.shares_with(fleet);
+            driver.share_evidence_with(fleet);
         }
         let version = config.initial_list.as_ref().map_or(0, |known| known.seq);
         let keeper = config.membership_store.map(|(fleet, keeper)| {
@@ -261,14 +261,14 @@
             let names = before.iter().chain([&present]);
             names.flat_map(|names| names.classes.values()).any(|class| class.index == place)
         };
-        let settings = self.driver.settings_with(new, held);
+        let settings = self.driver.merge_settings(new, held);
         let names = Arc::new(Names::new(&settings, raw)?);
         let longest = Duration::from_micros(settings.longest(|c| c.deadline));
         self.longest_deadline.set(longest.max(self.longest_deadline.get()));
         self.call_limits.set(CallLimits::from(&settings));
         self.upstream.set_reuse(self.reuse.unwrap_or_else(|| usual_reuse(&settings)));
         self.driver.apply_settings(settings);
-        self.figures.renamed(&names);
+        self.figures.set_classes(&names);
         before.push(self.names.replace(names.clone()));
         Ok(names)
     }
--- a/crates/millethook-engine/src/figures.rs
+++ b/crates/millethook-engine/src/figures.rs
@@ -53,13 +53,13 @@
     /// No counts yet, for the classes of `names`.
     pub fn new(names: &Names) -> Figures {
         let figures = Figures::default();
-        figures.renamed(names);
+        figures.set_classes(names);
         figures
     }
 
     /// The classes are those of `names` from now on. Places that `names` lacks keep their lines: requests
     /// of theirs may be open.
-    pub fn renamed(&self, names: &Names) {
+    pub fn set_classes(&self, names: &Names) {
         let mut classes: Vec<_> = names.classes.iter().map(|(name, of)| (of.index, name)).collect();
         classes.sort_unstable();
         let mut places = self.places.borrow_mut();
@@ -87,11 +87,11 @@
     }
 
     /// A request of the class at this place of the settings has ended.
-    pub fn ended(&self, class: usize, how: Disposition) {
+    pub fn request_ended(&self, class: usize, disposition: Disposition) {
         let places = self.places.borrow();
         let Some(line) = places.get(class) else { return };
         let mut counts = line.counts.get();
-        *match how {
+        *match disposition {
             Disposition::Succeeded => &mut counts.succeeded,
             Disposition::Declined => &mut counts.declined,
             Disposition::Aborted => &mut counts.aborted,
@@ -140,12 +140,12 @@
     #[test]
     fn a_class_keeps_its_counts_at_a_new_place() {
         let figures = Figures::new(&names(&[("look", 0), ("order", 1)]));
-        figures.ended(1, Disposition::Succeeded);
-        figures.renamed(&names(&[("look", 0), ("order", 2), ("page", 3)]));
+        figures.request_ended(1, Disposition::Succeeded);
+        figures.set_classes(&names(&[("look", 0), ("order", 2), ("page", 3)]));
         // One that was open at the old place, and one at the new.
-        figures.ended(1, Disposition::Aborted);
-        figures.ended(2, Disposition::Succeeded);
-        figures.ended(9, Disposition::Succeeded);
+        figures.request_ended(1, Disposition::Aborted);
+        figures.request_ended(2, Disposition::Succeeded);
+        figures.request_ended(9, Disposition::Succeeded);
         let expected = Dispositions { succeeded: 2, declined: 0, aborted: 1 };
         let order = figures.by_class().into_iter().find(|(name, _)| name == "order");
         assert_eq!(order, Some(("order".to_owned(), expected)));
@@ -156,8 +156,8 @@
     fn ever_new_classes_share_a_line_in_the_end() {
         let figures = Figures::default();
         for n in 0..3 * MOST_CLASSES {
-            figures.renamed(&names(&[(&format!("class-{n}"), n)]));
-            figures.ended(n, Disposition::Declined);
+            figures.set_classes(&names(&[(&format!("class-{n}"), n)]));
+            figures.request_ended(n, Disposition::Declined);
         }
         let by_class = figures.by_class();
         assert_eq!(by_class.len(), MOST_CLASSES + 1);
