--- a/crates/millethook-engine/src/budget.rs
+++ b/crates/millethook-engine/src/budget.rs
@@ -1,6 +1,6 @@
-//! What a process may hold: sockets for clients and servers, and bytes of requests' bodies.
+//! Resource limits of a process: sockets for clients and servers, and bytes of request bodies.
 //!
-//! Several engines of one process may share a budget: all of it may be used from any thread.
+//! Several engines of one process may share a budget and use all of it from any thread.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 use std::time::Duration;
@@ -8,71 +8,71 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// The longest body of a request, as the protocol has it.
+/// The longest request body that the protocol allows.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Descriptors that are neither a client's nor a server's: the listener, the event queue,
-/// discovery, peers, standard streams, and those whose closing is still under way.
-const RESERVE: usize = 32;
-/// So many of them are for clients' connections that are ending.
-const CLOSING: usize = 16;
-/// More connections than this would need more memory than they serve.
-const MOST: usize = 4096;
-
-/// The sockets, by what they are for.
+/// Descriptors that belong neither to clients nor to servers: the listener, the event queue, discovery, peers,
+/// standard streams, and sockets that are still being closed.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Of these, the number for client connections that are closing.
+const CLOSING_CLIENTS: usize = 16;
+/// More connections than this need more memory than they are worth.
+const MAX_CONNECTIONS: usize = 4096;
+
+/// The socket budget, by purpose.
 pub struct Sockets {
     /// Connections of clients.
     pub clients: Arc<Semaphore>,
-    /// How many of these there are.
+    /// The total number of `clients` permits.
     pub client_permits: usize,
-    /// Connections of clients that are ending, and make room for others meanwhile.
+    /// Client connections that are closing; they no longer count as `clients`.
     pub closing: Arc<Semaphore>,
     /// Connections to servers.
     pub servers: EnginePermits,
 }
 
-/// A socket's place in the budget, given back when dropped.
+/// Permission to hold a socket, released when dropped.
 pub type Permit = OwnedSemaphorePermit;
 
 impl Sockets {
-    /// Shares out `limit` descriptors. Clients hold a third for requests at most, and some ask once
-    /// and stay; a client has one request out at a time, but its repeat or second copy may need
-    /// another socket before the first is given back. So servers get as many and a little more.
+    /// Divides `limit` descriptors. At most a third are needed for clients with open requests, and some clients stay
+    /// idle. A client has one open request, but its retry or hedge may need a second socket before the first one is
+    /// released. So servers get as many as clients and a few more.
     pub fn new(limit: usize) -> Sockets {
-        let shared = limit.saturating_sub(RESERVE);
-        let clients = (shared * 4 / 9).clamp(4, MOST);
-        let servers = (shared - clients.min(shared)).clamp(4, MOST);
+        let available = limit.saturating_sub(RESERVED_DESCRIPTORS);
+        let clients = (available * 4 / 9).clamp(4, MAX_CONNECTIONS);
+        let servers = (available - clients.min(available)).clamp(4, MAX_CONNECTIONS);
         Sockets {
             clients: Arc::new(Semaphore::new(clients)),
             client_permits: clients,
-            closing: Arc::new(Semaphore::new(CLOSING)),
+            closing: Arc::new(Semaphore::new(CLOSING_CLIENTS)),
             servers: EnginePermits::new(ConnectionPermits::new(servers)),
         }
     }
 
-    /// For engines whose clients need no sockets: all places are for servers.
+    /// For engines whose clients need no sockets: all permits are for servers.
     pub fn for_servers(servers: Arc<ConnectionPermits>) -> Sockets {
-        let none = || Arc::new(Semaphore::new(0));
+        let no_permits = || Arc::new(Semaphore::new(0));
         let servers = EnginePermits::new(servers);
-        Sockets { clients: none(), client_permits: 0, closing: none(), servers }
+        Sockets { clients: no_permits(), client_permits: 0, closing: no_permits(), servers }
     }
 }
 
-/// The places for connections to servers, perhaps of several engines.
+/// Permits for connections to servers, shared by one or more engines.
 pub struct ConnectionPermits {
     free: Arc<Semaphore>,
     total: usize,
-    /// Each engine's [`EnginePermits::wanted`].
+    /// The [`EnginePermits::release_request`] of each engine.
     engines: Mutex<Vec<Weak<Notify>>>,
 }
 
 impl ConnectionPermits {
-    /// So many places.
+    /// Creates `total` permits.
     pub fn new(total: usize) -> Arc<ConnectionPermits> {
         let free = Arc::new(Semaphore::new(total));
         Arc::new(ConnectionPermits { free, total, engines: Mutex::default() })
     }
 
-    /// How many are taken.
+    /// Number of permits in use.
     pub fn in_use(&self) -> usize {
         self.total - self.free.available_permits()
     }
@@ -82,117 +82,118 @@
     }
 }
 
-/// The places for connections to servers as one engine sees them.
+/// The permits for connections to servers, as one engine uses them.
 pub struct EnginePermits {
-    all: Arc<ConnectionPermits>,
-    /// Told when another engine finds no place, and nothing of its own at rest to give up for one.
-    wanted: Arc<Notify>,
+    shared: Arc<ConnectionPermits>,
+    /// Notified when another engine finds no free permit and has no idle connection of its own to close.
+    release_request: Arc<Notify>,
 }
 
 impl EnginePermits {
-    /// One engine more shares these places.
-    pub fn new(all: Arc<ConnectionPermits>) -> EnginePermits {
-        let wanted = Arc::new(Notify::new());
-        let mut engines = all.engines();
+    /// Registers one more engine that shares these permits.
+    pub fn new(shared: Arc<ConnectionPermits>) -> EnginePermits {
+        let release_request = Arc::new(Notify::new());
+        let mut engines = shared.engines();
         engines.retain(|engine| engine.strong_count() > 0);
-        engines.push(Arc::downgrade(&wanted));
+        engines.push(Arc::downgrade(&release_request));
         drop(engines);
-        EnginePermits { all, wanted }
+        EnginePermits { shared, release_request }
     }
 
-    /// A place, if one is free.
-    pub fn try_take(&self) -> Option<Permit> {
-        self.all.free.clone().try_acquire_owned().ok()
+    /// Acquires a permit if one is free.
+    pub fn try_acquire(&self) -> Option<Permit> {
+        self.shared.free.clone().try_acquire_owned().ok()
     }
 
-    /// A place, if one becomes free within `wait`.
-    pub async fn take(&self, wait: Duration) -> Option<Permit> {
-        timeout(wait, self.all.free.clone().acquire_owned()).await.ok()?.ok()
+    /// Acquires a permit if one becomes free within `wait`.
+    pub async fn acquire(&self, wait: Duration) -> Option<Permit> {
+        timeout(wait, self.shared.free.clone().acquire_owned()).await.ok()?.ok()
     }
 
-    /// Asks the other engines that share these places to give up a connection at rest.
+    /// Asks the other engines that share these permits to close an idle connection.
     ///
-    /// Danger: an engine that heard its own call would close a connection that has come to rest for its own requests.
-    pub fn want(&self) {
-        for engine in self.all.engines().iter().filter_map(Weak::upgrade) {
-            if !Arc::ptr_eq(&engine, &self.wanted) {
+    /// An engine that received its own request would close a connection that has just become idle and that its own
+    /// requests need.
+    pub fn request_release(&self) {
+        for engine in self.shared.engines().iter().filter_map(Weak::upgrade) {
+            if !Arc::ptr_eq(&engine, &self.release_request) {
                 engine.notify_one();
             }
         }
     }
 
-    /// Waits until another engine wants a place.
-    pub async fn wanted(&self) {
-        self.wanted.notified().await;
+    /// Waits until another engine asks for a permit.
+    pub async fn release_requested(&self) {
+        self.release_request.notified().await;
     }
 }
 
-/// The bytes that bodies of requests may take together.
+/// The total bytes that request bodies may take.
 ///
-/// Danger: bodies that grow side by side until none may grow any more would wait for each other
-/// for ever. Room for one whole body is kept back for a single leader, which can always finish.
+/// Bodies that grow side by side until none may grow further would wait for each other forever. So room for one whole
+/// body is reserved for a single leader, which can always finish.
 pub struct ByteBudget {
     total: usize,
-    state: Mutex<State>,
+    state: Mutex<BudgetState>,
     freed: Notify,
 }
 
-struct State {
-    free: usize,
+struct BudgetState {
+    free_bytes: usize,
     leader: Option<u64>,
-    next: u64,
+    next_id: u64,
 }
 
 impl ByteBudget {
-    /// A budget of `total` bytes, the leader's among them.
+    /// Creates a budget of `total` bytes, including the leader's reserve.
     pub fn new(total: usize) -> Arc<ByteBudget> {
         let free = total.saturating_sub(MAX_BODY_BYTES).max(1 << 20);
-        let state = Mutex::new(State { free, leader: None, next: 0 });
+        let state = Mutex::new(BudgetState { free_bytes: free, leader: None, next_id: 0 });
         Arc::new(ByteBudget { total: free, state, freed: Notify::new() })
     }
 
-    /// Danger: a host's panic while an account grows must not keep all others from theirs; what the
-    /// lock guards is whole at each of its ends.
-    fn state(&self) -> MutexGuard<'_, State> {
+    /// Ignores poisoning: a panic while a reservation grows must not block all others. The state is consistent
+    /// whenever the lock is released.
+    fn state(&self) -> MutexGuard<'_, BudgetState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An account for one body, empty at first.
+    /// Creates an empty reservation for one body.
     pub fn reservation(self: &Arc<ByteBudget>) -> ByteReservation {
         let mut state = self.state();
-        state.next += 1;
-        ByteReservation { id: state.next, shared: 0, of: Some(self.clone()) }
+        state.next_id += 1;
+        ByteReservation { id: state.next_id, shared_bytes: 0, budget: Some(self.clone()) }
     }
 
-    /// How many bytes are taken, a leader's beyond the shared ones aside.
+    /// Number of bytes in use, without those that a leader takes from the reserve.
     pub fn in_use(&self) -> usize {
-        self.total - self.state().free
+        self.total - self.state().free_bytes
     }
 }
 
-/// What one body has taken of the budget; given back when dropped.
+/// The part of the budget that one body takes; released when dropped.
 #[derive(Default)]
 pub struct ByteReservation {
-    of: Option<Arc<ByteBudget>>,
+    budget: Option<Arc<ByteBudget>>,
     id: u64,
-    shared: usize,
+    shared_bytes: usize,
 }
 
 impl ByteReservation {
-    /// Takes `n` bytes more, waiting until they are to be had. Dropped while it waits, it has taken
-    /// none of them.
-    pub async fn grow(&mut self, n: usize) {
-        let Some(of) = &self.of else { return };
+    /// Takes more bytes, waiting until they are available. If the future is dropped while it waits, none of them are
+    /// taken.
+    pub async fn grow(&mut self, bytes: usize) {
+        let Some(budget) = &self.budget else { return };
         loop {
-            let freed = of.freed.notified();
+            let freed = budget.freed.notified();
             {
-                let mut state = of.state();
+                let mut state = budget.state();
                 if state.leader == Some(self.id) {
                     return;
                 }
-                if state.free >= n {
-                    state.free -= n;
-                    self.shared += n;
+                if state.free_bytes >= bytes {
+                    state.free_bytes -= bytes;
+                    self.shared_bytes += bytes;
                     return;
                 }
                 if state.leader.is_none() {
@@ -207,14 +208,14 @@
 
 impl Drop for ByteReservation {
     fn drop(&mut self) {
-        let Some(of) = &self.of else { return };
+        let Some(budget) = &self.budget else { return };
         {
-            let mut state = of.state();
-            state.free += self.shared;
+            let mut state = budget.state();
+            state.free_bytes += self.shared_bytes;
             if state.leader == Some(self.id) {
                 state.leader = None;
             }
         }
-        of.freed.notify_waiters();
+        budget.freed.notify_waiters();
     }
 }
--- a/crates/millethook-engine/src/discovery/asked.rs
+++ b/crates/millethook-engine/src/discovery/asked.rs
@@ -188,7 +188,7 @@
             }
             (Err(_), State::Watching | State::Idle | State::Stopped) => self.fail(news),
         }
-        self.discovery.config.tried.notify_one();
+        self.discovery.config.call_ended.notify_one();
     }
 
     fn on_list(&mut self, connection: Connection, list: &List, news: &impl MembershipSink) {
@@ -219,7 +219,7 @@
         self.connection = connection;
         self.watches = false;
         news.discovery_failed();
-        self.discovery.config.tried.notify_one();
+        self.discovery.config.call_ended.notify_one();
     }
 
     /// Discovery is elsewhere: what it counts there need not go on from here.
--- a/crates/millethook-engine/src/discovery/mod.rs
+++ b/crates/millethook-engine/src/discovery/mod.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 use coppercart::api::ListKind;
-use coppercart::settings::Discovery as How;
+use coppercart::settings::Discovery as DiscoveryMode;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 use tokio::sync::{Notify, mpsc, watch};
@@ -39,7 +39,7 @@
     /// Where discovery is; brings word when a new configuration moves it.
     pub address: watch::Receiver<SocketAddr>,
     /// Whether it is asked, or pushes.
-    pub how: How,
+    pub mode: DiscoveryMode,
     /// What the settings say about calls, as they are at each time.
     pub limits: Rc<Cell<CallLimits>>,
     /// The version of the list remembered.
@@ -47,7 +47,7 @@
     /// Random waits are drawn by it.
     pub seed: u64,
     /// Told of every call that ends.
-    pub tried: Rc<Notify>,
+    pub call_ended: Rc<Notify>,
     /// Told of every answer that is new, where lists are pushed.
     pub clock: Rc<ListClock>,
 }
@@ -66,7 +66,7 @@
     /// One that has not called yet.
     pub fn new(config: DiscoveryConfig) -> Discovery {
         // An agent is near, and all of its list costs nothing.
-        let whole = config.how == How::Pushed;
+        let whole = config.mode == DiscoveryMode::Pushed;
         let random = Pcg32::seed_from_u64(config.seed);
         Discovery { version: config.version, whole, random, config }
     }
@@ -77,9 +77,9 @@
         news: impl MembershipSink,
         calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
     ) {
-        match self.config.how {
-            How::Pushed => pushed::Pushed::new(self).run(&news, calls).await,
-            How::OnRequest => asked::Asked::new(self).run(&news, calls).await,
+        match self.config.mode {
+            DiscoveryMode::Pushed => pushed::Pushed::new(self).run(&news, calls).await,
+            DiscoveryMode::OnRequest => asked::Asked::new(self).run(&news, calls).await,
         }
     }
 
--- a/crates/millethook-engine/src/discovery/pushed.rs
+++ b/crates/millethook-engine/src/discovery/pushed.rs
@@ -69,7 +69,7 @@
                     self.connection = None;
                 }
             }
-            self.discovery.config.tried.notify_one();
+            self.discovery.config.call_ended.notify_one();
         }
     }
 
--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -119,7 +119,7 @@
             });
             let timed_out = async {
                 match upload {
-                    Some(upload) => upload.expired().await,
+                    Some(upload) => upload.wait_until_expired().await,
                     None => tokio::time::sleep_until(deadline.into()).await,
                 }
             };
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -112,7 +112,7 @@
                 self.first_list.notify_waiters();
             }
         }
-        let entries: Vec<_> = list.hosts.iter().map(|h| self.names.entry(h)).collect();
+        let entries: Vec<_> = list.hosts.iter().map(|h| self.names.server_entry(h)).collect();
         self.event(Event::Servers { kind, entries: &entries });
         if let Some(fleet) = self.fleet.get() {
             // An old list that names a dead server again would otherwise bring it back.
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! Puts an engine together: the driver, its connections, and the sources of its news.
+//! Assembles an engine: the driver, its connections, discovery and the fleet.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coppercart::api::ListKind;
-use coppercart::settings::{Discovery as How, Settings};
+use coppercart::settings::{Discovery as DiscoveryMode, Settings};
 use millethook_connect::Begins;
 use millethook_connect::pool::{Limits, Reuse};
 use millethook_machine::hash::mix;
@@ -35,78 +35,78 @@
 };
 use crate::upstream::{Upstream, UpstreamConfig};
 
-/// What an engine is built of.
+/// Configuration of an engine.
 pub struct EngineConfig {
-    /// The module's settings.
+    /// The balancer's settings.
     pub settings: Settings,
-    /// The names that stand on sockets for the module's numbers.
+    /// The names in requests and lists that stand for indices of the settings.
     pub names: Arc<Names>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Where discovery is; None: `known` is the list, and stays so.
+    /// The address of discovery. `None`: `initial_list` is the list and never changes.
     pub discovery: Option<SocketAddr>,
-    /// The list of servers as it was last had.
+    /// The list of servers at the start, such as the last one known.
     pub initial_list: Option<List>,
-    /// When servers may begin with a request.
+    /// When a server may start to execute a request.
     pub begins: Begins,
-    /// How the list of servers outlives the process; None: what sources say is taken as it comes.
+    /// How the list of servers survives restarts. `None`: lists of sources are applied without checks.
     pub membership_store: Option<(String, KeeperConfig)>,
-    /// What bounds connections to servers; `settings` tells how long they may rest.
+    /// Limits on connections to servers. The idle timeout is taken from `settings`.
     pub connections: Limits,
-    /// For how many requests a connection is used; None: as `settings` price a handshake.
+    /// How many requests a connection carries. `None`: derived from the cost of a handshake in `settings`.
     pub reuse: Option<Reuse>,
-    /// The other sidecars, where there is a way to them.
+    /// How to reach the other sidecars, if configured.
     pub peers: Option<PeerConfig>,
-    /// How the view of the fleet is kept; None: there is none.
+    /// Settings of the fleet view. `None`: there is none.
     pub fleet: Option<FleetSettings>,
-    /// Documents for sidecars; None: there are none. Needs `fleet`.
+    /// Distribution of documents to sidecars. `None`: there is none. Needs `fleet`.
     pub distribution: Option<Distribution>,
 }
 
-/// The way to the other sidecars of the tier.
+/// How to reach the other sidecars of the tier.
 pub struct PeerConfig {
-    /// Where datagrams arrive.
+    /// The address on which datagrams are received.
     pub listen: SocketAddr,
-    /// The sidecars of the tier, by their numbers.
+    /// The addresses of the sidecars, by their numbers.
     pub peers: Vec<SocketAddr>,
-    /// What is sent there reaches every sidecar of the tier.
+    /// An address that reaches every sidecar of the tier.
     pub all: Option<SocketAddr>,
 }
 
-/// An engine at work.
+/// A running engine.
 pub struct Engine {
-    /// Takes requests.
+    /// Accepts requests.
     pub driver: Rc<Driver>,
-    /// The names that stand on sockets for the module's numbers.
+    /// The names in requests and lists that stand for indices of the settings.
     pub names: RefCell<Arc<Names>>,
-    /// What it has done so far.
+    /// Counts since the start.
     pub figures: Rc<Figures>,
-    /// The sockets that it may hold.
+    /// The budget of sockets.
     pub sockets: Rc<Sockets>,
     upstream: Rc<Upstream>,
-    /// For how many requests a connection is used, where the configuration says so.
+    /// How many requests a connection carries, if configured.
     reuse: Option<Reuse>,
     longest_deadline: Cell<Duration>,
-    /// The names of settings that were in force before, for as long as something goes by them.
-    before: RefCell<Vec<Arc<Names>>>,
-    tried: Rc<Notify>,
+    /// Names of earlier settings that requests still use.
+    previous_names: RefCell<Vec<Arc<Names>>>,
+    discovery_call_ended: Rc<Notify>,
     discovery: Option<watch::Sender<SocketAddr>>,
-    /// What the settings in force say about calls of discovery.
+    /// What the settings in force say about calls to discovery.
     call_limits: Rc<Cell<CallLimits>>,
     peers: Option<Rc<Peers>>,
-    /// The view of the fleet, where there is one.
+    /// The fleet view, if there is one.
     pub fleet: Option<Rc<Fleet>>,
-    /// Where the list of servers is kept, if it is.
+    /// The store of the server list, if it is kept.
     pub membership_store: Option<Rc<Keeper>>,
-    /// What this process does with the list that comes by distribution, if one does.
+    /// What this process does with the server list that the control nodes distribute, if they do.
     pub list_role: Option<ListRole>,
 }
 
 impl Engine {
-    /// Starts an engine on the present `LocalSet`; its tasks end with that.
+    /// Starts an engine on the current `LocalSet`; its tasks end with that.
     ///
     /// # Errors
-    /// Names the address that datagrams were to arrive at, if it could not be had.
+    /// Names the address for datagrams if it cannot be bound.
     pub async fn start(config: EngineConfig, sockets: Rc<Sockets>) -> Result<Engine, String> {
         let mut members = 0;
         let peers = match config.peers {
@@ -116,23 +116,29 @@
                 let bound = datagrams::bind(listen, wanted);
                 let bound = bound.map_err(|e| format!("peer_listen: {listen}: {e}"))?;
                 if let Some(wanted) = wanted {
-                    tell_receive_buffer(wanted, bound.receive_buffer);
+                    log_receive_buffer(wanted, bound.receive_buffer);
                 }
                 Some(Peers::new(bound.socket, peers, all))
             }
             None => None,
         };
-        let fleet = config.fleet.and_then(|of| {
+        let fleet = config.fleet.and_then(|fleet_settings| {
             if let Some(obstacle) = obstacle(&config.settings, members) {
-                tracing::warn!(event = "fleet_off", "no view of the fleet: {obstacle}");
+                tracing::warn!(event = "fleet_off", "fleet view is disabled: {obstacle}");
                 return None;
             }
             let sender = peers.clone()?;
             let (me, zone) = (config.settings.me, config.settings.zone);
             let times =
                 (config.settings.longest(|c| c.aim), config.settings.longest(|c| c.deadline));
-            let seed = (config.seed, config.distribution);
-            Some(Fleet::start(&of, (me, members), (zone, times.0, times.1), seed, sender))
+            let source = (config.seed, config.distribution);
+            Some(Fleet::start(
+                &fleet_settings,
+                (me, members),
+                (zone, times.0, times.1),
+                source,
+                sender,
+            ))
         });
         let names = config.names;
         let limits = &config.settings.limits;
@@ -151,66 +157,72 @@
                 reuse: config.reuse.unwrap_or_else(|| usual_reuse(&config.settings)),
             },
         );
-        let how = config.settings.discovery;
+        let mode = config.settings.discovery;
         let call_limits = Rc::new(Cell::new(CallLimits::from(&config.settings)));
         let longest_deadline = Duration::from_micros(config.settings.longest(|c| c.deadline));
         let (to_discovery, calls) = mpsc::unbounded_channel();
         let first_call = to_discovery.clone();
-        let teller = peers.clone().map(|p| p as Rc<dyn PeerSender>);
+        let peer_sender = peers.clone().map(|p| p as Rc<dyn PeerSender>);
         let driver = Driver::new(
             config.settings,
             config.seed,
             names.clone(),
             upstream.clone(),
             to_discovery,
-            teller,
+            peer_sender,
             figures.clone(),
         );
         if let Some(fleet) = &fleet {
             driver.share_evidence_with(fleet);
         }
-        let version = config.initial_list.as_ref().map_or(0, |known| known.seq);
+        let version = config.initial_list.as_ref().map_or(0, |list| list.seq);
         let keeper = config.membership_store.map(|(fleet, keeper)| {
-            let (driver, known) = (driver.clone(), config.initial_list.as_ref());
-            Keeper::start(driver, upstream.clone(), keeper, &fleet, config.seed, known)
+            let (driver, initial_list) = (driver.clone(), config.initial_list.as_ref());
+            Keeper::start(driver, upstream.clone(), keeper, &fleet, config.seed, initial_list)
         });
-        if let Some(known) = config.initial_list.as_ref().filter(|_| keeper.is_none()) {
+        if let Some(list) = config.initial_list.as_ref().filter(|_| keeper.is_none()) {
             let remembered = config.discovery.is_some();
             let kind = if remembered { ListKind::Remembered } else { ListKind::Whole };
-            driver.apply_list(kind, known);
+            driver.apply_list(kind, list);
         }
-        if how == How::OnRequest && config.initial_list.is_none() && !driver.has_listed_servers() {
-            // The decisions ask again for what they had; who has nothing yet asks at once. Discovery runs below.
+        if mode == DiscoveryMode::OnRequest
+            && config.initial_list.is_none()
+            && !driver.has_listed_servers()
+        {
+            // The balancer only asks for updates of a list it has. Without a list, the first one is requested here;
+            // discovery starts below.
             let _ = first_call.send(DiscoveryCommand::Watch);
         }
-        let tried = Rc::new(Notify::new());
-        // Danger: where discovery is asked, thousands of sidecars that start together ask one after the other
-        // over some seconds, and it may turn many away. Whoever has a list from before serves by it meanwhile:
-        // servers that are gone refuse, and the first answer puts the list right.
+        let discovery_call_ended = Rc::new(Notify::new());
+        // With on-request discovery, thousands of sidecars that start together are answered over several seconds, and
+        // many may be refused. A sidecar with an earlier list serves with it at once instead of waiting: servers that
+        // are gone refuse connections, and the first answer corrects the list.
         let listed = config.initial_list.as_ref().is_some_and(|known| !known.hosts.is_empty());
-        if how == How::OnRequest && listed || keeper.is_some() && driver.has_listed_servers() {
-            tried.notify_one();
+        if mode == DiscoveryMode::OnRequest && listed
+            || keeper.is_some() && driver.has_listed_servers()
+        {
+            discovery_call_ended.notify_one();
         }
         let mut list_role = None;
         let discovery = match config.discovery {
-            Some(at) => {
-                let (discovery, moves) = watch::channel(at);
-                let watching = DiscoveryConfig {
-                    address: moves,
-                    how,
+            Some(address) => {
+                let (discovery, address_changes) = watch::channel(address);
+                let discovery_config = DiscoveryConfig {
+                    address: address_changes,
+                    mode,
                     limits: call_limits.clone(),
                     version,
                     seed: config.seed,
-                    tried: tried.clone(),
+                    call_ended: discovery_call_ended.clone(),
                     clock: driver.list_clock(),
                 };
                 let listed = driver.has_listed_servers();
                 let sinks = (driver.clone(), keeper.clone(), fleet.clone());
-                list_role = watch_lists(watching, sinks, listed, calls);
+                list_role = watch_lists(discovery_config, sinks, listed, calls);
                 Some(discovery)
             }
             None => {
-                tried.notify_one();
+                discovery_call_ended.notify_one();
                 None
             }
         };
@@ -229,8 +241,8 @@
             upstream,
             reuse: config.reuse,
             longest_deadline: Cell::new(longest_deadline),
-            before: RefCell::default(),
-            tried,
+            previous_names: RefCell::default(),
+            discovery_call_ended,
             discovery,
             call_limits,
             peers,
@@ -240,28 +252,27 @@
         })
     }
 
-    /// The longest deadline of a class that was ever in force: requests of it may be open.
+    /// The longest deadline of a class that was ever in force, because requests of that class may still be open.
     pub fn longest_deadline(&self) -> Duration {
         self.longest_deadline.get()
     }
 
-    /// Takes new settings, of which `raw` is the object that they were read from. Requests that are open,
-    /// and those whose front still holds the names from before, go on under the settings that they came
-    /// under.
+    /// Takes new settings; `raw` is the object that they were read from. Open requests, and requests whose client
+    /// side still holds the earlier names, continue under the earlier settings.
     ///
     /// # Errors
-    /// Names the key that makes no sense; nothing has changed then.
+    /// Names the invalid key. Nothing has changed then.
     pub fn apply_settings(&self, new: Settings, raw: &Value) -> Result<Arc<Names>, String> {
-        let mut before = self.before.borrow_mut();
-        before.retain(|names| Arc::strong_count(names) > 1);
-        // Danger: a request whose body is still coming names its class by its place, and the decisions
-        // have not heard of it yet.
+        let mut previous_names = self.previous_names.borrow_mut();
+        previous_names.retain(|names| Arc::strong_count(names) > 1);
+        // A request whose body is still arriving refers to its class by index, and the balancer does not know of the
+        // request yet. Without this check its index could be reused for another class.
         let present = self.names.borrow().clone();
-        let held = |place: usize| {
-            let names = before.iter().chain([&present]);
-            names.flat_map(|names| names.classes.values()).any(|class| class.index == place)
+        let is_in_use = |index: usize| {
+            let names = previous_names.iter().chain([&present]);
+            names.flat_map(|names| names.classes.values()).any(|class| class.index == index)
         };
-        let settings = self.driver.merge_settings(new, held);
+        let settings = self.driver.merge_settings(new, is_in_use);
         let names = Arc::new(Names::new(&settings, raw)?);
         let longest = Duration::from_micros(settings.longest(|c| c.deadline));
         self.longest_deadline.set(longest.max(self.longest_deadline.get()));
@@ -269,12 +280,12 @@
         self.upstream.set_reuse(self.reuse.unwrap_or_else(|| usual_reuse(&settings)));
         self.driver.apply_settings(settings);
         self.figures.set_classes(&names);
-        before.push(self.names.replace(names.clone()));
+        previous_names.push(self.names.replace(names.clone()));
         Ok(names)
     }
 
-    /// Takes a list of servers, or changes of it, that the application's own code knows. It is weighed like
-    /// discovery's, where lists are.
+    /// Takes a list of servers, or changes of one, from the application. If a membership store exists, the list is
+    /// checked like one from discovery.
     pub fn apply_list(&self, list: &List) {
         match &self.membership_store {
             Some(keeper) => keeper.apply_list(Source::Code, list),
@@ -285,18 +296,18 @@
         }
     }
 
-    /// Datagrams that came from no peer's address, or were too long.
+    /// Number of datagrams that came from an unknown address or were too long.
     pub fn rejected_datagrams(&self) -> u64 {
         self.peers.as_ref().map_or(0, |peers| peers.strangers())
     }
 
-    /// Waits until discovery has first been tried.
+    /// Waits until the first call to discovery has ended.
     pub async fn wait_for_discovery(&self) {
-        self.tried.notified().await;
+        self.discovery_call_ended.notified().await;
     }
 
-    /// Discovery, and the other sidecars, are elsewhere from now on. Requests under way,
-    /// connections and what is known of servers stay as they are.
+    /// Sets new addresses of discovery and of the other sidecars. Open requests, connections and what is known about
+    /// servers are kept.
     pub fn update_addresses(
         &self,
         discovery: SocketAddr,
@@ -306,20 +317,20 @@
         if let Some(fleet) = &self.fleet {
             fleet.resized(peers.len());
         }
-        if let Some(known) = &self.peers {
-            known.moved(peers, all);
+        if let Some(own_peers) = &self.peers {
+            own_peers.moved(peers, all);
         }
-        if let Some(to) = &self.discovery {
-            to.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
+        if let Some(sender) = &self.discovery {
+            sender.send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
         }
     }
 }
 
-/// Where lists of servers go: to the membership where there is one, else to the driver; and the fleet, which may carry
-/// them.
+/// Consumers of server lists: the driver, the membership store in front of it if there is one, and the fleet that may
+/// distribute them.
 type ListParts = (Rc<Driver>, Option<Rc<Keeper>>, Option<Rc<Fleet>>);
 
-/// Starts the tasks that have lists from discovery, or from the control nodes. `calls` is what the decisions ask of
+/// Starts the tasks that get lists from discovery or from the control nodes. `calls` are the balancer's commands to
 /// discovery.
 fn watch_lists(
     config: DiscoveryConfig,
@@ -327,14 +338,15 @@
     listed: bool,
     calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) -> Option<ListRole> {
-    let (limits, tried, seed) = (config.limits.clone(), config.tried.clone(), config.seed);
+    let (limits, discovery_call_ended, seed) =
+        (config.limits.clone(), config.call_ended.clone(), config.seed);
     let discovery = Discovery::new(config);
     let sink: Box<dyn MembershipSink> = match &keeper {
         Some(keeper) => Box::new(keeper.clone()),
         None => Box::new(driver),
     };
     let distribution = fleet.as_ref().and_then(|fleet| fleet.distribution.clone());
-    let settings = distribution.as_ref().and_then(|of| of.list().cloned());
+    let settings = distribution.as_ref().and_then(|distribution| distribution.list().cloned());
     match (settings, distribution, fleet, keeper) {
         (Some(settings), Some(distribution), Some(fleet), _) if settings.from_discovery => {
             let publisher = ListPublisher::start(settings, fleet, distribution);
@@ -343,7 +355,7 @@
             Some(ListRole::Publishes(publisher))
         }
         (Some(settings), Some(distribution), Some(fleet), Some(keeper)) => {
-            // Sidecars that share a seed wait differently all the same.
+            // Sidecars with the same configured seed still draw different delays.
             let (me, epoch) = fleet.process();
             let seed = mix(seed ^ mix(u64::from(me)) ^ epoch);
             let (to_discovery, own_calls) = mpsc::unbounded_channel();
@@ -353,7 +365,7 @@
                 keeper,
                 to_discovery,
                 call_limits: limits,
-                tried,
+                tried: discovery_call_ended,
                 seed,
             };
             let subscription = ListSubscription::new(parts, listed);
@@ -369,21 +381,21 @@
     }
 }
 
-/// Says once what the system has given for the receive buffer that was asked for.
-fn tell_receive_buffer(wanted: usize, granted: usize) {
+/// Logs the size of the receive buffer that the system granted.
+fn log_receive_buffer(wanted: usize, granted: usize) {
     if granted < wanted {
         tracing::warn!(
             event = "distribution_receive_buffer_small",
             wanted,
             granted,
-            "receive buffer of the datagram socket: {granted} bytes, {wanted} wanted: see net.core.rmem_max"
+            "datagram socket receive buffer is {granted} bytes instead of {wanted}; raise net.core.rmem_max"
         );
     } else {
         tracing::info!(
             event = "distribution_receive_buffer",
             wanted,
             granted,
-            "receive buffer of the datagram socket: {granted} bytes, {wanted} wanted"
+            "datagram socket receive buffer is {granted} bytes, requested {wanted}"
         );
     }
 }
--- a/crates/millethook-engine/src/figures.rs
+++ b/crates/millethook-engine/src/figures.rs
@@ -1,32 +1,32 @@
-//! Figures of what an engine does, counted where it happens: requests at their end, attempts when their
-//! last byte is written. An engine lives on one thread, so a count is an addition and nothing else.
+//! Counts of what an engine does: requests when they end, attempts when their last byte is written. An engine runs on
+//! one thread, so counting is a plain addition.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use crate::names::Names;
 
-/// The most classes that have counts of their own. New settings may bring ever new ones, and what was
-/// counted stays; those beyond share one line.
+/// The most classes with counts of their own. New settings may bring new classes again and again, and counts are
+/// never removed; further classes share one line.
 const MOST_CLASSES: usize = 256;
 /// The name of the line that classes beyond [`MOST_CLASSES`] share.
 const OTHER: &str = "other";
 
-/// How a request ended, for its caller.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Served, whole.
+    /// Served completely.
     Succeeded,
-    /// Refused: trying again is harmless.
+    /// Refused; a retry is harmless.
     Declined,
-    /// Failed, or broken off within its answer.
+    /// Failed, or broken off within the answer.
     Aborted,
 }
 
-/// Requests of one class by how they ended, since the start.
+/// Requests of one class since the start, by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dispositions {
-    /// Served, whole.
+    /// Served completely.
     pub succeeded: u64,
     /// Refused.
     pub declined: u64,
@@ -40,37 +40,38 @@
     counts: Cell<Dispositions>,
 }
 
-/// Counts since the start. They never go down, also over new settings: a class keeps its counts by its name.
+/// Counts since the start. They never decrease, not even with new settings: a class keeps its counts by its name.
 #[derive(Debug, Default)]
 pub struct Figures {
     lines: RefCell<Vec<Rc<ClassFigures>>>,
-    /// The line of each place in the settings' classes.
-    places: RefCell<Vec<Rc<ClassFigures>>>,
+    /// The line of each class, by its index in the settings.
+    by_index: RefCell<Vec<Rc<ClassFigures>>>,
     attempts: Cell<u64>,
 }
 
 impl Figures {
-    /// No counts yet, for the classes of `names`.
+    /// Creates zero counts for the classes of `names`.
     pub fn new(names: &Names) -> Figures {
         let figures = Figures::default();
         figures.set_classes(names);
         figures
     }
 
-    /// The classes are those of `names` from now on. Places that `names` lacks keep their lines: requests
-    /// of theirs may be open.
+    /// Sets the classes to those of `names`. Indices that `names` lacks keep their lines, because requests of those
+    /// classes may be open.
     pub fn set_classes(&self, names: &Names) {
-        let mut classes: Vec<_> = names.classes.iter().map(|(name, of)| (of.index, name)).collect();
+        let mut classes: Vec<_> =
+            names.classes.iter().map(|(name, class)| (class.index, name)).collect();
         classes.sort_unstable();
-        let mut places = self.places.borrow_mut();
+        let mut by_index = self.by_index.borrow_mut();
         for (index, name) in classes {
             let line = self.line(name);
-            while places.len() < index {
-                places.push(line.clone());
+            while by_index.len() < index {
+                by_index.push(line.clone());
             }
-            match places.get_mut(index) {
-                Some(place) => *place = line,
-                None => places.push(line),
+            match by_index.get_mut(index) {
+                Some(slot) => *slot = line,
+                None => by_index.push(line),
             }
         }
     }
@@ -86,10 +87,10 @@
         line
     }
 
-    /// A request of the class at this place of the settings has ended.
+    /// Counts the end of a request of the class at this index.
     pub fn request_ended(&self, class: usize, disposition: Disposition) {
-        let places = self.places.borrow();
-        let Some(line) = places.get(class) else { return };
+        let by_index = self.by_index.borrow();
+        let Some(line) = by_index.get(class) else { return };
         let mut counts = line.counts.get();
         *match disposition {
             Disposition::Succeeded => &mut counts.succeeded,
@@ -99,17 +100,17 @@
         line.counts.set(counts);
     }
 
-    /// The last byte of an attempt has been written.
+    /// Counts an attempt whose last byte has been written.
     pub fn attempt_written(&self) {
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// Attempts whose last byte was written.
+    /// Number of attempts whose last byte was written.
     pub fn attempts_written(&self) -> u64 {
         self.attempts.get()
     }
 
-    /// Each class that was ever met in the settings, with its counts.
+    /// All classes that were ever in the settings, with their counts.
     pub fn by_class(&self) -> Vec<(String, Dispositions)> {
         self.lines.borrow().iter().map(|l| (l.name.clone(), l.counts.get())).collect()
     }
@@ -125,24 +126,24 @@
     fn names(classes: &[(&str, usize)]) -> Names {
         let mut names = Names::default();
         for &(name, index) in classes {
-            let of = ClassName {
+            let class = ClassName {
                 index,
                 repeat: Repeat::Safe,
                 streaming: false,
                 aim: Duration::ZERO,
                 deadline: Duration::ZERO,
             };
-            names.classes.insert(name.to_owned(), of);
+            names.classes.insert(name.to_owned(), class);
         }
         names
     }
 
     #[test]
-    fn a_class_keeps_its_counts_at_a_new_place() {
+    fn a_class_keeps_its_counts_at_a_new_index() {
         let figures = Figures::new(&names(&[("look", 0), ("order", 1)]));
         figures.request_ended(1, Disposition::Succeeded);
         figures.set_classes(&names(&[("look", 0), ("order", 2), ("page", 3)]));
-        // One that was open at the old place, and one at the new.
+        // One request that was open at the old index, and one at the new index.
         figures.request_ended(1, Disposition::Aborted);
         figures.request_ended(2, Disposition::Succeeded);
         figures.request_ended(9, Disposition::Succeeded);
@@ -153,7 +154,7 @@
     }
 
     #[test]
-    fn ever_new_classes_share_a_line_in_the_end() {
+    fn classes_beyond_the_limit_share_one_line() {
         let figures = Figures::default();
         for n in 0..3 * MOST_CLASSES {
             figures.set_classes(&names(&[(&format!("class-{n}"), n)]));
--- a/crates/millethook-engine/src/lib.rs
+++ b/crates/millethook-engine/src/lib.rs
@@ -1,7 +1,7 @@
-//! The engine: what every front and every upstream shares. It carries out the decisions of
-//! [`coppercart`] on sockets; [`driver`] is the only module here that speaks with them.
+//! The engine, which the proxy daemon and the library share. It executes the decisions of [`coppercart`] on sockets;
+//! [`driver`] is the only module here that talks to that crate's balancer.
 //!
-//! An [`Engine`] lives on the thread of one [`tokio::task::LocalSet`], and ends with it.
+//! An [`Engine`] runs on the thread of one [`tokio::task::LocalSet`] and ends with it.
 #![forbid(unsafe_code)]
 
 pub mod budget;
--- a/crates/millethook-engine/src/names.rs
+++ b/crates/millethook-engine/src/names.rs
@@ -1,4 +1,4 @@
-//! The names that stand on sockets for the numbers of the settings.
+//! Maps the names in requests, lists and reports to the indices of the settings.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,34 +9,34 @@
 
 use crate::list::Host;
 
-/// What a field of a load report may hold. Danger: one figure without sense (an overflow, a time in
-/// place of a count) would spoil averages for as long as they remember. No server holds a million
-/// requests; a report that says so is none.
-const REPORTED: std::ops::RangeInclusive<f32> = 0.0..=1e6;
+/// Valid values of a field in a load report. One absurd value (an overflow, a timestamp instead of a count) would
+/// distort averages for as long as they remember. No server has a million requests, so a report with such a value is
+/// dropped.
+const REPORTED_RANGE: std::ops::RangeInclusive<f32> = 0.0..=1e6;
 
 pub use millethook_membership::list::stable_hash;
 
-/// A class as it is met on sockets.
+/// A class as requests refer to it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassName {
-    /// Its place in the settings.
+    /// The index in the settings.
     pub index: usize,
-    /// It decides the method.
+    /// Whether requests may be repeated, which decides the allowed method.
     pub repeat: Repeat,
-    /// Its answers may be long.
+    /// Answers may be long.
     pub streaming: bool,
     /// Answers within this time count in full.
     pub aim: Duration,
-    /// The longest that a client of this class waits.
+    /// The longest time that a client of this class waits.
     pub deadline: Duration,
 }
 
-/// Names that stand on sockets for numbers of the settings.
+/// Maps names to indices of the settings.
 #[derive(Default)]
 pub struct Names {
-    /// Classes by the first part of the path.
+    /// Classes by the first segment of the path.
     pub classes: HashMap<String, ClassName>,
-    /// Tenants by `X-Account`.
+    /// Tenants by the value of `X-Account`.
     pub tenants: HashMap<String, usize>,
     zones: Vec<String>,
     kinds: Vec<String>,
@@ -44,17 +44,18 @@
 }
 
 impl Names {
-    /// Those of `settings`; `raw` is the object that they were read from, with further names.
+    /// Takes the names of `settings`; `raw` is the object that they were read from, which holds further names.
     ///
     /// # Errors
-    /// Names the key that holds no name, or one that is taken.
+    /// Names the key whose value is not a name, or is a duplicate.
     pub fn new(settings: &Settings, raw: &Value) -> Result<Names, String> {
-        let strings = |key: &str, of: fn(&Value) -> &Value| -> Result<Vec<String>, String> {
+        let strings = |key: &str, name_of: fn(&Value) -> &Value| -> Result<Vec<String>, String> {
             let Some(list) = raw.get(key).and_then(Value::as_array) else {
                 return Ok(Vec::new());
             };
-            let names: Option<_> = list.iter().map(|v| of(v).as_str().map(str::to_owned)).collect();
-            names.ok_or_else(|| format!("settings.{key}: names expected"))
+            let names: Option<_> =
+                list.iter().map(|v| name_of(v).as_str().map(str::to_owned)).collect();
+            names.ok_or_else(|| format!("settings.{key}: expected a list of names"))
         };
         let mut names = Names {
             zones: settings.zones.clone(),
@@ -63,32 +64,35 @@
             ..Names::default()
         };
         for (index, class) in settings.classes.iter().enumerate().filter(|(_, c)| !c.retired) {
-            let of = ClassName {
+            let class_name = ClassName {
                 index,
                 repeat: class.repeat,
                 streaming: class.streaming,
                 aim: Duration::from_micros(class.aim),
                 deadline: Duration::from_micros(class.deadline),
             };
-            if names.classes.insert(class.name.clone(), of).is_some() {
-                return Err(format!("settings.classes[{index}].name: a name of its own expected"));
+            if names.classes.insert(class.name.clone(), class_name).is_some() {
+                return Err(format!("settings.classes[{index}].name: the name is already in use"));
             }
         }
         for (index, name) in strings("tenants", |v| &v["name"])?.into_iter().enumerate() {
             if names.tenants.insert(name, index).is_some() {
-                return Err(format!("settings.tenants[{index}].name: a name of its own expected"));
+                return Err(format!("settings.tenants[{index}].name: the name is already in use"));
             }
         }
         Ok(names)
     }
 
-    /// A server as the module takes it. A zone or kind that the settings lack is like no other.
-    pub fn entry(&self, host: &Host) -> ServerEntry {
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
+    /// Converts a server to the balancer's form. Zones and kinds that the settings lack get the maximum index, which
+    /// equals no configured one.
+    pub fn server_entry(&self, host: &Host) -> ServerEntry {
+        let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name);
         ServerEntry {
             id: host.id(),
-            zone: place(&self.zones, &host.site).and_then(|i| i.try_into().ok()).unwrap_or(u8::MAX),
-            kind: place(&self.kinds, &host.class)
+            zone: index_of(&self.zones, &host.site)
+                .and_then(|i| i.try_into().ok())
+                .unwrap_or(u8::MAX),
+            kind: index_of(&self.kinds, &host.class)
                 .and_then(|i| i.try_into().ok())
                 .unwrap_or(u16::MAX),
             cell: host.block,
@@ -98,14 +102,14 @@
         }
     }
 
-    /// A load report (`inflight=7,queue=2,util=0.61`) in the order of the settings' columns. One
-    /// that lacks a column or holds no number is none.
+    /// Parses a load report (`inflight=7,queue=2,util=0.61`) into the order of the settings' columns. A report that
+    /// lacks a column or has an invalid number is dropped.
     ///
-    /// Danger: servers name the fields as the settings do; looked for under the simulator's words
-    /// alone no report is ever read, and nothing but the missing chips tells. Both words count.
-    pub fn report(&self, text: &str) -> LoadReport {
+    /// Servers name the fields as the settings do. If only the simulator's names were accepted, no report would ever
+    /// be read, and nothing but missing confidence chips would show it. So both names are accepted.
+    pub fn parse_report(&self, text: &str) -> LoadReport {
         let field = |column: &String| {
-            let plain = match column.as_str() {
+            let alias = match column.as_str() {
                 "rif" => "inflight",
                 "q" => "queue",
                 "busy" => "util",
@@ -115,9 +119,9 @@
                 other => other,
             };
             let fields = text.split(',').filter_map(|f| f.split_once('='));
-            let named = |k: &str| k == column || k == plain;
-            let value = fields.filter(|(k, _)| named(k.trim())).map(|(_, v)| v).next()?;
-            value.trim().parse::<f32>().ok().filter(|v| REPORTED.contains(v))
+            let matches = |k: &str| k == column || k == alias;
+            let value = fields.filter(|(k, _)| matches(k.trim())).map(|(_, v)| v).next()?;
+            value.trim().parse::<f32>().ok().filter(|v| REPORTED_RANGE.contains(v))
         };
         let values: Option<_> = self.columns.iter().map(field).collect();
         values.map(LoadReport).unwrap_or_default()
--- a/crates/millethook-engine/src/stream.rs
+++ b/crates/millethook-engine/src/stream.rs
@@ -1,6 +1,5 @@
-//! The layer between hyper and a client's socket. It sees every byte that goes either way, so that what
-//! hyper does not tell can be known: how far along a client is, and when all that was to be written has
-//! been.
+//! A layer between hyper and a client's socket. It observes all bytes in both directions, because hyper does not
+//! report how far a client has sent its request, or when the whole answer has been written.
 
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
@@ -12,24 +11,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What is told of a socket's traffic.
+/// Callbacks for the traffic of a socket.
 pub trait Observer {
-    /// These bytes came in; none: the peer sends no more.
+    /// Bytes were received; an empty slice means that the peer has closed its side.
     fn on_read(&self, _bytes: &[u8]) {}
-    /// These bytes were taken by the system.
+    /// The system accepted these bytes.
     fn on_write(&self, _bytes: &[u8]) {}
     /// Nothing is left to be written.
     fn on_flush(&self) {}
 }
 
-/// A socket under observation. The socket is shared: its owner can look at it while hyper uses it.
+/// An observed socket. The socket is shared, so that its owner can inspect it while hyper uses it.
 pub struct Stream<O> {
     socket: Rc<TcpStream>,
     observer: Rc<O>,
 }
 
 impl<O> Stream<O> {
-    /// Puts `observer` over `socket`.
+    /// Wraps `socket` with an observer.
     pub fn new(socket: Rc<TcpStream>, observer: Rc<O>) -> Stream<O> {
         Stream { socket, observer }
     }
@@ -113,13 +112,13 @@
     }
 }
 
-/// Ends the sending side; a peer that is gone already needs no telling.
+/// Shuts down the sending side. An error means that the peer is already gone, and is ignored.
 pub fn finish_writing(socket: &TcpStream) {
     let _ = SockRef::from(socket).shutdown(std::net::Shutdown::Write);
 }
 
-/// Whether the system has bytes of the peer that were not read, or its end. It is asked at that moment, whether or not
-/// the event loop has heard of them by now.
+/// Whether the socket has unread bytes or end of file. This asks the system directly, because the event loop may not
+/// have reported them yet.
 pub fn has_unread(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     !matches!(SockRef::from(socket).peek(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -1,5 +1,6 @@
-//! Who tries a server that the fleet doubts: one sidecar of each zone, and the others wait for its word or for the end of
-//! its lease. Where there is no majority of seats each tries as without leases. No clock and no I/O.
+//! Decides which sidecar sends trials to a server that the fleet suspects: one in each zone. The others wait for its
+//! report or for the end of its lease. Without a majority of seats, each sidecar sends trials as it would without
+//! leases. This module has no clock and no I/O.
 
 use std::collections::BTreeMap;
 
@@ -8,61 +9,78 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// What is to be done about a doubted server.
+/// An action for a suspected server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TrialAction {
-    /// The balancer is to go by this standing from now on, for a while.
+    /// The balancer applies this verdict for a while.
     ApplyVerdict(ServerId, Standing),
-    /// The trial is given back, because nothing was sent to the server for [`IDLE_HOLDS`].
+    /// The trial is released, because nothing was sent to the server for [`MAX_IDLE_HOLDS`].
     Release(ServerId, JobId),
-    /// All are told that this sidecar tries it.
+    /// Announces to the fleet that this sidecar sends the trials.
     Announce(JobId, Token),
 }
 
-/// Servers that are tried at once by one sidecar, at most.
-const MOST: usize = 256;
-/// An owner that has sent nothing there for so many holds after a trial was due lets another one try.
-const IDLE_HOLDS: u64 = 3;
-/// A trial is due again so many holds after the one before: as long as the balancer's longest pause between its own.
-const TRIAL_HOLDS: u64 = 10;
+/// The most servers that one sidecar sends trials to.
+const MAX_TRIALS: usize = 256;
+/// An owner that has sent nothing to the server for this many hold times after a trial was due releases it to another
+/// sidecar.
+const MAX_IDLE_HOLDS: u64 = 3;
+/// A trial is due again this many hold times after the previous one. This equals the balancer's longest pause between
+/// its own trials.
+const TRIAL_INTERVAL_HOLDS: u64 = 10;
 
-struct Doubt {
+/// A suspected server and the lease of its trials.
+struct SuspectedServer {
     job: JobId,
-    /// When the job is asked for.
-    ask_at: Micros,
-    /// When the decisions are told, or the fleet, again.
-    again_at: Micros,
-    /// It is owned here.
-    owned: Option<Ownership>,
+    /// When the lease is requested.
+    request_at: Micros,
+    /// When the verdict, or the announcement, is repeated.
+    repeat_at: Micros,
+    /// Set while this sidecar owns the trials.
+    ownership: Option<Ownership>,
 }
 
-/// What an owner has done with its job.
+/// Progress of an owner.
 struct Ownership {
     /// When the balancer was last told that a trial is due.
     due_at: Micros,
-    /// Whether anything was sent there since.
-    tried: bool,
+    /// Whether anything was sent to the server since then.
+    attempted: bool,
 }
 
+/// The trials of suspected servers.
 pub(crate) struct Trials {
-    /// For so long the decisions leave a doubted server alone.
-    hold: Micros,
-    length: Micros,
-    job: Box<dyn Fn(u64) -> JobId>,
-    doubted: BTreeMap<u64, Doubt>,
+    /// How long a verdict keeps the balancer away from a suspected server.
+    verdict_hold: Micros,
+    lease_length: Micros,
+    job_of: Box<dyn Fn(u64) -> JobId>,
+    suspected: BTreeMap<u64, SuspectedServer>,
     random: Pcg32,
 }
 
 impl Trials {
-    pub fn new(hold: Micros, length: Micros, seed: u64, job: Box<dyn Fn(u64) -> JobId>) -> Trials {
+    /// Creates an empty set. `job_of` maps a server to the job of its trials.
+    pub fn new(
+        verdict_hold: Micros,
+        lease_length: Micros,
+        seed: u64,
+        job_of: Box<dyn Fn(u64) -> JobId>,
+    ) -> Trials {
         let random = Pcg32::seed_from_u64(seed);
-        Trials { hold: hold.max(2_000), length, job, doubted: BTreeMap::new(), random }
+        Trials {
+            verdict_hold: verdict_hold.max(2_000),
+            lease_length,
+            job_of,
+            suspected: BTreeMap::new(),
+            random,
+        }
     }
 
-    fn some(&mut self, most: Micros) -> Micros {
-        u64::from(self.random.next_u32()) % most.max(1)
+    fn random_delay(&mut self, max: Micros) -> Micros {
+        u64::from(self.random.next_u32()) % max.max(1)
     }
 
+    /// Takes the fleet's verdict on a server.
     pub fn apply_verdict(
         &mut self,
         now: Micros,
@@ -70,90 +88,102 @@
         standing: Standing,
         lease: &mut Lease,
     ) {
-        let known = self.doubted.contains_key(&server.0);
-        if standing == Standing::Doubted && !known && self.doubted.len() < MOST {
-            // Not all at once: whoever is first is heard of by the others.
-            let ask_at = now + self.some(self.hold);
-            let job = (self.job)(server.0);
-            self.doubted.insert(server.0, Doubt { job, ask_at, again_at: now, owned: None });
+        let is_known = self.suspected.contains_key(&server.0);
+        if standing == Standing::Doubted && !is_known && self.suspected.len() < MAX_TRIALS {
+            // Requests are spread over time, so that the others learn of the first owner before they request the
+            // lease.
+            let request_at = now + self.random_delay(self.verdict_hold);
+            let job = (self.job_of)(server.0);
+            self.suspected.insert(
+                server.0,
+                SuspectedServer { job, request_at, repeat_at: now, ownership: None },
+            );
         } else if standing != Standing::Doubted
-            && let Some(doubt) = self.doubted.remove(&server.0)
+            && let Some(entry) = self.suspected.remove(&server.0)
         {
-            lease.release(now, doubt.job, None);
+            lease.release(now, entry.job, None);
         }
     }
 
+    /// An attempt is sent to a server.
     pub fn on_attempt(&mut self, server: ServerId) {
-        if let Some(owned) = self.doubted.get_mut(&server.0).and_then(|d| d.owned.as_mut()) {
-            owned.tried = true;
+        if let Some(ownership) =
+            self.suspected.get_mut(&server.0).and_then(|entry| entry.ownership.as_mut())
+        {
+            ownership.attempted = true;
         }
     }
 
-    /// Does what is due; when there is something to do again. `known` tells who owns a job, by the fleet's words, and
-    /// how long ago it said so.
+    /// Performs what is due, and returns when to call it again. `owner_of` returns the owner of a job according to
+    /// the fleet, and how long ago the owner announced it.
     pub fn tick(
         &mut self,
         now: Micros,
         lease: &mut Lease,
-        known: &dyn Fn(JobId) -> Option<(Token, Micros)>,
+        owner_of: &dyn Fn(JobId) -> Option<(Token, Micros)>,
         actions: &mut Vec<TrialAction>,
     ) -> Micros {
-        let (hold, length) = (self.hold, self.length);
-        let wait = hold + self.some(hold);
+        let (verdict_hold, lease_length) = (self.verdict_hold, self.lease_length);
+        let wait = verdict_hold + self.random_delay(verdict_hold);
         let mut next = Micros::MAX;
-        for (server, doubt) in &mut self.doubted {
-            let mine = lease.holds(now, doubt.job);
-            doubt.owned = doubt.owned.take().filter(|_| mine.is_some());
-            let due = |owned: &Ownership| owned.tried && now > owned.due_at + TRIAL_HOLDS * hold;
-            if mine.is_some() && doubt.owned.as_ref().is_none_or(due) {
-                // Without this the owner leaves the server alone for as long as its own failures there and the verdicts of
-                // others have told it to, and in calm for ever: the server looks slow, and loses each tie of two picks.
-                // The owner would give the trial back before its first attempt, and so would each owner after it.
+        for (server, entry) in &mut self.suspected {
+            let own_token = lease.holds(now, entry.job);
+            entry.ownership = entry.ownership.take().filter(|_| own_token.is_some());
+            let is_trial_due = |ownership: &Ownership| {
+                ownership.attempted && now > ownership.due_at + TRIAL_INTERVAL_HOLDS * verdict_hold
+            };
+            if own_token.is_some() && entry.ownership.as_ref().is_none_or(is_trial_due) {
+                // Without this, the owner avoids the server for as long as its own failures there and the verdicts of
+                // others demand. In a calm fleet it avoids it forever: the server looks slow and loses each tie
+                // between two picks. The owner would release the trial before its first attempt, and so would each
+                // owner after it.
                 actions.push(TrialAction::ApplyVerdict(ServerId(*server), Standing::Trusted));
-                doubt.owned = Some(Ownership { due_at: now, tried: false });
+                entry.ownership = Some(Ownership { due_at: now, attempted: false });
             }
-            // Its word is as old as the last renewal; without another one its lease is over.
-            let other = known(doubt.job).filter(|(_, age)| mine.is_none() && *age < length);
-            let held = match lease.standing(now, doubt.job) {
+            // An announcement is as old as the last renewal of the lease; without a newer one the lease has expired.
+            let other_owner =
+                owner_of(entry.job).filter(|(_, age)| own_token.is_none() && *age < lease_length);
+            let holder = match lease.standing(now, entry.job) {
                 Some(millethook_lease::Standing::Held(token, until)) => Some((token, until)),
-                _ => other.map(|(token, age)| (token, now + length - age)),
+                _ => other_owner.map(|(token, age)| (token, now + lease_length - age)),
             };
-            match (mine, held) {
+            match (own_token, holder) {
                 (Some(token), _) => {
-                    let idle = doubt.owned.as_ref().is_some_and(|owned| {
-                        !owned.tried && now > owned.due_at + IDLE_HOLDS * hold
+                    let is_idle = entry.ownership.as_ref().is_some_and(|ownership| {
+                        !ownership.attempted
+                            && now > ownership.due_at + MAX_IDLE_HOLDS * verdict_hold
                     });
-                    if idle {
-                        actions.push(TrialAction::Release(ServerId(*server), doubt.job));
-                        lease.release(now, doubt.job, None);
-                        (doubt.owned, doubt.ask_at) = (None, now + length + wait);
-                    } else if doubt.again_at <= now {
-                        doubt.again_at = now + length / 2;
-                        actions.push(TrialAction::Announce(doubt.job, token));
+                    if is_idle {
+                        actions.push(TrialAction::Release(ServerId(*server), entry.job));
+                        lease.release(now, entry.job, None);
+                        (entry.ownership, entry.request_at) = (None, now + lease_length + wait);
+                    } else if entry.repeat_at <= now {
+                        entry.repeat_at = now + lease_length / 2;
+                        actions.push(TrialAction::Announce(entry.job, token));
                     }
                 }
                 (None, Some((_, until))) => {
-                    if other.is_some() {
-                        // Whose it is need not be asked of the seats.
-                        lease.release(now, doubt.job, None);
-                        doubt.ask_at = until + wait / 2;
+                    if other_owner.is_some() {
+                        // The owner is known, so the seats need not be asked.
+                        lease.release(now, entry.job, None);
+                        entry.request_at = until + wait / 2;
                     }
-                    if doubt.again_at <= now {
-                        doubt.again_at = now + hold / 2;
+                    if entry.repeat_at <= now {
+                        entry.repeat_at = now + verdict_hold / 2;
                         actions
                             .push(TrialAction::ApplyVerdict(ServerId(*server), Standing::Doubted));
                     }
                 }
-                (None, None) if doubt.ask_at <= now => {
-                    lease.request(now, doubt.job, length, 0);
+                (None, None) if entry.request_at <= now => {
+                    lease.request(now, entry.job, lease_length, 0);
                 }
                 (None, None) => {}
             }
-            let due = match (mine.is_none() && held.is_none(), doubt.ask_at) {
+            let due = match (own_token.is_none() && holder.is_none(), entry.request_at) {
                 (true, at) if at > now => at,
-                // What becomes of the claim wakes whoever calls this.
-                (true, _) => now + hold,
-                (false, _) => doubt.again_at,
+                // The caller is woken when the lease request is decided.
+                (true, _) => now + verdict_hold,
+                (false, _) => entry.repeat_at,
             };
             next = next.min(due.max(now + 10_000));
         }
--- a/crates/millethook-engine/src/upload.rs
+++ b/crates/millethook-engine/src/upload.rs
@@ -1,7 +1,7 @@
-//! Bodies too long to be held whole: they are passed on to one server as they come.
+//! Request bodies that are too long to be buffered: they are streamed to one server as they arrive.
 //!
-//! The first part of such a body is held like any other, and as long as no more than that was sent, the
-//! request may go to another server. From the first piece that is not held it belongs to one attempt.
+//! The first part of such a body is buffered like any other. As long as no more than that was sent, the request may
+//! go to another server. From the first byte beyond the buffer on, it belongs to one attempt.
 
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
@@ -9,111 +9,114 @@
 use bytes::Bytes;
 use tokio::sync::{Notify, mpsc};
 
-/// The longest body that is passed on. Danger: whoever sends without end would keep a connection for
-/// ever, and a server busy with it.
+/// The longest body that is streamed. A client that sends without end would otherwise occupy a connection and a
+/// server forever.
 pub const MAX_UPLOAD_BYTES: u64 = 32 << 20;
-/// How long a server may take none of a body before its attempt is given up.
-const SERVER_STALL: Duration = Duration::from_secs(10);
+/// How long a server may accept no bytes of a body before its attempt fails.
+const SERVER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What follows the part of a body that is held.
+/// A part of a body beyond the buffer.
 #[derive(Debug)]
 pub enum Piece {
     /// The next bytes.
     Data(Bytes),
-    /// There are no more.
+    /// The end of the body.
     End,
 }
 
-/// The rest of a body, as an attempt gets it.
+/// The receiving half of a streamed body, used by an attempt.
 #[derive(Debug)]
 pub struct Upload {
-    rest: Mutex<Option<mpsc::Receiver<Piece>>>,
-    ended: Arc<Ended>,
-    /// How long the caller waits for an answer once it has sent all.
-    left: Duration,
+    receiver: Mutex<Option<mpsc::Receiver<Piece>>>,
+    end: Arc<UploadEnd>,
+    /// How long the client waits for an answer after it has sent the whole body.
+    answer_timeout: Duration,
 }
 
-/// When the caller had sent all.
+/// When the client had sent the whole body.
 #[derive(Debug, Default)]
-struct Ended {
+struct UploadEnd {
     at: OnceLock<Instant>,
-    told: Notify,
+    notify: Notify,
 }
 
-/// The other end, where the caller's bytes come in. Dropped before [`UploadSender::end`], the body has broken off.
+/// The sending half of a streamed body. If it is dropped before [`UploadSender::end`], the body is incomplete.
 #[derive(Debug)]
 pub struct UploadSender {
-    to: mpsc::Sender<Piece>,
-    ended: Arc<Ended>,
+    sender: mpsc::Sender<Piece>,
+    end: Arc<UploadEnd>,
 }
 
-/// Nobody takes the rest of the body any more.
+/// Why the rest of the body is no longer accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UploadError {
-    /// The attempt is over.
+    /// The attempt has ended.
     Closed,
-    /// The server has taken nothing for ten seconds.
+    /// The server accepted nothing for ten seconds.
     Stalled,
 }
 
 impl Upload {
-    /// A body whose caller waits for `left` once it has sent all of it.
-    pub fn new(left: Duration) -> (Upload, UploadSender) {
-        // One piece under way keeps the line busy; what follows waits in the caller's socket.
-        let (feed, rest) = mpsc::channel(1);
-        let ended = Arc::<Ended>::default();
-        let feed = UploadSender { to: feed, ended: ended.clone() };
-        (Upload { rest: Mutex::new(Some(rest)), ended, left }, feed)
+    /// Creates a body whose client waits for `answer_timeout` after it has sent everything.
+    pub fn new(answer_timeout: Duration) -> (Upload, UploadSender) {
+        // One buffered piece keeps the connection busy; further bytes wait in the client's socket.
+        let (sender, receiver) = mpsc::channel(1);
+        let end = Arc::<UploadEnd>::default();
+        let sender = UploadSender { sender, end: end.clone() };
+        (Upload { receiver: Mutex::new(Some(receiver)), end, answer_timeout }, sender)
     }
 
-    /// Takes the rest for one attempt. None: another one has it.
-    pub fn take_rest(&self) -> Option<mpsc::Receiver<Piece>> {
-        self.rest.lock().unwrap_or_else(PoisonError::into_inner).take()
+    /// Takes the receiver for one attempt. `None`: another attempt has it.
+    pub fn take_receiver(&self) -> Option<mpsc::Receiver<Piece>> {
+        self.receiver.lock().unwrap_or_else(PoisonError::into_inner).take()
     }
 
-    /// Whether some attempt has taken the rest.
+    /// Whether an attempt has taken the receiver.
     pub fn is_taken(&self) -> bool {
-        self.rest.lock().unwrap_or_else(PoisonError::into_inner).is_none()
+        self.receiver.lock().unwrap_or_else(PoisonError::into_inner).is_none()
     }
 
-    /// When the caller had sent all of it: from then on it waits for an answer.
+    /// When the client had sent the whole body; from then on it waits for the answer.
     pub fn ended_at(&self) -> Option<Instant> {
-        self.ended.at.get().copied()
+        self.end.at.get().copied()
     }
 
-    /// Waits until the caller no longer waits. Cancel safe.
-    pub async fn expired(&self) {
+    /// Waits until the client's answer timeout has expired. Cancel safe.
+    pub async fn wait_until_expired(&self) {
         loop {
-            let told = self.ended.told.notified();
+            let notified = self.end.notify.notified();
             match self.ended_at() {
-                Some(at) => return tokio::time::sleep_until((at + self.left).into()).await,
-                None => told.await,
+                Some(at) => {
+                    return tokio::time::sleep_until((at + self.answer_timeout).into()).await;
+                }
+                None => notified.await,
             }
         }
     }
 }
 
 impl UploadSender {
-    /// Passes a piece on, when the server has taken the one before.
+    /// Sends a piece once the server has accepted the previous one.
     ///
     /// # Errors
-    /// Nobody takes it.
+    /// The body is no longer accepted.
     pub async fn send(&self, piece: Bytes) -> Result<(), UploadError> {
-        match tokio::time::timeout(SERVER_STALL, self.to.send(Piece::Data(piece))).await {
+        match tokio::time::timeout(SERVER_STALL_TIMEOUT, self.sender.send(Piece::Data(piece))).await
+        {
             Ok(sent) => sent.map_err(|_| UploadError::Closed),
             Err(_) => Err(UploadError::Stalled),
         }
     }
 
-    /// The body is whole.
+    /// Marks the end of the body.
     ///
     /// # Errors
-    /// Nobody takes that.
+    /// The body is no longer accepted.
     pub async fn end(self) -> Result<(), UploadError> {
-        // The caller's time runs from now on, whenever the server takes the last of it.
-        let _ = self.ended.at.set(Instant::now());
-        self.ended.told.notify_waiters();
-        match tokio::time::timeout(SERVER_STALL, self.to.send(Piece::End)).await {
+        // The client's answer timeout starts now, whenever the server accepts the last bytes.
+        let _ = self.end.at.set(Instant::now());
+        self.end.notify.notify_waiters();
+        match tokio::time::timeout(SERVER_STALL_TIMEOUT, self.sender.send(Piece::End)).await {
             Ok(sent) => sent.map_err(|_| UploadError::Closed),
             Err(_) => Err(UploadError::Stalled),
         }
--- a/crates/millethook-engine/src/upstream/attempt/active.rs
+++ b/crates/millethook-engine/src/upstream/attempt/active.rs
@@ -244,7 +244,7 @@
     let body_stream = match body_stream {
         Some(body_stream) => body_stream,
         None => {
-            let Some(receiver) = request.upload.as_ref().and_then(Upload::take_rest) else {
+            let Some(receiver) = request.upload.as_ref().and_then(Upload::take_receiver) else {
                 return Poll::Ready(BodyProgress::Gone);
             };
             body_stream.insert(BodyStream { receiver, pieces: SmallVec::new(), offset: written })
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -345,7 +345,7 @@
     /// The load report of an answer.
     fn report(&self, head: &ResponseHead) -> LoadReport {
         let text = head.headers.get("x-backend-load").and_then(|value| value.to_str().ok());
-        text.map(|text| self.names.report(text)).unwrap_or_default()
+        text.map(|text| self.names.parse_report(text)).unwrap_or_default()
     }
 }
 
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -119,7 +119,7 @@
         let mut next = Instant::now() + SWEEP_INTERVAL;
         loop {
             tokio::select! {
-                () = self.sockets.servers.wanted() => {
+                () = self.sockets.servers.release_requested() => {
                     self.pool.borrow_mut().give_up_one();
                 }
                 () = sleep_until(next.into()) => {
@@ -245,7 +245,7 @@
                 Checkout::Open => {
                     let handshake = Handshake { upstream: self, server, handshake_time: None };
                     // While this waits for a permit, a connection to the server that becomes idle is used instead.
-                    let permit = match self.sockets.servers.try_take() {
+                    let permit = match self.sockets.servers.try_acquire() {
                         Some(permit) => Some(permit),
                         // A connection to this server leaves quarantine sooner than another one's socket becomes
                         // free.
@@ -310,10 +310,10 @@
         let _socket_waiter = SocketWaiter(&self.socket_waiters);
         // Closing an idle connection, here or in another engine of the budget, frees a socket.
         if !self.pool.borrow_mut().give_up_one() {
-            self.sockets.servers.want();
+            self.sockets.servers.request_release();
         }
         let remaining = deadline.saturating_duration_since(Instant::now());
-        let mut acquiring = pin!(self.sockets.servers.take(remaining));
+        let mut acquiring = pin!(self.sockets.servers.acquire(remaining));
         loop {
             tokio::select! {
                 biased;
@@ -340,7 +340,7 @@
         }
         let upstream = self.clone();
         spawn_local(async move {
-            let opened = match upstream.sockets.servers.try_take() {
+            let opened = match upstream.sockets.servers.try_acquire() {
                 Some(permit) => {
                     Connection::open(
                         dial,
--- a/crates/millethook-engine/src/upstream/probe.rs
+++ b/crates/millethook-engine/src/upstream/probe.rs
@@ -45,7 +45,7 @@
         let outcome =
             if outcome == Outcome::Served && answer.is_none() { Outcome::Error } else { outcome };
         let report_text = answer.map(|(_, body)| String::from_utf8_lossy(&body).into_owned());
-        (outcome, report_text.map(|text| self.names.report(&text)).unwrap_or_default())
+        (outcome, report_text.map(|text| self.names.parse_report(&text)).unwrap_or_default())
     }
 
     /// Sends a trial to a server of an old list: whether something listens there, and whether it is that server.
--- a/crates/millethook-engine/tests/it/budget.rs
+++ b/crates/millethook-engine/tests/it/budget.rs
@@ -34,14 +34,15 @@
 }
 
 #[test]
-fn who_goes_away_while_waiting_has_taken_nothing() {
+fn a_dropped_waiting_reservation_holds_nothing() {
     let bytes = ByteBudget::new((1 << 20) + MAX_BODY_BYTES);
-    let (mut a, mut lead, mut c) = (bytes.reservation(), bytes.reservation(), bytes.reservation());
+    let (mut a, mut leader, mut c) =
+        (bytes.reservation(), bytes.reservation(), bytes.reservation());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
-    assert_eq!(polled(pin!(lead.grow(1))), Poll::Ready(()));
+    assert_eq!(polled(pin!(leader.grow(1))), Poll::Ready(()));
     assert_eq!(polled(pin!(c.grow(1))), Poll::Pending);
     drop(c);
-    drop(lead);
+    drop(leader);
     let mut next = bytes.reservation();
     assert_eq!(polled(pin!(next.grow(1))), Poll::Ready(()));
     drop((a, next));
@@ -72,47 +73,54 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_place_is_waited_for_and_asked_for() {
-    let all = ConnectionPermits::new(2);
-    let (places, other) = (EnginePermits::new(all.clone()), EnginePermits::new(all.clone()));
-    let (first, second) = (places.try_take().expect("one"), places.try_take().expect("two"));
-    assert!(places.try_take().is_none());
-    assert_eq!(all.in_use(), 2);
-    assert!(places.take(Duration::from_millis(50)).await.is_none(), "nobody gives one up");
+async fn an_engine_waits_for_a_permit_that_another_one_releases() {
+    let shared = ConnectionPermits::new(2);
+    let (permits, other) = (EnginePermits::new(shared.clone()), EnginePermits::new(shared.clone()));
+    let (first, second) =
+        (permits.try_acquire().expect("one"), permits.try_acquire().expect("two"));
+    assert!(permits.try_acquire().is_none());
+    assert_eq!(shared.in_use(), 2);
+    assert!(permits.acquire(Duration::from_millis(50)).await.is_none(), "nobody releases one");
     // Another engine hears that one is wanted, and gives up what rests.
-    let giving = tokio::spawn(async move {
-        other.wanted().await;
+    let release = tokio::spawn(async move {
+        other.release_requested().await;
         drop(second);
     });
     tokio::task::yield_now().await;
-    places.want();
-    let taken = places.take(Duration::from_secs(5)).await.expect("given up");
-    giving.await.expect("no panic");
+    permits.request_release();
+    let taken =
+        permits.acquire(Duration::from_secs(5)).await.expect("released by the other engine");
+    release.await.expect("no panic");
     drop((first, taken));
-    assert_eq!(all.in_use(), 0);
+    assert_eq!(shared.in_use(), 0);
 }
 
 /// An engine that heard its own call would close a connection that its own requests need.
 #[test]
-fn an_engine_does_not_hear_its_own_call_for_a_place() {
-    let all = ConnectionPermits::new(1);
-    let (asking, other) = (EnginePermits::new(all.clone()), EnginePermits::new(all));
-    let (mut own, mut others) = (pin!(asking.wanted()), pin!(other.wanted()));
+fn an_engine_ignores_its_own_release_request() {
+    let shared = ConnectionPermits::new(1);
+    let (requesting, other) = (EnginePermits::new(shared.clone()), EnginePermits::new(shared));
+    let (mut own, mut others) =
+        (pin!(requesting.release_requested()), pin!(other.release_requested()));
     assert_eq!(polled(own.as_mut()), Poll::Pending);
     assert_eq!(polled(others.as_mut()), Poll::Pending);
-    asking.want();
-    assert_eq!(polled(own), Poll::Pending, "its own call");
-    assert_eq!(polled(others), Poll::Ready(()), "another engine's call");
+    requesting.request_release();
+    assert_eq!(polled(own), Poll::Pending, "its own request");
+    assert_eq!(polled(others), Poll::Ready(()), "another engine's request");
 }
 
 /// A call that came while the other engine was busy with an earlier one is not lost.
 #[test]
-fn a_call_for_a_place_is_kept_until_it_is_heard() {
-    let all = ConnectionPermits::new(1);
-    let (asking, other) = (EnginePermits::new(all.clone()), EnginePermits::new(all));
-    asking.want();
-    assert_eq!(polled(pin!(other.wanted())), Poll::Ready(()));
-    assert_eq!(polled(pin!(other.wanted())), Poll::Pending, "one call, heard once");
+fn a_release_request_is_kept_until_it_is_received() {
+    let shared = ConnectionPermits::new(1);
+    let (requesting, other) = (EnginePermits::new(shared.clone()), EnginePermits::new(shared));
+    requesting.request_release();
+    assert_eq!(polled(pin!(other.release_requested())), Poll::Ready(()));
+    assert_eq!(
+        polled(pin!(other.release_requested())),
+        Poll::Pending,
+        "one request is received once"
+    );
 }
 
 #[test]
@@ -121,8 +129,8 @@
         let sockets = Sockets::new(limit);
         let mut servers = 0;
         let mut held = Vec::new();
-        while let Some(place) = sockets.servers.try_take() {
-            held.push(place);
+        while let Some(permit) = sockets.servers.try_acquire() {
+            held.push(permit);
             servers += 1;
         }
         assert!(sockets.client_permits + servers <= limit, "{limit}");
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -12,13 +12,13 @@
 
 use super::*;
 
-const MS: Micros = 1_000;
-const S: Micros = 1_000 * MS;
-const SILENT: ServerId = ServerId(0);
-const SERVERS: u64 = 4;
-const LEASE_LENGTH: Micros = S;
-const REQUEST_INTERVAL: Micros = 20 * MS;
-const ANSWER_TIME: Micros = 10 * MS;
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000 * MILLISECOND;
+const SILENT_SERVER: ServerId = ServerId(0);
+const SERVER_COUNT: u64 = 4;
+const LEASE_LENGTH: Micros = SECOND;
+const REQUEST_INTERVAL: Micros = 20 * MILLISECOND;
+const ANSWER_TIME: Micros = 10 * MILLISECOND;
 
 /// One sidecar with its balancer, among servers of which one never answers. It grants its leases to itself.
 struct Sidecar {
@@ -28,21 +28,21 @@
     trials: Trials,
     next_request: u64,
     /// The hold of a verdict: the longest deadline.
-    hold: Micros,
+    verdict_hold: Micros,
     /// Outcomes to come, by time: the request, the number of its attempt, and the server.
-    due: BTreeMap<(Micros, u64, usize), ServerId>,
+    pending_outcomes: BTreeMap<(Micros, u64, usize), ServerId>,
     attempts: BTreeMap<u64, usize>,
     timers: BTreeSet<(Micros, u32)>,
-    sent_to_silent: Vec<Micros>,
-    given_up: Vec<Micros>,
+    trial_times: Vec<Micros>,
+    released: Vec<Micros>,
 }
 
 impl Sidecar {
     fn new(seed: u64) -> Sidecar {
         let settings = Settings::from_json(settings_json().to_string().as_bytes()).expect("sound");
-        let hold = settings.longest(|class| class.deadline);
+        let verdict_hold = settings.longest(|class| class.deadline);
         let mut balancer = Balancer::new(settings, seed, 0);
-        let entries: Vec<ServerEntry> = (0..SERVERS)
+        let entries: Vec<ServerEntry> = (0..SERVER_COUNT)
             .map(|n| ServerEntry {
                 id: ServerId(n),
                 zone: 0,
@@ -60,7 +60,7 @@
             epoch: 1,
             seats: 1,
             longest: LEASE_LENGTH,
-            change: S,
+            change: SECOND,
             drift: 0.01,
             seed,
         };
@@ -68,14 +68,14 @@
             now: 0,
             balancer,
             lease: Lease::new(config, Members::new(vec![Member(1)]), 0),
-            trials: Trials::new(hold, LEASE_LENGTH, seed, Box::new(JobId)),
+            trials: Trials::new(verdict_hold, LEASE_LENGTH, seed, Box::new(JobId)),
             next_request: 0,
-            hold,
-            due: BTreeMap::new(),
+            verdict_hold,
+            pending_outcomes: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: BTreeSet::new(),
-            sent_to_silent: Vec::new(),
-            given_up: Vec::new(),
+            trial_times: Vec::new(),
+            released: Vec::new(),
         }
     }
 
@@ -97,18 +97,18 @@
         let attempt = self.attempts.entry(id.0).or_default();
         let number = *attempt;
         *attempt += 1;
-        let takes = if server == SILENT { timeout } else { ANSWER_TIME };
-        self.due.insert((self.now + takes, id.0, number), server);
+        let duration = if server == SILENT_SERVER { timeout } else { ANSWER_TIME };
+        self.pending_outcomes.insert((self.now + duration, id.0, number), server);
         self.trials.on_attempt(server);
-        if server == SILENT {
-            self.sent_to_silent.push(self.now);
+        if server == SILENT_SERVER {
+            self.trial_times.push(self.now);
         }
     }
 
     /// Runs until `end`, with a request each [`REQUEST_INTERVAL`].
     fn run(&mut self, end: Micros) {
         while self.now < end {
-            self.now += MS;
+            self.now += MILLISECOND;
             self.outcomes();
             while self.timers.first().is_some_and(|(at, _)| *at <= self.now) {
                 let Some((_, token)) = self.timers.pop_first() else { break };
@@ -122,7 +122,7 @@
                     class: 0,
                     tenant: 0,
                     key: 0,
-                    left: S,
+                    left: SECOND,
                     hint: None,
                     repeat: false,
                 }));
@@ -132,15 +132,15 @@
     }
 
     fn outcomes(&mut self) {
-        while self.due.first_key_value().is_some_and(|((at, ..), _)| *at <= self.now) {
-            let Some(((_, id, attempt), server)) = self.due.pop_first() else { break };
-            let outcome = if server == SILENT { Outcome::TimedOut } else { Outcome::Served };
+        while self.pending_outcomes.first_key_value().is_some_and(|((at, ..), _)| *at <= self.now) {
+            let Some(((_, id, attempt), server)) = self.pending_outcomes.pop_first() else { break };
+            let outcome = if server == SILENT_SERVER { Outcome::TimedOut } else { Outcome::Served };
             self.event(Event::Answer {
                 id: RequestId(id),
                 attempt,
                 server,
                 outcome,
-                latency: if server == SILENT { S } else { ANSWER_TIME },
+                latency: if server == SILENT_SERVER { SECOND } else { ANSWER_TIME },
                 finished: outcome == Outcome::Served,
                 report: LoadReport::default(),
             });
@@ -158,7 +158,7 @@
                 TrialAction::ApplyVerdict(server, standing) => {
                     self.event(Event::Stands { server, standing })
                 }
-                TrialAction::Release(..) => self.given_up.push(self.now),
+                TrialAction::Release(..) => self.released.push(self.now),
                 TrialAction::Announce(..) => {}
             }
         }
@@ -177,20 +177,23 @@
     for seed in 0..20 {
         let mut sidecar = Sidecar::new(seed);
         // By itself it makes each of its trials rarer than the one before.
-        sidecar.run(60 * S);
-        let begins = sidecar.now;
-        sidecar.event(Event::Stands { server: SILENT, standing: Standing::Doubted });
-        sidecar.trials.apply_verdict(begins, SILENT, Standing::Doubted, &mut sidecar.lease);
-        sidecar.sent_to_silent.clear();
-        sidecar.run(begins + 60 * S);
-        assert!(sidecar.given_up.is_empty(), "seed {seed}: given up at {:?}", sidecar.given_up);
+        sidecar.run(60 * SECOND);
+        let start = sidecar.now;
+        sidecar.event(Event::Stands { server: SILENT_SERVER, standing: Standing::Doubted });
+        sidecar.trials.apply_verdict(start, SILENT_SERVER, Standing::Doubted, &mut sidecar.lease);
+        sidecar.trial_times.clear();
+        sidecar.run(start + 60 * SECOND);
+        assert!(sidecar.released.is_empty(), "seed {seed}: released at {:?}", sidecar.released);
         // It asks for the trial within a hold, and has the lease at once; then it may have a trial of its own out.
-        let first = sidecar.sent_to_silent.first().copied().unwrap_or(Micros::MAX);
-        assert!(first < begins + IDLE_HOLDS * sidecar.hold, "seed {seed}: first tried at {first}");
+        let first = sidecar.trial_times.first().copied().unwrap_or(Micros::MAX);
+        assert!(
+            first < start + MAX_IDLE_HOLDS * sidecar.verdict_hold,
+            "seed {seed}: first tried at {first}"
+        );
         // It goes on trying, so that a server that comes back is found.
-        let times = sidecar.sent_to_silent.iter().chain([&sidecar.now]);
-        let mut gaps = sidecar.sent_to_silent.iter().zip(times.skip(1));
-        let longest = (TRIAL_HOLDS + IDLE_HOLDS) * sidecar.hold;
-        assert!(gaps.all(|(a, b)| b - a <= longest), "seed {seed}: {:?}", sidecar.sent_to_silent);
+        let next_times = sidecar.trial_times.iter().chain([&sidecar.now]);
+        let mut gaps = sidecar.trial_times.iter().zip(next_times.skip(1));
+        let max_gap = (TRIAL_INTERVAL_HOLDS + MAX_IDLE_HOLDS) * sidecar.verdict_hold;
+        assert!(gaps.all(|(a, b)| b - a <= max_gap), "seed {seed}: {:?}", sidecar.trial_times);
     }
 }
