--- a/crates/millethook-engine/src/discovery/call.rs
+++ b/crates/millethook-engine/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call of discovery over HTTP/1.1: a connection, a query, and the list that comes back.
+//! One call to discovery over HTTP/1.1: a connection, a query, and the returned list.
 
 use std::error::Error;
 use std::io::{self, ErrorKind};
@@ -19,45 +19,46 @@
 
 use crate::list::List;
 
-/// The longest answer: some ten thousand servers.
-const LONGEST: usize = 4 << 20;
-/// How long a connection to discovery may take to come up.
-const CONNECT: Duration = Duration::from_millis(500);
-/// How long a whole answer may take to come in once it has begun. Danger: one that brings a byte now
-/// and then would keep the sidecar from every later list.
-const ANSWER: Duration = Duration::from_secs(3);
-/// The system asks a peer that is silent for so long whether it is still there, and asks again as often. No work for
-/// discovery: its system answers.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Probes in a row without an answer after which a connection is lost. At 5% loss each way one series in a thousand
-/// is without an answer though the peer is there; with two probes it would be one in a hundred.
-const PROBES: u32 = 3;
-/// A connection is lost when nothing of what was sent on it, probes or a call, was acknowledged for so long.
+/// The longest answer, enough for some ten thousand servers.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Timeout of connecting to discovery.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a whole answer once it has begun. An answer that delivers a byte now and then would otherwise block
+/// every later list.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// TCP keepalive probes are sent after this idle time, and at this interval. They cost discovery nothing: its
+/// operating system answers them.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// The connection is lost after this many unanswered probes in a row. At 5% packet loss in each direction, one series
+/// in a thousand fails although the peer is alive; with two probes it would be one in a hundred.
+const KEEPALIVE_PROBES: u32 = 3;
+/// The connection is lost when nothing sent on it, neither probes nor a call, was acknowledged for this long.
 ///
-/// Without it, a call on a connection that ended without a FIN or a reset (its host has vanished, a middlebox has
-/// dropped the flow) looks like one that waits in a long line. It also ends calls that were written to a connection
-/// that was lost before. Harm: a way that is cut for longer costs each waiting call its place in line.
-pub(super) const LOST_AFTER: Duration = Duration::from_secs(4);
+/// Without it, a call on a connection that ended without FIN or reset (its host vanished, or a middlebox dropped the
+/// flow) looks like one that waits in a long queue. It also ends calls that were written to a connection that was
+/// already lost. The cost: a network interruption longer than this makes each waiting call lose its place in the
+/// queue.
+pub(super) const ACK_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallError {
-    /// No connection came up.
+    /// The connection could not be established.
     Unreachable,
-    /// Discovery answered that it does not answer now (429 or 503): its line is full, or it is down.
+    /// Discovery refused the call (429 or 503): its queue is full, or it is down.
     Refused,
-    /// The peer, or the way to it, acknowledges nothing any more ([`LOST_AFTER`]).
+    /// The peer no longer acknowledges anything ([`ACK_TIMEOUT`]).
     Lost,
-    /// Nothing came in time, the connection ended, or the answer makes no sense.
+    /// The answer timed out, the connection ended, or the answer is invalid.
     Broken,
 }
 
-/// What is asked for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Query {
-    /// The whole list.
+    /// The complete list.
     Whole,
-    /// What is newer than a version; waits so long for it.
+    /// Changes since the version `than`; discovery may hold the call for `hold` until there are any.
     Newer { than: u64, hold: Duration },
 }
 
@@ -72,70 +73,74 @@
     }
 }
 
-/// How long an answer may take.
+/// Timeouts of an answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AnswerTimes {
-    /// Until its head is there.
-    pub first: Duration,
+pub(super) struct AnswerTimeouts {
+    /// Until its head has arrived.
+    pub head: Duration,
     /// Between two pieces of its body.
-    pub gap: Duration,
+    pub piece: Duration,
 }
 
 /// A connection to discovery, closed when it is dropped.
 pub(super) struct Connection {
     sender: SendRequest<Empty<Bytes>>,
-    driving: AbortHandle,
+    connection_task: AbortHandle,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.driving.abort();
+        self.connection_task.abort();
     }
 }
 
 impl Connection {
     async fn open(address: SocketAddr) -> Result<Connection, CallError> {
-        let connecting = timeout(CONNECT, TcpStream::connect(address)).await;
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let Ok(Ok(socket)) = connecting else { return Err(CallError::Unreachable) };
         configure(&socket).map_err(|_| CallError::Unreachable)?;
         let handshake = http1::handshake(TokioIo::new(socket)).await;
-        let (sender, driving) = handshake.map_err(|_| CallError::Unreachable)?;
+        let (sender, connection) = handshake.map_err(|_| CallError::Unreachable)?;
         let task = tokio::task::spawn_local(async move {
-            let _ = driving.await;
+            let _ = connection.await;
         });
-        Ok(Connection { sender, driving: task.abort_handle() })
+        Ok(Connection { sender, connection_task: task.abort_handle() })
     }
 }
 
+/// Sets the socket options.
+///
 /// # Errors
-/// The system refuses an option.
+/// The system rejects an option.
 fn configure(socket: &TcpStream) -> io::Result<()> {
     socket.set_nodelay(true)?;
-    let keepalive =
-        TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY).with_retries(PROBES);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(socket);
     socket.set_tcp_keepalive(&keepalive)?;
-    // Probes cover a connection on which all was acknowledged; this one covers data that was not.
-    socket.set_tcp_user_timeout(Some(LOST_AFTER))
+    // Keepalive probes cover a connection on which all data is acknowledged; this timeout covers unacknowledged data.
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))
 }
 
-/// Whether the system has given a connection up because its peer acknowledges nothing.
+/// Whether the system closed the connection because its peer acknowledges nothing.
 fn is_lost(error: &hyper::Error) -> bool {
     let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>());
     let lost = [ErrorKind::TimedOut, ErrorKind::HostUnreachable, ErrorKind::NetworkUnreachable];
     cause.is_some_and(|cause| lost.contains(&cause.kind()))
 }
 
-/// One call, over the connection of an earlier one if that is still open. With the list comes the connection, fit
-/// for the next call; dropped on the way, the call is hung up.
+/// Makes one call, on the connection of an earlier call if that is still open. Returns the list and the connection,
+/// which is ready for the next call. Dropping the future cancels the call.
 ///
 /// # Errors
-/// The answer did not come whole, in time, or cannot be understood.
+/// The answer was incomplete, late or invalid.
 pub(super) async fn call(
     connection: Option<Connection>,
     address: SocketAddr,
     query: Query,
-    times: AnswerTimes,
+    timeouts: AnswerTimeouts,
 ) -> Result<(Connection, List), CallError> {
     let mut connection = match connection.filter(|open| !open.sender.is_closed()) {
         Some(connection) => connection,
@@ -144,11 +149,11 @@
     let request = Request::get(query.path()).header(HOST, address.to_string());
     let request = request.body(Empty::new()).map_err(|_| CallError::Broken)?;
     let sender = &mut connection.sender;
-    let answer = timeout(times.first, async {
+    let exchange = timeout(timeouts.head, async {
         sender.ready().await?;
         sender.send_request(request).await
     });
-    let answer = match answer.await {
+    let answer = match exchange.await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) if is_lost(&error) => return Err(CallError::Lost),
         Ok(Err(_)) | Err(_) => return Err(CallError::Broken),
@@ -160,19 +165,20 @@
         }
         _ => return Err(CallError::Broken),
     }
-    let text = timeout(ANSWER, read(answer, times.gap)).await.ok().flatten();
-    let list = text.and_then(|text| serde_json::from_slice(&text).ok());
+    let body = timeout(ANSWER_TIMEOUT, read_body(answer, timeouts.piece)).await.ok().flatten();
+    let list = body.and_then(|body| serde_json::from_slice(&body).ok());
     Ok((connection, list.ok_or(CallError::Broken)?))
 }
 
-/// Danger: an answer may stop in the middle and stay open. While it moves, it is read on.
-async fn read(answer: Response<Incoming>, gap: Duration) -> Option<Vec<u8>> {
-    let mut body = Limited::new(answer.into_body(), LONGEST);
-    let mut text = Vec::new();
-    while let Some(frame) = timeout(gap, body.frame()).await.ok()? {
+/// Reads the body of an answer. Each piece has a timeout, because an answer may stop in the middle while its
+/// connection stays open.
+async fn read_body(answer: Response<Incoming>, piece_timeout: Duration) -> Option<Vec<u8>> {
+    let mut limited_body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
+    let mut body = Vec::new();
+    while let Some(frame) = timeout(piece_timeout, limited_body.frame()).await.ok()? {
         if let Ok(data) = frame.ok()?.into_data() {
-            text.extend_from_slice(&data);
+            body.extend_from_slice(&data);
         }
     }
-    Some(text)
+    Some(body)
 }
--- a/crates/millethook-engine/src/discovery/call_timing.rs
+++ b/crates/millethook-engine/src/discovery/call_timing.rs
@@ -1,166 +1,182 @@
-//! How long a caller of discovery waits for an answer, and how long it stays away after a refusal.
+//! How long a caller of discovery waits for an answer, and how long it backs off after a refusal.
 //!
-//! Discovery may be one service for a whole fleet that works through calls in turn. A fleet that starts
-//! together is then `fleet` calls of work, and a caller that hangs up earlier than its turn has its call
-//! worked on for nobody and comes again: more calls than discovery can do, for good (a metastable failure,
-//! Bronson et al., HotOS '21). No clock, randomness or I/O in here: times and random numbers are handed in.
+//! Discovery may be a single service for a whole fleet that processes calls in a queue. A fleet that starts together
+//! puts one call for each sidecar into the queue. If callers give up before their turn, discovery processes calls
+//! that nobody waits for, and the callers come again: more calls than discovery can process, forever (a metastable
+//! failure, Bronson et al., HotOS '21). This module has no clock, randomness or I/O: times and random numbers are
+//! passed in.
 
 use std::time::Duration;
 
 use coppercart::settings::Settings;
 
-/// A second call beside one that waits is made no sooner,
-const SECOND_LEAST: Duration = Duration::from_millis(1500);
-/// and no later, unless answers were seen to take longer. A call may be lost behind a connection that lives (a proxy on
-/// the way, a fault of discovery). This, the connection, and a wait in line of 2 s are less than the 6 s after which
-/// news counts as told.
-const SECOND_MOST: Duration = Duration::from_millis(2500);
-/// The same after a refusal, where the fleet is large: discovery lives and its line is full, which is why calls wait.
-/// With the connection it is less than those 6 s.
-const SECOND_MOST_REFUSED: Duration = Duration::from_secs(5);
-/// Second calls are spread over this last share of their wait.
+/// A second call beside a waiting one is made no sooner than this.
+const MIN_SECOND_CALL_DELAY: Duration = Duration::from_millis(1500);
+/// The latest time of a second call, unless answers were seen to take longer. A call may be lost behind a live
+/// connection (a proxy on the path, a fault of discovery). This delay, the connection and 2 s in the queue are less
+/// than the 6 s after which the platform treats updates as known.
+const MAX_SECOND_CALL_DELAY: Duration = Duration::from_millis(2500);
+/// The same limit after a refusal in a large fleet: discovery is alive and its queue is full, which is why calls
+/// wait. Together with the connection it is less than those 6 s.
+const MAX_SECOND_CALL_DELAY_REFUSED: Duration = Duration::from_secs(5);
+/// Second calls are spread over this last part of their delay.
 ///
-/// Without it, a wait that is a multiple of the work of one call ends when a place in line becomes free again, as it
-/// began with one: half of the second calls then take places from callers that have none, and 300 callers at 0.5 s a
-/// call took 234 s in place of 150 on the virtual clock.
-const SECOND_SPREAD: f64 = 0.4;
-/// A call may take discovery so long, as far as nothing else is known.
-const CALL_GUESS: Duration = Duration::from_millis(500);
-/// Calls that wait are given up no sooner. Danger: a small fleet may have a slow discovery. Against a dead connection
-/// there is the second call.
-const GIVE_UP_LEAST: Duration = Duration::from_secs(15);
-/// and no later.
-const GIVE_UP_MOST: Duration = Duration::from_secs(300);
-/// The first wait after a refusal is at least up to this.
-const REFUSED_LEAST: Duration = Duration::from_millis(250);
-/// Waits after refusals grow by so much for each sidecar of the fleet: 100 refusals a second from all of them.
-const REFUSED_EACH: Duration = Duration::from_millis(10);
-/// Waits after many refusals are up to so much for each sidecar of the fleet, and no longer than the settings leave
-/// for news that is in time: some fifteen refusals a second from all of a small fleet.
-const REFUSED_MOST_EACH: Duration = Duration::from_millis(100);
-/// What discovery has to tell counts as told after this, whatever was refused: from then on waits may be longer
-/// than the settings leave for news that is in time.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// Twice the wait at each refusal in a row, up to so many times.
-const DOUBLINGS: u32 = 16;
+/// Without the spread, a delay that is a multiple of the processing time of one call ends just when a place in the
+/// queue becomes free, since it also began with one. Half of the second calls then take places from callers that have
+/// none: on the virtual clock, 300 callers at 0.5 s a call took 234 s instead of 150.
+const SECOND_CALL_SPREAD: f64 = 0.4;
+/// The assumed processing time of one call while no answer was measured.
+const ASSUMED_CALL_TIME: Duration = Duration::from_millis(500);
+/// Waiting calls are given up no sooner than this, because even a small fleet may have a slow discovery. The second
+/// call protects against a dead connection.
+const MIN_GIVE_UP_TIME: Duration = Duration::from_secs(15);
+/// Waiting calls are given up no later than this.
+const MAX_GIVE_UP_TIME: Duration = Duration::from_secs(300);
+/// The upper limit of the first back-off is at least this.
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
+/// Back-offs grow by this for each sidecar of the fleet: 100 refusals a second from all of them.
+const BACKOFF_PER_SIDECAR: Duration = Duration::from_millis(10);
+/// The limit of back-offs after many refusals, for each sidecar of the fleet, and at most what the settings allow for
+/// timely updates: some fifteen refusals a second from all of a small fleet.
+const MAX_BACKOFF_PER_SIDECAR: Duration = Duration::from_millis(100);
+/// The platform treats updates as known after this, refused calls included. From then on back-offs may be longer than
+/// the settings allow for timely updates.
+const DELIVERY_DEADLINE: Duration = Duration::from_secs(6);
+/// The back-off doubles at each refusal in a row, at most this many times.
+const MAX_DOUBLINGS: u32 = 16;
 
 /// What the settings say about calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// Sidecars that ask the same discovery.
+    /// Number of sidecars that use the same discovery.
     pub fleet: u32,
-    /// The longest wait between two calls with which news still comes in time.
-    pub longest_wait: Duration,
+    /// The longest wait between two calls with which updates are still timely.
+    pub max_wait: Duration,
 }
 
 impl From<&Settings> for CallLimits {
     fn from(settings: &Settings) -> CallLimits {
         CallLimits {
             fleet: settings.instances,
-            longest_wait: Duration::from_micros(settings.rules.ask_spread(1)),
+            max_wait: Duration::from_micros(settings.rules.ask_spread(1)),
         }
     }
 }
 
-/// What calls have taken so far, and what follows for the next one.
+/// Measured times of calls, and the timeouts that follow from them.
 #[derive(Clone, Debug)]
 pub struct CallTiming {
     limits: CallLimits,
-    /// The quickest answer to a call in line: no less than the work of one call. Forgotten slowly.
-    quickest: Option<Duration>,
-    /// The slowest answer of late. Forgotten with each answer to a call in line, and as watches are answered.
-    slowest: Duration,
+    /// The fastest answer to a queued call: at least the processing time of one call. It slowly decays upwards.
+    fastest_answer: Option<Duration>,
+    /// The slowest recent answer. It decays with each answer to a queued call, and as watches are answered.
+    slowest_answer: Duration,
     /// Refusals in a row.
     refusals: u32,
-    /// Rows of calls that were given up, since the last answer.
-    given_up: u32,
+    /// How often waiting calls were given up since the last answer.
+    give_ups: u32,
 }
 
 impl CallTiming {
-    /// Nothing is known of discovery yet.
+    /// Creates the state in which nothing is known of discovery.
     pub fn new(limits: CallLimits) -> CallTiming {
-        CallTiming { limits, quickest: None, slowest: Duration::ZERO, refusals: 0, given_up: 0 }
+        CallTiming {
+            limits,
+            fastest_answer: None,
+            slowest_answer: Duration::ZERO,
+            refusals: 0,
+            give_ups: 0,
+        }
     }
 
-    /// The settings have changed.
+    /// Sets the limits of new settings.
     pub fn set_limits(&mut self, limits: CallLimits) {
         self.limits = limits;
     }
 
-    /// For how long a call waits alone at random; `random` is of `0.0..1.0`.
-    pub fn second_call_at_random(&self, random: f64) -> Duration {
-        let latest = self.second_call_after();
-        let spread = latest.mul_f64(1.0 - SECOND_SPREAD * random.clamp(0.0, 1.0));
-        spread.max(SECOND_LEAST.min(latest))
+    /// Returns a random delay of the second call; `random` is in `0.0..1.0`.
+    pub fn random_second_call_delay(&self, random: f64) -> Duration {
+        let latest = self.second_call_delay();
+        let delay = latest.mul_f64(1.0 - SECOND_CALL_SPREAD * random.clamp(0.0, 1.0));
+        delay.max(MIN_SECOND_CALL_DELAY.min(latest))
     }
 
-    /// For how long a call waits alone at most. Then a second one is made beside it, which keeps its place in line.
-    pub fn second_call_after(&self) -> Duration {
-        // Unless the whole fleet's calls are known to take less, a wait is more likely than a dead connection.
-        let whole_fleet = self.quickest.map_or(SECOND_MOST, |call| times(call, self.limits.fleet));
-        let known = self.slowest.mul_f64(1.25).min(self.give_up_after() / 2);
-        let alone = whole_fleet.clamp(SECOND_LEAST, SECOND_MOST).max(known);
+    /// The longest time that a call waits alone. Then a second call is made beside it, and the first keeps its place
+    /// in the queue.
+    pub fn second_call_delay(&self) -> Duration {
+        // Unless all calls of the fleet are known to take less, a long queue is more likely than a dead connection.
+        let whole_fleet = self
+            .fastest_answer
+            .map_or(MAX_SECOND_CALL_DELAY, |call| multiplied(call, self.limits.fleet));
+        let known_answer_time = self.slowest_answer.mul_f64(1.25).min(self.give_up_after() / 2);
+        let delay =
+            whole_fleet.clamp(MIN_SECOND_CALL_DELAY, MAX_SECOND_CALL_DELAY).max(known_answer_time);
         if self.refusals == 0 {
-            return alone;
+            return delay;
         }
-        // Danger: places in a full line are scarce, and each second call takes one from a caller that has none.
-        alone.max((self.give_up_after() / 4).min(SECOND_MOST_REFUSED))
+        // Places in a full queue are scarce, and each second call takes one from a caller that has none.
+        delay.max((self.give_up_after() / 4).min(MAX_SECOND_CALL_DELAY_REFUSED))
     }
 
-    /// After how long calls that wait are given up, counted from the first of them.
+    /// How long after the first of the waiting calls all of them are given up.
     pub fn give_up_after(&self) -> Duration {
-        let whole_fleet = times(CALL_GUESS, self.limits.fleet).max(self.slowest * 2);
-        let grown = whole_fleet.max(GIVE_UP_LEAST).saturating_mul(doubled(self.given_up));
-        grown.min(GIVE_UP_MOST)
+        let whole_fleet =
+            multiplied(ASSUMED_CALL_TIME, self.limits.fleet).max(self.slowest_answer * 2);
+        let total = whole_fleet.max(MIN_GIVE_UP_TIME).saturating_mul(doubled(self.give_ups));
+        total.min(MAX_GIVE_UP_TIME)
     }
 
-    /// A call that waited in line was answered after so long.
-    pub fn on_answer(&mut self, took: Duration) {
-        let quickest = self.quickest.map_or(took, |before| took.min(before.mul_f64(1.25)));
-        self.quickest = Some(quickest);
-        self.slowest = took.max(self.slowest / 2);
-        (self.refusals, self.given_up) = (0, 0);
+    /// A queued call was answered after `duration`.
+    pub fn on_answer(&mut self, duration: Duration) {
+        let fastest_answer =
+            self.fastest_answer.map_or(duration, |before| duration.min(before.mul_f64(1.25)));
+        self.fastest_answer = Some(fastest_answer);
+        self.slowest_answer = duration.max(self.slowest_answer / 2);
+        (self.refusals, self.give_ups) = (0, 0);
     }
 
-    /// A watch that discovery held was answered after so long. A line that calls waited in before becomes shorter in
-    /// the same time, whatever was placed in it twice.
-    pub fn on_watch_answer(&mut self, took: Duration) {
-        self.slowest = self.slowest.saturating_sub(took);
+    /// A watch that discovery held was answered after `duration`. In the same time an earlier queue has become
+    /// shorter, even if it held second calls.
+    pub fn on_watch_answer(&mut self, duration: Duration) {
+        self.slowest_answer = self.slowest_answer.saturating_sub(duration);
     }
 
-    /// Calls were given up though connections to discovery come up: the line is longer than was thought.
+    /// Calls were given up although connections to discovery come up: the queue is longer than assumed.
     pub fn on_give_up(&mut self) {
-        self.given_up = self.given_up.saturating_add(1);
+        self.give_ups = self.give_ups.saturating_add(1);
     }
 
-    /// Discovery refused a call, `since` after this list was first asked for. How long until the next call;
-    /// `random` is of `0.0..1.0`.
+    /// Discovery refused a call, `since` after this list was first requested. Returns the back-off before the next
+    /// call; `random` is in `0.0..1.0`.
     ///
-    /// Danger: callers that were refused together come again together. The wait is drawn from a range that grows
-    /// with the fleet and with refusals, so that all of them are not more than a line of calls can hold. Within the
-    /// time in which news counts as told it stays below what the settings leave, where refusals cost discovery
-    /// next to nothing.
+    /// Callers that were refused together would return together. The back-off is drawn from a range that grows with
+    /// the fleet and with refusals, so that all callers together do not exceed what the queue can hold. As long as
+    /// updates can still be timely it stays below what the settings allow, because refusals cost discovery almost
+    /// nothing.
     pub fn on_refusal(&mut self, since: Duration, random: f64) -> Duration {
-        let by_fleet = times(REFUSED_EACH, self.limits.fleet);
-        let in_time = times(REFUSED_MOST_EACH, self.limits.fleet).min(self.limits.longest_wait);
-        let longest = in_time.max(REFUSED_LEAST);
-        let longest = if since < TOLD_AFTER { longest } else { longest.max(by_fleet) };
-        let most = by_fleet.max(REFUSED_LEAST).saturating_mul(doubled(self.refusals)).min(longest);
+        let fleet_backoff = multiplied(BACKOFF_PER_SIDECAR, self.limits.fleet);
+        let timely_backoff =
+            multiplied(MAX_BACKOFF_PER_SIDECAR, self.limits.fleet).min(self.limits.max_wait);
+        let max_backoff = timely_backoff.max(MIN_BACKOFF);
+        let max_backoff =
+            if since < DELIVERY_DEADLINE { max_backoff } else { max_backoff.max(fleet_backoff) };
+        let backoff =
+            fleet_backoff.max(MIN_BACKOFF).saturating_mul(doubled(self.refusals)).min(max_backoff);
         self.refusals = self.refusals.saturating_add(1);
-        most.mul_f64(0.25 + 0.75 * random.clamp(0.0, 1.0))
+        backoff.mul_f64(0.25 + 0.75 * random.clamp(0.0, 1.0))
     }
 }
 
-/// How long a sidecar of so many waits before it calls discovery where all of them have the same reason to call it at
-/// the same time: 100 calls a second from all of them. `random` is of `0.0..1.0`.
+/// A random delay before a call to discovery that all sidecars of a fleet have the same reason to make at the same
+/// time: 100 calls a second from all of them. `random` is in `0.0..1.0`.
 pub fn fleet_spread_delay(fleet: u32, random: f64) -> Duration {
-    times(REFUSED_EACH, fleet).max(REFUSED_LEAST).mul_f64(random.clamp(0.0, 1.0))
+    multiplied(BACKOFF_PER_SIDECAR, fleet).max(MIN_BACKOFF).mul_f64(random.clamp(0.0, 1.0))
 }
 
-fn times(of: Duration, count: u32) -> Duration {
-    of.saturating_mul(count)
+fn multiplied(duration: Duration, count: u32) -> Duration {
+    duration.saturating_mul(count)
 }
 
-fn doubled(times: u32) -> u32 {
-    1 << times.min(DOUBLINGS)
+fn doubled(doublings: u32) -> u32 {
+    1 << doublings.min(MAX_DOUBLINGS)
 }
--- a/crates/millethook-engine/src/discovery/list_fetch.rs
+++ b/crates/millethook-engine/src/discovery/list_fetch.rs
@@ -1,124 +1,123 @@
-//! One list that is to be had: calls are placed in line at discovery until one of them is answered.
+//! Fetches one list: calls are placed in discovery's queue until one of them is answered.
 //!
-//! A place in line is kept for as long as its turn may still come. A connection that is silently dead is found out by
-//! the system, which probes it; its call is placed anew. What the probes can't tell from a long line is a call that
-//! was lost behind a connection that lives, so after a while a second call is placed behind the first one, which
-//! stays. At most two are in line: a fleet loads discovery twice at worst, and the second ones stand behind all first
-//! ones. No clock and no I/O in here.
+//! A call keeps its place in the queue for as long as its turn may still come. Keepalive probes detect a silently
+//! dead connection, and its call is placed again. Probes cannot tell a long queue from a call that was lost behind a
+//! live connection, so after a while a second call is placed behind the first one, which stays. At most two calls are
+//! queued: a fleet at worst doubles the load of discovery, and the second calls stand behind all first ones. This
+//! module has no clock and no I/O.
 
 use std::time::{Duration, Instant};
 
 use super::call_timing::CallTiming;
 
-/// The most calls of one sidecar in line.
-const MOST_IN_LINE: u32 = 2;
-/// A call whose connection was lost is placed anew after a random wait of at most this: one middlebox may drop the
-/// connections of a whole fleet at once. With the time in which a loss is noticed (4 s) and the connection (0.5 s) it is
-/// less than the 6 s after which news counts as told.
-const LOST_SPREAD: Duration = Duration::from_secs(1);
+/// The most queued calls of one sidecar.
+const MAX_QUEUED_CALLS: u32 = 2;
+/// A call whose connection was lost is placed again after a random delay of at most this, because one middlebox may
+/// drop the connections of a whole fleet at once. Together with the time to detect the loss (4 s) and to connect (0.5
+/// s), it is less than the 6 s after which the platform treats updates as known.
+const RECONNECT_SPREAD: Duration = Duration::from_secs(1);
 
-/// What is to be done now.
+/// What the caller must do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A call is to be placed; [`ListFetch::on_placed`] is told of it.
+    /// Place a call, and report it to [`ListFetch::on_placed`].
     Place,
-    /// Nothing until then, or until a call ends.
+    /// Wait until then, or until a call ends.
     Wait(Instant),
-    /// Nothing has come for as long as anything may be expected: all calls are to be dropped.
+    /// Drop all calls: nothing has arrived for as long as an answer can be expected.
     GiveUp,
 }
 
 /// The calls for one list.
 #[derive(Clone, Debug)]
 pub struct ListFetch {
-    /// When the list was first asked for.
-    began: Instant,
+    /// When the list was first requested.
+    started: Instant,
     /// Calls that wait for their answers.
-    in_line: u32,
+    queued_calls: u32,
     /// When the first of them was placed.
-    waits_since: Instant,
-    /// The next call is due then.
-    next: Instant,
+    waiting_since: Instant,
+    /// When the next call is due.
+    next_due: Instant,
 }
 
 impl ListFetch {
-    /// A list is wanted now, and a call is due at once.
+    /// Starts a fetch whose first call is due at once.
     pub fn new(now: Instant) -> ListFetch {
-        ListFetch { began: now, in_line: 0, waits_since: now, next: now }
+        ListFetch { started: now, queued_calls: 0, waiting_since: now, next_due: now }
     }
 
-    /// A list is wanted, and discovery has just refused a call.
-    pub fn after_refusal(now: Instant, patience: &mut CallTiming, random: f64) -> ListFetch {
-        let mut opening = ListFetch::new(now);
-        opening.wait(now, patience, random);
-        opening
+    /// Starts a fetch after discovery has just refused a call.
+    pub fn after_refusal(now: Instant, timing: &mut CallTiming, random: f64) -> ListFetch {
+        let mut fetch = ListFetch::new(now);
+        fetch.back_off(now, timing, random);
+        fetch
     }
 
-    /// A list is wanted, and the connection of a call has just been lost; `random` is of `0.0..1.0`.
+    /// Starts a fetch after the connection of a call has just been lost; `random` is in `0.0..1.0`.
     pub fn after_loss(now: Instant, random: f64) -> ListFetch {
-        let mut opening = ListFetch::new(now);
-        opening.on_lost(now, random);
-        opening
+        let mut fetch = ListFetch::new(now);
+        fetch.on_lost(now, random);
+        fetch
     }
 
-    /// What is to be done.
-    pub fn poll(&self, now: Instant, patience: &CallTiming) -> Step {
-        let end = self.waits_since + patience.give_up_after();
-        if self.in_line > 0 && now >= end {
+    /// Returns what to do now.
+    pub fn poll(&self, now: Instant, timing: &CallTiming) -> Step {
+        let end = self.waiting_since + timing.give_up_after();
+        if self.queued_calls > 0 && now >= end {
             return Step::GiveUp;
         }
-        if self.in_line == MOST_IN_LINE {
+        if self.queued_calls == MAX_QUEUED_CALLS {
             return Step::Wait(end);
         }
-        if now >= self.next {
+        if now >= self.next_due {
             return Step::Place;
         }
-        Step::Wait(if self.in_line > 0 { self.next.min(end) } else { self.next })
+        Step::Wait(if self.queued_calls > 0 { self.next_due.min(end) } else { self.next_due })
     }
 
-    /// A call was placed; `random` is of `0.0..1.0`.
-    pub fn on_placed(&mut self, now: Instant, patience: &CallTiming, random: f64) {
-        if self.in_line == 0 {
-            self.waits_since = now;
+    /// A call was placed; `random` is in `0.0..1.0`.
+    pub fn on_placed(&mut self, now: Instant, timing: &CallTiming, random: f64) {
+        if self.queued_calls == 0 {
+            self.waiting_since = now;
         }
-        self.in_line += 1;
-        self.next = now + patience.second_call_at_random(random);
+        self.queued_calls += 1;
+        self.next_due = now + timing.random_second_call_delay(random);
     }
 
-    /// The connection of a call was lost without a word, and with it the call's place in line; `random` is of
-    /// `0.0..1.0`. Another call in line keeps its place, and the next one comes as if that one had been the only one.
+    /// The connection of a call was lost silently, and with it the call's place in the queue; `random` is in
+    /// `0.0..1.0`. Another queued call keeps its place, and the next call comes as if that one had been the only one.
     pub fn on_lost(&mut self, now: Instant, random: f64) {
-        self.in_line = self.in_line.saturating_sub(1);
-        if self.in_line == 0 {
-            self.next = now + LOST_SPREAD.mul_f64(random.clamp(0.0, 1.0));
+        self.queued_calls = self.queued_calls.saturating_sub(1);
+        if self.queued_calls == 0 {
+            self.next_due = now + RECONNECT_SPREAD.mul_f64(random.clamp(0.0, 1.0));
         }
     }
 
-    /// A call was refused. Another one in line keeps its place.
-    pub fn on_refused(&mut self, now: Instant, patience: &mut CallTiming, random: f64) {
-        self.in_line = self.in_line.saturating_sub(1);
-        self.wait(now, patience, random);
+    /// A call was refused. Another queued call keeps its place.
+    pub fn on_refused(&mut self, now: Instant, timing: &mut CallTiming, random: f64) {
+        self.queued_calls = self.queued_calls.saturating_sub(1);
+        self.back_off(now, timing, random);
     }
 
-    /// A call ended without an answer or a refusal; whether another one is still in line.
+    /// A call ended without an answer or a refusal. Returns whether another one is still queued.
     ///
-    /// Danger: a second connection may not come up because discovery has too many. The first call may be answered
-    /// all the same.
-    pub fn on_broken(&mut self, now: Instant, patience: &mut CallTiming, random: f64) -> bool {
-        self.in_line = self.in_line.saturating_sub(1);
-        if self.in_line > 0 {
-            self.wait(now, patience, random);
+    /// A second connection may fail because discovery has too many connections; the first call may still be answered.
+    pub fn on_broken(&mut self, now: Instant, timing: &mut CallTiming, random: f64) -> bool {
+        self.queued_calls = self.queued_calls.saturating_sub(1);
+        if self.queued_calls > 0 {
+            self.back_off(now, timing, random);
         }
-        self.in_line > 0
+        self.queued_calls > 0
     }
 
-    fn wait(&mut self, now: Instant, patience: &mut CallTiming, random: f64) {
-        let since = now.saturating_duration_since(self.began);
-        let mut wait = patience.on_refusal(since, random);
-        if self.in_line > 0 {
-            // Discovery lives, so the call in line is likely to have its turn.
-            wait = wait.max(patience.second_call_after() * 2);
+    fn back_off(&mut self, now: Instant, timing: &mut CallTiming, random: f64) {
+        let since = now.saturating_duration_since(self.started);
+        let mut wait = timing.on_refusal(since, random);
+        if self.queued_calls > 0 {
+            // Discovery is alive, so the queued call is likely to get its turn.
+            wait = wait.max(timing.second_call_delay() * 2);
         }
-        self.next = now + wait;
+        self.next_due = now + wait;
     }
 }
--- a/crates/millethook-engine/src/discovery/mod.rs
+++ b/crates/millethook-engine/src/discovery/mod.rs
@@ -1,9 +1,10 @@
-//! The list of servers: asked for, watched, and told to whoever wants the news. Only whole answers count.
+//! The client of discovery: it fetches and watches the list of servers and passes it to a [`MembershipSink`].
+//! Incomplete answers are dropped.
 
-mod asked;
 mod call;
 pub mod call_timing;
 pub mod list_fetch;
+mod on_request;
 mod pushed;
 
 use std::cell::Cell;
@@ -21,65 +22,67 @@
 use crate::news::MembershipSink;
 use call_timing::CallLimits;
 
-/// What the module asks of discovery.
+/// A command of the balancer to the discovery client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryCommand {
-    /// Changes from now on.
+    /// Watch for changes from now on.
     Watch,
-    /// The whole list, once.
+    /// Fetch the complete list once.
     Fetch,
-    /// Changes from now on, of the list of this version: it came from elsewhere.
+    /// Watch for changes of the list of this version, which came from another source.
     WatchFrom(u64),
-    /// Nothing any more: what is open is hung up. Where lists are pushed this says nothing.
+    /// Stop, and cancel open calls. Ignored where lists are pushed.
     Stop,
 }
 
-/// What the side that talks to discovery goes by.
+/// Configuration of the discovery client.
 pub struct DiscoveryConfig {
-    /// Where discovery is; brings word when a new configuration moves it.
+    /// The address of discovery, and its changes by new configurations.
     pub address: watch::Receiver<SocketAddr>,
-    /// Whether it is asked, or pushes.
+    /// Whether lists are requested or pushed.
     pub mode: DiscoveryMode,
-    /// What the settings say about calls, as they are at each time.
+    /// What the current settings say about calls.
     pub limits: Rc<Cell<CallLimits>>,
-    /// The version of the list remembered.
+    /// The version of the remembered list.
     pub version: u64,
-    /// Random waits are drawn by it.
+    /// The seed of random delays.
     pub seed: u64,
-    /// Told of every call that ends.
+    /// Notified whenever a call ends.
     pub call_ended: Rc<Notify>,
-    /// Told of every answer that is new, where lists are pushed.
+    /// Notified of each current answer, where lists are pushed.
     pub clock: Rc<ListClock>,
 }
 
-/// The side of discovery that talks to it.
+/// The discovery client.
 pub struct Discovery {
     config: DiscoveryConfig,
-    /// The version of the list at hand.
+    /// The version of the current list.
     version: u64,
-    /// The next call is for all of it.
-    whole: bool,
+    /// The next call requests the complete list.
+    needs_whole_list: bool,
     random: Pcg32,
 }
 
 impl Discovery {
-    /// One that has not called yet.
+    /// Creates a client that has made no call yet.
     pub fn new(config: DiscoveryConfig) -> Discovery {
-        // An agent is near, and all of its list costs nothing.
-        let whole = config.mode == DiscoveryMode::Pushed;
+        // The agent is on the same machine, so a complete list is cheap.
+        let needs_whole_list = config.mode == DiscoveryMode::Pushed;
         let random = Pcg32::seed_from_u64(config.seed);
-        Discovery { version: config.version, whole, random, config }
+        Discovery { version: config.version, needs_whole_list, random, config }
     }
 
-    /// Keeps the list as new as it can be; `calls` is what the module asks.
+    /// Keeps the list current; `commands` come from the balancer.
     pub async fn run(
         self,
-        news: impl MembershipSink,
-        calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
+        sink: impl MembershipSink,
+        commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
     ) {
         match self.config.mode {
-            DiscoveryMode::Pushed => pushed::Pushed::new(self).run(&news, calls).await,
-            DiscoveryMode::OnRequest => asked::Asked::new(self).run(&news, calls).await,
+            DiscoveryMode::Pushed => pushed::PushedDiscovery::new(self).run(&sink, commands).await,
+            DiscoveryMode::OnRequest => {
+                on_request::OnRequestDiscovery::new(self).run(&sink, commands).await
+            }
         }
     }
 
@@ -88,23 +91,23 @@
     }
 
     fn query(&self, hold: std::time::Duration) -> call::Query {
-        match self.whole {
+        match self.needs_whole_list {
             true => call::Query::Whole,
             false => call::Query::Newer { than: self.version, hold },
         }
     }
 
-    /// Passes a list on; false if it does not go with the one at hand.
+    /// Passes a list on. Returns false if it does not follow the current list.
     ///
-    /// Danger: a discovery that has started anew may count from lower versions. Asked for what is newer than ours it
-    /// would have nothing to say, or changes that do not follow: the next call is for all.
-    fn tell(&mut self, news: &impl MembershipSink, list: &List) -> bool {
-        self.whole = !list.whole && list.seq < self.version;
-        if self.whole {
+    /// A restarted discovery may count from lower versions. A query for changes since our version would return
+    /// nothing, or changes that do not follow, so the next call requests the complete list.
+    fn deliver(&mut self, sink: &impl MembershipSink, list: &List) -> bool {
+        self.needs_whole_list = !list.whole && list.seq < self.version;
+        if self.needs_whole_list {
             return false;
         }
         self.version = list.seq;
-        news.servers(if list.whole { ListKind::Whole } else { ListKind::Changes }, list);
+        sink.servers(if list.whole { ListKind::Whole } else { ListKind::Changes }, list);
         true
     }
 }
--- a/crates/millethook-engine/tests/cost.rs
+++ b/crates/millethook-engine/tests/cost.rs
@@ -1,6 +1,6 @@
-//! What a request costs in the engine, from the driver's taking it to its answer: allocations on the
-//! engine's thread, and calls to the system on the server's connection. A change that adds one fails here
-//! and either goes or says in this file why not.
+//! The cost of a request in the engine, from its acceptance by the driver to its answer: allocations on the engine's
+//! thread, and system calls on the server's connection. A change that adds one fails here; it is either removed or
+//! justified in this file.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use millethook_testkit::{Server, hosts, settings_json};
 use tokio::task::LocalSet;
 
-const REQUESTS: u64 = 400;
-/// Allocations of a request; 12.03 when this was written, the same in each of four runs.
-const ALLOCATIONS: f64 = 12.5;
+const REQUEST_COUNT: u64 = 400;
+/// Allocations of a request. Four runs measured 12.03 each.
+const MAX_ALLOCATIONS: f64 = 12.5;
 
 async fn engine(server: &[Server]) -> Engine {
     let mut raw = settings_json();
     raw["kinds"] = serde_json::json!(["std"]);
-    // A second copy on a busy machine would count as a request's cost.
+    // On a busy machine a hedge would count towards the cost of a request.
     raw["limits"]["mayDuplicate"] = false.into();
     let settings = Settings::from_json(raw.to_string().as_bytes()).expect("sound settings");
     let names = Arc::new(Names::new(&settings, &raw).expect("sound names"));
@@ -40,7 +40,7 @@
         initial_list: Some(known),
         begins: Begins::Head,
         connections: Limits::default(),
-        // What a used connection costs is what is counted.
+        // The test measures the cost of a used connection.
         reuse: Some(Reuse::Unlimited),
         peers: None,
         fleet: None,
@@ -51,7 +51,7 @@
     Engine::start(config, sockets).await.expect("an engine")
 }
 
-async fn ask(engine: &Engine) {
+async fn send_request(engine: &Engine) {
     let target = Uri::from_static("/look/1?q=2");
     let encoded = EncodedRequest::new(&Method::GET, &target, &HeaderMap::new(), Vec::new());
     let aim = Duration::from_millis(200);
@@ -79,37 +79,38 @@
     let mut ticket = engine.driver.request(head, request);
     let reply = ticket.reply().await;
     assert!(matches!(reply, Reply::Served(..)));
-    // The connection settles meanwhile, so that the next request finds it.
+    // The connection leaves its quarantine in this time, so that the next request can use it.
     tokio::time::sleep(Duration::from_millis(2)).await;
 }
 
 #[test]
-fn a_request_costs_what_it_did() {
+fn a_request_stays_within_its_budget_of_allocations_and_system_calls() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     let local = LocalSet::new();
     let server = [Server::named("fine")];
     let engine = local.block_on(&runtime, engine(&server));
-    let play = |n: u64| {
+    let send_requests = |count: u64| {
         local.block_on(&runtime, async {
-            for _ in 0..n {
-                ask(&engine).await;
+            for _ in 0..count {
+                send_request(&engine).await;
             }
         });
     };
-    play(50);
+    send_requests(50);
     let before = engine.driver.usage().calls;
-    let counted = allocation_counter::measure(|| play(REQUESTS));
+    let counted = allocation_counter::measure(|| send_requests(REQUEST_COUNT));
     let after = engine.driver.usage().calls;
-    let each = counted.count_total as f64 / REQUESTS as f64;
-    assert!(each <= ALLOCATIONS, "{each} allocations a request");
+    let allocations = counted.count_total as f64 / REQUEST_COUNT as f64;
+    assert!(allocations <= MAX_ALLOCATIONS, "{allocations} allocations a request");
     assert!(counted.bytes_max < 256 << 10, "{} bytes held at once", counted.bytes_max);
     let calls = SystemCalls {
         peeks: after.peeks - before.peeks,
         writes: after.writes - before.writes,
         reads: after.reads - before.reads,
     };
-    // One look at the connection, one write of the whole request, one read of the whole answer.
-    let one_each = SystemCalls { peeks: REQUESTS, writes: REQUESTS, reads: REQUESTS };
-    assert_eq!(calls, one_each);
+    // One check of the connection, one write of the whole request, one read of the whole answer.
+    let expected =
+        SystemCalls { peeks: REQUEST_COUNT, writes: REQUEST_COUNT, reads: REQUEST_COUNT };
+    assert_eq!(calls, expected);
 }
--- a/crates/millethook-engine/tests/it/budget.rs
+++ b/crates/millethook-engine/tests/it/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: what is taken comes back, nobody waits for ever, and engines ask each other for room.
+//! Budgets: whatever is acquired is released, nobody waits forever, and engines ask each other for permits.
 
 use std::future::Future;
 use std::pin::pin;
@@ -13,14 +13,14 @@
     future.poll(&mut Context::from_waker(Waker::noop()))
 }
 
-/// Danger: bodies that grow side by side until none may grow any more would wait for each other.
+/// Guards against bodies that grow side by side until none may grow further and that wait for each other.
 #[test]
 fn one_body_can_always_finish() {
     let bytes = ByteBudget::new((1 << 20) + MAX_BODY_BYTES);
     let (mut a, mut b, mut c) = (bytes.reservation(), bytes.reservation(), bytes.reservation());
     assert_eq!(polled(pin!(a.grow(1 << 20))), Poll::Ready(()));
     assert_eq!(bytes.in_use(), 1 << 20);
-    // All is taken: the next one leads, and may grow on; whoever comes after it waits.
+    // All bytes are in use: the next reservation becomes the leader and may grow further; later ones wait.
     assert_eq!(polled(pin!(b.grow(MAX_BODY_BYTES))), Poll::Ready(()));
     assert_eq!(polled(pin!(b.grow(MAX_BODY_BYTES))), Poll::Ready(()));
     {
@@ -49,7 +49,7 @@
     assert_eq!(bytes.in_use(), 0);
 }
 
-/// Accounts of many threads: every byte comes back, and nobody waits for ever.
+/// Reservations on many threads: every byte is released, and nobody waits forever.
 #[test]
 fn bytes_come_back_from_any_thread() {
     let bytes = ByteBudget::new((1 << 20) + MAX_BODY_BYTES);
@@ -81,7 +81,7 @@
     assert!(permits.try_acquire().is_none());
     assert_eq!(shared.in_use(), 2);
     assert!(permits.acquire(Duration::from_millis(50)).await.is_none(), "nobody releases one");
-    // Another engine hears that one is wanted, and gives up what rests.
+    // The other engine is asked for a permit and closes an idle connection.
     let release = tokio::spawn(async move {
         other.release_requested().await;
         drop(second);
@@ -95,7 +95,7 @@
     assert_eq!(shared.in_use(), 0);
 }
 
-/// An engine that heard its own call would close a connection that its own requests need.
+/// An engine that received its own request would close a connection that its own requests need.
 #[test]
 fn an_engine_ignores_its_own_release_request() {
     let shared = ConnectionPermits::new(1);
@@ -109,7 +109,7 @@
     assert_eq!(polled(others), Poll::Ready(()), "another engine's request");
 }
 
-/// A call that came while the other engine was busy with an earlier one is not lost.
+/// A request that arrives while the other engine handles an earlier one is not lost.
 #[test]
 fn a_release_request_is_kept_until_it_is_received() {
     let shared = ConnectionPermits::new(1);
--- a/crates/millethook-engine/tests/it/main.rs
+++ b/crates/millethook-engine/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The engine's parts, in one program; `cost` counts allocations and stays alone.
+//! Tests of the engine's modules in one binary. `cost` counts allocations and is a binary of its own.
 
 mod budget;
 mod datagrams;
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of suspected servers, together with the balancer that carries them out.
+//! Trials of suspected servers, together with the balancer that sends them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,16 +20,16 @@
 const REQUEST_INTERVAL: Micros = 20 * MILLISECOND;
 const ANSWER_TIME: Micros = 10 * MILLISECOND;
 
-/// One sidecar with its balancer, among servers of which one never answers. It grants its leases to itself.
+/// One sidecar with its balancer, and servers of which one never answers. The sidecar grants its leases to itself.
 struct Sidecar {
     now: Micros,
     balancer: Balancer,
     lease: Lease,
     trials: Trials,
     next_request: u64,
-    /// The hold of a verdict: the longest deadline.
+    /// How long a verdict holds: the longest deadline.
     verdict_hold: Micros,
-    /// Outcomes to come, by time: the request, the number of its attempt, and the server.
+    /// Pending outcomes by time: the request, the number of its attempt, and the server.
     pending_outcomes: BTreeMap<(Micros, u64, usize), ServerId>,
     attempts: BTreeMap<u64, usize>,
     timers: BTreeSet<(Micros, u32)>,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Runs until `end`, with a request each [`REQUEST_INTERVAL`].
+    /// Runs until `end`, with a request every [`REQUEST_INTERVAL`].
     fn run(&mut self, end: Micros) {
         while self.now < end {
             self.now += MILLISECOND;
@@ -165,18 +165,18 @@
     }
 }
 
-/// What was seen: in `lease-cuts` the trial of a dead server went from owner to owner, 1.2 s with one and 1 s with none,
-/// and was at times without one at the end. What happens: an owner that sends nothing to the server for three holds gives
-/// its trial back, and the others know only after a lease that it is free. Each new owner sent nothing, for two reasons. A
-/// sidecar that has failed at a server leaves it alone for longer and longer, up to ten holds. And while it looks slow for
-/// its silence, it loses each tie of the two picks, in calm for ever: here it was tried once in 60 s. What showed it: the
-/// log event `trial_given_up`, 61 times in 16 runs (seeds 1 to 16), always by an owner whose span had lasted 1.2 s; with
-/// the first reason mended alone this test still failed.
+/// Guards against owners that release the trial of a dead server without a single attempt, so that it moves from
+/// owner to owner (in `lease-cuts` 1.2 s with one and 1 s without) and is at times left without an owner. An owner
+/// that sends nothing for three holds releases the trial, and the others learn of it only after a lease. It sent
+/// nothing for two reasons: a sidecar that has failed at a server leaves it alone for longer and longer, up to ten
+/// holds; and a server that looks slow for its silence loses each tie of two picks, in a calm fleet forever (here it
+/// was tried once in 60 s). The log event `trial_given_up` showed it 61 times in 16 runs (seeds 1 to 16), always by
+/// an owner after 1.2 s. With only the first reason fixed, this test still failed.
 #[test]
 fn a_new_owner_tries_a_server_that_it_has_often_failed_at() {
     for seed in 0..20 {
         let mut sidecar = Sidecar::new(seed);
-        // By itself it makes each of its trials rarer than the one before.
+        // By itself the sidecar makes its trials rarer and rarer.
         sidecar.run(60 * SECOND);
         let start = sidecar.now;
         sidecar.event(Event::Stands { server: SILENT_SERVER, standing: Standing::Doubted });
@@ -184,13 +184,14 @@
         sidecar.trial_times.clear();
         sidecar.run(start + 60 * SECOND);
         assert!(sidecar.released.is_empty(), "seed {seed}: released at {:?}", sidecar.released);
-        // It asks for the trial within a hold, and has the lease at once; then it may have a trial of its own out.
+        // It requests the trial within one hold and gets the lease at once; an earlier trial of its own may still be
+        // pending then.
         let first = sidecar.trial_times.first().copied().unwrap_or(Micros::MAX);
         assert!(
             first < start + MAX_IDLE_HOLDS * sidecar.verdict_hold,
             "seed {seed}: first tried at {first}"
         );
-        // It goes on trying, so that a server that comes back is found.
+        // It continues to send trials, so that a recovered server is found.
         let next_times = sidecar.trial_times.iter().chain([&sidecar.now]);
         let mut gaps = sidecar.trial_times.iter().zip(next_times.skip(1));
         let max_gap = (TRIAL_INTERVAL_HOLDS + MAX_IDLE_HOLDS) * sidecar.verdict_hold;
