--- a/crates/millethook-engine/src/upstream/attempt/active.rs
+++ b/crates/millethook-engine/src/upstream/attempt/active.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use millethook_connect::answers::Fingerprint;
 use millethook_connect::pool::Matching;
-use millethook_connect::request::{LAST_CHUNK, PIECES, Persistence, chunk};
+use millethook_connect::request::{LAST_CHUNK, MAX_IO_SLICES, Persistence, chunk};
 use millethook_connect::{EncodedRequest, Event, Exchange, Execution, Failure, Progress};
 use smallvec::SmallVec;
 use tokio::sync::mpsc;
@@ -112,7 +112,7 @@
             }
             loop {
                 write(cx, connection, exchange, &request.encoded, head, body_stream);
-                if !exchange.wants_more() {
+                if !exchange.needs_more_body() {
                     break;
                 }
                 match poll_body_piece(cx, exchange, request, body_stream) {
@@ -125,7 +125,7 @@
                     Poll::Pending => break,
                 }
             }
-            if exchange.progress() == Progress::Whole {
+            if exchange.progress() == Progress::Complete {
                 *message = None;
                 if let Some(figures) = figures {
                     figures.attempt_written();
@@ -138,11 +138,13 @@
         match connection.poll_read(cx) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(Ok(0)) => {
-                let end = exchange.closed(&connection.buf).map(Step::Event);
+                let end = exchange.on_eof(&connection.buf).map(Step::Event);
                 return Poll::Ready(end);
             }
             Poll::Ready(Ok(_)) => {}
-            Poll::Ready(Err(_)) => return Poll::Ready(Err(exchange.broken(&connection.buf))),
+            Poll::Ready(Err(_)) => {
+                return Poll::Ready(Err(exchange.failure_on_break(&connection.buf)));
+            }
         }
         let event = exchange.read(&mut connection.buf)?;
         Poll::Ready(Ok(event.map_or(Step::Progress, Step::Event)))
@@ -180,7 +182,7 @@
     pub fn caller_gone(&self) -> bool {
         let body_stream = self.body_stream.as_ref();
         body_stream.is_some_and(|stream| stream.receiver.is_closed() && stream.receiver.is_empty())
-            && self.exchange.wants_more()
+            && self.exchange.needs_more_body()
     }
 
     pub fn answer_has_begun(&mut self) -> bool {
@@ -202,7 +204,7 @@
         if from == to {
             return;
         }
-        let mut slices = [IoSlice::new(&[]); PIECES];
+        let mut slices = [IoSlice::new(&[]); MAX_IO_SLICES];
         let n = match body_stream {
             Some(body_stream) if from >= body_stream.offset => {
                 body_stream.slices(from, &mut slices)
@@ -219,7 +221,7 @@
 
 impl BodyStream {
     /// Fills `out` with the bytes from offset `from` on.
-    fn slices<'a>(&'a self, from: usize, out: &mut [IoSlice<'a>; PIECES]) -> usize {
+    fn slices<'a>(&'a self, from: usize, out: &mut [IoSlice<'a>; MAX_IO_SLICES]) -> usize {
         let (mut offset, mut n) = (self.offset, 0);
         for piece in &self.pieces {
             let skip = from.saturating_sub(offset).min(piece.len());
@@ -256,7 +258,7 @@
         Some(Piece::Data(data)) if chunked => body_stream.pieces.extend(chunk(data)),
         Some(Piece::Data(data)) => body_stream.pieces.push(data),
         Some(Piece::End) => {
-            exchange.finish();
+            exchange.finish_body();
             if chunked {
                 body_stream.pieces.push(LAST_CHUNK);
             }
@@ -264,6 +266,6 @@
         None => return Poll::Ready(BodyProgress::Gone),
     }
     body_stream.offset = written;
-    exchange.extend(body_stream.pieces.iter().map(Bytes::len).sum());
+    exchange.extend_body(body_stream.pieces.iter().map(Bytes::len).sum());
     Poll::Ready(BodyProgress::Advanced)
 }
--- a/crates/millethook-engine/src/upstream/attempt/buffered.rs
+++ b/crates/millethook-engine/src/upstream/attempt/buffered.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use millethook_connect::answers::COMPARED;
+use millethook_connect::answers::COMPARED_BODY_BYTES;
 use millethook_connect::{Event, ResponseHead};
 
 use super::active::IncompleteAnswer;
@@ -15,14 +15,14 @@
 /// An answer without a length is passed on once this many bytes have arrived and they took longer than `aim /
 /// SLOW_AIM_DIVISOR`: it is probably a long answer whose first bytes the client waits for. Short and fast answers are
 /// buffered to their end, because an answer that is being passed on cannot be retried elsewhere.
-const SLOW_ANSWER_MIN_BYTES: usize = COMPARED;
+const SLOW_ANSWER_MIN_BYTES: usize = COMPARED_BODY_BYTES;
 const SLOW_AIM_DIVISOR: u32 = 8;
 
 /// The buffered part of an answer.
 pub(super) enum BufferedAnswer {
     /// The whole body.
     Complete(Bytes),
-    /// At least the first [`COMPARED`] bytes of a long body.
+    /// At least the first [`COMPARED_BODY_BYTES`] bytes of a long body.
     Prefix(Bytes),
 }
 
@@ -49,7 +49,9 @@
         let (mut buffer, started) = (BodyBuffer::default(), Instant::now());
         loop {
             let is_long = match head.length {
-                Some(length) => length > MAX_BUFFERED_BYTES as u64 && buffer.len() >= COMPARED,
+                Some(length) => {
+                    length > MAX_BUFFERED_BYTES as u64 && buffer.len() >= COMPARED_BODY_BYTES
+                }
                 None => {
                     let is_slow = || started.elapsed() > request.aim / SLOW_AIM_DIVISOR;
                     buffer.len() > MAX_BUFFERED_BYTES
--- a/crates/millethook-engine/src/upstream/attempt/matching.rs
+++ b/crates/millethook-engine/src/upstream/attempt/matching.rs
@@ -21,10 +21,10 @@
 use coppercart::api::ServerId;
 use http::StatusCode;
 use millethook_connect::answers::{Fingerprint, SeenAnswers};
-use millethook_connect::facts::Caught;
+use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::request::Persistence;
-use millethook_connect::response::is_other_answer;
+use millethook_connect::response::is_different_answer;
 use millethook_connect::{Event, Execution, ResponseHead};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -86,10 +86,14 @@
         if active.persistence == Persistence::KeepAlive {
             return true;
         }
-        let announced = active.exchange.announces_end();
+        let announced = active.exchange.announces_close();
         // Before that, the server has not seen that the request asks for the close.
         if active.exchange.execution() == Execution::MayHaveRun {
-            self.pool.borrow_mut().end_was_asked(active.guard.server(), announced, Instant::now());
+            self.pool.borrow_mut().record_close_request(
+                active.guard.server(),
+                announced,
+                Instant::now(),
+            );
         }
         announced || !active.guard.is_used()
     }
@@ -103,10 +107,10 @@
         buffered: &BufferedAnswer,
     ) -> AnswerOrigin {
         let answer = self.fingerprints.fingerprint(status, buffered.bytes());
-        let is_compared =
-            active.matching == Matching::Content && active.persistence == Persistence::KeepAlive;
+        let is_compared = active.matching == Matching::DistinctContent
+            && active.persistence == Persistence::KeepAlive;
         if is_compared && active.guard.has_carried(answer) {
-            self.record_answer(class, SeenAnswers::equal);
+            self.record_answer(class, SeenAnswers::record_equal);
             return AnswerOrigin::Duplicate(answer);
         }
         if let BufferedAnswer::Complete(body) = buffered
@@ -137,8 +141,8 @@
 
     /// The last answer that equalled an earlier one was a duplicate: records that for its class and its server.
     pub(super) fn record_duplicate(&self, server: ServerId, class: Option<usize>) {
-        self.record_answer(class, SeenAnswers::was_copy);
-        self.pool.borrow_mut().caught(server, Caught::Stray, Instant::now());
+        self.record_answer(class, SeenAnswers::record_copy);
+        self.pool.borrow_mut().record_fault(server, ConnectionFault::StrayBytes, Instant::now());
     }
 
     /// Records an observation about answers of a class.
@@ -160,10 +164,14 @@
         body: &[u8],
     ) -> bool {
         let Some(connection) = active.guard.connection() else { return true };
-        let other = is_other_answer(connection.buf.clone(), status, body);
+        let other = is_different_answer(connection.buf.clone(), status, body);
         if other {
             let server = active.guard.server();
-            self.pool.borrow_mut().caught(server, Caught::Stray, Instant::now());
+            self.pool.borrow_mut().record_fault(
+                server,
+                ConnectionFault::StrayBytes,
+                Instant::now(),
+            );
         }
         other
     }
@@ -187,7 +195,7 @@
     /// Reads to the end of an answer to an earlier request and returns the head of the next one.
     async fn next_head(&mut self) -> Result<ResponseHead, IncompleteAnswer> {
         let mut remaining = MAX_BUFFERED_BYTES;
-        while !self.exchange.answer_is_whole() {
+        while !self.exchange.answer_is_complete() {
             if let Event::Data(piece) = self.event(false).await? {
                 remaining = remaining.checked_sub(piece.len()).ok_or(IncompleteAnswer)?;
             }
@@ -202,7 +210,7 @@
     /// Closes the connection after the server has closed its side. The side that closes first keeps the port occupied
     /// for a minute or more, and a client has only some 28,000 ports for one server.
     async fn close_after_server(mut self) {
-        if self.exchange.announces_end() {
+        if self.exchange.announces_close() {
             self.wait_for_server_close(SERVER_CLOSE_TIMEOUT).await;
         }
         self.guard.close();
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -14,8 +14,8 @@
 use coppercart::api::{LoadReport, Outcome, ServerId};
 use http::{HeaderMap, StatusCode};
 use millethook_connect::answers::{Fingerprint, Variety};
-use millethook_connect::exchange::turns_away;
-use millethook_connect::facts::Caught;
+use millethook_connect::exchange::is_unprocessed_rejection;
+use millethook_connect::observations::ConnectionFault;
 use millethook_connect::pool::Matching;
 use millethook_connect::{Begins, Event, Exchange, Execution, ResponseHead};
 use tokio::task::spawn_local;
@@ -145,7 +145,7 @@
         // From now on answers of the class count as equal, unless this one turns out to be a duplicate, which is
         // recorded against the server. So this second try happens once in hundreds of answers, or once a minute for a
         // server.
-        let first_on_connection = || Matching::First;
+        let first_on_connection = || Matching::NewConnection;
         let second =
             self.try_once(target, class, request, &gate, until, &first_on_connection).await;
         match second {
@@ -244,11 +244,11 @@
         // The first bytes written to an idle connection may be answered with a reset, and so may those on a new
         // connection to a server that has no worker for it. If the whole request had been written by then, one that
         // must not run twice could not be retried elsewhere. So its last bytes are held back for a moment.
-        let hold_back = self.pool.borrow().trial(server, idle_time, request.repeatable, now);
+        let hold_back = self.pool.borrow().hold_time(server, idle_time, request.repeatable, now);
         let hold_back = hold_back.filter(|hold_back| *hold_back <= left / HOLD_BACK_DIVISOR);
         // The server may have sent stray bytes while this attempt waited for a connection.
         let matching = if self.pool.borrow().answers_need_proof(server, now) {
-            Matching::End
+            Matching::AnnouncedClose
         } else {
             matching
         };
@@ -258,7 +258,7 @@
         let body = request.encoded.body_len();
         let mut exchange = Exchange::new(self.config.begins, head.len(), body, hold_back.is_some());
         if request.upload.is_some() {
-            exchange.follow();
+            exchange.expect_more_body();
         }
         let figures = (!request.internal).then(|| self.figures.clone());
         let message = (request.clone(), head);
@@ -269,8 +269,12 @@
         if let Some(hold_back) = hold_back {
             event = timeout(hold_back, active.event(false)).await.ok();
             if event.as_ref().is_some_and(Result::is_err) {
-                let caught = if active.answer_has_begun() { Caught::Stray } else { Caught::Break };
-                self.pool.borrow_mut().caught(server, caught, Instant::now());
+                let fault = if active.answer_has_begun() {
+                    ConnectionFault::StrayBytes
+                } else {
+                    ConnectionFault::Broken
+                };
+                self.pool.borrow_mut().record_fault(server, fault, Instant::now());
             }
             active.exchange.commit();
         }
@@ -308,7 +312,8 @@
         for skipped in 0..=MAX_SKIPPED_ANSWERS {
             let report = self.report(&head);
             if !is_served(self.config.begins, head.status) {
-                let outcome = if turns_away(&head) { Outcome::Full } else { Outcome::Error };
+                let outcome =
+                    if is_unprocessed_rejection(&head) { Outcome::Full } else { Outcome::Error };
                 spawn_local(discard(active));
                 return Ok(AttemptOutcome::end(outcome, report));
             }
--- a/crates/millethook-engine/src/upstream/connection.rs
+++ b/crates/millethook-engine/src/upstream/connection.rs
@@ -13,7 +13,7 @@
 use coppercart::api::ServerId;
 use millethook_connect::Exchange;
 use millethook_connect::answers::{CarriedAnswers, Fingerprint};
-use millethook_connect::pool::Look;
+use millethook_connect::pool::SocketState;
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
@@ -106,9 +106,9 @@
     ///
     /// The server may have closed the connection, or sent unsolicited bytes, since the event loop last reported on
     /// it. Peeking at the socket itself is the most recent information there is.
-    pub fn check_idle(&self, dial: SocketAddr) -> Look {
+    pub fn check_idle(&self, dial: SocketAddr) -> SocketState {
         if self.dial != dial {
-            return Look::Moved;
+            return SocketState::AddressChanged;
         }
         self.shared.count(|calls| &mut calls.peeks);
         self.peek(|peek_socket| peek_socket())
@@ -116,28 +116,28 @@
 
     /// The same check for the watching task, which `cx` wakes when the state changes. It makes a system call only if
     /// the socket reported an event.
-    pub fn poll_idle(&self, cx: &mut Context<'_>) -> Look {
+    pub fn poll_idle(&self, cx: &mut Context<'_>) -> SocketState {
         while self.socket.poll_read_ready(cx).is_ready() {
             // `try_io` clears a readiness that was caused by bytes already read.
             let state =
                 self.peek(|peek_socket| self.socket.try_io(Interest::READABLE, peek_socket));
-            if state != Look::Quiet {
+            if state != SocketState::Quiet {
                 return state;
             }
         }
-        Look::Quiet
+        SocketState::Quiet
     }
 
     fn peek(
         &self,
         run: impl FnOnce(&mut dyn FnMut() -> io::Result<usize>) -> io::Result<usize>,
-    ) -> Look {
+    ) -> SocketState {
         let mut byte = [MaybeUninit::uninit()];
         match run(&mut || SockRef::from(&self.socket).peek(&mut byte)) {
-            Ok(0) => Look::Closed,
-            Ok(_) => Look::Stray,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Look::Quiet,
-            Err(_) => Look::Closed,
+            Ok(0) => SocketState::Closed,
+            Ok(_) => SocketState::StrayBytes,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => SocketState::Quiet,
+            Err(_) => SocketState::Closed,
         }
     }
 
@@ -208,10 +208,10 @@
         let Some(connection) = self.connection.take() else { return };
         let stray = !connection.buf.is_empty();
         if connection.is_used() && !stray {
-            self.upstream.used_quietly(self.server);
+            self.upstream.record_clean_reuse(self.server);
         }
         drop(connection);
-        self.upstream.discarded(self.server, stray);
+        self.upstream.discard(self.server, stray);
     }
 
     /// Returns a connection on which nothing was sent to the pool.
@@ -228,15 +228,15 @@
         let stray = !connection.buf.is_empty();
         if !exchange.reusable(&connection.buf) {
             drop(connection);
-            return self.upstream.discarded(self.server, stray);
+            return self.upstream.discard(self.server, stray);
         }
         if connection.is_used() {
-            self.upstream.used_quietly(self.server);
+            self.upstream.record_clean_reuse(self.server);
         }
         connection.carried_answers.add(answer);
         if connection.carried_answers.is_full() {
             drop(connection);
-            return self.upstream.discarded(self.server, false);
+            return self.upstream.discard(self.server, false);
         }
         // Thousands of idle connections, each with the buffer of an answer, would take much memory.
         connection.buf = BytesMut::new();
@@ -247,7 +247,7 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         if self.connection.take().is_some() {
-            self.upstream.discarded(self.server, false);
+            self.upstream.discard(self.server, false);
         }
     }
 }
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -18,7 +18,9 @@
 use coppercart::api::{Outcome, ServerId};
 use millethook_connect::Begins;
 use millethook_connect::answers::{FingerprintKey, SeenAnswers};
-use millethook_connect::pool::{Checkout, Counts, Ended, Limits, Look, Matching, Pool, Reuse};
+use millethook_connect::pool::{
+    Checkout, Counts, Ended, Limits, Matching, Pool, Reuse, SocketState,
+};
 use rustc_hash::FxHashMap;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::task::spawn_local;
@@ -107,7 +109,9 @@
     async fn watch_idle(self: Rc<Upstream>) {
         poll_fn(|cx| {
             self.idle_waker.replace(cx.waker().clone());
-            self.pool.borrow_mut().watch(Instant::now(), |connection| connection.poll_idle(cx));
+            self.pool
+                .borrow_mut()
+                .sweep_idle(Instant::now(), |connection| connection.poll_idle(cx));
             Poll::<()>::Pending
         })
         .await;
@@ -120,13 +124,13 @@
         loop {
             tokio::select! {
                 () = self.sockets.servers.release_requested() => {
-                    self.pool.borrow_mut().give_up_one();
+                    self.pool.borrow_mut().evict_oldest_idle();
                 }
                 () = sleep_until(next.into()) => {
                     next = Instant::now() + SWEEP_INTERVAL;
                     let mut pool = self.pool.borrow_mut();
-                    pool.watch(Instant::now(), |_| Look::Quiet);
-                    pool.next_span();
+                    pool.sweep_idle(Instant::now(), |_| SocketState::Quiet);
+                    pool.start_next_window();
                     // Removes semaphores that no attempt holds or waits for.
                     self.opening_slots.borrow_mut().retain(|_, slots| Arc::strong_count(slots) > 1);
                 }
@@ -163,9 +167,9 @@
         // Registers the watching task for events on this connection.
         let idle_waker = self.idle_waker.borrow().clone();
         let state = connection.poll_idle(&mut std::task::Context::from_waker(&idle_waker));
-        if state != Look::Quiet {
+        if state != SocketState::Quiet {
             drop(connection);
-            return self.discarded(server, state == Look::Stray);
+            return self.discard(server, state == SocketState::StrayBytes);
         }
         let has_room = {
             let mut pool = self.pool.borrow_mut();
@@ -184,18 +188,18 @@
             // Attempts that wait only for a socket are not woken by idle connections. Without this line they would
             // time out while every connection is idle.
             None if self.socket_waiters.get() > 0 => {
-                self.pool.borrow_mut().give_up_one();
+                self.pool.borrow_mut().evict_oldest_idle();
             }
             None => {}
         }
     }
 
-    fn used_quietly(&self, server: ServerId) {
-        self.pool.borrow_mut().used_quietly(server);
+    fn record_clean_reuse(&self, server: ServerId) {
+        self.pool.borrow_mut().record_clean_reuse(server);
     }
 
-    fn discarded(&self, server: ServerId, stray: bool) {
-        self.pool.borrow_mut().discarded(server, stray, Instant::now());
+    fn discard(&self, server: ServerId, stray: bool) {
+        self.pool.borrow_mut().discard(server, stray, Instant::now());
         self.notify_capacity(server);
     }
 
@@ -309,7 +313,7 @@
         self.socket_waiters.set(self.socket_waiters.get() + 1);
         let _socket_waiter = SocketWaiter(&self.socket_waiters);
         // Closing an idle connection, here or in another engine of the budget, frees a socket.
-        if !self.pool.borrow_mut().give_up_one() {
+        if !self.pool.borrow_mut().evict_oldest_idle() {
             self.sockets.servers.request_release();
         }
         let remaining = deadline.saturating_duration_since(Instant::now());
@@ -320,7 +324,7 @@
                 permit = &mut acquiring => return permit.map(Some).ok_or(Outcome::Moot),
                 () = waiter.signals.idle.notified() => {
                     if needs_new {
-                        self.pool.borrow_mut().give_up_one();
+                        self.pool.borrow_mut().evict_oldest_idle();
                         continue;
                     }
                     // Without this check an attempt that finds nothing usable would release its handshake slot, which
@@ -335,7 +339,7 @@
 
     /// Opens a connection in advance when the number of connections in use rises.
     fn open_spare_if_needed(self: &Rc<Upstream>, server: ServerId, dial: SocketAddr) {
-        if self.config.limits.spare == 0 || !self.pool.borrow_mut().spare(server) {
+        if self.config.limits.spare == 0 || !self.pool.borrow_mut().start_spare(server) {
             return;
         }
         let upstream = self.clone();
@@ -354,8 +358,8 @@
             };
             let idle_waker = upstream.idle_waker.borrow().clone();
             let mut cx = std::task::Context::from_waker(&idle_waker);
-            let opened = opened.filter(|(c, _)| c.poll_idle(&mut cx) == Look::Quiet);
-            upstream.pool.borrow_mut().opened_spare(server, opened, Instant::now());
+            let opened = opened.filter(|(c, _)| c.poll_idle(&mut cx) == SocketState::Quiet);
+            upstream.pool.borrow_mut().spare_handshake_finished(server, opened, Instant::now());
             if let Some((_, signals)) = upstream.waiting.borrow().get(&server) {
                 signals.idle.notify_one();
             }
@@ -386,7 +390,7 @@
 
 impl Drop for Handshake<'_> {
     fn drop(&mut self) {
-        self.upstream.pool.borrow_mut().opened(self.server, self.handshake_time);
+        self.upstream.pool.borrow_mut().handshake_finished(self.server, self.handshake_time);
         self.upstream.notify_capacity(self.server);
     }
 }
