--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -29,7 +29,7 @@
         (attempt_timeout, commit_within): (Micros, Micros),
     ) {
         let (cancel, cancelled) = oneshot::channel();
-        let (number, class, destination) = {
+        let (attempt_index, class, destination) = {
             let mut state = self.state.borrow_mut();
             let server_entry = state.servers.get(&server).cloned();
             let Some(request) = state.requests.get_mut(&id) else {
@@ -44,7 +44,7 @@
             (request.attempts.len() - 1, request.class, attempt_request.zip(server_entry))
         };
         let Some((attempt_request, server_entry)) = destination else {
-            return self.report_never_sent(id, number, server);
+            return self.report_never_sent(id, attempt_index, server);
         };
         let now = Instant::now();
         // A streamed body takes its own time, and no second attempt can send it, so there is no commit deadline.
@@ -62,7 +62,7 @@
         }
         spawn_local(self.clone().attempt(
             id,
-            number,
+            attempt_index,
             (server, server_entry.dial),
             (class, attempt_request),
             (gate, deadline),
@@ -71,17 +71,25 @@
     }
 
     /// Reports that an attempt was never sent, after the current event has been handled.
-    fn report_never_sent(self: &Rc<Driver>, id: RequestId, number: usize, server: ServerId) {
+    fn report_never_sent(self: &Rc<Driver>, id: RequestId, attempt_index: usize, server: ServerId) {
         let driver = self.clone();
         spawn_local(async move {
-            driver.attempt_ended(id, number, server, Outcome::Moot, 0, LoadReport::default(), None);
+            driver.attempt_ended(
+                id,
+                attempt_index,
+                server,
+                Outcome::Moot,
+                0,
+                LoadReport::default(),
+                None,
+            );
         });
     }
 
     async fn attempt(
         self: Rc<Driver>,
         id: RequestId,
-        number: usize,
+        attempt_index: usize,
         (server, dial): (ServerId, SocketAddr),
         (class, attempt_request): (usize, Rc<AttemptRequest>),
         (gate, deadline): (Gate, Instant),
@@ -113,7 +121,7 @@
                 // From the first piece beyond the buffer on, only this attempt can send the body.
                 if !body_bound && upload.is_some_and(Upload::is_taken) {
                     body_bound = true;
-                    self.bind_body_to_attempt(id, number);
+                    self.bind_body_to_attempt(id, attempt_index);
                 }
                 result
             });
@@ -140,12 +148,12 @@
                     // server list.
                     self.wait_for_current_list().await;
                 }
-                self.attempt_ended(id, number, server, outcome, latency, report, answer);
+                self.attempt_ended(id, attempt_index, server, outcome, latency, report, answer);
             }
             AttemptOutcome::Streaming(response) => {
                 let report = response.report.clone();
-                let outcome = self.stream_answer(id, number, *response).await;
-                self.attempt_ended(id, number, server, outcome, latency, report, None);
+                let outcome = self.stream_answer(id, attempt_index, *response).await;
+                self.attempt_ended(id, attempt_index, server, outcome, latency, report, None);
             }
         }
     }
@@ -166,7 +174,7 @@
     async fn stream_answer(
         self: &Rc<Driver>,
         id: RequestId,
-        number: usize,
+        attempt_index: usize,
         mut response: StreamingResponse,
     ) -> Outcome {
         let (to_client, pieces) = mpsc::channel(1);
@@ -178,7 +186,7 @@
             else {
                 return Outcome::Cancelled;
             };
-            request.streaming = Some(number);
+            request.streaming = Some(attempt_index);
             request.withdraw();
             let head = std::mem::take(&mut response.head);
             let _ = reply.send(Reply::Streaming(StreamingReply {
@@ -187,7 +195,7 @@
                 pieces,
             }));
         }
-        self.event(Event::FirstByte { id, attempt: number });
+        self.event(Event::FirstByte { id, attempt: attempt_index });
         loop {
             let piece = tokio::select! {
                 piece = timeout(SERVER_STALL_TIMEOUT, response.next()) => piece,
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -160,8 +160,8 @@
         let mode = config.settings.discovery;
         let call_limits = Rc::new(Cell::new(CallLimits::from(&config.settings)));
         let longest_deadline = Duration::from_micros(config.settings.longest(|c| c.deadline));
-        let (to_discovery, calls) = mpsc::unbounded_channel();
-        let first_call = to_discovery.clone();
+        let (to_discovery, commands) = mpsc::unbounded_channel();
+        let discovery_sender = to_discovery.clone();
         let peer_sender = peers.clone().map(|p| p as Rc<dyn PeerSender>);
         let driver = Driver::new(
             config.settings,
@@ -176,11 +176,11 @@
             driver.share_evidence_with(fleet);
         }
         let version = config.initial_list.as_ref().map_or(0, |list| list.seq);
-        let keeper = config.membership_store.map(|(fleet, keeper)| {
+        let membership_store = config.membership_store.map(|(fleet, store_config)| {
             let (driver, initial_list) = (driver.clone(), config.initial_list.as_ref());
-            Keeper::start(driver, upstream.clone(), keeper, &fleet, config.seed, initial_list)
+            Keeper::start(driver, upstream.clone(), store_config, &fleet, config.seed, initial_list)
         });
-        if let Some(list) = config.initial_list.as_ref().filter(|_| keeper.is_none()) {
+        if let Some(list) = config.initial_list.as_ref().filter(|_| membership_store.is_none()) {
             let remembered = config.discovery.is_some();
             let kind = if remembered { ListKind::Remembered } else { ListKind::Whole };
             driver.apply_list(kind, list);
@@ -191,15 +191,15 @@
         {
             // The balancer only asks for updates of a list it has. Without a list, the first one is requested here;
             // discovery starts below.
-            let _ = first_call.send(DiscoveryCommand::Watch);
+            let _ = discovery_sender.send(DiscoveryCommand::Watch);
         }
         let discovery_call_ended = Rc::new(Notify::new());
         // With on-request discovery, thousands of sidecars that start together are answered over several seconds, and
         // many may be refused. A sidecar with an earlier list serves with it at once instead of waiting: servers that
         // are gone refuse connections, and the first answer corrects the list.
-        let listed = config.initial_list.as_ref().is_some_and(|known| !known.hosts.is_empty());
+        let listed = config.initial_list.as_ref().is_some_and(|list| !list.hosts.is_empty());
         if mode == DiscoveryMode::OnRequest && listed
-            || keeper.is_some() && driver.has_listed_servers()
+            || membership_store.is_some() && driver.has_listed_servers()
         {
             discovery_call_ended.notify_one();
         }
@@ -217,8 +217,8 @@
                     clock: driver.list_clock(),
                 };
                 let listed = driver.has_listed_servers();
-                let sinks = (driver.clone(), keeper.clone(), fleet.clone());
-                list_role = watch_lists(discovery_config, sinks, listed, calls);
+                let sinks = (driver.clone(), membership_store.clone(), fleet.clone());
+                list_role = watch_lists(discovery_config, sinks, listed, commands);
                 Some(discovery)
             }
             None => {
@@ -247,7 +247,7 @@
             call_limits,
             peers,
             fleet,
-            membership_store: keeper,
+            membership_store,
             list_role,
         })
     }
@@ -288,7 +288,7 @@
     /// checked like one from discovery.
     pub fn apply_list(&self, list: &List) {
         match &self.membership_store {
-            Some(keeper) => keeper.apply_list(Source::Code, list),
+            Some(membership_store) => membership_store.apply_list(Source::Code, list),
             None => {
                 let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
                 self.driver.apply_list(kind, list);
@@ -330,39 +330,39 @@
 /// distribute them.
 type ListParts = (Rc<Driver>, Option<Rc<Keeper>>, Option<Rc<Fleet>>);
 
-/// Starts the tasks that get lists from discovery or from the control nodes. `calls` are the balancer's commands to
+/// Starts the tasks that get lists from discovery or from the control nodes. `commands` are the balancer's commands to
 /// discovery.
 fn watch_lists(
     config: DiscoveryConfig,
-    (driver, keeper, fleet): ListParts,
+    (driver, membership_store, fleet): ListParts,
     listed: bool,
-    calls: mpsc::UnboundedReceiver<DiscoveryCommand>,
+    commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
 ) -> Option<ListRole> {
     let (limits, discovery_call_ended, seed) =
         (config.limits.clone(), config.call_ended.clone(), config.seed);
     let discovery = Discovery::new(config);
-    let sink: Box<dyn MembershipSink> = match &keeper {
-        Some(keeper) => Box::new(keeper.clone()),
+    let sink: Box<dyn MembershipSink> = match &membership_store {
+        Some(membership_store) => Box::new(membership_store.clone()),
         None => Box::new(driver),
     };
     let distribution = fleet.as_ref().and_then(|fleet| fleet.distribution.clone());
     let settings = distribution.as_ref().and_then(|distribution| distribution.list().cloned());
-    match (settings, distribution, fleet, keeper) {
+    match (settings, distribution, fleet, membership_store) {
         (Some(settings), Some(distribution), Some(fleet), _) if settings.from_discovery => {
             let publisher = ListPublisher::start(settings, fleet, distribution);
             let sink = PublishingSink { sink, publisher: publisher.clone() };
-            spawn_local(discovery.run(sink, calls));
+            spawn_local(discovery.run(sink, commands));
             Some(ListRole::Publishes(publisher))
         }
-        (Some(settings), Some(distribution), Some(fleet), Some(keeper)) => {
+        (Some(settings), Some(distribution), Some(fleet), Some(membership_store)) => {
             // Sidecars with the same configured seed still draw different delays.
             let (me, epoch) = fleet.process();
             let seed = mix(seed ^ mix(u64::from(me)) ^ epoch);
-            let (to_discovery, own_calls) = mpsc::unbounded_channel();
+            let (to_discovery, own_commands) = mpsc::unbounded_channel();
             let parts = SubscriptionParts {
                 settings,
                 distribution,
-                keeper,
+                keeper: membership_store,
                 to_discovery,
                 call_limits: limits,
                 tried: discovery_call_ended,
@@ -370,12 +370,12 @@
             };
             let subscription = ListSubscription::new(parts, listed);
             let sink = SubscribedSink { sink, subscription: subscription.clone() };
-            spawn_local(discovery.run(sink, own_calls));
-            spawn_local(subscription.clone().run(calls));
+            spawn_local(discovery.run(sink, own_commands));
+            spawn_local(subscription.clone().run(commands));
             Some(ListRole::Takes(subscription))
         }
         _ => {
-            spawn_local(discovery.run(sink, calls));
+            spawn_local(discovery.run(sink, commands));
             None
         }
     }
--- a/crates/millethook-engine/src/upstream/attempt/active.rs
+++ b/crates/millethook-engine/src/upstream/attempt/active.rs
@@ -33,7 +33,9 @@
 
 /// One request on one connection.
 pub(in crate::upstream) struct ActiveRequest {
+    /// The connection.
     pub guard: ConnectionGuard,
+    /// The state of the HTTP exchange.
     pub exchange: Exchange,
     /// How its answer is recognised as its own.
     pub matching: Matching,
@@ -67,6 +69,7 @@
     Gone,
 }
 
+/// What polling the exchange returned.
 enum Step {
     /// Bytes arrived that do not complete an event.
     Progress,
@@ -185,6 +188,7 @@
             && self.exchange.needs_more_body()
     }
 
+    /// Whether part of the answer has arrived.
     pub fn answer_has_begun(&mut self) -> bool {
         let ActiveRequest { guard, exchange, .. } = self;
         guard.connection().is_some_and(|connection| exchange.answer_begun(&connection.buf))
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -36,9 +36,9 @@
 /// The longest answer that is passed on, the same limit as for request bodies. Streaming classes have no limit.
 /// Corrupt heads announce gigabytes, followed by garbage.
 pub(super) const MAX_ANSWER_BYTES: u64 = MAX_UPLOAD_BYTES;
-/// The holding back of a request's last bytes takes at most this fraction of the remaining time. If a connection
-/// breaks without it, the request may have run, whereas a held-back request certainly has not. Without this limit,
-/// timer granularity would make it cost some 2 ms of the 20 ms that an impatient client waits.
+/// The bytes that may start a request are held back for at most this fraction of the remaining time. If the connection
+/// breaks before they are written, the request certainly has not run; otherwise it may have. Without this limit, timer
+/// granularity would make it cost some 2 ms of the 20 ms that an impatient client waits.
 const HOLD_BACK_DIVISOR: u32 = 50;
 /// How long reading the rest of an unwanted answer may take before its connection is closed.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
@@ -134,11 +134,11 @@
         class: Option<usize>,
         request: &Rc<AttemptRequest>,
         gate: Gate,
-        until: Instant,
+        deadline: Instant,
     ) -> AttemptOutcome {
         let matching = || self.matching(target.0, class, request.repeatable);
         let equal_answer =
-            match self.try_once(target, class, request, &gate, until, &matching).await {
+            match self.try_once(target, class, request, &gate, deadline, &matching).await {
                 Ok(outcome) => return outcome,
                 Err(equal_answer) => equal_answer,
             };
@@ -147,7 +147,7 @@
         // server.
         let first_on_connection = || Matching::NewConnection;
         let second =
-            self.try_once(target, class, request, &gate, until, &first_on_connection).await;
+            self.try_once(target, class, request, &gate, deadline, &first_on_connection).await;
         match second {
             // The first try may have run, whatever became of the second.
             Ok(AttemptOutcome::End { outcome, report, .. }) if outcome.never_ran() => {
@@ -180,7 +180,7 @@
         class: Option<usize>,
         request: &Rc<AttemptRequest>,
         gate: &Gate,
-        until: Instant,
+        deadline: Instant,
         matching: &dyn Fn() -> Matching,
     ) -> Result<AttemptOutcome, Fingerprint> {
         let no_report = LoadReport::default;
@@ -198,7 +198,7 @@
             }
             let target = (server, dial);
             let connection = AttemptConnection { guard, idle_time, matching };
-            let response = match self.send(target, connection, request, gate, until).await {
+            let response = match self.send(target, connection, request, gate, deadline).await {
                 Ok((active, head)) => self.own_head(active, head).await,
                 Err(active) => Err(active),
             };
@@ -236,16 +236,16 @@
         connection: AttemptConnection,
         request: &Rc<AttemptRequest>,
         gate: &Gate,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(ActiveRequest, ResponseHead), ActiveRequest> {
         let AttemptConnection { guard, idle_time, matching } = connection;
         let now = Instant::now();
-        let left = until.saturating_duration_since(now);
+        let remaining = deadline.saturating_duration_since(now);
         // The first bytes written to an idle connection may be answered with a reset, and so may those on a new
         // connection to a server that has no worker for it. If the whole request had been written by then, one that
-        // must not run twice could not be retried elsewhere. So its last bytes are held back for a moment.
+        // must not run twice could not be retried elsewhere. So the bytes that may start it are held back for a moment.
         let hold_back = self.pool.borrow().hold_time(server, idle_time, request.repeatable, now);
-        let hold_back = hold_back.filter(|hold_back| *hold_back <= left / HOLD_BACK_DIVISOR);
+        let hold_back = hold_back.filter(|hold_back| *hold_back <= remaining / HOLD_BACK_DIVISOR);
         // The server may have sent stray bytes while this attempt waited for a connection.
         let matching = if self.pool.borrow().answers_need_proof(server, now) {
             Matching::AnnouncedClose
@@ -254,7 +254,7 @@
         };
         let persistence = self.pool.borrow().persistence(server, matching, guard.is_used(), now);
         let mut head = Vec::new();
-        request.encoded.head_into(&mut head, left.as_millis() as u64, dial, persistence);
+        request.encoded.head_into(&mut head, remaining.as_millis() as u64, dial, persistence);
         let body = request.encoded.body_len();
         let mut exchange = Exchange::new(self.config.begins, head.len(), body, hold_back.is_some());
         if request.upload.is_some() {
@@ -360,10 +360,10 @@
 /// be retried or rejected as one that never ran.
 async fn discard(mut active: ActiveRequest) {
     let read_rest = async {
-        let mut left = MAX_BUFFERED_BYTES;
+        let mut remaining = MAX_BUFFERED_BYTES;
         loop {
             match active.event(false).await {
-                Ok(Event::Data(piece)) => left = left.checked_sub(piece.len())?,
+                Ok(Event::Data(piece)) => remaining = remaining.checked_sub(piece.len())?,
                 Ok(Event::End) => return Some(()),
                 _ => return None,
             }
--- a/crates/millethook-engine/src/upstream/connection.rs
+++ b/crates/millethook-engine/src/upstream/connection.rs
@@ -214,7 +214,7 @@
         self.upstream.discard(self.server, stray);
     }
 
-    /// Returns a connection on which nothing was sent to the pool.
+    /// Returns the connection to the pool; nothing was sent on it.
     pub fn return_unused(mut self) {
         if let Some(connection) = self.connection.take() {
             self.upstream.release(self.server, connection);
