--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -10,7 +10,7 @@
 use millethook_machine::hash::mix;
 use millethook_view::{Status, View};
 
-use crate::trials::{Trials, Turn};
+use crate::trials::{TrialAction, Trials};
 
 /// Settings of leases.
 #[derive(Clone, Debug, PartialEq)]
@@ -93,7 +93,7 @@
         &self,
         now: Micros,
         (epoch, congested): (u64, bool),
-        trial_actions: &mut Vec<Turn>,
+        trial_actions: &mut Vec<TrialAction>,
         published_owner: &dyn Fn(JobId) -> Option<(Token, Micros)>,
         mut send: impl FnMut(u16, Vec<u8>),
     ) -> Micros {
@@ -129,14 +129,14 @@
     /// Applies a changed verdict on a server.
     pub fn apply_verdict(&self, now: Micros, server: ServerId, verdict: Standing) {
         if let Some(trials) = &self.trials {
-            trials.borrow_mut().stands(now, server, verdict, &mut self.lease.borrow_mut());
+            trials.borrow_mut().apply_verdict(now, server, verdict, &mut self.lease.borrow_mut());
         }
     }
 
     /// Records that an attempt is sent to a server.
     pub fn on_attempt_sent(&self, server: ServerId) {
         if let Some(trials) = &self.trials {
-            trials.borrow_mut().tried(server);
+            trials.borrow_mut().on_attempt(server);
         }
     }
 
--- a/crates/millethook-engine/src/membership_store.rs
+++ b/crates/millethook-engine/src/membership_store.rs
@@ -92,7 +92,7 @@
         }
         hosts.extend(membership_store.load());
         // The balancer subscribes to discovery after its first list, even an empty one.
-        membership_store.driver.servers(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
+        membership_store.driver.apply_list(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
         spawn_local(membership_store.clone().run());
         if membership_store.config.store.is_some() {
             spawn_local(membership_store.clone().write());
@@ -149,7 +149,7 @@
         }
         self.changed.notify_one();
         let kind = if update.whole { ListKind::Whole } else { ListKind::Changes };
-        self.driver.servers(kind, &List { seq: 0, whole: update.whole, hosts: update.hosts });
+        self.driver.apply_list(kind, &List { seq: 0, whole: update.whole, hosts: update.hosts });
     }
 
     /// Starts trials and applies suspect lists when they are due.
--- a/crates/millethook-http/src/answer.rs
+++ b/crates/millethook-http/src/answer.rs
@@ -13,7 +13,7 @@
 use millethook_engine::budget::ByteReservation;
 use millethook_engine::driver::{RequestHead, StreamingReply};
 use millethook_engine::upload::Upload;
-use millethook_engine::upstream::{AttemptRequest, Head};
+use millethook_engine::upstream::{AnswerHead, AttemptRequest};
 
 use crate::body::StreamingBody;
 use crate::head::end_to_end_headers;
@@ -36,18 +36,18 @@
     let headers = end_to_end_headers(head.headers);
     AttemptRequest {
         encoded: EncodedRequest::framed(&head.method, &target, &headers, body, framing),
-        own_page: false,
+        internal: false,
         repeatable: request_head.repeatable,
         streaming: request_head.streaming,
         aim: request_head.aim,
-        account,
+        reservation: account,
         upload,
         withdrawn: Default::default(),
     }
 }
 
 /// Builds the response from a server's answer that was received completely.
-pub fn complete_response(head: Head, body: Bytes) -> Response<AnswerBody> {
+pub fn complete_response(head: AnswerHead, body: Bytes) -> Response<AnswerBody> {
     build_response(head, Either::Left(Full::new(body)))
 }
 
@@ -57,7 +57,7 @@
     build_response(head, Either::Right(StreamingBody::from(reply)))
 }
 
-fn build_response(head: Head, body: AnswerBody) -> Response<AnswerBody> {
+fn build_response(head: AnswerHead, body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = end_to_end_headers(head.headers);
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -10,7 +10,7 @@
 
 use http::{Request, Response};
 use millethook_engine::driver::Reply;
-use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
+use millethook_engine::upload::{MAX_UPLOAD_BYTES, Upload, UploadError};
 use millethook_http::answer;
 use millethook_http::body::{
     BufferedBody, ForwardError, ReadError, StallBudget, buffer_body, forward_rest, framing,
@@ -109,10 +109,10 @@
             return Err(unsent());
         };
         let until = began + request_head.left;
-        let mut account = shared.bytes.account();
+        let mut account = shared.bytes.reservation();
         // The host's body has its own pace; the request's time bounds it.
         let (mut body, mut pace) = (Box::pin(body), StallBudget::unbounded());
-        let holding = buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
+        let holding = buffer_body(&mut body, MAX_UPLOAD_BYTES, &mut account, &mut pace);
         let held = match timeout_at(until.into(), holding).await {
             Ok(Ok(held)) => held,
             Ok(Err(ReadError::TooLong)) => return Err(too_large()),
@@ -135,14 +135,14 @@
         sent.map_err(|_| Error::Closed)?;
         let (mut until, mut early) = (until, None);
         if let Some(rest) = rest {
-            let feeding = pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+            let feeding = pin!(forward_rest(&mut body, length, MAX_UPLOAD_BYTES, &mut pace, rest));
             tokio::select! {
                 biased;
                 // It was refused, or a server had no need of the rest.
                 reply = &mut answer => early = Some(reply),
                 fed = feeding => match fed {
                     // The time runs from the last byte on.
-                    Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
+                    Ok(()) | Err(ForwardError::NotTaken(UploadError::Closed)) => {
                         until = Instant::now() + left;
                     }
                     Err(ForwardError::Read(ReadError::TooLong)) => return Err(too_large()),
@@ -220,11 +220,11 @@
             requests: engine.requests,
             attempts: engine.attempts,
             undecided: engine.undecided,
-            sockets: shared.sockets.taken(),
+            sockets: shared.sockets.in_use(),
             opening: engine.connections.opening,
             resting: engine.connections.idle,
             ended: engine.ended,
-            body_bytes: shared.bytes.taken(),
+            body_bytes: shared.bytes.in_use(),
         })
     }
 
@@ -273,5 +273,5 @@
 }
 
 fn too_large() -> Error {
-    Error::TooLarge { limit: LONGEST_UPLOAD as usize }
+    Error::TooLarge { limit: MAX_UPLOAD_BYTES as usize }
 }
