--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -178,7 +178,14 @@
         let version = config.initial_list.as_ref().map_or(0, |list| list.seq);
         let membership_store = config.membership_store.map(|(fleet, store_config)| {
             let (driver, initial_list) = (driver.clone(), config.initial_list.as_ref());
-            MembershipStore::start(driver, upstream.clone(), store_config, &fleet, config.seed, initial_list)
+            MembershipStore::start(
+                driver,
+                upstream.clone(),
+                store_config,
+                &fleet,
+                config.seed,
+                initial_list,
+            )
         });
         if let Some(list) = config.initial_list.as_ref().filter(|_| membership_store.is_none()) {
             let remembered = config.discovery.is_some();
@@ -362,7 +369,7 @@
             let parts = SubscriptionParts {
                 settings,
                 distribution,
-                keeper: membership_store,
+                membership_store,
                 to_discovery,
                 call_limits: limits,
                 tried: discovery_call_ended,
--- a/crates/millethook-engine/src/membership_store.rs
+++ b/crates/millethook-engine/src/membership_store.rs
@@ -92,7 +92,9 @@
         }
         hosts.extend(membership_store.load());
         // The balancer subscribes to discovery after its first list, even an empty one.
-        membership_store.driver.apply_list(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
+        membership_store
+            .driver
+            .apply_list(ListKind::Remembered, &List { seq: 0, whole: true, hosts });
         spawn_local(membership_store.clone().run());
         if membership_store.config.store.is_some() {
             spawn_local(membership_store.clone().write());
