--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -24,7 +24,7 @@
 use crate::evidence::Evidence;
 use crate::leases::{LeaseSettings, Leases};
 use crate::sinks::{PeerSender, VerdictSink};
-use crate::trials::Turn;
+use crate::trials::TrialAction;
 use log_budget::LogBudget;
 
 /// Messages of the view.
@@ -84,7 +84,7 @@
     /// The distribution of documents, if it is enabled.
     pub distribution: Option<Rc<Distribution>>,
     /// Pending actions on suspected servers.
-    trial_actions: RefCell<Vec<Turn>>,
+    trial_actions: RefCell<Vec<TrialAction>>,
     peers: Rc<dyn PeerSender>,
     wake: Arc<Notify>,
     dropped: Cell<Dropped>,
@@ -232,15 +232,15 @@
     fn run_trial_actions(&self, evidence: &Evidence) {
         for action in self.trial_actions.take() {
             match action {
-                Turn::Stand(server, verdict) => evidence.report(server, verdict),
-                Turn::GiveUp(server, job) => tracing::info!(
+                TrialAction::ApplyVerdict(server, verdict) => evidence.report(server, verdict),
+                TrialAction::Release(server, job) => tracing::info!(
                     event = "trial_given_up",
                     server = server.0,
                     job = job.0,
                     "released job {:016x}: this sidecar sent no attempt to the suspected server",
                     job.0
                 ),
-                Turn::Say(job, token) => evidence.publish_job(self.now(), job, token),
+                TrialAction::Announce(job, token) => evidence.publish_job(self.now(), job, token),
             }
         }
     }
--- a/crates/millethook-engine/src/server_lists/follower.rs
+++ b/crates/millethook-engine/src/server_lists/follower.rs
@@ -6,7 +6,7 @@
 use super::known_list::KnownList;
 use super::position::ListPosition;
 use super::published::PublishedList;
-use crate::discovery::patience::wait_by_fleet;
+use crate::discovery::call_timing::fleet_spread_delay;
 use crate::list::List;
 
 /// A list without a confirmation for this time is stale. Confirmations come once a second, and one of them may be lost
@@ -143,7 +143,7 @@
         match self.state {
             State::Following if self.stale_at <= now => {
                 // All other sidecars lose the control nodes at the same time, so the fallback is spread out.
-                self.state = State::Waiting(now + wait_by_fleet(fleet, random));
+                self.state = State::Waiting(now + fleet_spread_delay(fleet, random));
                 Some(FollowerStep::Silent)
             }
             State::Waiting(until) if until <= now => {
--- a/crates/millethook-http/src/edge/intake.rs
+++ b/crates/millethook-http/src/edge/intake.rs
@@ -247,7 +247,7 @@
 
     /// Returns the time for `Retry-After`, if the settings let refused clients know when to retry.
     pub fn allowed_retry_after(&self, after: Duration) -> Option<Duration> {
-        self.driver.tells_when().then_some(after)
+        self.driver.sends_retry_after().then_some(after)
     }
 
     /// Number of writes in the own store without an end record, as far as this process knows.
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use millethook_connect::pool::Limits;
-use millethook_engine::budget::{Bytes, Sockets};
+use millethook_engine::budget::{ByteBudget, Sockets};
 use millethook_engine::distribution::Distribution;
 use millethook_engine::product;
 use millethook_engine::{Engine, EngineConfig, PeerConfig};
@@ -99,7 +99,7 @@
         names: Arc::new(tuned.names),
         seed: config.seed,
         discovery: Some(config.discovery),
-        known: config.known,
+        initial_list: config.known,
         begins: config.begins,
         connections,
         reuse: product::configured_reuse(&config.product),
@@ -109,7 +109,7 @@
         distribution,
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
-    let bytes = Bytes::new((config.memory as f64 * BODIES) as usize);
+    let bytes = ByteBudget::new((config.memory as f64 * BODIES) as usize);
     let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ingress = Ingress::new(
         engine.driver.clone(),
@@ -148,7 +148,7 @@
         // The process beside this one serves until this one can, and then until it hands over: the two do not know
         // which requests the other one has open.
         if shares_listener {
-            let _ = timeout(UNLISTED, driver.first_listed()).await;
+            let _ = timeout(UNLISTED, driver.wait_for_first_list()).await;
         }
         if let Some(turn) = turn {
             turn.await;
@@ -242,7 +242,7 @@
 
 /// Marks the ingress ready when discovery has first been tried; never ends.
 async fn first_try(ingress: &Ingress, engine: &Engine) {
-    engine.discovery_tried().await;
+    engine.wait_for_discovery().await;
     ingress.mark_discovery_tried();
     std::future::pending().await
 }
