--- a/crates/millethook-engine/src/discovery/call_timing.rs
+++ b/crates/millethook-engine/src/discovery/call_timing.rs
@@ -58,7 +58,7 @@
     fn from(settings: &Settings) -> CallLimits {
         CallLimits {
             fleet: settings.instances,
-            max_wait: Duration::from_micros(settings.rules.ask_spread(1)),
+            max_wait: Duration::from_micros(settings.rules.max_discovery_delay(1)),
         }
     }
 }
--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -78,7 +78,7 @@
                 id,
                 attempt_index,
                 server,
-                Outcome::Moot,
+                Outcome::NeverSent,
                 0,
                 LoadReport::default(),
                 None,
@@ -236,7 +236,7 @@
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                 self.reachability.borrow_mut().on_failed(server, Instant::now());
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NeverSent => {}
         }
         let mut finished = true;
         if let Some(request) = self.state.borrow_mut().requests.get_mut(&id) {
--- a/crates/millethook-engine/src/figures.rs
+++ b/crates/millethook-engine/src/figures.rs
@@ -120,7 +120,7 @@
 mod tests {
     use super::*;
     use crate::names::ClassName;
-    use coppercart::settings::Repeat;
+    use coppercart::settings::RetrySafety;
     use std::time::Duration;
 
     fn names(classes: &[(&str, usize)]) -> Names {
@@ -128,7 +128,7 @@
         for &(name, index) in classes {
             let class = ClassName {
                 index,
-                repeat: Repeat::Safe,
+                repeat: RetrySafety::Safe,
                 streaming: false,
                 aim: Duration::ZERO,
                 deadline: Duration::ZERO,
--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use coppercart::api::{Micros, ServerId, Standing};
+use coppercart::api::{Micros, ServerId, ServerVerdict};
 use millethook_lease::{Config, Event, Figures, Lease, Member, Members};
 pub use millethook_lease::{JobId, Token};
 use millethook_machine::hash::mix;
@@ -127,7 +127,7 @@
     }
 
     /// Applies a changed verdict on a server.
-    pub fn apply_verdict(&self, now: Micros, server: ServerId, verdict: Standing) {
+    pub fn apply_verdict(&self, now: Micros, server: ServerId, verdict: ServerVerdict) {
         if let Some(trials) = &self.trials {
             trials.borrow_mut().apply_verdict(now, server, verdict, &mut self.lease.borrow_mut());
         }
--- a/crates/millethook-engine/src/names.rs
+++ b/crates/millethook-engine/src/names.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coppercart::api::{LoadReport, ServerEntry};
-use coppercart::settings::{Repeat, Settings};
+use coppercart::settings::{RetrySafety, Settings};
 use serde_json::Value;
 
 use crate::list::Host;
@@ -22,7 +22,7 @@
     /// The index in the settings.
     pub index: usize,
     /// Whether requests may be repeated, which decides the allowed method.
-    pub repeat: Repeat,
+    pub repeat: RetrySafety,
     /// Answers may be long.
     pub streaming: bool,
     /// Answers within this time count in full.
--- a/crates/millethook-engine/src/upstream/attempt/mod.rs
+++ b/crates/millethook-engine/src/upstream/attempt/mod.rs
@@ -194,7 +194,7 @@
                 };
             if !gate.may_begin(request, Instant::now()) {
                 guard.return_unused();
-                return Ok(AttemptOutcome::end(Outcome::Moot, no_report()));
+                return Ok(AttemptOutcome::end(Outcome::NeverSent, no_report()));
             }
             let target = (server, dial);
             let connection = AttemptConnection { guard, idle_time, matching };
@@ -215,7 +215,7 @@
             // Closes the broken connection before another one is acquired.
             drop(active);
             if never_ran && !gate.may_commit(request, Instant::now()) {
-                return Ok(AttemptOutcome::end(Outcome::Moot, no_report()));
+                return Ok(AttemptOutcome::end(Outcome::NeverSent, no_report()));
             }
             match (never_ran, idle_time) {
                 (false, _) => return Ok(AttemptOutcome::end(Outcome::Reset, no_report())),
--- a/crates/millethook-engine/src/upstream/mod.rs
+++ b/crates/millethook-engine/src/upstream/mod.rs
@@ -279,7 +279,7 @@
             now = Instant::now();
             if now >= deadline {
                 // The attempt failed for lack of a connection; this says nothing about the server.
-                return Err(Outcome::Moot);
+                return Err(Outcome::NeverSent);
             }
         }
     }
@@ -298,7 +298,7 @@
             opening_slots.entry(server).or_insert_with(new_semaphore).clone()
         };
         let slot = timeout_at(deadline.into(), semaphore.acquire_owned()).await;
-        slot.ok().and_then(Result::ok).ok_or(Outcome::Moot)
+        slot.ok().and_then(Result::ok).ok_or(Outcome::NeverSent)
     }
 
     /// Waits for a socket permit when none is free. Returns `None` if a usable connection to `server` became idle
@@ -321,7 +321,7 @@
         loop {
             tokio::select! {
                 biased;
-                permit = &mut acquiring => return permit.map(Some).ok_or(Outcome::Moot),
+                permit = &mut acquiring => return permit.map(Some).ok_or(Outcome::NeverSent),
                 () = waiter.signals.idle.notified() => {
                     if needs_new {
                         self.pool.borrow_mut().evict_oldest_idle();
--- a/crates/millethook-engine/src/upstream/probe.rs
+++ b/crates/millethook-engine/src/upstream/probe.rs
@@ -80,7 +80,9 @@
                 TrialOutcome::Silent
             }
             (Outcome::ConnectFailed, _) => TrialOutcome::Refused,
-            (Outcome::Moot | Outcome::TimedOut | Outcome::Cancelled, _) => TrialOutcome::Silent,
+            (Outcome::NeverSent | Outcome::TimedOut | Outcome::Cancelled, _) => {
+                TrialOutcome::Silent
+            }
             _ => TrialOutcome::Stranger,
         }
     }
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -40,7 +40,7 @@
 impl Sidecar {
     fn new(seed: u64) -> Sidecar {
         let settings = Settings::from_json(settings_json().to_string().as_bytes()).expect("sound");
-        let verdict_hold = settings.longest(|class| class.deadline);
+        let verdict_hold = settings.max_over_classes(|class| class.deadline);
         let mut balancer = Balancer::new(settings, seed, 0);
         let entries: Vec<ServerEntry> = (0..SERVER_COUNT)
             .map(|n| ServerEntry {
@@ -122,9 +122,9 @@
                     class: 0,
                     tenant: 0,
                     key: 0,
-                    left: SECOND,
-                    hint: None,
-                    repeat: false,
+                    time_left: SECOND,
+                    work_hint: None,
+                    client_retry: false,
                 }));
             }
             self.tick();
@@ -179,8 +179,13 @@
         // By itself the sidecar makes its trials rarer and rarer.
         sidecar.run(60 * SECOND);
         let start = sidecar.now;
-        sidecar.event(Event::Stands { server: SILENT_SERVER, standing: Standing::Doubted });
-        sidecar.trials.apply_verdict(start, SILENT_SERVER, Standing::Doubted, &mut sidecar.lease);
+        sidecar.event(Event::Stands { server: SILENT_SERVER, standing: ServerVerdict::Suspected });
+        sidecar.trials.apply_verdict(
+            start,
+            SILENT_SERVER,
+            ServerVerdict::Suspected,
+            &mut sidecar.lease,
+        );
         sidecar.trial_times.clear();
         sidecar.run(start + 60 * SECOND);
         assert!(sidecar.released.is_empty(), "seed {seed}: released at {:?}", sidecar.released);
--- a/crates/millethook-model/src/fleet/clients.rs
+++ b/crates/millethook-model/src/fleet/clients.rs
@@ -86,9 +86,9 @@
             class: asked.class,
             tenant: 0,
             key: asked.key,
-            left,
-            hint: None,
-            repeat: false,
+            time_left: left,
+            work_hint: None,
+            client_retry: false,
         };
         self.tell(at.sidecar, Event::Request(new));
     }
