--- a/crates/millethook-distribution/src/config.rs
+++ b/crates/millethook-distribution/src/config.rs
@@ -33,7 +33,7 @@
     /// Sidecars that a control node serves, at most; others are not answered and go elsewhere.
     pub subscribers: usize,
     /// A sidecar says once in so many microseconds what it has (jittered by a quarter).
-    pub digest_every: Micros,
+    pub digest_interval: Micros,
     /// A control node that has started does not vote before this time, as it has forgotten its votes, and a round of the
     /// writer counts for four fifths of it. See `docs/design/distribution.md`.
     pub silence: Micros,
@@ -54,7 +54,7 @@
             bytes: 32 * 1024 * 1024,
             rate: 16_000_000,
             subscribers: 16_384,
-            digest_every: 1_000_000,
+            digest_interval: 1_000_000,
             silence: 6_000_000,
             give_up_after: 60_000_000,
             refused_share: 0.02,
--- a/crates/millethook-distribution/src/control/subscribers.rs
+++ b/crates/millethook-distribution/src/control/subscribers.rs
@@ -100,7 +100,7 @@
 
 impl Subscribers {
     pub fn new(limits: &Limits) -> Subscribers {
-        let (most, every) = (limits.subscribers, limits.digest_every.max(1));
+        let (most, every) = (limits.subscribers, limits.digest_interval.max(1));
         Subscribers { table: BTreeMap::new(), came: BTreeMap::new(), most, every }
     }
 
--- a/crates/millethook-distribution/src/sidecar/links.rs
+++ b/crates/millethook-distribution/src/sidecar/links.rs
@@ -84,7 +84,7 @@
         Links {
             order,
             links,
-            every: config.limits.digest_every.max(1),
+            every: config.limits.digest_interval.max(1),
             random,
             try_next: 0,
             try_at: 0,
--- a/crates/millethook-engine/src/distribution/settings.rs
+++ b/crates/millethook-engine/src/distribution/settings.rs
@@ -53,7 +53,7 @@
     };
     let limits = Limits {
         rate: section.control_bytes_per_second as u32,
-        digest_every: section.digest.as_micros() as u64,
+        digest_interval: section.digest.as_micros() as u64,
         silence: section.silence.as_micros() as u64,
         give_up_after: section.give_up_after.as_micros() as u64,
         refused_share: section.refused_share,
--- a/crates/millethook-hollow/src/distribution/mod.rs
+++ b/crates/millethook-hollow/src/distribution/mod.rs
@@ -44,7 +44,7 @@
             control_nodes: 36,
             hosts: 2,
             rate: limits.rate,
-            digest_ms: limits.digest_every / 1_000,
+            digest_ms: limits.digest_interval / 1_000,
             silence_ms: limits.silence / 1_000,
         }
     }
@@ -71,7 +71,7 @@
         lists: Vec::new(),
         limits: Limits {
             rate: plan.rate,
-            digest_every: plan.digest_ms * 1_000,
+            digest_interval: plan.digest_ms * 1_000,
             silence: plan.silence_ms * 1_000,
             ..Limits::default()
         },
