--- a/crates/millethook-distribution/src/chunks.rs
+++ b/crates/millethook-distribution/src/chunks.rs
@@ -1,12 +1,12 @@
 //! Pieces of a long content.
 
-use crate::document::MOST_CONTENT;
+use crate::document::MAX_CONTENT_BYTES;
 use crate::{LONGEST, Version};
 
 /// Bytes of a content in one chunk; the last one may be shorter.
 pub(crate) const CHUNK: usize = LONGEST - 1 - Version::LENGTH - 4;
 /// Chunks of the longest content.
-pub(crate) const MOST_CHUNKS: usize = MOST_CONTENT.div_ceil(CHUNK);
+pub(crate) const MOST_CHUNKS: usize = MAX_CONTENT_BYTES.div_ceil(CHUNK);
 /// A content of so many chunks at most is sent to a sidecar together with its head; a longer one once it is asked for. A
 /// request that gets lost costs a longer one little in comparison. Sent at once, it would come twice where a sidecar had
 /// it from another control node that knew of it earlier, and control nodes send as fast as they may meanwhile.
--- a/crates/millethook-distribution/src/control/writing.rs
+++ b/crates/millethook-distribution/src/control/writing.rs
@@ -13,7 +13,7 @@
 use crate::mutant::{self, Mutant};
 use crate::outgoing::Receiver;
 use crate::writer::{Publication, Writer, round_length};
-use crate::{Document, DocumentId, DocumentKey, MOST_CONTENT, Rollout, Version};
+use crate::{Document, DocumentId, DocumentKey, MAX_CONTENT_BYTES, Rollout, Version};
 
 impl ControlNode {
     /// This control node holds the writer's lease under this token: it asks the others to admit it, and learns what
@@ -158,8 +158,8 @@
             return Err(PublishError::NotWriter(highest));
         }
         let found = body.as_ref().map_or(0, Vec::len);
-        if found > MOST_CONTENT {
-            return Err(PublishError::TooLong { found, most: MOST_CONTENT });
+        if found > MAX_CONTENT_BYTES {
+            return Err(PublishError::TooLong { found, most: MAX_CONTENT_BYTES });
         }
         self.store.room_for(key, found)?;
         let version = self.begin(now, key, body);
--- a/crates/millethook-distribution/src/delta.rs
+++ b/crates/millethook-distribution/src/delta.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use crate::MOST_CONTENT;
+use crate::MAX_CONTENT_BYTES;
 
 /// Bytes by which a piece of the base is found, and the shortest one that is copied.
 const WINDOW: usize = 8;
@@ -53,7 +53,7 @@
         let end = begin.checked_add(usize::try_from(number(&mut delta)?).ok()?)?;
         content.extend_from_slice(base.get(begin..end)?);
         expected = end as i64;
-        if content.len() > MOST_CONTENT {
+        if content.len() > MAX_CONTENT_BYTES {
             return None;
         }
     }
--- a/crates/millethook-distribution/src/document.rs
+++ b/crates/millethook-distribution/src/document.rs
@@ -6,7 +6,7 @@
 use crate::{DocumentKey, Version};
 
 /// The longest content, in bytes.
-pub const MOST_CONTENT: usize = 64 * 1024;
+pub const MAX_CONTENT_BYTES: usize = 64 * 1024;
 
 /// The first 16 bytes of SHA-256 over whether it is a retraction, and the content.
 #[derive(
@@ -54,6 +54,6 @@
 
     /// Whether the hash is that of the body, and the body no longer than it may be.
     pub fn is_whole(&self) -> bool {
-        self.length() <= MOST_CONTENT && self.hash == ContentHash::of(self.body.as_deref())
+        self.length() <= MAX_CONTENT_BYTES && self.hash == ContentHash::of(self.body.as_deref())
     }
 }
--- a/crates/millethook-distribution/src/lib.rs
+++ b/crates/millethook-distribution/src/lib.rs
@@ -32,7 +32,7 @@
 
 pub use config::{ConfigError, ControlMember, DistributionConfig, Limits, MAX_LISTS};
 pub use control::{ControlEvent, ControlFigures, ControlNode, PublishError};
-pub use document::{ContentHash, Document, MOST_CONTENT};
+pub use document::{ContentHash, Document, MAX_CONTENT_BYTES};
 pub use millethook_lease::Token;
 pub use millethook_machine::{LONGEST, Micros, Violation};
 pub use report::{DocumentId, MOST_NAMED, MOST_REASON, Refusal, Rollout};
--- a/crates/millethook-distribution/src/message/lists.rs
+++ b/crates/millethook-distribution/src/message/lists.rs
@@ -7,7 +7,7 @@
 use super::{Delta, Lists, State, Told};
 use crate::lists::{ListStatus, ListStatuses};
 use crate::report::MOST_REASON;
-use crate::{ContentHash, LONGEST, MOST_CONTENT, Version};
+use crate::{ContentHash, LONGEST, MAX_CONTENT_BYTES, Version};
 
 /// Bytes of a message about lists before the first status.
 const LISTS: usize = 1 + 8 + 1;
@@ -113,7 +113,7 @@
     let is_last = index.checked_add(1)? == count;
     let sound = index < count
         && usize::from(count) <= MOST_DELTA_PARTS
-        && length <= MOST_CONTENT
+        && length <= MAX_CONTENT_BYTES
         && bytes.len() <= DELTA_PART
         && (is_last || bytes.len() == DELTA_PART);
     let (hash, bytes) = (ContentHash(*hash), bytes.to_vec());
--- a/crates/millethook-distribution/src/message/parts.rs
+++ b/crates/millethook-distribution/src/message/parts.rs
@@ -134,7 +134,7 @@
         (codec::uint(bytes, 3)? as usize, None)
     };
     let retracted = flags & RETRACTED > 0;
-    let sound = length <= crate::MOST_CONTENT && (!retracted || length == 0);
+    let sound = length <= crate::MAX_CONTENT_BYTES && (!retracted || length == 0);
     let hash = ContentHash(*hash);
     sound.then_some(Offer { stage, id, hash, retracted, length, inline })
 }
--- a/crates/millethook-distribution/tests/it/interface.rs
+++ b/crates/millethook-distribution/tests/it/interface.rs
@@ -5,7 +5,7 @@
 
 use crate::common::{CONTROL, MEMBERS, World, control_nodes, identity, key, limits};
 use millethook_distribution::{
-    ControlNode, DistributionConfig, Document, DocumentKey, MOST_CONTENT, PublishError, Scope,
+    ControlNode, DistributionConfig, Document, DocumentKey, MAX_CONTENT_BYTES, PublishError, Scope,
     Snapshot, Subscriber, Token, Version,
 };
 use millethook_machine::sim::SECOND as S;
@@ -35,8 +35,8 @@
     world.lease(0);
     assert_eq!(world.publish(0, all, None), Some(Err(PublishError::CatchingUp(5))));
     world.run(S);
-    let long = world.publish(0, all, Some(vec![0; MOST_CONTENT + 1]));
-    let (found, most) = (MOST_CONTENT + 1, MOST_CONTENT);
+    let long = world.publish(0, all, Some(vec![0; MAX_CONTENT_BYTES + 1]));
+    let (found, most) = (MAX_CONTENT_BYTES + 1, MAX_CONTENT_BYTES);
     assert_eq!(long, Some(Err(PublishError::TooLong { found, most })));
     for n in 0..16 {
         let service = DocumentKey::configuration(Scope::Service(100 + n));
--- a/crates/millethook-distribution/tests/it/long.rs
+++ b/crates/millethook-distribution/tests/it/long.rs
@@ -2,8 +2,8 @@
 //! second are what bounds the time at 16,000 sidecars.
 
 use millethook_distribution::{
-    ControlMember, ControlNode, DistributionConfig, DocumentKey, Identity, Limits, MOST_CONTENT,
-    Micros, Scope, Subscriber, SubscriberEvent, Token, Version,
+    ControlMember, ControlNode, DistributionConfig, DocumentKey, Identity, Limits,
+    MAX_CONTENT_BYTES, Micros, Scope, Subscriber, SubscriberEvent, Token, Version,
 };
 use millethook_machine::sim::{Fleet, Machine, SECOND as S};
 
@@ -100,7 +100,7 @@
     let before = sent(&fleet);
     let key = DocumentKey::configuration(Scope::All);
     let published = fleet.with(0, |member, now| match member {
-        Member::Control(node) => node.publish(now, key, Some(vec![7; MOST_CONTENT])),
+        Member::Control(node) => node.publish(now, key, Some(vec![7; MAX_CONTENT_BYTES])),
         Member::Sidecar(_) => unreachable!("member 0 is a control node"),
     });
     let version = published.expect("it runs").expect("it is the writer");
@@ -118,7 +118,7 @@
     };
     fleet.run_until(30 * S, all).expect("it is in force at all within 30 s");
     let receivers = f64::from(SIDECARS + CONTROL - 1);
-    let needed = receivers * MOST_CONTENT as f64 * ON_THE_WAY / (1.0 - LOSS);
+    let needed = receivers * MAX_CONTENT_BYTES as f64 * ON_THE_WAY / (1.0 - LOSS);
     let took = (fleet.now - begin) as f64 / S as f64;
     (took, (sent(&fleet) - before) as f64 / needed)
 }
--- a/crates/millethook-engine/src/distribution/mod.rs
+++ b/crates/millethook-engine/src/distribution/mod.rs
@@ -14,7 +14,7 @@
 
 pub use millethook_distribution::{
     ControlEvent, ControlFigures, ControlMember, DistributionConfig, Document, DocumentId,
-    DocumentKey, DocumentKind, Identity, Limits, MOST_CONTENT, PublishError, Refusal, Rollout,
+    DocumentKey, DocumentKind, Identity, Limits, MAX_CONTENT_BYTES, PublishError, Refusal, Rollout,
     Scope, SubscriberFigures, Token, Version,
 };
 use millethook_distribution::{ControlNode, Micros, Subscriber, SubscriberEvent};
--- a/crates/plankvale/src/distribution/patch.rs
+++ b/crates/plankvale/src/distribution/patch.rs
@@ -1,7 +1,7 @@
 //! What a document of configuration says: `{"settings": {...}}`, a JSON merge patch (RFC 7396) for `settings` of
 //! `LB_CONFIG`.
 
-use millethook_engine::distribution::{Document, MOST_CONTENT, Refusal};
+use millethook_engine::distribution::{Document, MAX_CONTENT_BYTES, Refusal};
 use serde_json::Value;
 
 /// The one key of a document.
@@ -14,7 +14,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Unsound {
     /// It is too long.
-    #[error("{0} bytes: {MOST_CONTENT} at most expected")]
+    #[error("{0} bytes: {MAX_CONTENT_BYTES} at most expected")]
     TooLong(usize),
     /// It is no JSON.
     #[error("no JSON: {0}")]
@@ -57,7 +57,7 @@
     /// # Errors
     /// Says what is wrong, where, and what was expected.
     pub fn read(content: &[u8]) -> Result<Patch, Unsound> {
-        if content.len() > MOST_CONTENT {
+        if content.len() > MAX_CONTENT_BYTES {
             return Err(Unsound::TooLong(content.len()));
         }
         let Value::Object(mut document) = serde_json::from_slice(content)? else {
--- a/crates/plankvale/src/distribution/request.rs
+++ b/crates/plankvale/src/distribution/request.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use millethook_engine::distribution::{DocumentKey, MOST_CONTENT, Scope, name_number};
+use millethook_engine::distribution::{DocumentKey, MAX_CONTENT_BYTES, Scope, name_number};
 use serde::{Deserialize, Serialize};
 
 /// The largest file of a request: a content in which each byte is escaped as six.
-pub const LARGEST: usize = 6 * MOST_CONTENT + 1024;
+pub const LARGEST: usize = 6 * MAX_CONTENT_BYTES + 1024;
 /// The longest name of a region, zone or service.
 const LONGEST_NAME: usize = 64;
 
