--- a/crates/millethook-distribution/src/control.rs
+++ b/crates/millethook-distribution/src/control.rs
@@ -320,7 +320,7 @@
 
     /// The host has this snapshot of [`ControlNode::snapshot`] on disk now, where it outlives the process and a loss of
     /// power. It is told to the writer with the next report.
-    pub fn kept(&mut self, snapshot: &Snapshot) {
+    pub fn mark_persisted(&mut self, snapshot: &Snapshot) {
         for document in &snapshot.documents {
             if let Some(slot) = self.store.slots.get_mut(&document.key) {
                 slot.kept = slot.kept.max(document.version);
--- a/crates/millethook-distribution/tests/it/common/member.rs
+++ b/crates/millethook-distribution/tests/it/common/member.rs
@@ -81,7 +81,7 @@
                 while let Some(event) = node.poll_event() {
                     if matches!(event, ControlEvent::Stored(_)) && !self.slow_disk {
                         let snapshot = node.snapshot();
-                        node.kept(&snapshot);
+                        node.mark_persisted(&snapshot);
                         *self.disk.borrow_mut() = Some(snapshot);
                     }
                     self.truth.borrow_mut().on_event(self.number, node, &event);
--- a/crates/millethook-engine/src/distribution/mod.rs
+++ b/crates/millethook-engine/src/distribution/mod.rs
@@ -377,7 +377,7 @@
                 Some(control) => {
                     let snapshot = Arc::new(store.persisted_part(control.borrow().snapshot()));
                     if store.save(&snapshot).await {
-                        control.borrow_mut().kept(&snapshot);
+                        control.borrow_mut().mark_persisted(&snapshot);
                     }
                 }
                 None => {
