--- a/crates/millethook-distribution/src/chunks.rs
+++ b/crates/millethook-distribution/src/chunks.rs
@@ -4,40 +4,40 @@
 use crate::{LONGEST, Version};
 
 /// Bytes of a content in one chunk; the last one may be shorter.
-pub(crate) const CHUNK: usize = LONGEST - 1 - Version::LENGTH - 4;
+pub(crate) const CHUNK_BYTES: usize = LONGEST - 1 - Version::LENGTH - 4;
 /// Chunks of the longest content.
-pub(crate) const MOST_CHUNKS: usize = MAX_CONTENT_BYTES.div_ceil(CHUNK);
+pub(crate) const MAX_CHUNKS: usize = MAX_CONTENT_BYTES.div_ceil(CHUNK_BYTES);
 /// A content of so many chunks at most is sent to a sidecar together with its head; a longer one once it is asked for. A
 /// request that gets lost costs a longer one little in comparison. Sent at once, it would come twice where a sidecar had
 /// it from another control node that knew of it earlier, and control nodes send as fast as they may meanwhile.
-pub(crate) const MOST_AT_ONCE: usize = 16;
-const WORDS: usize = MOST_CHUNKS.div_ceil(64);
+pub(crate) const MAX_EAGER_CHUNKS: usize = 16;
+const SET_WORDS: usize = MAX_CHUNKS.div_ceil(64);
 
 /// How many chunks a content has.
 pub(crate) fn count(length: usize) -> usize {
-    length.div_ceil(CHUNK)
+    length.div_ceil(CHUNK_BYTES)
 }
 
 /// Whether a content of so many bytes is sent to a sidecar together with its head.
-pub(crate) fn comes_at_once(length: usize) -> bool {
-    count(length) <= MOST_AT_ONCE
+pub(crate) fn is_sent_eagerly(length: usize) -> bool {
+    count(length) <= MAX_EAGER_CHUNKS
 }
 
 /// One chunk of a content.
 pub(crate) fn chunk(content: &[u8], index: usize) -> &[u8] {
-    let begin = (index * CHUNK).min(content.len());
-    &content[begin..(begin + CHUNK).min(content.len())]
+    let begin = (index * CHUNK_BYTES).min(content.len());
+    &content[begin..(begin + CHUNK_BYTES).min(content.len())]
 }
 
 /// Numbers of chunks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct ChunkSet([u64; WORDS]);
+pub(crate) struct ChunkSet([u64; SET_WORDS]);
 
 impl ChunkSet {
     /// The numbers below `count`.
     pub fn below(count: usize) -> ChunkSet {
         let mut all = ChunkSet::default();
-        (0..count.min(MOST_CHUNKS)).for_each(|n| all.insert(n));
+        (0..count.min(MAX_CHUNKS)).for_each(|n| all.insert(n));
         all
     }
 
@@ -74,9 +74,9 @@
     }
 
     /// So many of them, the lowest.
-    pub fn lowest(mut self, most: usize) -> ChunkSet {
+    pub fn lowest(mut self, max_count: usize) -> ChunkSet {
         let mut lowest = ChunkSet::default();
-        (0..most).map_while(|_| self.pop()).for_each(|index| lowest.insert(index));
+        (0..max_count).map_while(|_| self.pop()).for_each(|index| lowest.insert(index));
         lowest
     }
 
@@ -102,7 +102,7 @@
     /// Takes it from the end of a message.
     pub fn read(bytes: &mut &[u8]) -> ChunkSet {
         let mut set = ChunkSet::default();
-        for (n, byte) in bytes.iter().take(WORDS * 8).enumerate() {
+        for (n, byte) in bytes.iter().take(SET_WORDS * 8).enumerate() {
             set.0[n / 8] |= u64::from(*byte) << (n % 8 * 8);
         }
         *bytes = &[];
--- a/crates/millethook-distribution/src/control.rs
+++ b/crates/millethook-distribution/src/control.rs
@@ -21,7 +21,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::chunks::MOST_CHUNKS;
+use crate::chunks::MAX_CHUNKS;
 use crate::message::{Message, Role};
 use crate::mutant::{self, Mutant};
 use crate::outgoing::{Outgoing, Receiver};
@@ -38,9 +38,9 @@
 use upkeep::Timers;
 
 /// Events that wait to be fetched, at most; of more the oldest are lost.
-const EVENTS: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 /// Documents that are on their way in at once, at most.
-const INCOMING: usize = 256;
+const MAX_INCOMING_DOCUMENTS: usize = 256;
 
 /// Why a document is not published. Nothing has changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -173,11 +173,11 @@
         let mut random = Pcg32::seed_from_u64(mix(config.seed ^ mix(u64::from(config.me))));
         let snapshot = snapshot.unwrap_or_default();
         let mut store = Store::new(&config.limits);
-        for document in snapshot.documents.into_iter().filter(Document::is_whole) {
+        for document in snapshot.documents.into_iter().filter(Document::is_intact) {
             let (key, version) = (document.key, document.version);
             store.commit(0, Arc::new(document));
             if let Some(slot) = store.slots.get_mut(&key) {
-                slot.kept = slot.kept.max(version);
+                slot.persisted = slot.persisted.max(version);
             }
         }
         let token = snapshot.fence.token.max(store.highest().token);
@@ -190,7 +190,7 @@
             quorum: Quorum(numbers),
             store,
             subscribers: Subscribers::new(&config.limits),
-            incoming: Incoming::new(INCOMING, MOST_CHUNKS),
+            incoming: Incoming::new(MAX_INCOMING_DOCUMENTS, MAX_CHUNKS),
             outgoing: Outgoing::new(config.limits.rate, now),
             fence: Fence::at(token),
             sessions: BTreeMap::new(),
@@ -220,9 +220,9 @@
     fn on_message(&mut self, now: Micros, from: u16, message: Message) {
         match message {
             Message::Digest(digest) => return self.on_digest(now, from, digest),
-            Message::Lists(lists) => return self.on_lists(now, from, lists),
-            Message::Missing { of, key, version, wanted } => {
-                return self.on_missing(
+            Message::ListsUpdate(lists) => return self.on_lists(now, from, lists),
+            Message::Fetch { of, key, version, wanted } => {
+                return self.on_fetch(
                     now,
                     Receiver { number: from, role: of },
                     key,
@@ -250,8 +250,10 @@
             Message::Compare { highest, buckets } => {
                 self.on_compare(now, from, highest, &buckets);
             }
-            Message::List { bucket, after, round } => self.on_list(from, bucket, after, round),
-            Message::Entries { bucket, more, round, entries } => {
+            Message::ListBucket { bucket, after, round } => {
+                self.on_list(from, bucket, after, round)
+            }
+            Message::BucketEntries { bucket, more, round, entries } => {
                 self.on_entries(now, from, (round, bucket, more), &entries);
             }
             Message::Recover { round } => self.on_recover(from, round),
@@ -265,10 +267,10 @@
             }
             Message::Moved { members } => self.on_moved(now, from, &members),
             Message::Digest(_)
-            | Message::Lists(_)
-            | Message::Missing { .. }
-            | Message::Agree { .. }
-            | Message::AgreeLists { .. }
+            | Message::ListsUpdate(_)
+            | Message::Fetch { .. }
+            | Message::DigestReply { .. }
+            | Message::ListsReply { .. }
             | Message::Delta(_) => {
                 self.figures.malformed += 1;
             }
@@ -276,17 +278,17 @@
     }
 
     /// Sends a message to another control node.
-    fn say(&mut self, to: u16, message: &Message) {
-        self.outgoing.say(Receiver { number: to, role: Role::ControlNode }, message);
+    fn send(&mut self, to: u16, message: &Message) {
+        self.outgoing.send(Receiver { number: to, role: Role::ControlNode }, message);
     }
 
     /// The other control nodes.
-    fn others(&self) -> Vec<u16> {
+    fn other_control_nodes(&self) -> Vec<u16> {
         self.quorum.0.iter().copied().filter(|number| *number != self.config.me).collect()
     }
 
-    fn tell(&mut self, event: ControlEvent) {
-        if self.events.len() >= EVENTS {
+    fn queue_event(&mut self, event: ControlEvent) {
+        if self.events.len() >= MAX_QUEUED_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(event);
@@ -314,7 +316,7 @@
 
     /// How far a document has come among the sidecars that this control node counts, and whether it is on disk here.
     fn rollout(&self, now: Micros, id: DocumentId) -> Rollout {
-        let kept = self.store.slots.get(&id.key).is_some_and(|slot| slot.kept >= id.version);
+        let kept = self.store.slots.get(&id.key).is_some_and(|slot| slot.persisted >= id.version);
         Rollout { kept: u32::from(kept), ..self.subscribers.rollout(now, id) }
     }
 
@@ -323,7 +325,7 @@
     pub fn mark_persisted(&mut self, snapshot: &Snapshot) {
         for document in &snapshot.documents {
             if let Some(slot) = self.store.slots.get_mut(&document.key) {
-                slot.kept = slot.kept.max(document.version);
+                slot.persisted = slot.persisted.max(document.version);
             }
         }
     }
@@ -340,7 +342,7 @@
 
     /// Versions that this control node has accepted and does not know to be committed.
     pub fn accepted(&self) -> Vec<DocumentId> {
-        self.store.leftovers().iter().map(|document| document.id()).collect()
+        self.store.uncommitted().iter().map(|document| document.id()).collect()
     }
 
     /// The highest token of a writer that this control node knows.
--- a/crates/millethook-distribution/src/control/deltas.rs
+++ b/crates/millethook-distribution/src/control/deltas.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 
 use super::store::Store;
-use crate::message::{DELTA_PART, Delta, MOST_DELTA_PARTS};
+use crate::message::{DELTA_PART_BYTES, Delta, MAX_DELTA_PARTS};
 use crate::{Document, DocumentKey, Version, chunks, delta};
 
 /// Contents of one key that are kept beside the committed one, at most.
-const MOST_BASES: usize = 4;
+const MAX_BASES: usize = 4;
 /// Bytes of all that are kept, at most.
-pub(super) const MOST_BASE_BYTES: usize = 8 * 1024 * 1024;
+pub(super) const MAX_BASE_BYTES: usize = 8 * 1024 * 1024;
 
 /// A delta in messages, made once for all receivers.
 pub(crate) type DeltaParts = Arc<[Delta]>;
@@ -24,10 +24,10 @@
         }
         self.base_bytes += before.length();
         slot.bases.push_back(before);
-        if slot.bases.len() > MOST_BASES {
+        if slot.bases.len() > MAX_BASES {
             self.base_bytes -= slot.bases.pop_front().map_or(0, |oldest| oldest.length());
         }
-        while self.base_bytes > MOST_BASE_BYTES {
+        while self.base_bytes > MAX_BASE_BYTES {
             let oldest = self.slots.values_mut().filter(|slot| !slot.bases.is_empty());
             let oldest = oldest.min_by_key(|slot| slot.bases.front().map(|base| base.version));
             let Some(base) = oldest.and_then(|slot| slot.bases.pop_front()) else { return };
@@ -43,8 +43,8 @@
     /// What makes the committed document of this version; None: that version is not kept, or the whole is as short.
     pub(super) fn delta(&mut self, key: DocumentKey, base: Version) -> Option<DeltaParts> {
         let slot = self.slots.get_mut(&key)?;
-        if let Some(made) = slot.deltas.get(&base) {
-            return made.clone();
+        if let Some(cached) = slot.deltas.get(&base) {
+            return cached.clone();
         }
         let document = slot.committed.as_ref()?;
         let base = slot.bases.iter().find(|kept| kept.version == base)?;
@@ -58,12 +58,12 @@
 fn parts_between(base: &Document, document: &Document) -> Option<DeltaParts> {
     let (old, new) = (base.body.as_deref()?, document.body.as_deref()?);
     // A document of n chunks needs a head, too.
-    let most_parts = chunks::count(new.len()).min(MOST_DELTA_PARTS);
-    let bytes = delta::between(old, new, most_parts * DELTA_PART)?;
-    let count = bytes.len().div_ceil(DELTA_PART).max(1);
+    let max_parts = chunks::count(new.len()).min(MAX_DELTA_PARTS);
+    let bytes = delta::compute(old, new, max_parts * DELTA_PART_BYTES)?;
+    let count = bytes.len().div_ceil(DELTA_PART_BYTES).max(1);
     let part = |index: usize| {
-        let begin = index * DELTA_PART;
-        let end = bytes.len().min(begin + DELTA_PART);
+        let begin = index * DELTA_PART_BYTES;
+        let end = bytes.len().min(begin + DELTA_PART_BYTES);
         Delta {
             id: document.id(),
             hash: document.hash,
--- a/crates/millethook-distribution/src/control/lists.rs
+++ b/crates/millethook-distribution/src/control/lists.rs
@@ -6,28 +6,28 @@
 
 use super::ControlNode;
 use crate::lists::ListStatuses;
-use crate::message::{Lists, Message, Role, Told};
+use crate::message::{ListsPayload, ListsUpdate, Message, Role};
 use crate::outgoing::Receiver;
-use crate::sidecar::CONFIRM_EVERY;
+use crate::sidecar::CONFIRM_INTERVAL;
 
 /// A sidecar that sends digests and has said nothing of lists for so long wants none any more: it has started again
 /// without lists, or with a build that knows none. Of six messages one comes through at any loss that is designed for.
-const FORGET: Micros = 6 * CONFIRM_EVERY;
+const LISTS_TIMEOUT: Micros = 6 * CONFIRM_INTERVAL;
 
 /// The lists that one sidecar wants.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ListsMirror {
+pub(super) struct SidecarLists {
     pub statuses: Arc<ListStatuses>,
     /// None: not all of it has been told yet.
     hash: Option<u64>,
     /// What has come of the whole with this hash.
-    coming: Option<(u64, ListStatuses)>,
-    heard: Micros,
+    partial: Option<(u64, ListStatuses)>,
+    last_heard: Micros,
 }
 
 /// What a message has brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ListsHeard {
+pub(super) enum ListsOutcome {
     /// What the hash stands for is known.
     Known,
     /// It is not: the sidecar has to tell all of it.
@@ -36,61 +36,61 @@
     Incomplete,
 }
 
-impl ListsMirror {
+impl SidecarLists {
     /// A sidecar tells which lists it wants, or what has changed.
-    pub fn hear(&mut self, now: Micros, lists: Lists) -> ListsHeard {
-        self.heard = now;
-        match lists.told {
-            _ if self.hash == Some(lists.hash) => ListsHeard::Known,
-            Told::Hash => ListsHeard::Unknown,
-            Told::Changes(changes) => {
+    pub fn on_update(&mut self, now: Micros, lists: ListsUpdate) -> ListsOutcome {
+        self.last_heard = now;
+        match lists.payload {
+            _ if self.hash == Some(lists.hash) => ListsOutcome::Known,
+            ListsPayload::Hash => ListsOutcome::Unknown,
+            ListsPayload::Changes(changes) => {
                 let mut statuses = ListStatuses::clone(&self.statuses);
                 statuses.extend(changes);
                 if self.hash.is_none() || statuses.hash() != lists.hash {
-                    return ListsHeard::Unknown;
+                    return ListsOutcome::Unknown;
                 }
-                self.become_known(lists.hash, statuses)
+                self.set_known(lists.hash, statuses)
             }
-            Told::Whole(part) => {
-                let coming = self.coming.take().filter(|(hash, _)| *hash == lists.hash);
-                let mut statuses = coming.map(|(_, statuses)| statuses).unwrap_or_default();
+            ListsPayload::Full(part) => {
+                let partial = self.partial.take().filter(|(hash, _)| *hash == lists.hash);
+                let mut statuses = partial.map(|(_, statuses)| statuses).unwrap_or_default();
                 statuses.extend(part);
                 if statuses.hash() == lists.hash {
-                    return self.become_known(lists.hash, statuses);
+                    return self.set_known(lists.hash, statuses);
                 }
-                self.coming = Some((lists.hash, statuses));
-                ListsHeard::Incomplete
+                self.partial = Some((lists.hash, statuses));
+                ListsOutcome::Incomplete
             }
         }
     }
 
-    fn become_known(&mut self, hash: u64, statuses: ListStatuses) -> ListsHeard {
-        (self.hash, self.coming) = (Some(hash), None);
+    fn set_known(&mut self, hash: u64, statuses: ListStatuses) -> ListsOutcome {
+        (self.hash, self.partial) = (Some(hash), None);
         self.statuses = Arc::new(statuses);
-        ListsHeard::Known
+        ListsOutcome::Known
     }
 
     /// Whether its sidecar, which was heard of at this time, wants no lists any more.
-    pub fn is_over(&self, sidecar_heard: Micros) -> bool {
-        sidecar_heard > self.heard.saturating_add(FORGET)
+    pub fn has_expired(&self, sidecar_last_heard: Micros) -> bool {
+        sidecar_last_heard > self.last_heard.saturating_add(LISTS_TIMEOUT)
     }
 }
 
 impl ControlNode {
     /// A sidecar tells which lists it wants.
-    pub(super) fn on_lists(&mut self, now: Micros, from: u16, lists: Lists) {
+    pub(super) fn on_lists(&mut self, now: Micros, from: u16, lists: ListsUpdate) {
         let hash = lists.hash;
         // One that is not known here sends a digest first.
-        let Some(heard) = self.subscribers.hear_lists(now, from, lists) else { return };
-        let known = match heard {
-            ListsHeard::Incomplete => return,
-            ListsHeard::Known => true,
-            ListsHeard::Unknown => false,
+        let Some(outcome) = self.subscribers.on_lists_update(now, from, lists) else { return };
+        let known = match outcome {
+            ListsOutcome::Incomplete => return,
+            ListsOutcome::Known => true,
+            ListsOutcome::Unknown => false,
         };
         let to = Receiver { number: from, role: Role::Sidecar };
-        self.outgoing.say(to, &Message::AgreeLists { hash, known });
+        self.outgoing.send(to, &Message::ListsReply { hash, known });
         if known {
-            self.bring_lists_up_to_date(now, from);
+            self.push_outdated_lists(now, from);
         }
     }
 }
--- a/crates/millethook-distribution/src/control/serving.rs
+++ b/crates/millethook-distribution/src/control/serving.rs
@@ -5,8 +5,8 @@
 use millethook_machine::Micros;
 
 use super::ControlNode;
-use super::subscribers::Heard;
-use crate::chunks::{Wanted, comes_at_once};
+use super::subscribers::DigestOutcome;
+use crate::chunks::{Wanted, is_sent_eagerly};
 use crate::message::{Digest, Message, Role, Stage};
 use crate::mutant::{self, Mutant};
 use crate::outgoing::Receiver;
@@ -16,51 +16,55 @@
     /// A sidecar tells what it has.
     pub(super) fn on_digest(&mut self, now: Micros, from: u16, digest: Digest) {
         let hash = digest.hash;
-        if digest.who.number != from {
+        if digest.identity.number != from {
             self.figures.malformed += 1;
             return;
         }
         let to = Receiver { number: from, role: Role::Sidecar };
-        match self.subscribers.hear(now, from, digest) {
-            Heard::TurnedAway => self.figures.turned_away += 1,
-            Heard::Probe => self.outgoing.say(to, &Message::Agree { hash, known: true }),
-            Heard::Unknown => self.outgoing.say(to, &Message::Agree { hash, known: false }),
-            Heard::Known { new } => {
-                self.outgoing.say(to, &Message::Agree { hash, known: true });
-                self.bring_up_to_date(now, from, new);
+        match self.subscribers.on_digest(now, from, digest) {
+            DigestOutcome::NoRoom => self.figures.turned_away += 1,
+            DigestOutcome::Probe => {
+                self.outgoing.send(to, &Message::DigestReply { hash, known: true })
+            }
+            DigestOutcome::Unknown => {
+                self.outgoing.send(to, &Message::DigestReply { hash, known: false })
+            }
+            DigestOutcome::Known { new } => {
+                self.outgoing.send(to, &Message::DigestReply { hash, known: true });
+                self.push_outdated(now, from, new);
             }
         }
     }
 
     /// Pushes to a sidecar what it does not have; chunks only if they are few and it has just come, since what it has begun
     /// to receive it asks for itself.
-    fn bring_up_to_date(&mut self, now: Micros, number: u16, new: bool) {
+    fn push_outdated(&mut self, now: Micros, number: u16, new: bool) {
         let to = Receiver { number, role: Role::Sidecar };
-        let Some(mirror) = self.subscribers.get(number) else { return };
-        for scope in Scope::of(&mirror.who) {
-            self.bring_one_up_to_date(now, to, DocumentKey::configuration(scope), new);
+        let Some(sidecar) = self.subscribers.get(number) else { return };
+        for scope in Scope::of(&sidecar.identity) {
+            self.push_if_outdated(now, to, DocumentKey::configuration(scope), new);
         }
-        self.bring_lists_up_to_date(now, number);
+        self.push_outdated_lists(now, number);
     }
 
     /// The same of the lists that it wants.
-    pub(super) fn bring_lists_up_to_date(&mut self, now: Micros, number: u16) {
+    pub(super) fn push_outdated_lists(&mut self, now: Micros, number: u16) {
         let to = Receiver { number, role: Role::Sidecar };
-        let mirror = self.subscribers.get(number);
-        let Some(lists) = mirror.and_then(|mirror| mirror.lists.as_ref()) else { return };
+        let sidecar = self.subscribers.get(number);
+        let Some(lists) = sidecar.and_then(|sidecar| sidecar.lists.as_ref()) else { return };
         let statuses = lists.statuses.clone();
         for (service, status) in statuses.iter() {
             let new = status.version == Version::default();
-            self.bring_one_up_to_date(now, to, DocumentKey::server_list(service), new);
+            self.push_if_outdated(now, to, DocumentKey::server_list(service), new);
         }
     }
 
-    fn bring_one_up_to_date(&mut self, now: Micros, to: Receiver, key: DocumentKey, new: bool) {
-        let known = self.subscribers.get(to.number).map(|mirror| mirror.version(key));
-        self.outgoing.arrived(to, key, known.unwrap_or_default());
+    fn push_if_outdated(&mut self, now: Micros, to: Receiver, key: DocumentKey, new: bool) {
+        let known = self.subscribers.get(to.number).map(|sidecar| sidecar.version(key));
+        self.outgoing.on_arrived(to, key, known.unwrap_or_default());
         let Some(document) = self.store.committed(key).cloned() else { return };
-        let behind = known < Some(document.version);
-        if behind && !self.outgoing.is_pushing(to, document.id()) {
+        let outdated = known < Some(document.version);
+        if outdated && !self.outgoing.is_pushing(to, document.id()) {
             self.push_to_sidecar(now, to, &document, new);
         }
     }
@@ -72,32 +76,33 @@
         now: Micros,
         to: Receiver,
         document: &Arc<Document>,
-        at_once: bool,
+        eager: bool,
     ) {
-        let Some(mirror) = self.subscribers.get(to.number) else { return };
-        let (first, base) = (mirror.rank == 0, mirror.version(document.key));
-        let takes_delta = first && mirror.takes_deltas();
+        let Some(sidecar) = self.subscribers.get(to.number) else { return };
+        let (first, base) = (sidecar.rank == 0, sidecar.version(document.key));
+        let takes_delta = first && sidecar.takes_deltas();
         let delta = takes_delta.then(|| self.store.delta(document.key, base)).flatten();
         if let Some(delta) = delta {
             return self.outgoing.push_delta(now, to, document, delta);
         }
-        let with_chunks = first && at_once && comes_at_once(document.length());
+        let with_chunks = first && eager && is_sent_eagerly(document.length());
         self.outgoing.push(now, to, document, Stage::Committed, with_chunks);
     }
 
     /// Pushes a document that has just been committed to all sidecars that it is for.
-    pub(super) fn fan_out(&mut self, now: Micros, document: &Arc<Document>) {
+    pub(super) fn push_to_subscribers(&mut self, now: Micros, document: &Arc<Document>) {
         let covered = self.subscribers.covered(document.key);
-        let behind = covered.filter(|(_, mirror)| mirror.version(document.key) < document.version);
-        let behind: Vec<u16> = behind.map(|(number, _)| number).collect();
-        for number in behind {
+        let outdated =
+            covered.filter(|(_, sidecar)| sidecar.version(document.key) < document.version);
+        let outdated: Vec<u16> = outdated.map(|(number, _)| number).collect();
+        for number in outdated {
             let to = Receiver { number, role: Role::Sidecar };
             self.push_to_sidecar(now, to, document, true);
         }
     }
 
     /// Someone asks for parts of a document.
-    pub(super) fn on_missing(
+    pub(super) fn on_fetch(
         &mut self,
         now: Micros,
         to: Receiver,
@@ -127,7 +132,7 @@
                     return;
                 };
                 if document.version > version && !self.outgoing.is_pushing(to, document.id()) {
-                    let with_chunks = !is_sidecar || comes_at_once(document.length());
+                    let with_chunks = !is_sidecar || is_sent_eagerly(document.length());
                     self.outgoing.push(now, to, &document, Stage::Committed, with_chunks);
                 }
             }
--- a/crates/millethook-distribution/src/control/store.rs
+++ b/crates/millethook-distribution/src/control/store.rs
@@ -7,7 +7,7 @@
 use millethook_machine::hash::mix;
 
 use crate::control::{DeltaParts, PublishError};
-use crate::message::{BUCKETS, Buckets, Listed, MOST_LISTED, Stage};
+use crate::message::{BUCKETS, Buckets, ListEntry, MAX_LIST_ENTRIES, Stage};
 use crate::status::hash_of_version;
 use crate::{Document, DocumentKey, Limits, Version};
 
@@ -19,14 +19,14 @@
     /// What was accepted here and is later than that.
     pub accepted: Option<Arc<Document>>,
     /// The last one before `committed` that was in force at most of the sidecars.
-    pub good: Option<Arc<Document>>,
+    pub last_good: Option<Arc<Document>>,
     /// What was committed before, the latest last, and what makes `committed` of it, by version; None: it is too long.
     pub bases: VecDeque<Arc<Document>>,
     pub deltas: BTreeMap<Version, Option<DeltaParts>>,
     /// When `committed` was learned.
     pub committed_at: Micros,
     /// The latest committed version that the host has on disk.
-    pub kept: Version,
+    pub persisted: Version,
 }
 
 impl Slot {
@@ -45,30 +45,30 @@
     pub slots: BTreeMap<DocumentKey, Slot>,
     /// Bytes of all [`Slot::bases`].
     pub base_bytes: usize,
-    most_documents: usize,
-    most_bytes: usize,
+    max_documents: usize,
+    max_bytes: usize,
 }
 
 impl Store {
     pub fn new(limits: &Limits) -> Store {
-        let (most_documents, most_bytes) = (limits.documents, limits.bytes);
-        Store { slots: BTreeMap::new(), base_bytes: 0, most_documents, most_bytes }
+        let (max_documents, max_bytes) = (limits.documents, limits.bytes);
+        Store { slots: BTreeMap::new(), base_bytes: 0, max_documents, max_bytes }
     }
 
     /// Whether there is room for a content of so many bytes under this key.
     ///
     /// # Errors
     /// Which limit there is none by.
-    pub fn room_for(&self, key: DocumentKey, length: usize) -> Result<(), PublishError> {
-        if !self.slots.contains_key(&key) && self.slots.len() >= self.most_documents {
-            return Err(PublishError::TooManyDocuments { most: self.most_documents });
+    pub fn check_room(&self, key: DocumentKey, length: usize) -> Result<(), PublishError> {
+        if !self.slots.contains_key(&key) && self.slots.len() >= self.max_documents {
+            return Err(PublishError::TooManyDocuments { most: self.max_documents });
         }
         let others = self.slots.iter().filter(|(other, _)| **other != key);
         let others: usize = others.map(|(_, slot)| latest(slot).map_or(0, |d| d.length())).sum();
-        if others + length > self.most_bytes {
+        if others + length > self.max_bytes {
             return Err(PublishError::TooManyBytes {
                 found: others + length,
-                most: self.most_bytes,
+                most: self.max_bytes,
             });
         }
         Ok(())
@@ -117,15 +117,15 @@
 
     /// Keeps an accepted document; false: one that is as late is kept already, or there is no room.
     pub fn accept(&mut self, document: Arc<Document>) -> bool {
-        let later = document.version > self.latest_version(document.key);
+        let is_later = document.version > self.latest_version(document.key);
         // The writer keeps to the limits; what two writers asked for together has room.
-        let room = self.slots.contains_key(&document.key)
-            || self.slots.len() < self.most_documents.saturating_mul(2);
-        if later && room {
+        let has_room = self.slots.contains_key(&document.key)
+            || self.slots.len() < self.max_documents.saturating_mul(2);
+        if is_later && has_room {
             let key = document.key;
             self.slots.entry(key).or_default().accepted = Some(document);
         }
-        later && room
+        is_later && has_room
     }
 
     /// A majority has accepted this document; false: that or a later one is known.
@@ -153,27 +153,27 @@
             let accepted = if accepted { hash_of_version(slot.accepted_version()) } else { 0 };
             let of = mix(hash_of_key(*key) ^ mix(committed ^ mix(accepted)));
             if accepted != 0 || slot.committed.is_some() {
-                buckets[bucket(*key)] ^= of;
+                buckets[bucket_of(*key)] ^= of;
             }
         }
         buckets
     }
 
     /// What is kept in a bucket behind a key, and whether there is more than fits a message.
-    pub fn list(&self, of: u8, after: Option<DocumentKey>) -> (Vec<Listed>, bool) {
+    pub fn list_bucket(&self, of: u8, after: Option<DocumentKey>) -> (Vec<ListEntry>, bool) {
         let behind = self.slots.iter().filter(|(key, _)| after.is_none_or(|after| **key > after));
-        let mut behind = behind.filter(|(key, _)| bucket(**key) == usize::from(of));
-        let entry = |(key, slot): (&DocumentKey, &Slot)| Listed {
+        let mut behind = behind.filter(|(key, _)| bucket_of(**key) == usize::from(of));
+        let entry = |(key, slot): (&DocumentKey, &Slot)| ListEntry {
             key: *key,
             committed: slot.committed_version(),
             accepted: slot.accepted_version(),
         };
-        let entries = behind.by_ref().take(MOST_LISTED).map(entry).collect();
+        let entries = behind.by_ref().take(MAX_LIST_ENTRIES).map(entry).collect();
         (entries, behind.next().is_some())
     }
 
     /// Documents that were accepted here and are not known to be committed.
-    pub fn leftovers(&self) -> Vec<Arc<Document>> {
+    pub fn uncommitted(&self) -> Vec<Arc<Document>> {
         self.slots.values().filter_map(|slot| slot.accepted.clone()).collect()
     }
 
@@ -194,6 +194,6 @@
     bytes.iter().fold(0, |hash, byte| mix(hash ^ u64::from(*byte)))
 }
 
-fn bucket(key: DocumentKey) -> usize {
+fn bucket_of(key: DocumentKey) -> usize {
     (hash_of_key(key) % BUCKETS as u64) as usize
 }
--- a/crates/millethook-distribution/src/control/subscribers.rs
+++ b/crates/millethook-distribution/src/control/subscribers.rs
@@ -4,49 +4,49 @@
 
 use millethook_machine::Micros;
 
-use super::lists::{ListsHeard, ListsMirror};
+use super::lists::{ListsOutcome, SidecarLists};
 use crate::lists::{is_for, list_of};
-use crate::message::{Digest, Lists, State, Status};
+use crate::message::{Digest, ListsUpdate, State, Status};
 use crate::mutant::{self, Mutant};
-use crate::report::MOST_NAMED;
-use crate::status::hash_of;
+use crate::report::MAX_NAMED_MEMBERS;
+use crate::status::hash_of_statuses;
 use crate::{DocumentId, DocumentKey, Identity, Limits, Rollout, Version};
 
 /// A sidecar that has said nothing for so many times the interval of digests counts as silent...
-const SILENT: Micros = 5;
+const SILENT_INTERVALS: Micros = 5;
 /// ...is forgotten if this control node is not its first one...
-const FORGET_SECOND: Micros = 15;
+const FORGET_SECOND_INTERVALS: Micros = 15;
 /// ...and in any case after so many.
-const FORGET: Micros = 600;
+const FORGET_INTERVALS: Micros = 600;
 /// Of one that has come to another control node it is believed that it has left, if it was silent for so many times.
-const LEFT: Micros = 2;
+const LEFT_INTERVALS: Micros = 2;
 /// Times that it is told to the others that a sidecar has come.
-const TOLD: u32 = 5;
+const MOVE_ANNOUNCEMENTS: u32 = 5;
 /// A sidecar that has come from elsewhere is counted after so long, and not before it has been silent at the one before for
 /// so long that that one believes it is gone, and has told the writer so. One that is gone itself is not counted by the
 /// writer any more by then ([`crate::writer::REPORTS_HOLD`]). Without the wait a sidecar counts at two for a while, and a
 /// change that one sidecar refuses is stopped as if two had refused it.
-const SETTLED: Micros = crate::writer::REPORTS_HOLD;
+const SETTLING_TIME: Micros = crate::writer::REPORT_VALIDITY;
 /// What it takes from there until the writer knows: another one is told once a second, and reports once a second.
-const TOLD_WITHIN: Micros = 2_000_000;
+const WRITER_UPDATE_DELAY: Micros = 2_000_000;
 
 /// What a sidecar has, as it said last.
 #[derive(Clone, Debug)]
-pub(crate) struct Mirror {
-    pub who: Identity,
+pub(crate) struct SidecarState {
+    pub identity: Identity,
     /// 0: this control node is its first one.
     pub rank: u8,
-    pub heard: Micros,
+    pub last_heard: Micros,
     pub hash: u64,
     /// None: it has not been told yet.
     pub statuses: Option<Vec<Status>>,
     /// None: it has told of none.
-    pub lists: Option<ListsMirror>,
+    pub lists: Option<SidecarLists>,
     /// When it came to count this control node as its first.
-    pub came: Micros,
+    pub first_since: Micros,
 }
 
-impl Mirror {
+impl SidecarState {
     /// How it stands to the latest document of a key that it knows.
     fn status(&self, key: DocumentKey) -> Option<(Version, &State)> {
         if let Some(service) = list_of(key) {
@@ -63,10 +63,10 @@
     }
 
     /// Whether a document of this key is for it.
-    fn gets(&self, key: DocumentKey) -> bool {
+    fn receives(&self, key: DocumentKey) -> bool {
         let wants =
             |service| self.lists.as_ref().is_some_and(|lists| lists.statuses.wants(service));
-        is_for(key, &self.who, wants)
+        is_for(key, &self.identity, wants)
     }
 
     /// Whether it has said that it knows lists: a build that does knows deltas, too.
@@ -77,9 +77,9 @@
 
 /// What a digest has brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
+pub(crate) enum DigestOutcome {
     /// There is no room for another sidecar.
-    TurnedAway,
+    NoRoom,
     /// It has asked only whether this control node is there.
     Probe,
     /// What it has is known; `new`: it was not known before.
@@ -91,17 +91,22 @@
 /// All of them.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscribers {
-    table: BTreeMap<u16, Mirror>,
+    table: BTreeMap<u16, SidecarState>,
     /// Sidecars that have come to count this control node as their first, and how often that was told.
-    came: BTreeMap<u16, u32>,
-    most: usize,
-    every: Micros,
+    arrivals: BTreeMap<u16, u32>,
+    max_sidecars: usize,
+    digest_interval: Micros,
 }
 
 impl Subscribers {
     pub fn new(limits: &Limits) -> Subscribers {
-        let (most, every) = (limits.subscribers, limits.digest_interval.max(1));
-        Subscribers { table: BTreeMap::new(), came: BTreeMap::new(), most, every }
+        let (max_sidecars, digest_interval) = (limits.subscribers, limits.digest_interval.max(1));
+        Subscribers {
+            table: BTreeMap::new(),
+            arrivals: BTreeMap::new(),
+            max_sidecars,
+            digest_interval,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -110,101 +115,115 @@
 
     /// Sidecars that count this control node as their first.
     pub fn first_of(&self) -> usize {
-        self.table.values().filter(|mirror| mirror.rank == 0).count()
+        self.table.values().filter(|sidecar| sidecar.rank == 0).count()
     }
 
-    pub fn get(&self, number: u16) -> Option<&Mirror> {
+    pub fn get(&self, number: u16) -> Option<&SidecarState> {
         self.table.get(&number)
     }
 
     /// Those that a document of this key is for.
-    pub fn covered(&self, key: DocumentKey) -> impl Iterator<Item = (u16, &Mirror)> {
-        let covered = self.table.iter().filter(move |(_, mirror)| mirror.gets(key));
-        covered.map(|(number, mirror)| (*number, mirror))
+    pub fn covered(&self, key: DocumentKey) -> impl Iterator<Item = (u16, &SidecarState)> {
+        let covered = self.table.iter().filter(move |(_, sidecar)| sidecar.receives(key));
+        covered.map(|(number, sidecar)| (*number, sidecar))
     }
 
     /// Those that a document of this key has to come into force at.
-    fn expected(&self, key: DocumentKey) -> impl Iterator<Item = (u16, &Mirror)> {
+    fn expected(&self, key: DocumentKey) -> impl Iterator<Item = (u16, &SidecarState)> {
         let of_all = list_of(key).is_some() && mutant::is(Mutant::ListsExpectedOfAll);
-        let expected = self.table.iter().filter(move |(_, mirror)| of_all || mirror.gets(key));
-        expected.map(|(number, mirror)| (*number, mirror))
+        let expected =
+            self.table.iter().filter(move |(_, sidecar)| of_all || sidecar.receives(key));
+        expected.map(|(number, sidecar)| (*number, sidecar))
     }
 
     /// A digest has come.
-    pub fn hear(&mut self, now: Micros, from: u16, digest: Digest) -> Heard {
+    pub fn on_digest(&mut self, now: Micros, from: u16, digest: Digest) -> DigestOutcome {
         if digest.rank > 1 {
-            return Heard::Probe;
+            return DigestOutcome::Probe;
         }
-        let known = self.table.get(&from).is_some_and(|mirror| mirror.who == digest.who);
-        if !known && self.table.len() >= self.most {
-            return Heard::TurnedAway;
+        let known =
+            self.table.get(&from).is_some_and(|sidecar| sidecar.identity == digest.identity);
+        if !known && self.table.len() >= self.max_sidecars {
+            return DigestOutcome::NoRoom;
         }
-        let Digest { who, rank, hash, statuses, .. } = digest;
-        let statuses = match statuses.filter(|statuses| hash_of(statuses) == hash) {
+        let Digest { identity, rank, hash, statuses, .. } = digest;
+        let statuses = match statuses.filter(|statuses| hash_of_statuses(statuses) == hash) {
             Some(statuses) => Some(statuses),
             None => {
-                let before = self.table.get(&from).filter(|mirror| known && mirror.hash == hash);
-                before.and_then(|mirror| mirror.statuses.clone())
+                let before = self.table.get(&from).filter(|sidecar| known && sidecar.hash == hash);
+                before.and_then(|sidecar| sidecar.statuses.clone())
             }
         };
-        let was_first = self.table.get(&from).filter(|mirror| mirror.rank == 0);
-        let came = was_first.map_or(now, |mirror| mirror.came);
+        let was_first = self.table.get(&from).filter(|sidecar| sidecar.rank == 0);
+        let first_since = was_first.map_or(now, |sidecar| sidecar.first_since);
         if rank > 0 {
-            self.came.remove(&from);
+            self.arrivals.remove(&from);
         } else if was_first.is_none() {
-            self.came.insert(from, 0);
+            self.arrivals.insert(from, 0);
         }
-        let told = statuses.is_some();
-        let lists = self.table.remove(&from).filter(|_| known).and_then(|mirror| mirror.lists);
-        let lists = lists.filter(|lists| !lists.is_over(now));
-        self.table.insert(from, Mirror { who, rank, heard: now, hash, statuses, lists, came });
-        if told { Heard::Known { new: !known } } else { Heard::Unknown }
+        let is_known = statuses.is_some();
+        let lists = self.table.remove(&from).filter(|_| known).and_then(|sidecar| sidecar.lists);
+        let lists = lists.filter(|lists| !lists.has_expired(now));
+        self.table.insert(
+            from,
+            SidecarState { identity, rank, last_heard: now, hash, statuses, lists, first_since },
+        );
+        if is_known { DigestOutcome::Known { new: !known } } else { DigestOutcome::Unknown }
     }
 
     /// A sidecar has told of its lists; None: it is not known here.
-    pub fn hear_lists(&mut self, now: Micros, from: u16, lists: Lists) -> Option<ListsHeard> {
-        let mirror = self.table.get_mut(&from)?;
-        mirror.heard = now;
-        Some(mirror.lists.get_or_insert_default().hear(now, lists))
+    pub fn on_lists_update(
+        &mut self,
+        now: Micros,
+        from: u16,
+        lists: ListsUpdate,
+    ) -> Option<ListsOutcome> {
+        let sidecar = self.table.get_mut(&from)?;
+        sidecar.last_heard = now;
+        Some(sidecar.lists.get_or_insert_default().on_update(now, lists))
     }
 
     /// Sidecars that the other control nodes have to be told of. Each is counted at one of them only.
-    pub fn news(&mut self) -> Vec<u16> {
-        self.came.values_mut().for_each(|told| *told += 1);
-        self.came.retain(|_, told| *told <= TOLD);
-        self.came.keys().copied().collect()
+    pub fn take_arrivals(&mut self) -> Vec<u16> {
+        self.arrivals.values_mut().for_each(|notices| *notices += 1);
+        self.arrivals.retain(|_, notices| *notices <= MOVE_ANNOUNCEMENTS);
+        self.arrivals.keys().copied().collect()
     }
 
     /// Sidecars that count this control node as their first and have said so within the last interval but one. Where
     /// another one has heard of them later than that, it does not believe it: see [`Subscribers::moved`].
-    pub fn firsts_heard_lately(&self, now: Micros) -> Vec<u16> {
-        let lately = |mirror: &Mirror| mirror.rank == 0 && now <= mirror.heard + LEFT * self.every;
-        let firsts = self.table.iter().filter(|(_, mirror)| lately(mirror));
+    pub fn recent_firsts(&self, now: Micros) -> Vec<u16> {
+        let is_recent = |sidecar: &SidecarState| {
+            sidecar.rank == 0 && now <= sidecar.last_heard + LEFT_INTERVALS * self.digest_interval
+        };
+        let firsts = self.table.iter().filter(|(_, sidecar)| is_recent(sidecar));
         firsts.map(|(number, _)| *number).collect()
     }
 
     /// Whether a sidecar that counts this control node as its first is silent.
     pub fn has_silent_first(&self, now: Micros) -> bool {
-        let silent = |mirror: &Mirror| now > mirror.heard + SILENT * self.every;
-        self.table.values().any(|mirror| mirror.rank == 0 && silent(mirror))
+        let silent = |sidecar: &SidecarState| {
+            now > sidecar.last_heard + SILENT_INTERVALS * self.digest_interval
+        };
+        self.table.values().any(|sidecar| sidecar.rank == 0 && silent(sidecar))
     }
 
     /// These count another control node as their first one now, unless they have just said otherwise here.
-    pub fn moved(&mut self, now: Micros, members: &[u16]) {
-        let every = self.every;
+    pub fn drop_moved(&mut self, now: Micros, members: &[u16]) {
+        let interval = self.digest_interval;
         let members: BTreeSet<u16> = members.iter().copied().collect();
-        self.table.retain(|number, mirror| {
-            let left = mirror.rank == 0 && now > mirror.heard + LEFT * every;
+        self.table.retain(|number, sidecar| {
+            let left = sidecar.rank == 0 && now > sidecar.last_heard + LEFT_INTERVALS * interval;
             !(left && members.contains(number))
         });
     }
 
     /// Forgets those that have been silent for long; which.
     pub fn expire(&mut self, now: Micros) -> Vec<u16> {
-        let every = self.every;
-        let gone = self.table.iter().filter(|(_, mirror)| {
-            let most = if mirror.rank == 0 { FORGET } else { FORGET_SECOND };
-            now > mirror.heard + most * every
+        let interval = self.digest_interval;
+        let gone = self.table.iter().filter(|(_, sidecar)| {
+            let most = if sidecar.rank == 0 { FORGET_INTERVALS } else { FORGET_SECOND_INTERVALS };
+            now > sidecar.last_heard + most * interval
         });
         let gone: Vec<u16> = gone.map(|(number, _)| *number).collect();
         gone.iter().for_each(|number| drop(self.table.remove(number)));
@@ -214,14 +233,17 @@
     /// How far a document has come at those that count this control node as their first.
     pub fn rollout(&self, now: Micros, id: DocumentId) -> Rollout {
         let mut rollout = Rollout::default();
-        for (number, mirror) in self.expected(id.key).filter(|(_, mirror)| mirror.rank == 0) {
-            if now < mirror.came + SETTLED.max(LEFT * self.every + TOLD_WITHIN) {
+        for (number, sidecar) in self.expected(id.key).filter(|(_, sidecar)| sidecar.rank == 0) {
+            if now
+                < sidecar.first_since
+                    + SETTLING_TIME.max(LEFT_INTERVALS * self.digest_interval + WRITER_UPDATE_DELAY)
+            {
                 rollout.moving += 1;
                 continue;
             }
             rollout.expected += 1;
-            let status = mirror.status(id.key).filter(|(version, _)| *version == id.version);
-            let silent = now > mirror.heard + SILENT * self.every;
+            let status = sidecar.status(id.key).filter(|(version, _)| *version == id.version);
+            let silent = now > sidecar.last_heard + SILENT_INTERVALS * self.digest_interval;
             match status.map(|(_, state)| state) {
                 Some(State::InForce) => rollout.in_force += 1,
                 // A silent one may count at another control node, where this one could not hear of it: a refusal that is
@@ -232,7 +254,7 @@
                 }
                 _ if silent => {
                     rollout.not_heard += 1;
-                    if rollout.not_heard_members.len() < MOST_NAMED {
+                    if rollout.not_heard_members.len() < MAX_NAMED_MEMBERS {
                         rollout.not_heard_members.push(number);
                     }
                 }
--- a/crates/millethook-distribution/src/control/sync.rs
+++ b/crates/millethook-distribution/src/control/sync.rs
@@ -6,15 +6,15 @@
 use millethook_machine::Micros;
 
 use crate::control::store::Store;
-use crate::message::{Buckets, Listed, Message};
+use crate::message::{Buckets, ListEntry, Message};
 use crate::{DocumentKey, Version};
 
 /// What was not answered is asked again after this time.
-const AGAIN: Micros = 200_000;
+const RETRY_INTERVAL: Micros = 200_000;
 /// Questions in a row that were not answered; then it is given up.
-const MOST_TRIES: u32 = 25;
+const MAX_TRIES: u32 = 25;
 /// Documents that are fetched together.
-const TOGETHER: usize = 16;
+const MAX_PARALLEL_FETCHES: usize = 16;
 
 /// What is being learned from one control node.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     wanted: BTreeMap<DocumentKey, (Version, bool)>,
     /// Whether what is only accepted there is learned, too.
     accepted: bool,
-    again_at: Micros,
+    retry_at: Micros,
     tries: u32,
 }
 
@@ -38,7 +38,7 @@
             mine.iter().zip(theirs).enumerate().filter(|(_, (mine, theirs))| mine != theirs);
         let buckets = differ.map(|(n, _)| n as u8).collect();
         let wanted = BTreeMap::new();
-        Session { round, buckets, after: None, wanted, accepted, again_at: 0, tries: 0 }
+        Session { round, buckets, after: None, wanted, accepted, retry_at: 0, tries: 0 }
     }
 
     /// The list of a bucket has come; versions that are known here already to be accepted, and there to be committed.
@@ -46,12 +46,12 @@
         &mut self,
         store: &Store,
         (round, bucket, more): (u32, u8, bool),
-        entries: &[Listed],
+        entries: &[ListEntry],
     ) -> Vec<(DocumentKey, Version)> {
         if round != self.round || self.buckets.first() != Some(&bucket) {
             return Vec::new();
         }
-        (self.tries, self.again_at) = (0, 0);
+        (self.tries, self.retry_at) = (0, 0);
         let mut committed = Vec::new();
         for entry in entries {
             let key = entry.key;
@@ -85,46 +85,46 @@
     pub fn is_done(&mut self, store: &Store) -> bool {
         let before = self.wanted.len();
         self.wanted.retain(|key, (version, committed)| {
-            let here =
+            let local_version =
                 if *committed { store.committed_version(*key) } else { store.latest_version(*key) };
-            here < *version
+            local_version < *version
         });
         if self.wanted.len() < before {
-            (self.tries, self.again_at) = (0, 0);
+            (self.tries, self.retry_at) = (0, 0);
         }
         self.buckets.is_empty() && self.wanted.is_empty()
     }
 
     /// Whether what is only accepted there is learned, too.
-    pub fn learns_votes(&self) -> bool {
+    pub fn learns_accepted(&self) -> bool {
         self.accepted
     }
 
     /// Whether the other one has not answered for long.
-    pub fn is_given_up(&self) -> bool {
-        self.tries > MOST_TRIES
+    pub fn has_timed_out(&self) -> bool {
+        self.tries > MAX_TRIES
     }
 
     /// When [`Session::due`] has something to ask.
     pub fn next_at(&self) -> Micros {
-        self.again_at
+        self.retry_at
     }
 
     /// Questions that are due; `is_coming` says of what nothing need be asked.
-    pub fn due(&mut self, now: Micros, is_coming: impl Fn(Version) -> bool) -> Vec<Message> {
-        if self.again_at > now {
+    pub fn due(&mut self, now: Micros, is_in_transit: impl Fn(Version) -> bool) -> Vec<Message> {
+        if self.retry_at > now {
             return Vec::new();
         }
-        self.again_at = now + AGAIN;
+        self.retry_at = now + RETRY_INTERVAL;
         self.tries += 1;
-        let list = self.buckets.first().map(|bucket| Message::List {
+        let list = self.buckets.first().map(|bucket| Message::ListBucket {
             bucket: *bucket,
             after: self.after,
             round: self.round,
         });
-        let wanted = self.wanted.iter().take(TOGETHER);
-        let wanted = wanted.filter(|(_, (version, _))| !is_coming(*version));
-        let fetch = wanted.map(|(key, (version, _))| Message::Missing {
+        let wanted = self.wanted.iter().take(MAX_PARALLEL_FETCHES);
+        let wanted = wanted.filter(|(_, (version, _))| !is_in_transit(*version));
+        let fetch = wanted.map(|(key, (version, _))| Message::Fetch {
             of: crate::message::Role::ControlNode,
             key: Some(*key),
             version: *version,
--- a/crates/millethook-distribution/src/control/voting.rs
+++ b/crates/millethook-distribution/src/control/voting.rs
@@ -6,9 +6,9 @@
 use millethook_machine::Micros;
 
 use super::{ControlEvent, ControlNode};
-use crate::message::{Buckets, Listed, Message, Offer, Stage};
+use crate::message::{Buckets, ListEntry, Message, Offer, Stage};
 use crate::mutant::{self, Mutant};
-use crate::transfer::{Arrival, GAP};
+use crate::transfer::{ARRIVAL_TIMEOUT, Arrival};
 use crate::{Document, DocumentId, DocumentKey, Version};
 
 use super::sync::Session;
@@ -24,7 +24,7 @@
             return;
         }
         let buckets = self.store.buckets(true);
-        self.say(from, &Message::Promise { token, round, buckets });
+        self.send(from, &Message::Promise { token, round, buckets });
     }
 
     /// Whether a writer's token is as high as all that are known; if not, it is told.
@@ -32,7 +32,7 @@
         let highest = self.fence.highest();
         if token < highest && !mutant::is(Mutant::NoFence) {
             self.figures.stale_writers += 1;
-            self.say(from, &Message::Stale { highest });
+            self.send(from, &Message::Stale { highest });
             return false;
         }
         self.raise_fence(token);
@@ -48,7 +48,7 @@
         let own = self.writer.as_ref().map(|writer| writer.token);
         if let Some(own) = own.filter(|own| *own < token && !mutant::is(Mutant::NoFence)) {
             self.step_down();
-            self.tell(ControlEvent::Deposed { token: own, by: token });
+            self.queue_event(ControlEvent::Deposed { token: own, by: token });
         }
         self.pending = self.pending.filter(|pending| *pending >= token);
     }
@@ -73,7 +73,7 @@
                     return;
                 }
                 if self.holds(id, &offer) {
-                    self.say(from, &Message::Accepted { id, round });
+                    self.send(from, &Message::Accepted { id, round });
                     return;
                 }
                 if self.store.latest_version(id.key) >= id.version {
@@ -87,17 +87,17 @@
             }
             Stage::Committed => {
                 if self.store.committed_version(id.key) >= id.version {
-                    self.say(from, &Message::Accepted { id, round: 0 });
+                    self.send(from, &Message::Accepted { id, round: 0 });
                     return;
                 }
                 if self.holds(id, &offer) {
                     self.commit_held(now, id);
-                    self.say(from, &Message::Accepted { id, round: 0 });
+                    self.send(from, &Message::Accepted { id, round: 0 });
                     return;
                 }
             }
         }
-        let arrival = self.incoming.offer(now, now + GAP, from, offer);
+        let arrival = self.incoming.offer(now, now + ARRIVAL_TIMEOUT, from, offer);
         self.on_arrival(now, from, arrival);
     }
 
@@ -121,17 +121,17 @@
         now: Micros,
         from: u16,
         version: Version,
-        at: (usize, usize),
+        header: (usize, usize),
         bytes: &[u8],
     ) {
         if self.store.find(None, version).is_none() {
-            let arrival = self.incoming.chunk(now, from, version, at, bytes);
+            let arrival = self.incoming.chunk(now, from, version, header, bytes);
             self.on_arrival(now, from, arrival);
         }
     }
 
     fn on_arrival(&mut self, now: Micros, from: u16, arrival: Arrival) {
-        let Arrival::Whole(document, stage) = arrival else { return };
+        let Arrival::Complete(document, stage) = arrival else { return };
         let id = document.id();
         let document = Arc::new(document);
         match stage {
@@ -141,7 +141,7 @@
                 if self.recovery.is_none() && self.admit(writer, id.version.token) {
                     self.accept(now, &document);
                     if self.store.find(Some(id.key), id.version).is_some() {
-                        self.say(writer, &Message::Accepted { id, round });
+                        self.send(writer, &Message::Accepted { id, round });
                     }
                 }
             }
@@ -153,17 +153,17 @@
             }
             Stage::Committed => {
                 self.commit(now, document);
-                self.say(from, &Message::Accepted { id, round: 0 });
+                self.send(from, &Message::Accepted { id, round: 0 });
             }
         }
-        self.look_at_sessions(now);
+        self.finish_sessions(now);
     }
 
     /// Votes for a document.
     pub(super) fn accept(&mut self, now: Micros, document: &Arc<Document>) -> bool {
         let accepted = self.store.accept(document.clone());
         if accepted && mutant::is(Mutant::UncommittedTravels) {
-            self.fan_out(now, document);
+            self.push_to_subscribers(now, document);
         }
         accepted
     }
@@ -171,24 +171,24 @@
     /// A document is known to be committed.
     pub(super) fn commit(&mut self, now: Micros, document: Arc<Document>) {
         let id = document.id();
-        self.keep_good(now, &document);
+        self.remember_last_good(now, &document);
         if self.store.commit(now, document.clone()) {
-            self.incoming.drop_older(id);
-            self.fan_out(now, &document);
-            self.tell(ControlEvent::Stored(id));
+            self.incoming.drop_up_to(id);
+            self.push_to_subscribers(now, &document);
+            self.queue_event(ControlEvent::Stored(id));
         }
     }
 
     /// Keeps what is about to be followed, if it was in force at most of the sidecars.
-    fn keep_good(&mut self, now: Micros, next: &Document) {
+    fn remember_last_good(&mut self, now: Micros, next: &Document) {
         let Some(before) = self.store.committed(next.key).cloned() else { return };
         let rollout = self.sum(now, before.id());
         // Sidecars that are silent say nothing of it.
-        let heard = rollout.expected.saturating_sub(rollout.not_heard);
-        let spread = heard == 0 || 2 * rollout.in_force > heard;
-        let followed = spread && before.hash != next.hash && before.version < next.version;
-        if let Some(slot) = self.store.slots.get_mut(&next.key).filter(|_| followed) {
-            slot.good = Some(before);
+        let reachable = rollout.expected.saturating_sub(rollout.not_heard);
+        let was_in_force = reachable == 0 || 2 * rollout.in_force > reachable;
+        let is_replaced = was_in_force && before.hash != next.hash && before.version < next.version;
+        if let Some(slot) = self.store.slots.get_mut(&next.key).filter(|_| is_replaced) {
+            slot.last_good = Some(before);
         }
     }
 
@@ -206,7 +206,7 @@
         // It may lack something, too.
         if self.timers.may_compare(now, from) {
             self.compare_with(from);
-            self.tell_firsts(now, from);
+            self.send_firsts(now, from);
         }
     }
 
@@ -218,11 +218,11 @@
         after: Option<DocumentKey>,
         round: u32,
     ) {
-        if self.recovery.as_ref().is_some_and(|recovery| !recovery.may_tell(from)) {
+        if self.recovery.as_ref().is_some_and(|recovery| !recovery.may_list(from)) {
             return;
         }
-        let (entries, more) = self.store.list(bucket, after);
-        self.say(from, &Message::Entries { bucket, more, round, entries });
+        let (entries, more) = self.store.list_bucket(bucket, after);
+        self.send(from, &Message::BucketEntries { bucket, more, round, entries });
     }
 
     /// The list of a bucket has come.
@@ -230,24 +230,24 @@
         &mut self,
         now: Micros,
         from: u16,
-        at: (u32, u8, bool),
-        entries: &[Listed],
+        header: (u32, u8, bool),
+        entries: &[ListEntry],
     ) {
         let Some(session) = self.sessions.get_mut(&from) else { return };
-        for (key, version) in session.on_entries(&self.store, at, entries) {
+        for (key, version) in session.on_entries(&self.store, header, entries) {
             self.commit_held(now, DocumentId { key, version });
         }
-        self.look_at_sessions(now);
+        self.finish_sessions(now);
     }
 
     /// Another control node has started and asks what is held here.
     pub(super) fn on_recover(&mut self, from: u16, round: u32) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.asked(from);
+            recovery.on_asked(from);
         }
         let buckets = self.store.buckets(true);
         let (recovering, highest) = (self.recovery.is_some(), self.fence.highest());
-        self.say(from, &Message::Recovered { round, recovering, highest, buckets });
+        self.send(from, &Message::Recovered { round, recovering, highest, buckets });
     }
 
     /// Another control node has answered what it holds.
@@ -260,19 +260,19 @@
         theirs: &Buckets,
     ) {
         let Some(recovery) = self.recovery.as_mut().filter(|r| r.round == round) else { return };
-        recovery.answered(from, recovering);
+        recovery.on_answer(from, recovering);
         self.raise_fence(highest);
         let (mine, round) = (self.store.buckets(true), self.next_round());
         self.sessions.insert(from, Session::new(round, &mine, theirs, true));
-        self.look_at_sessions(now);
+        self.finish_sessions(now);
     }
 
     /// Ends what has been learned, or was given up.
-    pub(super) fn look_at_sessions(&mut self, now: Micros) {
+    pub(super) fn finish_sessions(&mut self, now: Micros) {
         let store = &self.store;
         let done = self.sessions.iter_mut().filter_map(|(from, session)| {
             let done = session.is_done(store);
-            (done || session.is_given_up()).then_some((*from, done, session.learns_votes()))
+            (done || session.has_timed_out()).then_some((*from, done, session.learns_accepted()))
         });
         let done: Vec<(u16, bool, bool)> = done.collect();
         for (from, learned, votes) in done {
@@ -285,7 +285,7 @@
             }
             self.on_learned(now, from);
         }
-        if self.recovery.as_ref().is_some_and(|r| r.is_over(now, self.quorum.0.len())) {
+        if self.recovery.as_ref().is_some_and(|r| r.may_vote(now, self.quorum.0.len())) {
             self.recovery = None;
             if let Some(token) = self.pending.take() {
                 self.announce_writer(now, token);
--- a/crates/millethook-distribution/src/control/writing.rs
+++ b/crates/millethook-distribution/src/control/writing.rs
@@ -24,7 +24,7 @@
         }
         let by = self.fence.highest();
         if token < by && !mutant::is(Mutant::NoFence) || token.owner != self.config.me {
-            self.tell(ControlEvent::Deposed { token, by });
+            self.queue_event(ControlEvent::Deposed { token, by });
             return;
         }
         if self.recovery.is_some() {
@@ -34,7 +34,7 @@
         self.step_down();
         let _ = self.fence.admit(token);
         self.writer = Some(Writer::new(token));
-        self.begin_announcing(now);
+        self.start_announcing(now);
         self.become_ready(now);
     }
 
@@ -55,22 +55,23 @@
         self.random.next_u32().max(1)
     }
 
-    fn begin_announcing(&mut self, now: Micros) {
+    fn start_announcing(&mut self, now: Micros) {
         let (me, round) = (self.config.me, self.next_round());
         // What was learned in an earlier round does not count in this one.
-        self.sessions.retain(|_, session| !session.learns_votes());
+        self.sessions.retain(|_, session| !session.learns_accepted());
         if let Some(writer) = &mut self.writer {
-            writer.begin(now, me, round);
+            writer.start_round(now, me, round);
         }
     }
 
     /// Asks again whoever has not answered.
-    pub(super) fn announce(&mut self, now: Micros) {
+    pub(super) fn retry_announcement(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return };
-        let over = now > writer.sent.saturating_add(length) && !mutant::is(Mutant::RoundsForever);
-        if !writer.ready && over {
-            self.begin_announcing(now);
+        let expired =
+            now > writer.sent.saturating_add(length) && !mutant::is(Mutant::RoundsForever);
+        if !writer.ready && expired {
+            self.start_announcing(now);
         }
         let Some(writer) = &mut self.writer else { return };
         if !writer.is_due(now) {
@@ -78,11 +79,12 @@
         }
         let message = Message::Announce { token: writer.token, round: writer.round };
         let learned = writer.learned.clone();
-        for other in self.others() {
+        for other in self.other_control_nodes() {
             // What is being compared with it once a second says nothing of its votes.
-            let learning = self.sessions.get(&other).is_some_and(|session| session.learns_votes());
+            let learning =
+                self.sessions.get(&other).is_some_and(|session| session.learns_accepted());
             if !learned.contains(&other) && !learning {
-                self.say(other, &message);
+                self.send(other, &message);
             }
         }
     }
@@ -107,7 +109,7 @@
             self.sessions.remove(&from);
             self.on_learned(now, from);
         }
-        self.look_at_sessions(now);
+        self.finish_sessions(now);
     }
 
     /// All that another control node holds is known here.
@@ -124,16 +126,16 @@
         let Some(writer) = &mut self.writer else { return };
         let in_time =
             now <= writer.sent.saturating_add(length) || mutant::is(Mutant::RoundsForever);
-        if writer.ready || !in_time || !self.quorum.holds(&writer.learned) {
+        if writer.ready || !in_time || !self.quorum.is_majority(&writer.learned) {
             return;
         }
         writer.ready = true;
         let token = writer.token;
-        self.tell(ControlEvent::WriterReady(token));
+        self.queue_event(ControlEvent::WriterReady(token));
         // What a majority may have accepted is published again, under a version that is greater.
         if !mutant::is(Mutant::LeftoversForgotten) {
-            for document in self.store.leftovers() {
-                self.begin(now, document.key, document.body.clone());
+            for document in self.store.uncommitted() {
+                self.start_publication(now, document.key, document.body.clone());
             }
         }
     }
@@ -161,14 +163,19 @@
         if found > MAX_CONTENT_BYTES {
             return Err(PublishError::TooLong { found, most: MAX_CONTENT_BYTES });
         }
-        self.store.room_for(key, found)?;
-        let version = self.begin(now, key, body);
+        self.store.check_room(key, found)?;
+        let version = self.start_publication(now, key, body);
         self.tick(now);
         version.ok_or(PublishError::NotWriter(highest))
     }
 
     /// Makes the next document of a key; it goes out when the one before it is committed.
-    fn begin(&mut self, now: Micros, key: DocumentKey, body: Option<Vec<u8>>) -> Option<Version> {
+    fn start_publication(
+        &mut self,
+        now: Micros,
+        key: DocumentKey,
+        body: Option<Vec<u8>>,
+    ) -> Option<Version> {
         let writer = self.writer.as_mut()?;
         let version = writer.next_version();
         let document = Arc::new(Document::new(key, version, body));
@@ -193,7 +200,7 @@
         let publication =
             Publication { document: document.clone(), round, sent: now, accepted, waiting };
         writer.publications.insert(key, publication);
-        for other in self.others() {
+        for other in self.other_control_nodes() {
             let to = Receiver { number: other, role: Role::ControlNode };
             self.outgoing.push(now, to, &document, Stage::Proposed(round), true);
         }
@@ -201,23 +208,23 @@
     }
 
     /// Asks again for votes where a round is over.
-    pub(super) fn propose_again(&mut self, now: Micros) {
+    pub(super) fn retry_proposals(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return };
-        let over = |publication: &&Publication| now > publication.sent.saturating_add(length);
-        let over = writer.publications.values().filter(over);
-        let over: Vec<Arc<Document>> = over.map(|p| p.document.clone()).collect();
+        let expired = |publication: &&Publication| now > publication.sent.saturating_add(length);
+        let expired = writer.publications.values().filter(expired);
+        let expired: Vec<Arc<Document>> = expired.map(|p| p.document.clone()).collect();
         if mutant::is(Mutant::RoundsForever) {
             return;
         }
-        over.into_iter().for_each(|document| self.propose(now, document));
+        expired.into_iter().for_each(|document| self.propose(now, document));
     }
 
     /// When a round of votes is over.
-    pub(super) fn rounds_until(&self) -> Micros {
+    pub(super) fn next_round_end(&self) -> Micros {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return Micros::MAX };
-        let announcing = if writer.ready { Micros::MAX } else { writer.ask_at };
+        let announcing = if writer.ready { Micros::MAX } else { writer.announce_at };
         let sent = writer.publications.values().map(|publication| publication.sent).min();
         announcing.min(sent.map_or(Micros::MAX, |sent| sent.saturating_add(length + 1)))
     }
@@ -242,7 +249,7 @@
     fn count_votes(&mut self, now: Micros, key: DocumentKey) {
         let Some(writer) = &mut self.writer else { return };
         let Some(publication) = writer.publications.get(&key) else { return };
-        if !self.quorum.holds(&publication.accepted) {
+        if !self.quorum.is_majority(&publication.accepted) {
             return;
         }
         let Some(Publication { document, accepted, waiting, .. }) =
@@ -251,9 +258,9 @@
             return;
         };
         self.figures.committed += 1;
-        self.tell(ControlEvent::Committed(document.id()));
+        self.queue_event(ControlEvent::Committed(document.id()));
         self.commit(now, document.clone());
-        for other in self.others() {
+        for other in self.other_control_nodes() {
             let to = Receiver { number: other, role: Role::ControlNode };
             let lacks = !accepted.contains(&other);
             self.outgoing.push(now, to, &document, Stage::Committed, lacks);
@@ -287,12 +294,12 @@
             let too_many = rollout.refused >= limits.refused_least.max(1)
                 && f64::from(rollout.refused) > share
                 && !mutant::is(Mutant::NeverStopped);
-            too_many.then(|| (committed.id(), rollout, slot.good.clone()))
+            too_many.then(|| (committed.id(), rollout, slot.last_good.clone()))
         });
         let refused: Vec<_> = refused.collect();
         for (stopped, rollout, good) in refused {
             let body = good.and_then(|good| good.body.clone());
-            let Some(restored) = self.begin(now, stopped.key, body) else { continue };
+            let Some(restored) = self.start_publication(now, stopped.key, body) else { continue };
             self.figures.stopped += 1;
             if let Some(writer) = &mut self.writer {
                 writer.restored.insert(restored);
@@ -301,7 +308,7 @@
                 }
             }
             let first_refusal = rollout.first_refusal.clone();
-            self.tell(ControlEvent::Stopped { stopped, rollout, first_refusal, restored });
+            self.queue_event(ControlEvent::Stopped { stopped, rollout, first_refusal, restored });
         }
     }
 }
--- a/crates/millethook-distribution/src/delta.rs
+++ b/crates/millethook-distribution/src/delta.rs
@@ -9,33 +9,33 @@
 use crate::MAX_CONTENT_BYTES;
 
 /// Bytes by which a piece of the base is found, and the shortest one that is copied.
-const WINDOW: usize = 8;
+const WINDOW_BYTES: usize = 8;
 /// Places in the base that are compared for one piece: those behind the end of the last copy, and those before it.
-const PLACES_BEHIND: usize = 8;
-const PLACES_BEFORE: usize = 2;
+const POSITIONS_AFTER: usize = 8;
+const POSITIONS_BEFORE: usize = 2;
 
 /// The delta from a base to a content; None: it is longer than `most` bytes.
-pub(crate) fn between(base: &[u8], content: &[u8], most: usize) -> Option<Vec<u8>> {
-    let places = places_of(base);
+pub(crate) fn compute(base: &[u8], content: &[u8], max_bytes: usize) -> Option<Vec<u8>> {
+    let positions = positions_by_window(base);
     let mut delta = Vec::new();
     let (mut at, mut literal, mut expected) = (0, 0, 0);
     while at < content.len() {
-        let (begin, length) = longest_copy(base, &places, &content[at..], expected);
-        if length < WINDOW {
+        let (begin, length) = longest_copy(base, &positions, &content[at..], expected);
+        if length < WINDOW_BYTES {
             at += 1;
         } else {
             put_step(&mut delta, &content[literal..at], begin as i64 - expected as i64, length);
             at += length;
             (literal, expected) = (at, begin + length);
         }
-        if delta.len() + (at - literal) > most {
+        if delta.len() + (at - literal) > max_bytes {
             return None;
         }
     }
     if literal < content.len() {
         put_step(&mut delta, &content[literal..], 0, 0);
     }
-    (delta.len() <= most).then_some(delta)
+    (delta.len() <= max_bytes).then_some(delta)
 }
 
 /// What a delta makes of a base; None: it does not fit it, or the result has not `length` bytes.
@@ -43,14 +43,14 @@
     let mut content = Vec::new();
     let mut expected = 0i64;
     while !delta.is_empty() {
-        let count = usize::try_from(number(&mut delta)?).ok()?;
+        let count = usize::try_from(read_number(&mut delta)?).ok()?;
         let (literal, rest) = delta.split_at_checked(count)?;
         delta = rest;
         content.extend_from_slice(literal);
-        let offset = number(&mut delta)?;
+        let offset = read_number(&mut delta)?;
         let offset = (offset >> 1) as i64 ^ -((offset & 1) as i64);
         let begin = usize::try_from(expected.checked_add(offset)?).ok()?;
-        let end = begin.checked_add(usize::try_from(number(&mut delta)?).ok()?)?;
+        let end = begin.checked_add(usize::try_from(read_number(&mut delta)?).ok()?)?;
         content.extend_from_slice(base.get(begin..end)?);
         expected = end as i64;
         if content.len() > MAX_CONTENT_BYTES {
@@ -61,31 +61,31 @@
 }
 
 /// Where each window stands in the base, in ascending order.
-fn places_of(base: &[u8]) -> HashMap<&[u8], Vec<usize>> {
-    let mut places: HashMap<&[u8], Vec<usize>> = HashMap::new();
-    for (place, window) in base.windows(WINDOW).enumerate() {
-        places.entry(window).or_default().push(place);
+fn positions_by_window(base: &[u8]) -> HashMap<&[u8], Vec<usize>> {
+    let mut positions: HashMap<&[u8], Vec<usize>> = HashMap::new();
+    for (position, window) in base.windows(WINDOW_BYTES).enumerate() {
+        positions.entry(window).or_default().push(position);
     }
-    places
+    positions
 }
 
 /// The longest piece of the base that the content begins with, of those that are looked at: where it is, and its length.
 fn longest_copy(
     base: &[u8],
-    places: &HashMap<&[u8], Vec<usize>>,
+    positions: &HashMap<&[u8], Vec<usize>>,
     content: &[u8],
     expected: usize,
 ) -> (usize, usize) {
-    let window = content.get(..WINDOW);
-    let Some(places) = window.and_then(|window| places.get(window)) else { return (0, 0) };
-    let behind = places.partition_point(|place| *place < expected);
-    let near = behind.saturating_sub(PLACES_BEFORE)..places.len().min(behind + PLACES_BEHIND);
-    let length = |place: usize| {
-        base[place..].iter().zip(content).take_while(|(base, content)| base == content).count()
+    let window = content.get(..WINDOW_BYTES);
+    let Some(positions) = window.and_then(|window| positions.get(window)) else { return (0, 0) };
+    let start = positions.partition_point(|position| *position < expected);
+    let near = start.saturating_sub(POSITIONS_BEFORE)..positions.len().min(start + POSITIONS_AFTER);
+    let length = |position: usize| {
+        base[position..].iter().zip(content).take_while(|(base, content)| base == content).count()
     };
-    let copies = places[near].iter().map(|place| (*place, length(*place)));
+    let copies = positions[near].iter().map(|position| (*position, length(*position)));
     copies
-        .max_by_key(|(place, length)| (*length, std::cmp::Reverse(place.abs_diff(expected))))
+        .max_by_key(|(position, length)| (*length, std::cmp::Reverse(position.abs_diff(expected))))
         .unwrap_or((0, 0))
 }
 
@@ -96,22 +96,22 @@
     put_number(delta, length as u64);
 }
 
-fn put_number(delta: &mut Vec<u8>, mut number: u64) {
-    while number >= 0x80 {
-        delta.push(number as u8 | 0x80);
-        number >>= 7;
+fn put_number(delta: &mut Vec<u8>, mut value: u64) {
+    while value >= 0x80 {
+        delta.push(value as u8 | 0x80);
+        value >>= 7;
     }
-    delta.push(number as u8);
+    delta.push(value as u8);
 }
 
-fn number(delta: &mut &[u8]) -> Option<u64> {
-    let mut number = 0;
+fn read_number(delta: &mut &[u8]) -> Option<u64> {
+    let mut value = 0;
     for shift in (0..28).step_by(7) {
         let (first, rest) = delta.split_first()?;
         *delta = rest;
-        number |= u64::from(first & 0x7f) << shift;
+        value |= u64::from(first & 0x7f) << shift;
         if first & 0x80 == 0 {
-            return Some(number);
+            return Some(value);
         }
     }
     None
--- a/crates/millethook-distribution/src/document.rs
+++ b/crates/millethook-distribution/src/document.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether the hash is that of the body, and the body no longer than it may be.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_intact(&self) -> bool {
         self.length() <= MAX_CONTENT_BYTES && self.hash == ContentHash::of(self.body.as_deref())
     }
 }
--- a/crates/millethook-distribution/src/lists.rs
+++ b/crates/millethook-distribution/src/lists.rs
@@ -13,9 +13,9 @@
 use crate::{DocumentKey, DocumentKind, Identity, MAX_LISTS, Scope, Version};
 
 /// Whether a document of this key is for a sidecar that stands there and wants the lists that `wants` says.
-pub(crate) fn is_for(key: DocumentKey, who: &Identity, wants: impl Fn(u32) -> bool) -> bool {
+pub(crate) fn is_for(key: DocumentKey, sidecar: &Identity, wants: impl Fn(u32) -> bool) -> bool {
     if key.kind == DocumentKind::Configuration || mutant::is(Mutant::ListsByIdentity) {
-        return key.scope.covers(who);
+        return key.scope.covers(sidecar);
     }
     list_of(key).is_some_and(wants)
 }
--- a/crates/millethook-distribution/src/message.rs
+++ b/crates/millethook-distribution/src/message.rs
@@ -12,12 +12,14 @@
 
 use crate::chunks::Wanted;
 use crate::{DocumentId, DocumentKey, LONGEST, Rollout, Version};
-pub(crate) use fields::{Delta, Digest, Listed, Lists, Offer, Role, Stage, State, Status, Told};
-pub(crate) use lists::{DELTA_PART, MOST_DELTA_PARTS, in_messages};
+pub(crate) use fields::{
+    Delta, Digest, ListEntry, ListsPayload, ListsUpdate, Offer, Role, Stage, State, Status,
+};
+pub(crate) use lists::{DELTA_PART_BYTES, MAX_DELTA_PARTS, split_into_messages};
 use lists::{read_delta, read_lists, write_delta, write_lists};
 use parts::{
-    buckets, id, put_buckets, put_id, read_digest, read_offer, read_rollout, write_digest,
-    write_offer, write_rollout,
+    put_buckets, put_id, read_buckets, read_digest, read_id, read_offer, read_rollout,
+    write_digest, write_offer, write_rollout,
 };
 
 /// Ranges of keys that are compared.
@@ -25,22 +27,22 @@
 /// Hashes of all that a control node keeps, by bucket.
 pub(crate) type Buckets = [u64; BUCKETS];
 /// Bytes of an offer before an inline content.
-const OFFER: usize = 40;
+const OFFER_HEADER_BYTES: usize = 40;
 /// The longest content that travels within a committed offer.
-pub(crate) const MOST_INLINE: usize = LONGEST - OFFER;
+pub(crate) const MAX_INLINE_BYTES: usize = LONGEST - OFFER_HEADER_BYTES;
 /// Bytes of an entry of a list: key, committed and accepted version.
-const LISTED: usize = 37;
+const ENTRY_BYTES: usize = 37;
 /// Entries of a list in one message.
-pub(crate) const MOST_LISTED: usize = (LONGEST - 7) / LISTED;
+pub(crate) const MAX_LIST_ENTRIES: usize = (LONGEST - 7) / ENTRY_BYTES;
 /// Members that are named in one message.
-pub(crate) const MOST_MOVED: usize = (LONGEST - 1) / 2;
+pub(crate) const MAX_MOVED_MEMBERS: usize = (LONGEST - 1) / 2;
 const FOR_SIDECAR: u8 = 0x80;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Message {
     Digest(Digest),
     /// An answer: whether the statuses with this hash are known.
-    Agree {
+    DigestReply {
         hash: u64,
         known: bool,
     },
@@ -52,7 +54,7 @@
         bytes: Vec<u8>,
     },
     /// Send me these chunks of a document, and its head. Without a key: its head has not come.
-    Missing {
+    Fetch {
         of: Role,
         key: Option<DocumentKey>,
         version: Version,
@@ -84,17 +86,17 @@
         buckets: Buckets,
     },
     /// Tell me what you hold in a bucket, behind this key.
-    List {
+    ListBucket {
         bucket: u8,
         after: Option<DocumentKey>,
         round: u32,
     },
     /// That is what I hold.
-    Entries {
+    BucketEntries {
         bucket: u8,
         more: bool,
         round: u32,
-        entries: Vec<Listed>,
+        entries: Vec<ListEntry>,
     },
     /// I have started and know nothing of my votes: what do you hold?
     Recover {
@@ -118,9 +120,9 @@
         members: Vec<u16>,
     },
     /// These lists I want, and that is how I stand to them.
-    Lists(Lists),
+    ListsUpdate(ListsUpdate),
     /// An answer: whether the lists with this hash are known.
-    AgreeLists {
+    ListsReply {
         hash: u64,
         known: bool,
     },
@@ -145,23 +147,23 @@
     fn number(&self) -> u8 {
         match self {
             Message::Digest(_) => 1,
-            Message::Agree { .. } => 2,
+            Message::DigestReply { .. } => 2,
             Message::Offer(_) => 3,
             Message::Chunk { .. } => 4,
-            Message::Missing { .. } => 5,
+            Message::Fetch { .. } => 5,
             Message::Accepted { .. } => 6,
             Message::Announce { .. } => 7,
             Message::Promise { .. } => 8,
             Message::Stale { .. } => 9,
             Message::Compare { .. } => 10,
-            Message::List { .. } => 11,
-            Message::Entries { .. } => 12,
+            Message::ListBucket { .. } => 11,
+            Message::BucketEntries { .. } => 12,
             Message::Recover { .. } => 13,
             Message::Recovered { .. } => 14,
             Message::Report { .. } => 15,
             Message::Moved { .. } => 16,
-            Message::Lists(_) => 17,
-            Message::AgreeLists { .. } => 18,
+            Message::ListsUpdate(_) => 17,
+            Message::ListsReply { .. } => 18,
             Message::Delta(_) => 19,
         }
     }
@@ -169,7 +171,7 @@
     fn write_fields(&self, bytes: &mut Vec<u8>) {
         match self {
             Message::Digest(digest) => write_digest(bytes, digest),
-            Message::Agree { hash, known } | Message::AgreeLists { hash, known } => {
+            Message::DigestReply { hash, known } | Message::ListsReply { hash, known } => {
                 bytes.put_u64(*hash);
                 bytes.put_u8(u8::from(*known));
             }
@@ -180,8 +182,8 @@
                 bytes.put_u16(*count);
                 bytes.extend_from_slice(content);
             }
-            Message::Missing { of, key, version, wanted } => {
-                let keyed = if key.is_some() { KEYED } else { 0 };
+            Message::Fetch { of, key, version, wanted } => {
+                let keyed = if key.is_some() { HAS_KEY } else { 0 };
                 bytes.put_u8(u8::from(*of == Role::Sidecar) | keyed);
                 if let Some(key) = key {
                     key.write(bytes);
@@ -207,14 +209,14 @@
                 highest.write(bytes);
                 put_buckets(bytes, buckets);
             }
-            Message::List { bucket, after, round } => {
+            Message::ListBucket { bucket, after, round } => {
                 bytes.put_u8(*bucket);
                 bytes.put_u32(*round);
                 if let Some(after) = after {
                     after.write(bytes);
                 }
             }
-            Message::Entries { bucket, more, round, entries } => {
+            Message::BucketEntries { bucket, more, round, entries } => {
                 bytes.put_u8(*bucket);
                 bytes.put_u32(*round);
                 bytes.put_u8(u8::from(*more));
@@ -236,7 +238,7 @@
                 write_rollout(bytes, rollout);
             }
             Message::Moved { members } => members.iter().for_each(|member| bytes.put_u16(*member)),
-            Message::Lists(lists) => write_lists(bytes, lists),
+            Message::ListsUpdate(lists) => write_lists(bytes, lists),
             Message::Delta(delta) => write_delta(bytes, delta),
         }
     }
@@ -257,7 +259,7 @@
 fn read_fields(number: u8, bytes: &mut &[u8]) -> Option<Message> {
     Some(match number {
         1 => Message::Digest(read_digest(bytes)?),
-        2 => Message::Agree { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
+        2 => Message::DigestReply { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
         3 => Message::Offer(read_offer(bytes)?),
         4 => {
             let version = Version::read(bytes)?;
@@ -267,21 +269,21 @@
         5 => {
             let flags = codec::byte(bytes)?;
             let of = if flags & 1 > 0 { Role::Sidecar } else { Role::ControlNode };
-            let key = if flags & KEYED > 0 { Some(DocumentKey::read(bytes)?) } else { None };
+            let key = if flags & HAS_KEY > 0 { Some(DocumentKey::read(bytes)?) } else { None };
             let version = Version::read(bytes)?;
-            Message::Missing { of, key, version, wanted: Wanted::read(bytes) }
+            Message::Fetch { of, key, version, wanted: Wanted::read(bytes) }
         }
-        6 => Message::Accepted { id: id(bytes)?, round: codec::word(bytes)? },
+        6 => Message::Accepted { id: read_id(bytes)?, round: codec::word(bytes)? },
         7 => Message::Announce { token: Token::read(bytes)?, round: codec::word(bytes)? },
         8 => {
             let (token, round) = (Token::read(bytes)?, codec::word(bytes)?);
-            Message::Promise { token, round, buckets: buckets(bytes)? }
+            Message::Promise { token, round, buckets: read_buckets(bytes)? }
         }
         9 => Message::Stale { highest: Token::read(bytes)? },
-        10 => Message::Compare { highest: Token::read(bytes)?, buckets: buckets(bytes)? },
+        10 => Message::Compare { highest: Token::read(bytes)?, buckets: read_buckets(bytes)? },
         11 => {
             let (bucket, round) = (codec::byte(bytes)?, codec::word(bytes)?);
-            Message::List { bucket, round, after: DocumentKey::read(bytes) }
+            Message::ListBucket { bucket, round, after: DocumentKey::read(bytes) }
         }
         12 => {
             let (bucket, round) = (codec::byte(bytes)?, codec::word(bytes)?);
@@ -289,23 +291,23 @@
             let entries = codec::records(bytes, |bytes| {
                 let key = DocumentKey::read(bytes)?;
                 let (committed, accepted) = (Version::read(bytes)?, Version::read(bytes)?);
-                Some(Listed { key, committed, accepted })
+                Some(ListEntry { key, committed, accepted })
             });
-            Message::Entries { bucket, more, round, entries: entries.collect() }
+            Message::BucketEntries { bucket, more, round, entries: entries.collect() }
         }
         13 => Message::Recover { round: codec::word(bytes)? },
         14 => {
             let (round, recovering) = (codec::word(bytes)?, codec::byte(bytes)? > 0);
             let highest = Token::read(bytes)?;
-            Message::Recovered { round, recovering, highest, buckets: buckets(bytes)? }
+            Message::Recovered { round, recovering, highest, buckets: read_buckets(bytes)? }
         }
-        15 => Message::Report { id: id(bytes)?, rollout: read_rollout(bytes)? },
+        15 => Message::Report { id: read_id(bytes)?, rollout: read_rollout(bytes)? },
         16 => Message::Moved { members: codec::records(bytes, codec::short).collect() },
-        17 => Message::Lists(read_lists(bytes)?),
-        18 => Message::AgreeLists { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
+        17 => Message::ListsUpdate(read_lists(bytes)?),
+        18 => Message::ListsReply { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
         19 => Message::Delta(read_delta(bytes)?),
         _ => return None,
     })
 }
 
-const KEYED: u8 = 2;
+const HAS_KEY: u8 = 2;
--- a/crates/millethook-distribution/src/message/fields.rs
+++ b/crates/millethook-distribution/src/message/fields.rs
@@ -61,7 +61,7 @@
 /// What a sidecar has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Digest {
-    pub who: Identity,
+    pub identity: Identity,
     /// 0: the receiver is its first control node; 1: its second; more: it only asks whether it is there.
     pub rank: u8,
     /// The hash of all statuses.
@@ -72,21 +72,21 @@
 
 /// Which lists a sidecar wants and how it stands to them, by service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Lists {
+pub(crate) struct ListsUpdate {
     /// The hash of all of it.
     pub hash: u64,
-    pub told: Told,
+    pub payload: ListsPayload,
 }
 
 /// How much a sidecar tells of its lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
+pub(crate) enum ListsPayload {
     /// Only the hash: does the receiver know the rest?
     Hash,
     /// What has changed in what the receiver knows.
     Changes(Vec<(u32, ListStatus)>),
     /// A part of all.
-    Whole(Vec<(u32, ListStatus)>),
+    Full(Vec<(u32, ListStatus)>),
 }
 
 /// A part of what makes a committed document of the one before.
@@ -105,7 +105,7 @@
 
 /// What a control node holds of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct ListEntry {
     pub key: DocumentKey,
     /// The lowest version: none.
     pub committed: Version,
--- a/crates/millethook-distribution/src/message/lists.rs
+++ b/crates/millethook-distribution/src/message/lists.rs
@@ -3,25 +3,25 @@
 
 use millethook_machine::codec::{self, BufMut};
 
-use super::parts::{id, put_id, put_refusal, refusal};
-use super::{Delta, Lists, State, Told};
+use super::parts::{put_id, put_refusal, read_id, read_refusal};
+use super::{Delta, ListsPayload, ListsUpdate, State};
 use crate::lists::{ListStatus, ListStatuses};
-use crate::report::MOST_REASON;
+use crate::report::MAX_REASON_BYTES;
 use crate::{ContentHash, LONGEST, MAX_CONTENT_BYTES, Version};
 
 /// Bytes of a message about lists before the first status.
-const LISTS: usize = 1 + 8 + 1;
+const LISTS_HEADER_BYTES: usize = 1 + 8 + 1;
 /// Bytes of a part of a delta before its content.
-const DELTA: usize = 1 + 21 + 16 + 16 + 3 + 1 + 1;
+const DELTA_HEADER_BYTES: usize = 1 + 21 + 16 + 16 + 3 + 1 + 1;
 /// Bytes of a delta in one message; the last part may be shorter.
-pub(crate) const DELTA_PART: usize = LONGEST - DELTA;
+pub(crate) const DELTA_PART_BYTES: usize = LONGEST - DELTA_HEADER_BYTES;
 /// Parts of the longest delta. A delta comes unasked, as does a content of so many chunks at most.
-pub(crate) const MOST_DELTA_PARTS: usize = crate::chunks::MOST_AT_ONCE;
+pub(crate) const MAX_DELTA_PARTS: usize = crate::chunks::MAX_EAGER_CHUNKS;
 /// The state of a list that is wanted and not there.
-const NONE: u8 = 3;
+const STATE_ABSENT: u8 = 3;
 
 /// Splits statuses into as many messages as they need.
-pub(crate) fn in_messages(statuses: &ListStatuses) -> Vec<Vec<(u32, ListStatus)>> {
+pub(crate) fn split_into_messages(statuses: &ListStatuses) -> Vec<Vec<(u32, ListStatus)>> {
     let mut messages = Vec::new();
     let mut room = 0;
     for (service, status) in statuses.iter() {
@@ -29,7 +29,7 @@
         put_status(&mut bytes, service, status);
         if bytes.len() > room {
             messages.push(Vec::new());
-            room = LONGEST - LISTS;
+            room = LONGEST - LISTS_HEADER_BYTES;
         }
         room -= bytes.len();
         if let Some(last) = messages.last_mut() {
@@ -42,55 +42,55 @@
 fn put_status(bytes: &mut Vec<u8>, service: u32, status: &ListStatus) {
     bytes.put_u32(service);
     if status.version == Version::default() {
-        bytes.put_u8(NONE);
+        bytes.put_u8(STATE_ABSENT);
         return;
     }
     bytes.put_u8(status.state.number());
     status.version.write(bytes);
     if let State::Refused(refusal) = &status.state {
-        put_refusal(bytes, refusal, MOST_REASON);
+        put_refusal(bytes, refusal, MAX_REASON_BYTES);
     }
 }
 
 fn read_status(bytes: &mut &[u8]) -> Option<(u32, ListStatus)> {
     let (service, number) = (codec::word(bytes)?, codec::byte(bytes)?);
-    if number == NONE {
+    if number == STATE_ABSENT {
         return Some((service, ListStatus { version: Version::default(), state: State::InForce }));
     }
     let version = Version::read(bytes)?;
     let state = match number {
         0 => State::InForce,
         1 => State::Offered,
-        2 => State::Refused(refusal(bytes)?),
+        2 => State::Refused(read_refusal(bytes)?),
         _ => return None,
     };
     Some((service, ListStatus { version, state }))
 }
 
-pub(super) fn write_lists(bytes: &mut Vec<u8>, lists: &Lists) {
+pub(super) fn write_lists(bytes: &mut Vec<u8>, lists: &ListsUpdate) {
     bytes.put_u64(lists.hash);
-    let (number, statuses) = match &lists.told {
-        Told::Hash => (0, &[][..]),
-        Told::Changes(statuses) => (1, &statuses[..]),
-        Told::Whole(statuses) => (2, &statuses[..]),
+    let (number, statuses) = match &lists.payload {
+        ListsPayload::Hash => (0, &[][..]),
+        ListsPayload::Changes(statuses) => (1, &statuses[..]),
+        ListsPayload::Full(statuses) => (2, &statuses[..]),
     };
     bytes.put_u8(number);
     statuses.iter().for_each(|(service, status)| put_status(bytes, *service, status));
 }
 
-pub(super) fn read_lists(bytes: &mut &[u8]) -> Option<Lists> {
+pub(super) fn read_lists(bytes: &mut &[u8]) -> Option<ListsUpdate> {
     let (hash, number) = (codec::uint(bytes, 8)?, codec::byte(bytes)?);
     let mut statuses = Vec::new();
     while !bytes.is_empty() {
         statuses.push(read_status(bytes)?);
     }
-    let told = match number {
-        0 => Told::Hash,
-        1 => Told::Changes(statuses),
-        2 => Told::Whole(statuses),
+    let payload = match number {
+        0 => ListsPayload::Hash,
+        1 => ListsPayload::Changes(statuses),
+        2 => ListsPayload::Full(statuses),
         _ => return None,
     };
-    Some(Lists { hash, told })
+    Some(ListsUpdate { hash, payload })
 }
 
 pub(super) fn write_delta(bytes: &mut Vec<u8>, delta: &Delta) {
@@ -104,18 +104,18 @@
 }
 
 pub(super) fn read_delta(bytes: &mut &[u8]) -> Option<Delta> {
-    let id = id(bytes)?;
+    let id = read_id(bytes)?;
     let (hash, rest) = bytes.split_first_chunk::<16>()?;
     *bytes = rest;
     let length = codec::uint(bytes, 3)? as usize;
     let base = Version::read(bytes)?;
     let (index, count) = (codec::byte(bytes)?, codec::byte(bytes)?);
     let is_last = index.checked_add(1)? == count;
-    let sound = index < count
-        && usize::from(count) <= MOST_DELTA_PARTS
+    let is_valid = index < count
+        && usize::from(count) <= MAX_DELTA_PARTS
         && length <= MAX_CONTENT_BYTES
-        && bytes.len() <= DELTA_PART
-        && (is_last || bytes.len() == DELTA_PART);
+        && bytes.len() <= DELTA_PART_BYTES
+        && (is_last || bytes.len() == DELTA_PART_BYTES);
     let (hash, bytes) = (ContentHash(*hash), bytes.to_vec());
-    sound.then_some(Delta { id, hash, length, base, index, count, bytes })
+    is_valid.then_some(Delta { id, hash, length, base, index, count, bytes })
 }
--- a/crates/millethook-distribution/src/message/parts.rs
+++ b/crates/millethook-distribution/src/message/parts.rs
@@ -3,14 +3,14 @@
 use millethook_machine::codec::{self, BufMut};
 
 use super::{BUCKETS, Buckets, Digest, Offer, Stage, State, Status};
-use crate::report::{MOST_NAMED, MOST_REASON};
+use crate::report::{MAX_NAMED_MEMBERS, MAX_REASON_BYTES};
 use crate::{ContentHash, DocumentId, DocumentKey, Identity, LONGEST, Refusal, Rollout, Version};
 
 pub(super) fn put_buckets(bytes: &mut Vec<u8>, buckets: &Buckets) {
     buckets.iter().for_each(|hash| bytes.put_u64(*hash));
 }
 
-pub(super) fn buckets(bytes: &mut &[u8]) -> Option<Buckets> {
+pub(super) fn read_buckets(bytes: &mut &[u8]) -> Option<Buckets> {
     let mut buckets = [0; BUCKETS];
     for hash in &mut buckets {
         *hash = codec::uint(bytes, 8)?;
@@ -23,19 +23,19 @@
     id.version.write(bytes);
 }
 
-pub(super) fn id(bytes: &mut &[u8]) -> Option<DocumentId> {
+pub(super) fn read_id(bytes: &mut &[u8]) -> Option<DocumentId> {
     Some(DocumentId { key: DocumentKey::read(bytes)?, version: Version::read(bytes)? })
 }
 
 /// Adds a refusal, its reason cut to what `room` allows.
-pub(super) fn put_refusal(bytes: &mut Vec<u8>, refusal: &Refusal, room: usize) {
-    let reason = refusal.cut(room.min(MOST_REASON));
+pub(super) fn put_refusal(bytes: &mut Vec<u8>, refusal: &Refusal, max_bytes: usize) {
+    let reason = refusal.cut(max_bytes.min(MAX_REASON_BYTES));
     bytes.put_u8(refusal.code);
     bytes.put_u8(reason.len() as u8);
     bytes.extend_from_slice(reason.as_bytes());
 }
 
-pub(super) fn refusal(bytes: &mut &[u8]) -> Option<Refusal> {
+pub(super) fn read_refusal(bytes: &mut &[u8]) -> Option<Refusal> {
     let (code, length) = (codec::byte(bytes)?, usize::from(codec::byte(bytes)?));
     let (reason, rest) = bytes.split_at_checked(length)?;
     *bytes = rest;
@@ -43,22 +43,22 @@
 }
 
 pub(super) fn write_digest(bytes: &mut Vec<u8>, digest: &Digest) {
-    bytes.put_u32(digest.who.region);
-    bytes.put_u32(digest.who.zone);
-    bytes.put_u32(digest.who.service);
-    bytes.put_u16(digest.who.number);
+    bytes.put_u32(digest.identity.region);
+    bytes.put_u32(digest.identity.zone);
+    bytes.put_u32(digest.identity.service);
+    bytes.put_u16(digest.identity.number);
     bytes.put_u8(digest.rank);
     bytes.put_u64(digest.hash);
     let Some(statuses) = &digest.statuses else { return };
     bytes.put_u8(statuses.len() as u8);
     for (n, status) in statuses.iter().enumerate() {
-        bytes.put_u8(status.key.short());
+        bytes.put_u8(status.key.compact());
         status.version.write(bytes);
         bytes.put_u8(status.state.number());
         if let State::Refused(refusal) = &status.state {
             // Those that follow need at most so much.
-            let behind = (statuses.len() - n - 1) * (Version::LENGTH + 4) + 2;
-            put_refusal(bytes, refusal, LONGEST.saturating_sub(bytes.len() + behind));
+            let reserved = (statuses.len() - n - 1) * (Version::LENGTH + 4) + 2;
+            put_refusal(bytes, refusal, LONGEST.saturating_sub(bytes.len() + reserved));
         }
     }
 }
@@ -66,7 +66,7 @@
 pub(super) fn read_digest(bytes: &mut &[u8]) -> Option<Digest> {
     let (region, zone) = (codec::word(bytes)?, codec::word(bytes)?);
     let (service, number) = (codec::word(bytes)?, codec::short(bytes)?);
-    let who = Identity { region, zone, service, number };
+    let identity = Identity { region, zone, service, number };
     let rank = codec::byte(bytes)?;
     let hash = codec::uint(bytes, 8)?;
     let statuses = match codec::byte(bytes) {
@@ -74,12 +74,12 @@
         Some(count) => {
             let mut statuses = Vec::new();
             for _ in 0..count {
-                let key = DocumentKey::from_short(codec::byte(bytes)?, &who)?;
+                let key = DocumentKey::from_compact(codec::byte(bytes)?, &identity)?;
                 let version = Version::read(bytes)?;
                 let state = match codec::byte(bytes)? {
                     0 => State::InForce,
                     1 => State::Offered,
-                    2 => State::Refused(refusal(bytes)?),
+                    2 => State::Refused(read_refusal(bytes)?),
                     _ => return None,
                 };
                 statuses.push(Status { key, version, state });
@@ -87,7 +87,7 @@
             Some(statuses)
         }
     };
-    Some(Digest { who, rank, hash, statuses })
+    Some(Digest { identity, rank, hash, statuses })
 }
 
 const RETRACTED: u8 = 0x10;
@@ -118,7 +118,7 @@
 
 pub(super) fn read_offer(bytes: &mut &[u8]) -> Option<Offer> {
     let flags = codec::byte(bytes)?;
-    let id = id(bytes)?;
+    let id = read_id(bytes)?;
     let (hash, rest) = bytes.split_first_chunk::<16>()?;
     *bytes = rest;
     let stage = match flags & 0x0f {
@@ -134,9 +134,9 @@
         (codec::uint(bytes, 3)? as usize, None)
     };
     let retracted = flags & RETRACTED > 0;
-    let sound = length <= crate::MAX_CONTENT_BYTES && (!retracted || length == 0);
+    let is_valid = length <= crate::MAX_CONTENT_BYTES && (!retracted || length == 0);
     let hash = ContentHash(*hash);
-    sound.then_some(Offer { stage, id, hash, retracted, length, inline })
+    is_valid.then_some(Offer { stage, id, hash, retracted, length, inline })
 }
 
 /// Beside how many members are named: the count of those that move follows. It is told only where there are any.
@@ -148,17 +148,17 @@
     for count in [rollout.expected, rollout.in_force, rollout.refused, rollout.not_heard] {
         bytes.put_u16(u16::try_from(count).unwrap_or(u16::MAX));
     }
-    let named = rollout.not_heard_members.len().min(MOST_NAMED);
+    let named_count = rollout.not_heard_members.len().min(MAX_NAMED_MEMBERS);
     let moving = if rollout.moving > 0 { MOVING } else { 0 };
     let kept = if rollout.kept > 0 { KEPT } else { 0 };
-    bytes.put_u8(named as u8 | moving | kept);
+    bytes.put_u8(named_count as u8 | moving | kept);
     if rollout.moving > 0 {
         bytes.put_u16(u16::try_from(rollout.moving).unwrap_or(u16::MAX));
     }
-    rollout.not_heard_members[..named].iter().for_each(|member| bytes.put_u16(*member));
+    rollout.not_heard_members[..named_count].iter().for_each(|member| bytes.put_u16(*member));
     if let Some((member, refusal)) = &rollout.first_refusal {
         bytes.put_u16(*member);
-        put_refusal(bytes, refusal, MOST_REASON);
+        put_refusal(bytes, refusal, MAX_REASON_BYTES);
     }
 }
 
@@ -168,16 +168,16 @@
     let flags = codec::byte(bytes)?;
     let moving = if flags & MOVING > 0 { codec::short(bytes)?.into() } else { 0 };
     let kept = u32::from(flags & KEPT > 0);
-    let named = usize::from(flags & !(MOVING | KEPT));
-    if named > MOST_NAMED {
+    let named_count = usize::from(flags & !(MOVING | KEPT));
+    if named_count > MAX_NAMED_MEMBERS {
         return None;
     }
-    let mut not_heard_members = Vec::with_capacity(named);
-    for _ in 0..named {
+    let mut not_heard_members = Vec::with_capacity(named_count);
+    for _ in 0..named_count {
         not_heard_members.push(codec::short(bytes)?);
     }
     let first_refusal = match codec::short(bytes) {
-        Some(member) => Some((member, refusal(bytes)?)),
+        Some(member) => Some((member, read_refusal(bytes)?)),
         None => None,
     };
     let (control_nodes, control_nodes_missing) = (0, 0);
--- a/crates/millethook-distribution/src/outgoing.rs
+++ b/crates/millethook-distribution/src/outgoing.rs
@@ -8,24 +8,24 @@
 
 use crate::chunks::{self, ChunkSet, Wanted};
 use crate::control::DeltaParts;
-use crate::message::{MOST_INLINE, Message, Offer, Role, Stage};
+use crate::message::{MAX_INLINE_BYTES, Message, Offer, Role, Stage};
 use crate::{Document, DocumentId, DocumentKey, Version};
 
 /// A head that nobody has answered goes out again after so long, then after half as much more each time.
-const AGAIN: Micros = 250_000;
+const RETRY_DELAY: Micros = 250_000;
 /// Times that a head goes out; then the receiver's next digest decides.
-const MOST_TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 /// Pushes that are kept, at most.
-const MOST_PUSHES: usize = 262_144;
+const MAX_PUSHES: usize = 262_144;
 /// Messages that wait to be fetched; with this many no push is made.
-const ENOUGH_WAITING: usize = 512;
+const MAX_QUEUED_MESSAGES: usize = 512;
 /// What the budget may save up, as a part of a second, and in bytes at least.
-const BURST: f64 = 0.05;
-const LEAST_BURST: f64 = 8_192.0;
+const BURST_SECONDS: f64 = 0.05;
+const MIN_BURST_BYTES: f64 = 8_192.0;
 /// When the budget is spent, pushes go on after this time.
-const PAUSE: Micros = 1_000;
+const BUDGET_RETRY_DELAY: Micros = 1_000;
 /// Bytes of a datagram beside a content, that the budget counts too.
-const OVERHEAD: f64 = 15.0;
+const FRAME_OVERHEAD_BYTES: f64 = 15.0;
 
 /// The receiver of a push.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,22 +46,22 @@
     /// Chunks, or parts of the delta, that have to go out.
     chunks: ChunkSet,
     /// The receiver has asked for chunks: it has the head, and asks again by itself.
-    heard: bool,
+    has_head: bool,
     tries: u32,
     /// Where it stands in the queue of its receiver's role.
-    slot: Slot,
+    due_key: DueKey,
 }
 
 impl Push {
     fn new(document: &Arc<Document>, stage: Stage, head: bool, chunks: ChunkSet) -> Push {
         let document = document.clone();
-        let (heard, tries, slot) = (false, 0, (0, 0));
-        Push { document, stage, head, delta: None, chunks, heard, tries, slot }
+        let (has_head, tries, due_key) = (false, 0, (0, 0));
+        Push { document, stage, head, delta: None, chunks, has_head, tries, due_key }
     }
 }
 
 /// When something is due, and a number that no other one has.
-type Slot = (Micros, u64);
+type DueKey = (Micros, u64);
 
 /// All pushes, of each receiver and key the latest, and all other messages that wait.
 #[derive(Clone, Debug)]
@@ -69,13 +69,13 @@
     pushes: BTreeMap<(Receiver, DocumentKey), Push>,
     /// Those to control nodes go first: each of them serves hundreds of sidecars. Danger: in turn with all sidecars of a
     /// writer whose budget is spent, one that lacks a long document would have it when the last of these has.
-    due_to_control_nodes: BTreeMap<Slot, (Receiver, DocumentKey)>,
-    due_to_sidecars: BTreeMap<Slot, (Receiver, DocumentKey)>,
-    next_slot: u64,
-    waiting: SendQueue<u16>,
+    due_to_control_nodes: BTreeMap<DueKey, (Receiver, DocumentKey)>,
+    due_to_sidecars: BTreeMap<DueKey, (Receiver, DocumentKey)>,
+    next_sequence: u64,
+    outbox: SendQueue<u16>,
     rate: f64,
-    left: f64,
-    counted: Micros,
+    budget: f64,
+    budget_updated_at: Micros,
     /// Bytes that were sent, datagram headers not counted.
     pub sent_bytes: u64,
 }
@@ -87,11 +87,11 @@
             pushes: BTreeMap::new(),
             due_to_control_nodes: BTreeMap::new(),
             due_to_sidecars: BTreeMap::new(),
-            next_slot: 0,
-            waiting: SendQueue::new(4 * ENOUGH_WAITING),
+            next_sequence: 0,
+            outbox: SendQueue::new(4 * MAX_QUEUED_MESSAGES),
             rate,
-            left: (rate * BURST).max(LEAST_BURST),
-            counted: now,
+            budget: (rate * BURST_SECONDS).max(MIN_BURST_BYTES),
+            budget_updated_at: now,
             sent_bytes: 0,
         }
     }
@@ -102,11 +102,11 @@
     }
 
     /// Sends a message, at once.
-    pub fn say(&mut self, to: Receiver, message: &Message) {
+    pub fn send(&mut self, to: Receiver, message: &Message) {
         let content = message.write(to.role);
-        self.left -= content.len() as f64 + OVERHEAD;
+        self.budget -= content.len() as f64 + FRAME_OVERHEAD_BYTES;
         self.sent_bytes += content.len() as u64;
-        self.waiting.push(to.number, content);
+        self.outbox.push(to.number, content);
     }
 
     /// Pushes a document: its head, and all chunks if it has any and `with_chunks`. What was under way of an earlier
@@ -120,14 +120,14 @@
         with_chunks: bool,
     ) {
         let key = (to, document.key);
-        let before = self.take(key);
+        let before = self.take_push(key);
         let chunks = match before {
             // A delta that is under way goes on.
             Some(before)
                 if before.document.version > document.version
                     || before.document.version == document.version && before.delta.is_some() =>
             {
-                self.put(now, key, before);
+                self.insert_push(now, key, before);
                 return;
             }
             Some(before) if before.document.version == document.version => before.chunks,
@@ -136,10 +136,10 @@
             }
             _ => ChunkSet::default(),
         };
-        if self.pushes.len() >= MOST_PUSHES {
+        if self.pushes.len() >= MAX_PUSHES {
             return;
         }
-        self.put(now, key, Push::new(document, stage, true, chunks));
+        self.insert_push(now, key, Push::new(document, stage, true, chunks));
     }
 
     /// Pushes a committed document to a receiver that has the one that the delta is made from.
@@ -151,10 +151,10 @@
         delta: DeltaParts,
     ) {
         let key = (to, document.key);
-        self.take(key);
-        if self.pushes.len() < MOST_PUSHES {
+        self.take_push(key);
+        if self.pushes.len() < MAX_PUSHES {
             let push = Push::new(document, Stage::Committed, true, ChunkSet::default());
-            self.put(now, key, Push { delta: Some(delta), ..push });
+            self.insert_push(now, key, Push { delta: Some(delta), ..push });
         }
     }
 
@@ -176,12 +176,12 @@
             Wanted::Chunks(chunks) => all.without(all.without(chunks)),
         };
         let same = |push: &Push| push.document.version == document.version && push.delta.is_none();
-        let before = self.take(key).filter(same);
+        let before = self.take_push(key).filter(same);
         let head = head || wanted.is_empty() || before.as_ref().is_some_and(|push| push.head);
         let chunks = before.map_or(wanted, |push| push.chunks.union(wanted));
-        let push = Push { heard: true, ..Push::new(document, stage, head, chunks) };
-        if self.pushes.len() < MOST_PUSHES {
-            self.put(now, key, push);
+        let push = Push { has_head: true, ..Push::new(document, stage, head, chunks) };
+        if self.pushes.len() < MAX_PUSHES {
+            self.insert_push(now, key, push);
         }
     }
 
@@ -191,10 +191,10 @@
     }
 
     /// The receiver has this version.
-    pub fn arrived(&mut self, to: Receiver, key: DocumentKey, version: Version) {
-        let reached = |push: &Push| push.document.version <= version;
-        if self.pushes.get(&(to, key)).is_some_and(reached) {
-            self.take((to, key));
+    pub fn on_arrived(&mut self, to: Receiver, key: DocumentKey, version: Version) {
+        let is_delivered = |push: &Push| push.document.version <= version;
+        if self.pushes.get(&(to, key)).is_some_and(is_delivered) {
+            self.take_push((to, key));
         }
     }
 
@@ -203,90 +203,91 @@
     pub fn accepted(&mut self, to: Receiver, id: DocumentId, round: u32) {
         let stage = self.pushes.get(&(to, id.key)).map(|push| push.stage);
         if round == 0 || !matches!(stage, Some(Stage::Committed)) {
-            self.arrived(to, id.key, id.version);
+            self.on_arrived(to, id.key, id.version);
         }
     }
 
     /// Drops all pushes to a receiver.
-    pub fn forget(&mut self, to: Receiver) {
+    pub fn drop_receiver(&mut self, to: Receiver) {
         let keys = self.pushes.keys().filter(|(receiver, _)| *receiver == to);
         let keys: Vec<_> = keys.copied().collect();
-        keys.into_iter().for_each(|key| drop(self.take(key)));
+        keys.into_iter().for_each(|key| drop(self.take_push(key)));
     }
 
     /// Drops pushes that no longer hold, such as proposals of a writer that is none any more.
-    pub fn retain(&mut self, holds: impl Fn(&Document, Stage) -> bool) {
-        let gone = self.pushes.iter().filter(|(_, push)| !holds(&push.document, push.stage));
-        let gone: Vec<_> = gone.map(|(key, _)| *key).collect();
-        gone.into_iter().for_each(|key| drop(self.take(key)));
+    pub fn retain(&mut self, is_valid: impl Fn(&Document, Stage) -> bool) {
+        let obsolete = self.pushes.iter().filter(|(_, push)| !is_valid(&push.document, push.stage));
+        let obsolete: Vec<_> = obsolete.map(|(key, _)| *key).collect();
+        obsolete.into_iter().for_each(|key| drop(self.take_push(key)));
     }
 
     /// Sends what is due, as far as the budget allows.
-    pub fn pump(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.counted) as f64 / 1e6;
-        self.counted = self.counted.max(now);
-        self.left = (self.left + passed * self.rate).min((self.rate * BURST).max(LEAST_BURST));
-        while self.left > 0.0 && self.waiting.len() < ENOUGH_WAITING {
+    pub fn send_due(&mut self, now: Micros) {
+        let elapsed_seconds = now.saturating_sub(self.budget_updated_at) as f64 / 1e6;
+        self.budget_updated_at = self.budget_updated_at.max(now);
+        self.budget = (self.budget + elapsed_seconds * self.rate)
+            .min((self.rate * BURST_SECONDS).max(MIN_BURST_BYTES));
+        while self.budget > 0.0 && self.outbox.len() < MAX_QUEUED_MESSAGES {
             let queues = [&self.due_to_control_nodes, &self.due_to_sidecars];
             let first = queues.into_iter().filter_map(|due| due.first_key_value());
-            let due = first.filter(|(slot, _)| slot.0 <= now).map(|(_, key)| *key).next();
+            let due = first.filter(|(due_key, _)| due_key.0 <= now).map(|(_, key)| *key).next();
             let Some(key) = due else { return };
-            let Some(push) = self.take(key) else { return };
-            self.step(now, key, push);
+            let Some(push) = self.take_push(key) else { return };
+            self.send_next(now, key, push);
         }
     }
 
     /// Sends one message of a push.
-    fn step(&mut self, now: Micros, key: (Receiver, DocumentKey), mut push: Push) {
+    fn send_next(&mut self, now: Micros, key: (Receiver, DocumentKey), mut push: Push) {
         if push.head {
             push.head = false;
             push.tries += 1;
             match &push.delta {
                 Some(parts) => push.chunks = ChunkSet::below(parts.len()),
-                None => self.say(key.0, &Message::Offer(offer(&push.document, push.stage))),
+                None => self.send(key.0, &Message::Offer(offer(&push.document, push.stage))),
             }
         } else if let Some(index) = push.chunks.pop() {
             if let Some(part) = push.delta.as_ref().and_then(|parts| parts.get(index)) {
-                self.say(key.0, &Message::Delta(part.clone()));
-                return self.go_on(now, key, push);
+                self.send(key.0, &Message::Delta(part.clone()));
+                return self.reschedule(now, key, push);
             }
             let content = push.document.body.as_deref().unwrap_or_default();
             let count = chunks::count(content.len()) as u16;
             let bytes = chunks::chunk(content, index).to_vec();
             let version = push.document.version;
-            self.say(key.0, &Message::Chunk { version, index: index as u16, count, bytes });
+            self.send(key.0, &Message::Chunk { version, index: index as u16, count, bytes });
         } else {
             // Nobody has answered.
             push.head = true;
         }
-        self.go_on(now, key, push);
+        self.reschedule(now, key, push);
     }
 
     /// Puts a push back until its next message is due.
-    fn go_on(&mut self, now: Micros, key: (Receiver, DocumentKey), push: Push) {
+    fn reschedule(&mut self, now: Micros, key: (Receiver, DocumentKey), push: Push) {
         let more = push.head || !push.chunks.is_empty();
         if more {
-            self.put(now, key, push);
-        } else if !push.heard && push.tries < MOST_TRIES {
-            let wait = AGAIN + AGAIN / 2 * Micros::from(push.tries - 1);
-            self.put(now + wait, key, push);
+            self.insert_push(now, key, push);
+        } else if !push.has_head && push.tries < MAX_TRIES {
+            let wait = RETRY_DELAY + RETRY_DELAY / 2 * Micros::from(push.tries - 1);
+            self.insert_push(now + wait, key, push);
         }
     }
 
-    fn put(&mut self, at: Micros, key: (Receiver, DocumentKey), mut push: Push) {
-        self.next_slot += 1;
-        push.slot = (at, self.next_slot);
-        self.due_to(key.0.role).insert(push.slot, key);
+    fn insert_push(&mut self, at: Micros, key: (Receiver, DocumentKey), mut push: Push) {
+        self.next_sequence += 1;
+        push.due_key = (at, self.next_sequence);
+        self.due_queue(key.0.role).insert(push.due_key, key);
         self.pushes.insert(key, push);
     }
 
-    fn take(&mut self, key: (Receiver, DocumentKey)) -> Option<Push> {
+    fn take_push(&mut self, key: (Receiver, DocumentKey)) -> Option<Push> {
         let push = self.pushes.remove(&key)?;
-        self.due_to(key.0.role).remove(&push.slot);
+        self.due_queue(key.0.role).remove(&push.due_key);
         Some(push)
     }
 
-    fn due_to(&mut self, role: Role) -> &mut BTreeMap<Slot, (Receiver, DocumentKey)> {
+    fn due_queue(&mut self, role: Role) -> &mut BTreeMap<DueKey, (Receiver, DocumentKey)> {
         match role {
             Role::ControlNode => &mut self.due_to_control_nodes,
             Role::Sidecar => &mut self.due_to_sidecars,
@@ -295,7 +296,7 @@
 
     /// The next message, and to whom it goes.
     pub fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)> {
-        self.waiting.pop()
+        self.outbox.pop()
     }
 
     /// When [`Outgoing::pump`] has something to do.
@@ -303,8 +304,8 @@
         let queues = [&self.due_to_control_nodes, &self.due_to_sidecars];
         let first = queues.into_iter().filter_map(|due| due.first_key_value());
         let due = first.map(|((at, _), _)| *at).min().unwrap_or(Micros::MAX);
-        if self.left <= 0.0 || self.waiting.len() >= ENOUGH_WAITING {
-            return due.max(self.counted + PAUSE);
+        if self.budget <= 0.0 || self.outbox.len() >= MAX_QUEUED_MESSAGES {
+            return due.max(self.budget_updated_at + BUDGET_RETRY_DELAY);
         }
         due
     }
@@ -312,7 +313,7 @@
 
 fn is_inline(document: &Document, stage: Stage) -> bool {
     let round = if matches!(stage, Stage::Proposed(_)) { 4 } else { 0 };
-    document.length() + round <= MOST_INLINE
+    document.length() + round <= MAX_INLINE_BYTES
 }
 
 fn offer(document: &Document, stage: Stage) -> Offer {
--- a/crates/millethook-distribution/src/rendezvous.rs
+++ b/crates/millethook-distribution/src/rendezvous.rs
@@ -10,17 +10,17 @@
 ///
 /// The second is of another zone on purpose: when all control nodes of a zone are gone at once, each sidecar there still
 /// has one that knows it.
-pub(crate) fn order(who: &Identity, control_nodes: &[ControlMember]) -> Vec<u16> {
+pub(crate) fn preference_order(sidecar: &Identity, control_nodes: &[ControlMember]) -> Vec<u16> {
     let distance = |node: &ControlMember| match node {
-        node if node.zone == who.zone && node.region == who.region => 0u8,
-        node if node.region == who.region => 1,
+        node if node.zone == sidecar.zone && node.region == sidecar.region => 0u8,
+        node if node.region == sidecar.region => 1,
         _ => 2,
     };
-    let subject = mix(u64::from(who.number).wrapping_add(0x5851_f42d_4c95_7f2d));
+    let subject = mix(u64::from(sidecar.number).wrapping_add(0x5851_f42d_4c95_7f2d));
     let mut nodes: Vec<&ControlMember> =
-        control_nodes.iter().filter(|node| node.number != who.number).collect();
-    let by_weight = |node: &ControlMember| std::cmp::Reverse(weight(subject, node.number.into()));
-    nodes.sort_by_key(|node| (distance(node), by_weight(node)));
+        control_nodes.iter().filter(|node| node.number != sidecar.number).collect();
+    let weight_of = |node: &ControlMember| std::cmp::Reverse(weight(subject, node.number.into()));
+    nodes.sort_by_key(|node| (distance(node), weight_of(node)));
     if let Some(first) = nodes.first().copied() {
         let other = nodes.iter().position(|node| node.zone != first.zone);
         if let Some(other) = other.filter(|other| distance(nodes[*other]) <= 1) {
--- a/crates/millethook-distribution/src/report.rs
+++ b/crates/millethook-distribution/src/report.rs
@@ -3,9 +3,9 @@
 use crate::{DocumentKey, Version};
 
 /// The longest reason of a refusal that is told, in bytes.
-pub const MOST_REASON: usize = 60;
+pub const MAX_REASON_BYTES: usize = 60;
 /// Members that are named in a report, at most.
-pub const MOST_NAMED: usize = 16;
+pub const MAX_NAMED_MEMBERS: usize = 16;
 
 /// Why a host did not take a document. The code is the host's own.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         if self.first_refusal.is_none() {
             self.first_refusal.clone_from(&other.first_refusal);
         }
-        let room = MOST_NAMED.saturating_sub(self.not_heard_members.len());
+        let room = MAX_NAMED_MEMBERS.saturating_sub(self.not_heard_members.len());
         self.not_heard_members.extend(other.not_heard_members.iter().take(room));
     }
 
--- a/crates/millethook-distribution/src/scope.rs
+++ b/crates/millethook-distribution/src/scope.rs
@@ -38,24 +38,24 @@
     pub const LEVELS: usize = 5;
 
     /// Whether a document of this scope is for this sidecar.
-    pub fn covers(self, who: &Identity) -> bool {
+    pub fn covers(self, sidecar: &Identity) -> bool {
         match self {
             Scope::All => true,
-            Scope::Region(region) => region == who.region,
-            Scope::Zone(zone) => zone == who.zone,
-            Scope::Service(service) => service == who.service,
-            Scope::Sidecar(number) => number == who.number,
+            Scope::Region(region) => region == sidecar.region,
+            Scope::Zone(zone) => zone == sidecar.zone,
+            Scope::Service(service) => service == sidecar.service,
+            Scope::Sidecar(number) => number == sidecar.number,
         }
     }
 
     /// The scopes that apply to a sidecar, in the order of merge.
-    pub fn of(who: &Identity) -> [Scope; Scope::LEVELS] {
+    pub fn of(sidecar: &Identity) -> [Scope; Scope::LEVELS] {
         [
             Scope::All,
-            Scope::Region(who.region),
-            Scope::Zone(who.zone),
-            Scope::Service(who.service),
-            Scope::Sidecar(who.number),
+            Scope::Region(sidecar.region),
+            Scope::Zone(sidecar.zone),
+            Scope::Service(sidecar.service),
+            Scope::Sidecar(sidecar.number),
         ]
     }
 
@@ -116,28 +116,28 @@
     }
 
     /// The key as one byte, for a reader that knows the sidecar's identity: kind and level.
-    pub(crate) fn short(self) -> u8 {
+    pub(crate) fn compact(self) -> u8 {
         (self.kind as u8) << 4 | self.scope.level()
     }
 
     /// The key that [`DocumentKey::short`] stands for at a sidecar.
-    pub(crate) fn from_short(short: u8, who: &Identity) -> Option<DocumentKey> {
-        let kind = *DocumentKind::ALL.get(usize::from(short >> 4))?;
-        let scope = *Scope::of(who).get(usize::from(short & 0x0f))?;
+    pub(crate) fn from_compact(compact: u8, sidecar: &Identity) -> Option<DocumentKey> {
+        let kind = *DocumentKind::ALL.get(usize::from(compact >> 4))?;
+        let scope = *Scope::of(sidecar).get(usize::from(compact & 0x0f))?;
         Some(DocumentKey { kind, scope })
     }
 
     /// Adds it to a message: 5 bytes.
     pub(crate) fn write(self, bytes: &mut Vec<u8>) {
-        bytes.put_u8(self.short());
+        bytes.put_u8(self.compact());
         bytes.put_u32(self.scope.number());
     }
 
     /// Takes it from a message; None: there is less, or no such key.
     pub(crate) fn read(bytes: &mut &[u8]) -> Option<DocumentKey> {
-        let short = codec::byte(bytes)?;
+        let compact = codec::byte(bytes)?;
         let number = codec::word(bytes)?;
-        let scope = match short & 0x0f {
+        let scope = match compact & 0x0f {
             0 => Scope::All,
             1 => Scope::Region(number),
             2 => Scope::Zone(number),
@@ -145,7 +145,7 @@
             4 => Scope::Sidecar(u16::try_from(number).ok()?),
             _ => return None,
         };
-        let kind = *DocumentKind::ALL.get(usize::from(short >> 4))?;
+        let kind = *DocumentKind::ALL.get(usize::from(compact >> 4))?;
         Some(DocumentKey { kind, scope })
     }
 }
--- a/crates/millethook-distribution/src/sidecar.rs
+++ b/crates/millethook-distribution/src/sidecar.rs
@@ -16,32 +16,32 @@
 use crate::lists::{is_for, list_of};
 use crate::message::{Digest, Message, Offer, Role, Stage};
 use crate::mutant::{self, Mutant};
-use crate::transfer::{Arrival, GAP, Incoming, Request};
+use crate::transfer::{ARRIVAL_TIMEOUT, Arrival, Incoming, Request};
 use crate::{
     DistributionConfig, Document, DocumentId, DocumentKey, DocumentKind, MAX_LISTS, Scope,
     Snapshot, Version,
 };
 use deltas::Deltas;
 use links::Links;
-pub(crate) use list_links::CONFIRM_EVERY;
+pub(crate) use list_links::CONFIRM_INTERVAL;
 use list_links::ListLinks;
 use statuses::Candidate;
 
 /// Messages that wait to be fetched, at most.
-const OUT: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 /// Keys that one sidecar has documents of, at most, beside the lists that it wants.
-const KEYS: usize = Scope::LEVELS * DocumentKind::ALL.len();
+const MAX_BASE_KEYS: usize = Scope::LEVELS * DocumentKind::ALL.len();
 /// Chunks of a document that are asked for together. Half of them have to be on their way while the next are asked for; and
 /// as soon as a better control node has the document, what is not asked for yet comes from there.
-const WINDOW: usize = 64;
+const CHUNK_REQUEST_WINDOW: usize = 64;
 /// Where a long list waits for its delta ([`DELTA_IS_LATE`]) and another control node than the first tells of it once more,
 /// the whole is asked for after so long. Elsewhere it has no effect: the first head of a document sets the wait to [`GAP`],
 /// which is shorter, and a later time does not prolong it.
-const FIRST_IS_LATE: Micros = 300_000;
+const SECONDARY_FETCH_DELAY: Micros = 300_000;
 /// A list of which an earlier version is in force is asked for at another control node than the first after so long: the
 /// first one sends a delta. Where a fifth is lost it may itself have the list half a second after others, and the delta may
 /// have to go out three times.
-const DELTA_IS_LATE: Micros = 1_500_000;
+const DELTA_FETCH_DELAY: Micros = 1_500_000;
 
 /// Something that the host has to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -103,8 +103,8 @@
     incoming: Incoming,
     deltas: Deltas,
     /// Kinds whose candidates have changed since the last event.
-    news: BTreeSet<DocumentKind>,
-    out: SendQueue<u16>,
+    changed_kinds: BTreeSet<DocumentKind>,
+    outbox: SendQueue<u16>,
     figures: SubscriberFigures,
 }
 
@@ -115,7 +115,7 @@
         let mut in_force: BTreeMap<DocumentKey, Arc<Document>> = BTreeMap::new();
         for document in snapshot.unwrap_or_default().documents {
             let mine = is_for(document.key, &config.identity, |list| lists.contains(&list));
-            let sound = document.is_whole() && mine;
+            let sound = document.is_intact() && mine;
             let before = in_force.get(&document.key).map(|other| other.version);
             if sound && before < Some(document.version) {
                 in_force.insert(document.key, Arc::new(document));
@@ -128,23 +128,23 @@
             in_force,
             candidates: BTreeMap::new(),
             highest,
-            incoming: Incoming::new(2 * (KEYS + lists.len()), WINDOW),
+            incoming: Incoming::new(2 * (MAX_BASE_KEYS + lists.len()), CHUNK_REQUEST_WINDOW),
             deltas: Deltas::default(),
             lists,
-            news: BTreeSet::new(),
-            out: SendQueue::new(OUT),
+            changed_kinds: BTreeSet::new(),
+            outbox: SendQueue::new(MAX_QUEUED_MESSAGES),
             figures: SubscriberFigures::default(),
             config,
         }
     }
 
     /// Keys that it has documents of, at most.
-    fn most_keys(&self) -> usize {
-        KEYS + self.lists.len()
+    fn max_keys(&self) -> usize {
+        MAX_BASE_KEYS + self.lists.len()
     }
 
     /// Whether a document of this key is for this sidecar.
-    fn is_mine(&self, key: DocumentKey) -> bool {
+    fn applies_here(&self, key: DocumentKey) -> bool {
         is_for(key, &self.config.identity, |list| self.lists.contains(&list))
     }
 
@@ -152,14 +152,14 @@
     fn changed(&mut self, now: Micros, key: DocumentKey) {
         match list_of(key) {
             Some(service) => self.list_links.changed(now, service),
-            None => self.links.hurry(now),
+            None => self.links.report_soon(now),
         }
     }
 
     /// A message of a member.
     pub fn handle(&mut self, now: Micros, from: u16, content: &[u8]) {
         let message = match Message::read(content) {
-            Ok((Role::Sidecar, message)) if self.links.knows(from) => message,
+            Ok((Role::Sidecar, message)) if self.links.is_control_node(from) => message,
             // It is for a control node in this process.
             Ok((Role::ControlNode, _)) => return,
             _ => {
@@ -169,14 +169,14 @@
         };
         self.links.heard(from);
         match message {
-            Message::Agree { hash, known } => {
+            Message::DigestReply { hash, known } => {
                 let current = self.hash();
                 self.links.answered(now, from, hash, known, current);
                 if !self.lists.is_empty() && self.links.numbers().contains(&from) {
-                    self.list_links.answered_digest(now, from, known);
+                    self.list_links.on_digest_reply(now, from, known);
                 }
             }
-            Message::AgreeLists { hash, known } => {
+            Message::ListsReply { hash, known } => {
                 let current = self.list_statuses().hash();
                 self.list_links.answered(now, from, hash, known, current);
             }
@@ -184,8 +184,8 @@
             Message::Offer(offer) => self.on_offer(now, from, offer),
             Message::Chunk { version, index, count, bytes } => {
                 if !self.is_known(version) {
-                    let at = (usize::from(index), usize::from(count));
-                    let arrival = self.incoming.chunk(now, from, version, at, &bytes);
+                    let header = (usize::from(index), usize::from(count));
+                    let arrival = self.incoming.chunk(now, from, version, header, &bytes);
                     self.on_arrival(now, arrival);
                 }
             }
@@ -195,26 +195,26 @@
     }
 
     fn on_offer(&mut self, now: Micros, from: u16, offer: Offer) {
-        if self.takes(now, from, &offer) {
-            self.on_head(now, from, offer);
+        if self.is_new_offer(now, from, &offer) {
+            self.on_offer_head(now, from, offer);
         }
     }
 
     /// Whether what is offered is for this sidecar and new.
-    fn takes(&mut self, now: Micros, from: u16, offer: &Offer) -> bool {
+    fn is_new_offer(&mut self, now: Micros, from: u16, offer: &Offer) -> bool {
         let id = offer.id;
-        let mine = self.is_mine(id.key) || mutant::is(Mutant::AnyScope);
+        let mine = self.applies_here(id.key) || mutant::is(Mutant::AnyScope);
         if !mine || offer.stage != Stage::Committed {
             self.figures.not_for_me += 1;
             return false;
         }
-        let known = self.known(id.key);
+        let known = self.known_version(id.key);
         if known >= Some(id.version) && !mutant::is(Mutant::VersionsGoBack) {
             // The sender does not know what this sidecar has.
             self.figures.not_for_me += u64::from(known > Some(id.version));
             match list_of(id.key) {
-                Some(service) => self.list_links.tell_again(now, from, service),
-                None => self.links.tell_again(now, from),
+                Some(service) => self.list_links.resend_status(now, from, service),
+                None => self.links.resend_status(now, from),
             }
             return false;
         }
@@ -222,89 +222,90 @@
     }
 
     /// The head of a document has come that is for this sidecar and new.
-    fn on_head(&mut self, now: Micros, from: u16, offer: Offer) {
+    fn on_offer_head(&mut self, now: Micros, from: u16, offer: Offer) {
         let id = offer.id;
-        let ask_at = self.asks_at(now, from, offer.length);
-        let begins = !self.incoming.contains(id.version);
-        let arrival = self.incoming.offer(now, ask_at, from, offer);
-        if begins && self.may_come_as_delta(from, id.key) {
-            self.incoming.wait_for_delta(id.version, now + DELTA_IS_LATE);
+        let fetch_at = self.fetch_time(now, from, offer.length);
+        let is_new = !self.incoming.contains(id.version);
+        let arrival = self.incoming.offer(now, fetch_at, from, offer);
+        if is_new && self.may_come_as_delta(from, id.key) {
+            self.incoming.wait_for_delta(id.version, now + DELTA_FETCH_DELAY);
         }
         self.on_arrival(now, arrival);
     }
 
-    fn is_first(&self, control_node: u16) -> bool {
+    fn is_first_node(&self, control_node: u16) -> bool {
         self.links.numbers().first() == Some(&control_node)
     }
 
     /// Whether the first control node is expected to send a delta to a list whose head has come from another one.
     fn may_come_as_delta(&self, from: u16, key: DocumentKey) -> bool {
-        !self.is_first(from) && list_of(key).is_some() && self.in_force.contains_key(&key)
+        !self.is_first_node(from) && list_of(key).is_some() && self.in_force.contains_key(&key)
     }
 
     /// When a document is asked for whose head has come from this control node.
-    fn asks_at(&self, now: Micros, from: u16, length: usize) -> Micros {
-        let is_first = self.is_first(from);
-        match (chunks::comes_at_once(length), is_first) {
-            (true, _) => now + GAP,
+    fn fetch_time(&self, now: Micros, from: u16, length: usize) -> Micros {
+        let is_first_node = self.is_first_node(from);
+        match (chunks::is_sent_eagerly(length), is_first_node) {
+            (true, _) => now + ARRIVAL_TIMEOUT,
             (false, true) => now,
-            (false, false) => now + FIRST_IS_LATE,
+            (false, false) => now + SECONDARY_FETCH_DELAY,
         }
     }
 
     fn on_arrival(&mut self, now: Micros, arrival: Arrival) {
         match arrival {
-            Arrival::Whole(document, Stage::Committed) => self.on_whole(now, document),
+            Arrival::Complete(document, Stage::Committed) => self.on_complete(now, document),
             Arrival::Damaged => self.figures.damaged += 1,
-            Arrival::Whole(..) | Arrival::Incomplete | Arrival::Full => {}
+            Arrival::Complete(..) | Arrival::Incomplete | Arrival::NoRoom => {}
         }
     }
 
-    fn on_whole(&mut self, now: Micros, document: Document) {
+    fn on_complete(&mut self, now: Micros, document: Document) {
         let id = document.id();
-        let newer = self.known(id.key) < Some(id.version) || mutant::is(Mutant::VersionsGoBack);
-        if !newer || self.candidates.len() >= self.most_keys() {
+        let newer =
+            self.known_version(id.key) < Some(id.version) || mutant::is(Mutant::VersionsGoBack);
+        if !newer || self.candidates.len() >= self.max_keys() {
             return;
         }
-        self.incoming.drop_older(id);
+        self.incoming.drop_up_to(id);
         self.deltas.drop_key(id.key);
         self.candidates.insert(id.key, Candidate::Offered(Arc::new(document)));
-        self.news.insert(id.key.kind);
+        self.changed_kinds.insert(id.key.kind);
         self.changed(now, id.key);
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Micros) {
-        let asked_first = self.links.numbers();
-        for Request { to, key, version, wanted } in self.incoming.due(now, &asked_first) {
-            let message = Message::Missing { of: Role::Sidecar, key, version, wanted };
-            self.out.push(to, message.write(Role::ControlNode));
+        let preferred_senders = self.links.numbers();
+        for Request { to, key, version, wanted } in self.incoming.due(now, &preferred_senders) {
+            let message = Message::Fetch { of: Role::Sidecar, key, version, wanted };
+            self.outbox.push(to, message.write(Role::ControlNode));
         }
-        self.tell_lists(now);
+        self.send_list_statuses(now);
         if self.links.next_at() > now {
             return;
         }
         let hash = self.hash();
         for due in self.links.due(now, hash) {
             let digest = Digest {
-                who: self.config.identity,
+                identity: self.config.identity,
                 rank: due.rank,
                 hash,
                 statuses: due.whole.then(|| self.statuses()),
             };
-            self.out.push(due.to, Message::Digest(digest).write(Role::ControlNode));
+            self.outbox.push(due.to, Message::Digest(digest).write(Role::ControlNode));
         }
     }
 
     /// Tells control nodes which lists are wanted, and how this sidecar stands to them.
-    fn tell_lists(&mut self, now: Micros) {
+    fn send_list_statuses(&mut self, now: Micros) {
         if self.list_links.next_at() > now {
             return;
         }
         self.list_links.retain(&self.links.numbers());
         let statuses = self.list_statuses();
         for (to, lists) in self.list_links.due(now, &statuses) {
-            self.out.push(to, Message::Lists(lists).write(Role::ControlNode));
+            self.outbox.push(to, Message::ListsUpdate(lists).write(Role::ControlNode));
         }
     }
 
@@ -315,7 +316,7 @@
 
     /// The next message, and to whom it goes.
     pub fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)> {
-        self.out.pop()
+        self.outbox.pop()
     }
 }
 
--- a/crates/millethook-distribution/src/sidecar/deltas.rs
+++ b/crates/millethook-distribution/src/sidecar/deltas.rs
@@ -14,11 +14,11 @@
 use crate::{Document, DocumentKey, Version};
 
 /// One of which nothing has come for so long is given up.
-const GIVE_UP: Micros = 8_000_000;
+const DELTA_TIMEOUT: Micros = 8_000_000;
 
 /// A control node sends what is not answered again after 0.25 s, then after 0.13 s more each time. While parts come at
 /// least once in this time, the whole is not asked for.
-const NEXT_PARTS: Micros = 750_000;
+const DELTA_PART_TIMEOUT: Micros = 750_000;
 
 /// A delta of which some parts have come.
 #[derive(Clone, Debug)]
@@ -43,17 +43,17 @@
     }
 
     /// A part has come; the whole delta once all are there.
-    fn take(&mut self, now: Micros, delta: &Delta) -> Option<Vec<u8>> {
-        self.0.retain(|_, parts| now < parts.arrived.saturating_add(GIVE_UP));
+    fn add_part(&mut self, now: Micros, delta: &Delta) -> Option<Vec<u8>> {
+        self.0.retain(|_, parts| now < parts.arrived.saturating_add(DELTA_TIMEOUT));
         let (version, base) = (delta.id.version, delta.base);
-        let begun = || Parts { version, base, parts: BTreeMap::new(), arrived: now };
-        let parts = self.0.entry(delta.id.key).or_insert_with(begun);
+        let new_parts = || Parts { version, base, parts: BTreeMap::new(), arrived: now };
+        let parts = self.0.entry(delta.id.key).or_insert_with(new_parts);
         if (parts.version, parts.base) != (version, base) {
             // Two control nodes may make it of different bases: one after the other comes whole.
             if parts.version > version {
                 return None;
             }
-            *parts = begun();
+            *parts = new_parts();
         }
         parts.arrived = now;
         parts.parts.insert(delta.index, delta.bytes.clone());
@@ -76,15 +76,15 @@
             length: delta.length,
             inline: None,
         };
-        if !self.takes(now, from, &head) {
+        if !self.is_new_offer(now, from, &head) {
             return;
         }
         let key = delta.id.key;
         let Some(base) = self.base(key, delta.base) else {
-            return self.on_head(now, from, head);
+            return self.on_offer_head(now, from, head);
         };
-        let Some(bytes) = self.deltas.take(now, &delta) else {
-            return self.incoming.wait_for_delta(delta.id.version, now + NEXT_PARTS);
+        let Some(bytes) = self.deltas.add_part(now, &delta) else {
+            return self.incoming.wait_for_delta(delta.id.version, now + DELTA_PART_TIMEOUT);
         };
         let base = base.body.as_deref().unwrap_or_default();
         let content = delta::apply(base, &bytes, delta.length);
@@ -95,14 +95,14 @@
             hash: delta.hash,
         });
         let unchecked = mutant::is(Mutant::DeltaUnchecked);
-        match document.filter(|document| document.is_whole() || unchecked) {
+        match document.filter(|document| document.is_intact() || unchecked) {
             Some(document) => {
                 self.figures.deltas += 1;
-                self.on_whole(now, document);
+                self.on_complete(now, document);
             }
             None => {
                 self.figures.damaged += 1;
-                self.on_head(now, from, head);
+                self.on_offer_head(now, from, head);
             }
         }
     }
--- a/crates/millethook-distribution/src/sidecar/host.rs
+++ b/crates/millethook-distribution/src/sidecar/host.rs
@@ -8,13 +8,13 @@
 use super::{NotOffered, Subscriber, SubscriberEvent, SubscriberFigures};
 use crate::lists::list_of;
 use crate::mutant::{self, Mutant};
-use crate::report::MOST_REASON;
+use crate::report::MAX_REASON_BYTES;
 use crate::{Document, DocumentKey, Refusal, Snapshot, Version};
 
 impl Subscriber {
     /// The next event.
     pub fn poll_event(&mut self) -> Option<SubscriberEvent> {
-        while let Some(kind) = self.news.pop_first() {
+        while let Some(kind) = self.changed_kinds.pop_first() {
             let of_kind = self.candidates.iter().filter(|(key, _)| key.kind == kind);
             let offered = of_kind.filter_map(|(_, candidate)| match candidate {
                 Candidate::Offered(document) => Some(document.clone()),
@@ -53,7 +53,7 @@
             }
         }
         if configuration {
-            self.links.hurry(now);
+            self.links.report_soon(now);
         }
         Ok(())
     }
@@ -71,7 +71,7 @@
         let document = self.offered(version).ok_or(NotOffered(version))?;
         self.figures.refused += 1;
         if !mutant::is(Mutant::RefusedComesBack) {
-            let why = Refusal { code: why.code, reason: why.cut(MOST_REASON).to_string() };
+            let why = Refusal { code: why.code, reason: why.cut(MAX_REASON_BYTES).to_string() };
             self.candidates.insert(document.key, Candidate::Refused(version, why));
         }
         self.changed(now, document.key);
--- a/crates/millethook-distribution/src/sidecar/list_links.rs
+++ b/crates/millethook-distribution/src/sidecar/list_links.rs
@@ -12,23 +12,23 @@
 use rand_pcg::Pcg32;
 
 use crate::lists::ListStatuses;
-use crate::message::{Lists, Told, in_messages};
+use crate::message::{ListsPayload, ListsUpdate, split_into_messages};
 
 /// A control node that knows the lists is told their hash once in so long.
-pub(crate) const CONFIRM_EVERY: Micros = 4_000_000;
+pub(crate) const CONFIRM_INTERVAL: Micros = 4_000_000;
 /// The mean wait until what was not answered is told again. It doubles each time, up to [`CONFIRM_EVERY`].
-const RETRY: Micros = 350_000;
+const RETRY_MEAN: Micros = 350_000;
 /// A change is told within this time.
-const HURRY: Micros = 50_000;
+const CHANGE_REPORT_DELAY: Micros = 50_000;
 
 /// One control node that is told.
 #[derive(Clone, Debug)]
 struct ListLink {
     number: u16,
     /// It has said that it knows all that is not in `changed`.
-    knows: bool,
+    is_in_sync: bool,
     /// It has said that it does not know the hash.
-    asks: bool,
+    needs_full: bool,
     /// Services whose lists it may know less of.
     changed: BTreeSet<u32>,
     unanswered: u32,
@@ -48,13 +48,13 @@
     }
 
     /// A control node that is asked has answered a digest; `knew`: it had what the digest says.
-    pub fn answered_digest(&mut self, now: Micros, number: u16, knew: bool) {
+    pub fn on_digest_reply(&mut self, now: Micros, number: u16, knew: bool) {
         match self.links.iter_mut().find(|link| link.number == number) {
-            Some(link) if !knew => link.next_at = link.next_at.min(now + HURRY),
+            Some(link) if !knew => link.next_at = link.next_at.min(now + CHANGE_REPORT_DELAY),
             None if knew => self.links.push(ListLink {
                 number,
-                knows: false,
-                asks: false,
+                is_in_sync: false,
+                needs_full: false,
                 changed: BTreeSet::new(),
                 unanswered: 0,
                 next_at: now,
@@ -70,15 +70,15 @@
 
     /// A control node has answered; `current` is the hash now.
     pub fn answered(&mut self, now: Micros, number: u16, hash: u64, known: bool, current: u64) {
-        let wait = self.spread(CONFIRM_EVERY);
+        let wait = self.with_jitter(CONFIRM_INTERVAL);
         let Some(link) = self.links.iter_mut().find(|link| link.number == number) else { return };
         link.unanswered = 0;
-        (link.knows, link.asks) = (known, !known);
+        (link.is_in_sync, link.needs_full) = (known, !known);
         if known && hash == current {
             link.changed.clear();
             link.next_at = now + wait;
         } else if known {
-            link.next_at = link.next_at.min(now + HURRY);
+            link.next_at = link.next_at.min(now + CHANGE_REPORT_DELAY);
         } else {
             link.next_at = now;
         }
@@ -87,7 +87,7 @@
     /// How this sidecar stands to the list of a service has changed.
     pub fn changed(&mut self, now: Micros, service: u32) {
         for n in 0..self.links.len() {
-            let soon = now + self.random.next_u64() % HURRY;
+            let soon = now + self.random.next_u64() % CHANGE_REPORT_DELAY;
             let link = &mut self.links[n];
             link.changed.insert(service);
             link.next_at = link.next_at.min(soon);
@@ -95,28 +95,30 @@
     }
 
     /// This control node offers a list that is known here already.
-    pub fn tell_again(&mut self, now: Micros, number: u16, service: u32) {
+    pub fn resend_status(&mut self, now: Micros, number: u16, service: u32) {
         if let Some(link) = self.links.iter_mut().find(|link| link.number == number) {
             link.changed.insert(service);
-            link.next_at = link.next_at.min(now + RETRY / 4);
+            link.next_at = link.next_at.min(now + RETRY_MEAN / 4);
         }
     }
 
     /// What is due, by control node.
-    pub fn due(&mut self, now: Micros, statuses: &ListStatuses) -> Vec<(u16, Lists)> {
+    pub fn due(&mut self, now: Micros, statuses: &ListStatuses) -> Vec<(u16, ListsUpdate)> {
         let mut due = Vec::new();
         let hash = statuses.hash();
         for n in 0..self.links.len() {
             if self.links[n].next_at > now {
                 continue;
             }
-            let wait = RETRY.saturating_mul(1 << self.links[n].unanswered.min(16));
-            let wait = self.spread(wait.min(CONFIRM_EVERY));
+            let wait = RETRY_MEAN.saturating_mul(1 << self.links[n].unanswered.min(16));
+            let wait = self.with_jitter(wait.min(CONFIRM_INTERVAL));
             let link = &mut self.links[n];
             link.next_at = now + wait;
             link.unanswered = link.unanswered.saturating_add(1);
-            let told = link.tells(statuses);
-            due.extend(told.into_iter().map(|told| (link.number, Lists { hash, told })));
+            let payloads = link.payloads_due(statuses);
+            due.extend(
+                payloads.into_iter().map(|payload| (link.number, ListsUpdate { hash, payload })),
+            );
         }
         due
     }
@@ -127,19 +129,19 @@
     }
 
     /// A random wait around a mean, from three quarters to five quarters of it.
-    fn spread(&mut self, mean: Micros) -> Micros {
+    fn with_jitter(&mut self, mean: Micros) -> Micros {
         mean - mean / 4 + self.random.next_u64() % (mean / 2).max(1)
     }
 }
 
 impl ListLink {
     /// What it has to be told.
-    fn tells(&self, statuses: &ListStatuses) -> Vec<Told> {
-        if self.asks {
-            return in_messages(statuses).into_iter().map(Told::Whole).collect();
+    fn payloads_due(&self, statuses: &ListStatuses) -> Vec<ListsPayload> {
+        if self.needs_full {
+            return split_into_messages(statuses).into_iter().map(ListsPayload::Full).collect();
         }
-        if !self.knows || self.changed.is_empty() {
-            return vec![Told::Hash];
+        if !self.is_in_sync || self.changed.is_empty() {
+            return vec![ListsPayload::Hash];
         }
         let mut changes = ListStatuses::default();
         for service in &self.changed {
@@ -147,11 +149,11 @@
                 changes.insert(*service, status.clone());
             }
         }
-        let mut messages = in_messages(&changes);
+        let mut messages = split_into_messages(&changes);
         match (messages.pop(), messages.is_empty()) {
-            (Some(changes), true) => vec![Told::Changes(changes)],
+            (Some(changes), true) => vec![ListsPayload::Changes(changes)],
             // More than one message of changes: they could come in any order.
-            _ => in_messages(statuses).into_iter().map(Told::Whole).collect(),
+            _ => split_into_messages(statuses).into_iter().map(ListsPayload::Full).collect(),
         }
     }
 }
--- a/crates/millethook-distribution/src/sidecar/statuses.rs
+++ b/crates/millethook-distribution/src/sidecar/statuses.rs
@@ -5,7 +5,7 @@
 use super::Subscriber;
 use crate::lists::{ListStatus, ListStatuses};
 use crate::message::{State, Status};
-use crate::status::hash_of;
+use crate::status::hash_of_statuses;
 use crate::{Document, DocumentKey, DocumentKind, Refusal, Version};
 
 /// A document that is newer than the one in force.
@@ -35,7 +35,7 @@
 
 impl Subscriber {
     /// The latest version of a key that is known.
-    pub(super) fn known(&self, key: DocumentKey) -> Option<Version> {
+    pub(super) fn known_version(&self, key: DocumentKey) -> Option<Version> {
         let in_force = self.in_force.get(&key).map(|document| document.version);
         in_force.max(self.candidates.get(&key).map(Candidate::version))
     }
@@ -76,7 +76,7 @@
 
     /// The hash of what a digest says.
     pub(super) fn hash(&self) -> u64 {
-        hash_of(&self.statuses())
+        hash_of_statuses(&self.statuses())
     }
 
     /// How it stands to each list that it wants.
--- a/crates/millethook-distribution/src/status.rs
+++ b/crates/millethook-distribution/src/status.rs
@@ -6,9 +6,9 @@
 use crate::message::Status;
 
 /// A hash of statuses, the same at the sidecar and at its control nodes.
-pub(crate) fn hash_of(statuses: &[Status]) -> u64 {
+pub(crate) fn hash_of_statuses(statuses: &[Status]) -> u64 {
     statuses.iter().fold(mix(statuses.len() as u64), |hash, status| {
-        let of = u64::from(status.key.short()) << 8 | u64::from(status.state.number());
+        let of = u64::from(status.key.compact()) << 8 | u64::from(status.state.number());
         mix(hash ^ hash_of_version(status.version) ^ mix(of))
     })
 }
--- a/crates/millethook-distribution/src/version.rs
+++ b/crates/millethook-distribution/src/version.rs
@@ -38,16 +38,16 @@
 /// A text that is no version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?}: a token of 24 hexadecimal digits, \"-\" and a number expected")]
-pub struct NotAVersion(pub String);
+pub struct InvalidVersion(pub String);
 
 impl std::str::FromStr for Version {
-    type Err = NotAVersion;
+    type Err = InvalidVersion;
 
-    fn from_str(text: &str) -> Result<Version, NotAVersion> {
-        let wrong = || NotAVersion(text.chars().take(64).collect());
-        let (token, counter) = text.split_once('-').ok_or_else(wrong)?;
-        let token = token.parse().map_err(|_| wrong())?;
-        Ok(Version { token, counter: counter.parse().map_err(|_| wrong())? })
+    fn from_str(text: &str) -> Result<Version, InvalidVersion> {
+        let invalid = || InvalidVersion(text.chars().take(64).collect());
+        let (token, counter) = text.split_once('-').ok_or_else(invalid)?;
+        let token = token.parse().map_err(|_| invalid())?;
+        Ok(Version { token, counter: counter.parse().map_err(|_| invalid())? })
     }
 }
 
--- a/crates/millethook-distribution/src/writer.rs
+++ b/crates/millethook-distribution/src/writer.rs
@@ -10,14 +10,14 @@
 use crate::{Document, DocumentId, DocumentKey, Limits, Rollout, Version};
 
 /// An announcement that was not answered goes out again after this time.
-const AGAIN: Micros = 250_000;
+const ANNOUNCE_RETRY: Micros = 250_000;
 /// A round counts for this part of the silence: clocks may differ by a fifth.
-const ROUND: f64 = 0.8;
+const ROUND_SHARE_OF_SILENCE: f64 = 0.8;
 /// Keys of which reports are kept, at most.
-const MOST_REPORTS: usize = 1_024;
+const MAX_REPORTED_KEYS: usize = 1_024;
 /// A control node that has reported nothing for so long is not counted: its sidecars are counted elsewhere soon. Each
 /// reports something once a second.
-pub(crate) const REPORTS_HOLD: Micros = 4_000_000;
+pub(crate) const REPORT_VALIDITY: Micros = 4_000_000;
 
 /// The control nodes that are configured: a majority of them decides.
 #[derive(Clone, Debug)]
@@ -25,16 +25,16 @@
 
 impl Quorum {
     /// Whether these are a majority.
-    pub fn holds(&self, of: &BTreeSet<u16>) -> bool {
-        let less = usize::from(mutant::is(Mutant::NoMajority));
+    pub fn is_majority(&self, of: &BTreeSet<u16>) -> bool {
+        let missing_allowed = usize::from(mutant::is(Mutant::NoMajority));
         let count = self.0.iter().filter(|number| of.contains(number)).count();
-        count + less > self.0.len() / 2
+        count + missing_allowed > self.0.len() / 2
     }
 }
 
 /// How long a round of a writer counts, in microseconds.
 pub(crate) fn round_length(limits: &Limits) -> Micros {
-    (limits.silence as f64 * ROUND) as Micros
+    (limits.silence as f64 * ROUND_SHARE_OF_SILENCE) as Micros
 }
 
 /// A document on its way to a majority.
@@ -58,7 +58,7 @@
     /// The round of the announcement, and when it began.
     pub round: u32,
     pub sent: Micros,
-    pub ask_at: Micros,
+    pub announce_at: Micros,
     /// Who takes no lower token any more, and of whom all is known.
     pub promised: BTreeSet<u16>,
     pub learned: BTreeSet<u16>,
@@ -78,7 +78,7 @@
             counter: 0,
             round: 0,
             sent: 0,
-            ask_at: 0,
+            announce_at: 0,
             promised: BTreeSet::new(),
             learned: BTreeSet::new(),
             ready: false,
@@ -90,17 +90,17 @@
     }
 
     /// Begins a round of announcements.
-    pub fn begin(&mut self, now: Micros, me: u16, round: u32) {
-        (self.round, self.sent, self.ask_at) = (round, now, now);
+    pub fn start_round(&mut self, now: Micros, me: u16, round: u32) {
+        (self.round, self.sent, self.announce_at) = (round, now, now);
         self.promised = BTreeSet::from([me]);
         self.learned = BTreeSet::from([me]);
     }
 
     /// Whether an announcement has to go out now.
     pub fn is_due(&mut self, now: Micros) -> bool {
-        let due = !self.ready && self.ask_at <= now;
+        let due = !self.ready && self.announce_at <= now;
         if due {
-            self.ask_at = now + AGAIN;
+            self.announce_at = now + ANNOUNCE_RETRY;
         }
         due
     }
@@ -128,7 +128,7 @@
         if entry.0 == id.version {
             entry.1.insert(from, rollout);
         }
-        if self.reports.len() > MOST_REPORTS {
+        if self.reports.len() > MAX_REPORTED_KEYS {
             let oldest = self.reports.iter().min_by_key(|(_, (version, _))| *version);
             if let Some(key) = oldest.map(|(key, _)| *key) {
                 self.reports.remove(&key);
@@ -139,17 +139,17 @@
     /// The sum of what `own` and the other control nodes have told, of so many in all.
     pub fn sum(&self, now: Micros, id: DocumentId, own: Rollout, count: usize) -> Rollout {
         let mut sum = own;
-        let mut heard = 1;
+        let mut reporting = 1;
         let told = self.reports.get(&id.key).filter(|(version, _)| *version == id.version);
         for (from, rollout) in told.into_iter().flat_map(|(_, others)| others) {
-            let holds = |at: &Micros| now < at.saturating_add(REPORTS_HOLD);
-            if self.reported.get(from).is_some_and(holds) {
+            let is_current = |at: &Micros| now < at.saturating_add(REPORT_VALIDITY);
+            if self.reported.get(from).is_some_and(is_current) {
                 sum.add(rollout);
-                heard += 1;
+                reporting += 1;
             }
         }
         sum.control_nodes = count as u32;
-        sum.control_nodes_missing = count.saturating_sub(heard) as u32;
+        sum.control_nodes_missing = count.saturating_sub(reporting) as u32;
         sum
     }
 }
