--- a/crates/millethook-distribution/src/control.rs
+++ b/crates/millethook-distribution/src/control.rs
@@ -316,8 +316,9 @@
 
     /// How far a document has come among the sidecars that this control node counts, and whether it is on disk here.
     fn rollout(&self, now: Micros, id: DocumentId) -> Rollout {
-        let kept = self.store.slots.get(&id.key).is_some_and(|slot| slot.persisted >= id.version);
-        Rollout { kept: u32::from(kept), ..self.subscribers.rollout(now, id) }
+        let persisted =
+            self.store.slots.get(&id.key).is_some_and(|slot| slot.persisted >= id.version);
+        Rollout { persisted: u32::from(persisted), ..self.subscribers.rollout(now, id) }
     }
 
     /// The host has this snapshot of [`ControlNode::snapshot`] on disk now, where it outlives the process and a loss of
--- a/crates/millethook-distribution/src/message/parts.rs
+++ b/crates/millethook-distribution/src/message/parts.rs
@@ -142,7 +142,7 @@
 /// Beside how many members are named: the count of those that move follows. It is told only where there are any.
 const MOVING: u8 = 0x80;
 /// The sender has the document on its disk.
-const KEPT: u8 = 0x40;
+const PERSISTED: u8 = 0x40;
 
 pub(super) fn write_rollout(bytes: &mut Vec<u8>, rollout: &Rollout) {
     for count in [rollout.expected, rollout.in_force, rollout.refused, rollout.not_heard] {
@@ -150,8 +150,8 @@
     }
     let named_count = rollout.not_heard_members.len().min(MAX_NAMED_MEMBERS);
     let moving = if rollout.moving > 0 { MOVING } else { 0 };
-    let kept = if rollout.kept > 0 { KEPT } else { 0 };
-    bytes.put_u8(named_count as u8 | moving | kept);
+    let persisted = if rollout.persisted > 0 { PERSISTED } else { 0 };
+    bytes.put_u8(named_count as u8 | moving | persisted);
     if rollout.moving > 0 {
         bytes.put_u16(u16::try_from(rollout.moving).unwrap_or(u16::MAX));
     }
@@ -167,8 +167,8 @@
     let (expected, in_force, refused, not_heard) = (count()?, count()?, count()?, count()?);
     let flags = codec::byte(bytes)?;
     let moving = if flags & MOVING > 0 { codec::short(bytes)?.into() } else { 0 };
-    let kept = u32::from(flags & KEPT > 0);
-    let named_count = usize::from(flags & !(MOVING | KEPT));
+    let persisted = u32::from(flags & PERSISTED > 0);
+    let named_count = usize::from(flags & !(MOVING | PERSISTED));
     if named_count > MAX_NAMED_MEMBERS {
         return None;
     }
@@ -189,7 +189,7 @@
         not_heard,
         not_heard_members,
         moving,
-        kept,
+        persisted,
         control_nodes,
         control_nodes_missing,
     })
--- a/crates/millethook-distribution/src/report.rs
+++ b/crates/millethook-distribution/src/report.rs
@@ -45,7 +45,7 @@
     /// count them still.
     pub moving: u32,
     /// Control nodes that have it on their disk: what a majority has there outlives that all of them die at once.
-    pub kept: u32,
+    pub persisted: u32,
     /// At the writer: control nodes that there are; elsewhere 0.
     pub control_nodes: u32,
     /// At the writer: control nodes that have not reported on it.
@@ -60,7 +60,7 @@
         self.refused += other.refused;
         self.not_heard += other.not_heard;
         self.moving += other.moving;
-        self.kept += other.kept;
+        self.persisted += other.persisted;
         if self.first_refusal.is_none() {
             self.first_refusal.clone_from(&other.first_refusal);
         }
@@ -70,7 +70,7 @@
 
     /// Whether a majority of the control nodes has it on disk, as far as the writer knows.
     pub fn is_durable(&self) -> bool {
-        self.control_nodes > 0 && self.kept > self.control_nodes / 2
+        self.control_nodes > 0 && self.persisted > self.control_nodes / 2
     }
 
     /// Whether it is in force wherever it should be, as far as is known.
--- a/crates/millethook-distribution/tests/it/durability.rs
+++ b/crates/millethook-distribution/tests/it/durability.rs
@@ -51,7 +51,7 @@
         let (mut world, version) = world_with_slow_disks(seed as u64, slow);
         let rollout = report(&mut world, version);
         assert!(rollout.is_durable(), "slow {slow:?}: {rollout:?}");
-        assert_eq!((rollout.kept, rollout.control_nodes), (5 - slow.len() as u32, 5));
+        assert_eq!((rollout.persisted, rollout.control_nodes), (5 - slow.len() as u32, 5));
         let known = known_after_all_have_died(&mut world, version);
         assert_eq!(known, [0, 1, 2, 3, 4], "slow {slow:?}");
     }
@@ -63,12 +63,12 @@
     let (mut world, version) = world_with_slow_disks(7, &all);
     let rollout = report(&mut world, version);
     assert!(!rollout.is_durable(), "{rollout:?}");
-    assert_eq!((rollout.kept, rollout.in_force), (0, rollout.expected));
+    assert_eq!((rollout.persisted, rollout.in_force), (0, rollout.expected));
     let known = known_after_all_have_died(&mut world, version);
     assert!(known.is_empty(), "it was in memory only, and {known:?} know it");
     // A minority is not enough to be told so.
     let (mut world, version) = world_with_slow_disks(8, &[0, 1, 2]);
     let rollout = report(&mut world, version);
     assert!(!rollout.is_durable(), "{rollout:?}");
-    assert_eq!(rollout.kept, 2);
+    assert_eq!(rollout.persisted, 2);
 }
--- a/crates/plankvale/src/distribution/status.rs
+++ b/crates/plankvale/src/distribution/status.rs
@@ -148,7 +148,7 @@
         self.not_heard_members = rollout.not_heard_members.clone();
         self.moving = rollout.moving;
         // What is on a disk stays there while its control node is silent.
-        self.on_disk = self.on_disk.max(rollout.kept);
+        self.on_disk = self.on_disk.max(rollout.persisted);
         self.control_nodes = rollout.control_nodes;
         self.control_nodes_missing = rollout.control_nodes_missing;
         self.first_refusal = rollout.first_refusal.as_ref().map(|(member, refusal)| FirstRefusal {
