--- a/crates/millethook-distribution/src/config.rs
+++ b/crates/millethook-distribution/src/config.rs
@@ -1,4 +1,4 @@
-//! How distribution is set up.
+//! Configuration of the distribution of documents.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,10 @@
 
 use crate::Identity;
 
-/// Lists of servers that one sidecar wants, at most.
+/// The maximum number of server lists that one sidecar may subscribe to.
 pub const MAX_LISTS: usize = 64;
 
-/// A member that is set aside as a control node.
+/// A member that is configured as a control node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlMember {
     /// Its member number.
@@ -20,30 +20,32 @@
     pub zone: u32,
 }
 
-/// Bounds and times. The defaults are those that the design note measures.
+/// Limits and intervals. The defaults are those that the design note measures.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Documents that a control node keeps, at most; retractions count.
+    /// The maximum number of documents that a control node stores, including retractions.
     pub documents: usize,
-    /// Bytes of contents that a control node keeps in force, at most. What is being accepted and what was in force
-    /// before come on top: three times as much in the worst case, and 8 MiB of earlier contents from which deltas are made.
+    /// The maximum total size of committed contents at a control node, in bytes. Contents that are being accepted and
+    /// previous contents come on top: three times as much in the worst case, and 8 MiB of earlier contents from which
+    /// deltas are made.
     pub bytes: usize,
-    /// Bytes a second that a control node sends, at most, datagram headers not counted.
+    /// The maximum send rate of a control node in bytes a second, without datagram headers.
     pub rate: u32,
-    /// Sidecars that a control node serves, at most; others are not answered and go elsewhere.
+    /// The maximum number of sidecars that a control node serves. It does not answer further sidecars, which then try
+    /// other control nodes.
     pub subscribers: usize,
-    /// A sidecar says once in so many microseconds what it has (jittered by a quarter).
+    /// The interval in microseconds, jittered by a quarter, at which a sidecar reports the versions that it has.
     pub digest_interval: Micros,
-    /// A control node that has started does not vote before this time, as it has forgotten its votes, and a round of the
-    /// writer counts for four fifths of it. See `docs/design/distribution.md`.
+    /// The time after its start during which a control node does not vote, because it has forgotten its earlier votes.
+    /// A round of the writer is valid for four fifths of this time. See `docs/design/distribution.md`.
     pub silence: Micros,
-    /// After a start a control node votes after so long even if it has learned only from a majority of which some have
-    /// just started, too; 0: never. What a majority had accepted may be lost then. It is for the case that a majority
-    /// of control nodes was down together, and one of them stays down.
+    /// The time after its start at which a control node votes even if it has learned only from a majority in which some
+    /// control nodes have just started, too; 0: never. Documents that a majority had accepted may then be lost. This
+    /// covers the case that a majority of control nodes was down at the same time and one of them stays down.
     pub give_up_after: Micros,
-    /// A change that more than this share of the sidecars refuse that it is for is stopped...
+    /// A change is stopped if more than this share of the sidecars that it is for refuse it...
     pub refused_share: f64,
-    /// ...if this many refuse it, at least.
+    /// ...and at least this many do.
     pub refused_least: u32,
 }
 
@@ -63,43 +65,44 @@
     }
 }
 
-/// How distribution is set up; `members`, `control_nodes` and `limits` are the same at all members.
+/// Configuration of one member. `members`, `control_nodes` and `limits` are the same at all members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DistributionConfig {
-    /// The own member number.
+    /// The member number of this process.
     pub me: u16,
-    /// Members of the fleet, from 0.
+    /// The number of members of the fleet; they are numbered from 0.
     pub members: u16,
-    /// The control nodes. A majority of them decides.
+    /// The control nodes. A majority of them is required for each decision.
     pub control_nodes: Vec<ControlMember>,
-    /// Where this member stands.
+    /// The location of this member.
     pub identity: Identity,
-    /// Numbers of the services whose lists of servers this sidecar wants, at most [`MAX_LISTS`]. They need not be the
-    /// same at all members. A control node takes no notice of its own.
+    /// The numbers of the services whose server lists this sidecar subscribes to, at most [`MAX_LISTS`]. They may
+    /// differ between members. A control node ignores this field for itself.
     pub lists: Vec<u32>,
-    /// Bounds and times.
+    /// Limits and intervals.
     pub limits: Limits,
-    /// For random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
-/// Why a configuration is not sound.
+/// Why a configuration is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// More lists are wanted than one sidecar may want.
+    /// The sidecar subscribes to more lists than allowed.
     #[error("lists of servers: found {found}, at most {MAX_LISTS} expected")]
     TooManyLists {
-        /// Lists that are wanted, each counted once.
+        /// The number of distinct lists.
         found: usize,
     },
 }
 
 impl DistributionConfig {
-    /// Looks whether the bounds are kept that a host has to keep. [`crate::Subscriber::new`] takes the first
-    /// [`MAX_LISTS`] lists of a configuration that was not looked at.
+    /// Checks the limits that the host has to observe. [`crate::Subscriber::new`] uses only the first [`MAX_LISTS`]
+    /// lists of a configuration that was not checked.
     ///
     /// # Errors
-    /// The first bound that is not kept.
+    ///
+    /// Returns the first limit that is exceeded.
     pub fn check(&self) -> Result<(), ConfigError> {
         let found = self.lists.iter().collect::<BTreeSet<_>>().len();
         if found > MAX_LISTS {
--- a/crates/millethook-distribution/src/control.rs
+++ b/crates/millethook-distribution/src/control.rs
@@ -1,4 +1,4 @@
-//! The side of a control node: it keeps the documents, serves its sidecars, votes, and may be the writer.
+//! A control node: it stores documents, serves sidecars, votes on new documents, and may be the writer.
 
 mod check;
 mod deltas;
@@ -37,86 +37,86 @@
 use sync::Session;
 use upkeep::Timers;
 
-/// Events that wait to be fetched, at most; of more the oldest are lost.
+/// The maximum number of events that wait for the host; when there are more, the oldest ones are dropped.
 const MAX_QUEUED_EVENTS: usize = 4_096;
-/// Documents that are on their way in at once, at most.
+/// The maximum number of documents that are received at the same time.
 const MAX_INCOMING_DOCUMENTS: usize = 256;
 
-/// Why a document is not published. Nothing has changed.
+/// Why a document was not published. Nothing has changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
-    /// This control node does not hold the writer's lease, or a majority has not admitted it yet.
-    #[error("not the writer{}", .0.map(|t| format!(": token {t} is")).unwrap_or_default())]
+    /// This control node does not hold the writer's lease, or a majority has not acknowledged its token yet.
+    #[error("not the writer{}", .0.map(|t| format!(": the writer's token is {t}")).unwrap_or_default())]
     NotWriter(Option<Token>),
-    /// The writer has not learned yet what a majority of control nodes holds.
-    #[error("the writer is still learning what a majority of {0} control nodes holds")]
+    /// The writer has not yet learned what a majority of control nodes stores.
+    #[error("the writer is still learning what a majority of {0} control nodes stores")]
     CatchingUp(usize),
     /// The content is too long.
-    #[error("{found} bytes: {most} at most")]
+    #[error("content has {found} bytes, at most {most} allowed")]
     TooLong {
-        /// Its length.
+        /// Its length in bytes.
         found: usize,
-        /// The longest that is taken.
+        /// The maximum length in bytes.
         most: usize,
     },
-    /// There is no room for another document.
-    #[error("{most} documents are kept already: retract some")]
+    /// The limit on the number of documents is reached.
+    #[error("{most} documents are stored, which is the maximum: retract some")]
     TooManyDocuments {
         /// The limit.
         most: usize,
     },
-    /// There is no room for so many bytes.
-    #[error("{found} bytes in all: {most} at most")]
+    /// The limit on the total size of contents is exceeded.
+    #[error("all contents have {found} bytes, at most {most} allowed")]
     TooManyBytes {
-        /// All contents with this one.
+        /// The total size with this content, in bytes.
         found: usize,
-        /// The limit.
+        /// The limit in bytes.
         most: usize,
     },
 }
 
-/// Something that the host has to know.
+/// An event for the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlEvent {
-    /// A majority has admitted this writer and it knows what they hold: it may publish.
+    /// A majority has acknowledged this writer, and it knows what they store: it may publish.
     WriterReady(Token),
-    /// A control node knows a higher token; this writer is none any more.
+    /// Another control node knows a higher token, so this one is no longer the writer.
     Deposed {
-        /// Its own token.
+        /// The token of this control node.
         token: Token,
-        /// The one that is known.
+        /// The higher token.
         by: Token,
     },
-    /// This writer's document is committed: a majority has accepted it, in memory, and it goes to the sidecars. Whether
-    /// a majority has it on disk, too, is told by [`ControlNode::report`].
+    /// A document of this writer is committed: a majority has accepted it in memory, and it is sent to the sidecars.
+    /// [`ControlNode::report`] says whether a majority has it on disk, too.
     Committed(DocumentId),
-    /// The documents that this control node keeps have changed: its snapshot is to be written.
+    /// The documents stored at this control node have changed; the host has to write its snapshot.
     Stored(DocumentId),
-    /// Too many refused a document: the writer has put back what was before, as a new version.
+    /// Too many sidecars refused a document: the writer has restored the previous content as a new version.
     Stopped {
         /// The document that was refused.
         stopped: DocumentId,
-        /// How far it had come.
+        /// The rollout of the refused document.
         rollout: Rollout,
         /// The first refusal.
         first_refusal: Option<(u16, Refusal)>,
-        /// The version under which what was before is published again.
+        /// The version under which the previous content is published again.
         restored: Version,
     },
 }
 
-/// Counts since the start, and how many there are now.
+/// Counters since the start, and current numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ControlFigures {
-    /// Documents that are kept, retractions too.
+    /// Stored documents, including retractions.
     pub documents: usize,
     /// Bytes of their contents.
     pub bytes: usize,
-    /// Sidecars that were heard of lately.
+    /// Sidecars that sent a message recently.
     pub subscribers: usize,
-    /// Of these, those that count this control node as their first.
+    /// Of these, the sidecars that use this control node as their first.
     pub first_of: usize,
-    /// Pushes of documents that are under way.
+    /// Documents that are being pushed, counted once for each receiver.
     pub pushes: usize,
     /// Documents of this writer that a majority has not accepted yet.
     pub proposals: usize,
@@ -124,23 +124,23 @@
     pub committed: u64,
     /// Documents of this writer that were replaced before they were committed.
     pub merged: u64,
-    /// Documents that were stopped because too many refused them.
+    /// Documents that were stopped because too many sidecars refused them.
     pub stopped: u64,
-    /// Messages of writers that were refused because a higher token is known.
+    /// Messages of writers that were rejected because a higher token is known.
     pub stale_writers: u64,
-    /// Messages of sidecars that were not answered for want of room.
+    /// Messages of sidecars that were not answered because the limit on sidecars was reached.
     pub turned_away: u64,
-    /// Messages that made no sense.
+    /// Malformed messages.
     pub malformed: u64,
     /// Bytes that were sent.
     pub sent_bytes: u64,
-    /// It has started and does not vote yet.
+    /// Whether it has started and does not vote yet.
     pub recovering: bool,
-    /// It is the writer and may publish.
+    /// Whether it is the writer and may publish.
     pub writer_ready: bool,
 }
 
-/// One control node.
+/// The state machine of one control node.
 #[derive(Clone, Debug)]
 pub struct ControlNode {
     config: DistributionConfig,
@@ -149,17 +149,17 @@
     subscribers: Subscribers,
     incoming: Incoming,
     outgoing: Outgoing,
-    /// The highest token of a writer that is known.
+    /// The highest known token of a writer.
     fence: Fence,
-    /// What is being learned from whom.
+    /// What is being learned from which control node.
     sessions: BTreeMap<u16, Session>,
-    /// None: it votes.
+    /// The state before the first vote; None: it votes.
     recovery: Option<Recovery>,
     writer: Option<Writer>,
-    /// A token that was announced before this control node votes.
+    /// A token that the host announced before this control node votes.
     pending: Option<Token>,
     timers: Timers,
-    /// What was told to the writer last, by key.
+    /// The last report to the writer, by key.
     reported: BTreeMap<DocumentKey, (Version, Rollout, Micros)>,
     random: Pcg32,
     events: VecDeque<ControlEvent>,
@@ -167,8 +167,8 @@
 }
 
 impl ControlNode {
-    /// One that keeps what the snapshot holds, which is on disk. It serves sidecars at once and votes after
-    /// `limits.silence`, or as soon as all control nodes say that they have just started.
+    /// Creates a control node with the documents of the snapshot, which are on disk. It serves sidecars at once. It
+    /// votes after `limits.silence`, or as soon as all control nodes report that they have just started.
     pub fn new(config: DistributionConfig, snapshot: Option<Snapshot>, now: Micros) -> ControlNode {
         let mut random = Pcg32::seed_from_u64(mix(config.seed ^ mix(u64::from(config.me))));
         let snapshot = snapshot.unwrap_or_default();
@@ -206,17 +206,18 @@
         }
     }
 
-    /// A message of a member.
+    /// Handles a message of a member.
     pub fn handle(&mut self, now: Micros, from: u16, content: &[u8]) {
         match Message::read(content) {
             Ok((Role::ControlNode, message)) => self.on_message(now, from, message),
-            // It is for a sidecar in this process.
+            // It is addressed to a sidecar in this process.
             Ok((Role::Sidecar, _)) => {}
             Err(_) => self.figures.malformed += 1,
         }
         self.tick(now);
     }
 
+    /// Dispatches a message; only control nodes may send messages of the voting and comparison protocols.
     fn on_message(&mut self, now: Micros, from: u16, message: Message) {
         match message {
             Message::Digest(digest) => return self.on_digest(now, from, digest),
@@ -282,11 +283,12 @@
         self.outgoing.send(Receiver { number: to, role: Role::ControlNode }, message);
     }
 
-    /// The other control nodes.
+    /// The numbers of all control nodes except this one.
     fn other_control_nodes(&self) -> Vec<u16> {
         self.quorum.0.iter().copied().filter(|number| *number != self.config.me).collect()
     }
 
+    /// Queues an event for the host.
     fn queue_event(&mut self, event: ControlEvent) {
         if self.events.len() >= MAX_QUEUED_EVENTS {
             self.events.pop_front();
@@ -294,8 +296,8 @@
         self.events.push_back(event);
     }
 
-    /// The next message, and to whom it goes. What is not fetched waits in a bounded queue; pushes to sidecars are made
-    /// only as `limits.rate` allows and as these are fetched.
+    /// The next message and its receiver. Messages that are not fetched wait in a bounded queue; pushes to sidecars are
+    /// made only as `limits.rate` allows and as messages are fetched.
     pub fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)> {
         self.outgoing.poll_transmit()
     }
@@ -305,8 +307,8 @@
         self.events.pop_front()
     }
 
-    /// How far this version has come: at the writer in sum, elsewhere among those that this control node counts.
-    /// None: it is not the latest of its key that is committed, as far as is known here.
+    /// The rollout of this version: the total at the writer; elsewhere, the part that this control node counts. None:
+    /// it is not the latest committed version of its key, as far as this control node knows.
     pub fn report(&self, now: Micros, version: Version) -> Option<Rollout> {
         let latest = |document: &&Arc<Document>| document.version == version;
         let mut committed = self.store.slots.values().filter_map(|slot| slot.committed.as_ref());
@@ -314,15 +316,15 @@
         Some(self.sum(now, id))
     }
 
-    /// How far a document has come among the sidecars that this control node counts, and whether it is on disk here.
+    /// The rollout of a document among the sidecars that this control node counts, and whether it is on disk here.
     fn rollout(&self, now: Micros, id: DocumentId) -> Rollout {
         let persisted =
             self.store.slots.get(&id.key).is_some_and(|slot| slot.persisted >= id.version);
         Rollout { persisted: u32::from(persisted), ..self.subscribers.rollout(now, id) }
     }
 
-    /// The host has this snapshot of [`ControlNode::snapshot`] on disk now, where it outlives the process and a loss of
-    /// power. It is told to the writer with the next report.
+    /// The host calls this when a snapshot returned by [`ControlNode::snapshot`] is on disk, where it survives the
+    /// process and a power loss. The next report to the writer includes it.
     pub fn mark_persisted(&mut self, snapshot: &Snapshot) {
         for document in &snapshot.documents {
             if let Some(slot) = self.store.slots.get_mut(&document.key) {
@@ -331,17 +333,17 @@
         }
     }
 
-    /// The documents that are committed, as far as this control node knows, retractions too.
+    /// The committed documents that this control node knows, including retractions.
     pub fn documents(&self) -> Vec<Arc<Document>> {
         self.store.slots.values().filter_map(|slot| slot.committed.clone()).collect()
     }
 
-    /// The committed document of a key, as far as this control node knows; a retraction too. None: there is none.
+    /// The committed document of a key that this control node knows; it may be a retraction. None: there is none.
     pub fn document(&self, key: DocumentKey) -> Option<Arc<Document>> {
         self.store.slots.get(&key)?.committed.clone()
     }
 
-    /// Versions that this control node has accepted and does not know to be committed.
+    /// The versions that this control node has accepted and does not know to be committed.
     pub fn accepted(&self) -> Vec<DocumentId> {
         self.store.uncommitted().iter().map(|document| document.id()).collect()
     }
@@ -351,14 +353,14 @@
         self.fence.highest()
     }
 
-    /// What the host has to keep for the next start.
+    /// What the host has to store for the next start.
     pub fn snapshot(&self) -> Snapshot {
         let committed = self.store.slots.values().filter_map(|slot| slot.committed.as_ref());
         let documents = committed.map(|document| Document::clone(document)).collect();
         Snapshot { fence: Version { token: self.fence.highest(), counter: 0 }, documents }
     }
 
-    /// Counts since the start, and how many there are now.
+    /// Counters since the start, and current numbers.
     pub fn figures(&self, _now: Micros) -> ControlFigures {
         ControlFigures {
             documents: self.store.slots.values().filter(|slot| slot.committed.is_some()).count(),
--- a/crates/millethook-distribution/src/control/check.rs
+++ b/crates/millethook-distribution/src/control/check.rs
@@ -1,4 +1,4 @@
-//! What may never be at a control node, by name.
+//! The invariants of a control node.
 
 use millethook_machine::{Micros, Violation};
 
@@ -7,10 +7,11 @@
 use crate::mutant::{self, Mutant};
 
 impl ControlNode {
-    /// Looks at every rule of this control node.
+    /// Checks all invariants of this control node.
     ///
     /// # Errors
-    /// The first one that is broken, with the values.
+    ///
+    /// Returns the first violated invariant, with the values.
     pub fn check(&self, _now: Micros) -> Result<(), Violation> {
         let require = Violation::unless;
         let limits = &self.config.limits;
--- a/crates/millethook-distribution/src/control/deltas.rs
+++ b/crates/millethook-distribution/src/control/deltas.rs
@@ -1,4 +1,4 @@
-//! The last contents of each key, and what makes the committed one of them.
+//! The previous contents of each key, and the deltas from them to the committed content.
 
 use std::sync::Arc;
 
@@ -6,16 +6,16 @@
 use crate::message::{DELTA_PART_BYTES, Delta, MAX_DELTA_PARTS};
 use crate::{Document, DocumentKey, Version, chunks, delta};
 
-/// Contents of one key that are kept beside the committed one, at most.
+/// The maximum number of contents of one key that are stored in addition to the committed one.
 const MAX_BASES: usize = 4;
-/// Bytes of all that are kept, at most.
+/// The maximum number of bytes of all of them.
 pub(super) const MAX_BASE_BYTES: usize = 8 * 1024 * 1024;
 
-/// A delta in messages, made once for all receivers.
+/// A delta, split into messages; it is computed once for all receivers.
 pub(crate) type DeltaParts = Arc<[Delta]>;
 
 impl Store {
-    /// Keeps what was committed before. Where there is no room, the oldest of all that are kept goes.
+    /// Stores the previously committed document as a base. If there is no room, the oldest of all bases is dropped.
     pub(super) fn keep_base(&mut self, before: Arc<Document>) {
         let Some(slot) = self.slots.get_mut(&before.key) else { return };
         slot.deltas.clear();
@@ -35,12 +35,13 @@
         }
     }
 
-    /// Bytes of the contents that are kept for deltas.
+    /// Bytes of the contents that are stored for deltas.
     pub(super) fn base_bytes(&self) -> usize {
         self.slots.values().flat_map(|slot| &slot.bases).map(|base| base.length()).sum()
     }
 
-    /// What makes the committed document of this version; None: that version is not kept, or the whole is as short.
+    /// The delta from this version to the committed document; None: that version is not stored, or the complete
+    /// document is as short.
     pub(super) fn delta(&mut self, key: DocumentKey, base: Version) -> Option<DeltaParts> {
         let slot = self.slots.get_mut(&key)?;
         if let Some(cached) = slot.deltas.get(&base) {
@@ -54,10 +55,10 @@
     }
 }
 
-/// The messages that make a document of the one before; None: the whole is not longer.
+/// The messages of the delta between two documents; None: the complete document is not longer.
 fn parts_between(base: &Document, document: &Document) -> Option<DeltaParts> {
     let (old, new) = (base.body.as_deref()?, document.body.as_deref()?);
-    // A document of n chunks needs a head, too.
+    // A document of n chunks also needs a head.
     let max_parts = chunks::count(new.len()).min(MAX_DELTA_PARTS);
     let bytes = delta::compute(old, new, max_parts * DELTA_PART_BYTES)?;
     let count = bytes.len().div_ceil(DELTA_PART_BYTES).max(1);
--- a/crates/millethook-distribution/src/control/lists.rs
+++ b/crates/millethook-distribution/src/control/lists.rs
@@ -1,4 +1,4 @@
-//! Which lists of servers the sidecars of a control node want, as each has told.
+//! The server lists that the sidecars of a control node subscribe to, as each sidecar has reported.
 
 use std::sync::Arc;
 
@@ -10,34 +10,35 @@
 use crate::outgoing::Receiver;
 use crate::sidecar::CONFIRM_INTERVAL;
 
-/// A sidecar that sends digests and has said nothing of lists for so long wants none any more: it has started again
-/// without lists, or with a build that knows none. Of six messages one comes through at any loss that is designed for.
+/// A sidecar that sends digests and has sent nothing about lists for this time does not subscribe to lists any more: it
+/// has restarted without lists, or with a build that does not know them. Of six messages, at least one arrives at any
+/// loss that the design covers.
 const LISTS_TIMEOUT: Micros = 6 * CONFIRM_INTERVAL;
 
-/// The lists that one sidecar wants.
+/// The lists that one sidecar subscribes to.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SidecarLists {
     pub statuses: Arc<ListStatuses>,
-    /// None: not all of it has been told yet.
+    /// None: the sidecar has not reported all of them yet.
     hash: Option<u64>,
-    /// What has come of the whole with this hash.
+    /// The parts that have arrived of the full report with this hash.
     partial: Option<(u64, ListStatuses)>,
     last_heard: Micros,
 }
 
-/// What a message has brought.
+/// The result of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListsOutcome {
-    /// What the hash stands for is known.
+    /// The lists with this hash are known.
     Known,
-    /// It is not: the sidecar has to tell all of it.
+    /// They are not known: the sidecar has to send all of them.
     Unknown,
-    /// A part of it is.
+    /// A part of them is known.
     Incomplete,
 }
 
 impl SidecarLists {
-    /// A sidecar tells which lists it wants, or what has changed.
+    /// Handles a sidecar's report of its lists, or of changes.
     pub fn on_update(&mut self, now: Micros, lists: ListsUpdate) -> ListsOutcome {
         self.last_heard = now;
         match lists.payload {
@@ -64,23 +65,24 @@
         }
     }
 
+    /// Stores statuses whose hash has been verified.
     fn set_known(&mut self, hash: u64, statuses: ListStatuses) -> ListsOutcome {
         (self.hash, self.partial) = (Some(hash), None);
         self.statuses = Arc::new(statuses);
         ListsOutcome::Known
     }
 
-    /// Whether its sidecar, which was heard of at this time, wants no lists any more.
+    /// Whether the sidecar, which last sent a digest at this time, does not subscribe to lists any more.
     pub fn has_expired(&self, sidecar_last_heard: Micros) -> bool {
         sidecar_last_heard > self.last_heard.saturating_add(LISTS_TIMEOUT)
     }
 }
 
 impl ControlNode {
-    /// A sidecar tells which lists it wants.
+    /// Handles a sidecar's report of its lists.
     pub(super) fn on_lists(&mut self, now: Micros, from: u16, lists: ListsUpdate) {
         let hash = lists.hash;
-        // One that is not known here sends a digest first.
+        // A sidecar that is unknown here has to send a digest first.
         let Some(outcome) = self.subscribers.on_lists_update(now, from, lists) else { return };
         let known = match outcome {
             ListsOutcome::Incomplete => return,
--- a/crates/millethook-distribution/src/control/recovery.rs
+++ b/crates/millethook-distribution/src/control/recovery.rs
@@ -1,9 +1,9 @@
-//! What a control node does before it votes: votes are kept in memory only, and one that has started has forgotten
-//! those of the process before it.
+//! What a control node does before it votes. Votes are kept in memory only, so a control node that has started has
+//! forgotten the votes of the previous process.
 //!
-//! It waits until every round of a writer that may count a forgotten vote is over (`limits.silence`), and then learns
-//! from a majority of others what they hold. What a majority accepted before is known to one of these at least. See
-//! `docs/design/distribution.md` for the cases.
+//! It waits until every round of a writer that may count a forgotten vote has expired (`limits.silence`), and then
+//! learns from a majority of the others what they store. At least one of these knows what a majority accepted before.
+//! `docs/design/distribution.md` lists the cases.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,17 +11,17 @@
 
 use crate::Limits;
 
-/// Others are asked again after this time.
+/// The other control nodes are asked again after this time.
 const RETRY_INTERVAL: Micros = 250_000;
 
-/// What another control node has answered.
+/// The answer of another control node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Answer {
     /// It has started, too, and does not vote yet.
     recovering: bool,
-    /// All that it keeps is known here.
+    /// Everything that it stores is known here.
     learned: bool,
-    /// It answered after the silence was over.
+    /// It answered after the silence had ended.
     after_silence: bool,
 }
 
@@ -32,16 +32,17 @@
     silence: Micros,
     /// After this time any majority is enough; 0: never.
     give_up_after: Micros,
-    /// By which answers are known: another one after the silence.
+    /// Identifies the answers to a query; a new round starts after the silence.
     pub round: u32,
     after_silence: bool,
     next_ask_at: Micros,
     answers: BTreeMap<u16, Answer>,
-    /// Those that have asked since this one has started what it holds.
+    /// Control nodes that have asked, since this process started, what is stored here.
     askers: BTreeSet<u16>,
 }
 
 impl Recovery {
+    /// Starts a recovery; `round` identifies the answers to its first query.
     pub fn new(now: Micros, limits: &Limits, round: u32) -> Recovery {
         Recovery {
             began: now,
@@ -55,16 +56,15 @@
         }
     }
 
-    /// Another control node asks what is held here, and knows by the answer that this one has started.
+    /// Another control node asks what is stored here; the answer tells it that this process has started.
     pub fn on_asked(&mut self, by: u16) {
         self.askers.insert(by);
     }
 
-    /// Whether a control node may be told what is held in a bucket. One that has not asked since the start goes by a
-    /// promise, or an answer, of the process before this one: what that held and this one has forgotten would count as
-    /// told, and a document that they both had accepted with others could be lost. It asks anew in its next round, or
-    /// when it has not been answered 25 times. This also keeps back what is only being compared; that comes after the
-    /// silence.
+    /// Whether a control node may be told what is stored in a bucket. A control node that has not asked since the start
+    /// still relies on a promise, or an answer, of the previous process: documents that this process has forgotten
+    /// would count as reported, and a document that both had accepted with others could be lost. It asks again in its
+    /// next round, or after 25 unanswered requests. This also delays comparisons, which are made after the silence.
     pub fn may_list(&self, to: u16) -> bool {
         self.askers.contains(&to)
     }
@@ -88,14 +88,14 @@
         self.next_ask_at
     }
 
-    /// Whether this one need not be asked any more.
+    /// Whether this control node does not have to be asked any more.
     pub fn has_answer(&self, from: u16) -> bool {
         self.answers
             .get(&from)
             .is_some_and(|answer| answer.learned && answer.after_silence == self.after_silence)
     }
 
-    /// Another one has answered.
+    /// Another control node has answered.
     pub fn on_answer(&mut self, from: u16, recovering: bool) {
         let before =
             self.answers.get(&from).filter(|before| before.after_silence == self.after_silence);
@@ -104,18 +104,18 @@
             .insert(from, Answer { recovering, learned, after_silence: self.after_silence });
     }
 
-    /// All that another one keeps is known here.
+    /// Everything that another control node stores is known here.
     pub fn learned(&mut self, from: u16) {
         if let Some(answer) = self.answers.get_mut(&from) {
             answer.learned = true;
         }
     }
 
-    /// Whether it may vote, of so many control nodes in all.
+    /// Whether it may vote; `count` is the number of all control nodes.
     pub fn may_vote(&self, now: Micros, count: usize) -> bool {
         let learned = |a: &&Answer| a.learned;
         let answers = || self.answers.values().filter(learned);
-        // All have started: no round is left that could count a vote of before.
+        // All have started: there is no round left that could count an earlier vote.
         if answers().filter(|a| a.recovering).count() + 1 >= count {
             return true;
         }
@@ -123,7 +123,8 @@
             return false;
         }
         let after_silence = || answers().filter(|a| a.after_silence);
-        // Of a majority that accepted something those that have forgotten nothing are asked, up to one: see the note.
+        // Every majority that accepted a document includes one of these control nodes at least, which has forgotten
+        // nothing: see the design note.
         let minority = (count - 1) / 2;
         let timed_out = self.give_up_after > 0 && now >= self.began + self.give_up_after;
         after_silence().filter(|a| !a.recovering).count() > minority
--- a/crates/millethook-distribution/src/control/serving.rs
+++ b/crates/millethook-distribution/src/control/serving.rs
@@ -13,7 +13,7 @@
 use crate::{Document, DocumentKey, Scope, Version};
 
 impl ControlNode {
-    /// A sidecar tells what it has.
+    /// Handles a sidecar's report of the documents that it has.
     pub(super) fn on_digest(&mut self, now: Micros, from: u16, digest: Digest) {
         let hash = digest.hash;
         if digest.identity.number != from {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Pushes to a sidecar what it does not have; chunks only if they are few and it has just come, since what it has begun
-    /// to receive it asks for itself.
+    /// Pushes the documents that a sidecar does not have. Chunks are sent only if they are few and the sidecar is new,
+    /// since it requests the rest of a transfer that has begun itself.
     fn push_outdated(&mut self, now: Micros, number: u16, new: bool) {
         let to = Receiver { number, role: Role::Sidecar };
         let Some(sidecar) = self.subscribers.get(number) else { return };
@@ -47,7 +47,7 @@
         self.push_outdated_lists(now, number);
     }
 
-    /// The same of the lists that it wants.
+    /// Does the same for the lists that it subscribes to.
     pub(super) fn push_outdated_lists(&mut self, now: Micros, number: u16) {
         let to = Receiver { number, role: Role::Sidecar };
         let sidecar = self.subscribers.get(number);
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Pushes the document of one key to a sidecar that has an older version or none.
     fn push_if_outdated(&mut self, now: Micros, to: Receiver, key: DocumentKey, new: bool) {
         let known = self.subscribers.get(to.number).map(|sidecar| sidecar.version(key));
         self.outgoing.on_arrived(to, key, known.unwrap_or_default());
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Pushes a document to a sidecar. The second control node tells of it; the first one sends it, as a delta if it can,
-    /// else whole if it is short and `at_once`.
+    /// Pushes a document to a sidecar. The second control node sends the head only; the first one sends the content, as
+    /// a delta if possible, otherwise completely if it is short and `eager`.
     fn push_to_sidecar(
         &mut self,
         now: Micros,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Someone asks for parts of a document.
+    /// Handles a request for parts of a document.
     pub(super) fn on_fetch(
         &mut self,
         now: Micros,
@@ -111,8 +112,9 @@
         wanted: Wanted,
     ) {
         let is_sidecar = to.role == Role::Sidecar;
-        // A sidecar that has gone to another control node and asks here still is served: pushes are bounded. It does not count
-        // as heard of by that, since only a digest says whom it takes for its first control node.
+        // A sidecar that has moved to another control node and still requests parts here is served, since the number of
+        // pushes is limited. The request does not count as a sign of life, since only a digest states which control
+        // node is its first.
         if !is_sidecar && !self.quorum.0.contains(&to.number) {
             self.figures.malformed += 1;
             return;
@@ -127,7 +129,7 @@
                 self.outgoing.resend(now, to, &document, stage, wanted, head);
             }
             None => {
-                // A later one has come.
+                // A later version has been committed.
                 let Some(document) = key.and_then(|key| self.store.committed(key)).cloned() else {
                     return;
                 };
@@ -139,7 +141,7 @@
         }
     }
 
-    /// A document of this writer that is on its way to a majority is offered for a vote.
+    /// A document of this writer that a majority has not accepted yet is offered for a vote.
     fn stage_of(&self, document: &Document, stage: Stage, is_sidecar: bool) -> Stage {
         if is_sidecar {
             return Stage::Committed;
--- a/crates/millethook-distribution/src/control/store.rs
+++ b/crates/millethook-distribution/src/control/store.rs
@@ -1,4 +1,4 @@
-//! The documents that a control node keeps.
+//! The documents that a control node stores.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,19 +11,20 @@
 use crate::status::hash_of_version;
 use crate::{Document, DocumentKey, Limits, Version};
 
-/// What is kept of one key.
+/// The documents of one key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Slot {
-    /// The latest that a majority has accepted, as far as is known here.
+    /// The latest document that a majority has accepted, as far as this control node knows.
     pub committed: Option<Arc<Document>>,
-    /// What was accepted here and is later than that.
+    /// A later document that was accepted here.
     pub accepted: Option<Arc<Document>>,
-    /// The last one before `committed` that was in force at most of the sidecars.
+    /// The last document before `committed` that was in force at most of the sidecars.
     pub last_good: Option<Arc<Document>>,
-    /// What was committed before, the latest last, and what makes `committed` of it, by version; None: it is too long.
+    /// Previously committed documents, the latest last; and the deltas from them to `committed`, by version; None: the
+    /// delta is too long.
     pub bases: VecDeque<Arc<Document>>,
     pub deltas: BTreeMap<Version, Option<DeltaParts>>,
-    /// When `committed` was learned.
+    /// When this control node learned that `committed` is committed.
     pub committed_at: Micros,
     /// The latest committed version that the host has on disk.
     pub persisted: Version,
@@ -39,7 +40,7 @@
     }
 }
 
-/// All of them. The lowest version stands for none.
+/// All stored documents. The lowest version stands for none.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
     pub slots: BTreeMap<DocumentKey, Slot>,
@@ -50,15 +51,17 @@
 }
 
 impl Store {
+    /// Creates an empty store with these limits.
     pub fn new(limits: &Limits) -> Store {
         let (max_documents, max_bytes) = (limits.documents, limits.bytes);
         Store { slots: BTreeMap::new(), base_bytes: 0, max_documents, max_bytes }
     }
 
-    /// Whether there is room for a content of so many bytes under this key.
+    /// Checks whether there is room for a content of `length` bytes under this key.
     ///
     /// # Errors
-    /// Which limit there is none by.
+    ///
+    /// Returns the limit that would be exceeded.
     pub fn check_room(&self, key: DocumentKey, length: usize) -> Result<(), PublishError> {
         if !self.slots.contains_key(&key) && self.slots.len() >= self.max_documents {
             return Err(PublishError::TooManyDocuments { most: self.max_documents });
@@ -74,15 +77,17 @@
         Ok(())
     }
 
-    /// Bytes of the documents that are committed.
+    /// Bytes of the committed documents.
     pub fn bytes(&self) -> usize {
         self.slots.values().filter_map(|slot| slot.committed.as_ref()).map(|d| d.length()).sum()
     }
 
+    /// The committed document of a key.
     pub fn committed(&self, key: DocumentKey) -> Option<&Arc<Document>> {
         self.slots.get(&key)?.committed.as_ref()
     }
 
+    /// The committed version of a key.
     pub fn committed_version(&self, key: DocumentKey) -> Version {
         self.slots.get(&key).map(Slot::committed_version).unwrap_or_default()
     }
@@ -93,7 +98,7 @@
         self.slots.get(&key).map(version).unwrap_or_default()
     }
 
-    /// The document of this version, and how far it is known to be.
+    /// The document of this version, and whether it is known to be committed.
     pub fn find(
         &self,
         key: Option<DocumentKey>,
@@ -115,10 +120,10 @@
         Some((document.as_ref()?, stage))
     }
 
-    /// Keeps an accepted document; false: one that is as late is kept already, or there is no room.
+    /// Stores an accepted document; false: an equal or later version is stored already, or there is no room.
     pub fn accept(&mut self, document: Arc<Document>) -> bool {
         let is_later = document.version > self.latest_version(document.key);
-        // The writer keeps to the limits; what two writers asked for together has room.
+        // The writer observes the limits; there is room for the documents of two concurrent writers.
         let has_room = self.slots.contains_key(&document.key)
             || self.slots.len() < self.max_documents.saturating_mul(2);
         if is_later && has_room {
@@ -128,7 +133,7 @@
         is_later && has_room
     }
 
-    /// A majority has accepted this document; false: that or a later one is known.
+    /// Stores a document that a majority has accepted; false: this version or a later one is known.
     pub fn commit(&mut self, now: Micros, document: Arc<Document>) -> bool {
         if document.version <= self.committed_version(document.key) {
             return false;
@@ -145,7 +150,7 @@
         true
     }
 
-    /// Hashes of what is kept, by bucket; without `accepted` of what is committed.
+    /// Hashes of the stored documents, by bucket; without `accepted`, of the committed documents only.
     pub fn buckets(&self, accepted: bool) -> Buckets {
         let mut buckets = [0; BUCKETS];
         for (key, slot) in &self.slots {
@@ -159,7 +164,7 @@
         buckets
     }
 
-    /// What is kept in a bucket behind a key, and whether there is more than fits a message.
+    /// The entries of a bucket that follow a key, and whether there are more than fit into one message.
     pub fn list_bucket(&self, of: u8, after: Option<DocumentKey>) -> (Vec<ListEntry>, bool) {
         let behind = self.slots.iter().filter(|(key, _)| after.is_none_or(|after| **key > after));
         let mut behind = behind.filter(|(key, _)| bucket_of(**key) == usize::from(of));
@@ -177,13 +182,13 @@
         self.slots.values().filter_map(|slot| slot.accepted.clone()).collect()
     }
 
-    /// The highest version that is kept.
+    /// The highest stored version.
     pub fn highest(&self) -> Version {
         self.slots.keys().map(|key| self.latest_version(*key)).max().unwrap_or_default()
     }
 }
 
-/// The document that a key will have once all that is accepted is committed.
+/// The document that a key will have once all accepted documents are committed.
 fn latest(slot: &Slot) -> Option<&Arc<Document>> {
     slot.accepted.as_ref().or(slot.committed.as_ref())
 }
--- a/crates/millethook-distribution/src/control/subscribers.rs
+++ b/crates/millethook-distribution/src/control/subscribers.rs
@@ -1,4 +1,4 @@
-//! The sidecars that ask this control node, and what each of them has.
+//! The sidecars that use this control node, and the documents that each of them has.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,25 +12,28 @@
 use crate::status::hash_of_statuses;
 use crate::{DocumentId, DocumentKey, Identity, Limits, Rollout, Version};
 
-/// A sidecar that has said nothing for so many times the interval of digests counts as silent...
+/// A sidecar counts as silent after this many digest intervals without a message...
 const SILENT_INTERVALS: Micros = 5;
-/// ...is forgotten if this control node is not its first one...
+/// ...is dropped after this many if this control node is not its first one...
 const FORGET_SECOND_INTERVALS: Micros = 15;
-/// ...and in any case after so many.
+/// ...and in any case after this many.
 const FORGET_INTERVALS: Micros = 600;
-/// Of one that has come to another control node it is believed that it has left, if it was silent for so many times.
+/// Another control node's notice that a sidecar has moved there is believed if the sidecar has been silent here for
+/// this many intervals.
 const LEFT_INTERVALS: Micros = 2;
-/// Times that it is told to the others that a sidecar has come.
+/// The number of times that the other control nodes are notified of a sidecar that has moved here.
 const MOVE_ANNOUNCEMENTS: u32 = 5;
-/// A sidecar that has come from elsewhere is counted after so long, and not before it has been silent at the one before for
-/// so long that that one believes it is gone, and has told the writer so. One that is gone itself is not counted by the
-/// writer any more by then ([`crate::writer::REPORTS_HOLD`]). Without the wait a sidecar counts at two for a while, and a
-/// change that one sidecar refuses is stopped as if two had refused it.
+/// A sidecar that has moved here is counted after this time, and not before its previous control node has seen it
+/// silent for long enough to believe that it is gone, and has reported that to the writer. If the previous control node
+/// is down itself, the writer does not count it any more by then ([`crate::writer::REPORT_VALIDITY`]). Without the
+/// wait, a sidecar would be counted twice for a while, and a change that one sidecar refuses would be stopped as if two
+/// had refused it.
 const SETTLING_TIME: Micros = crate::writer::REPORT_VALIDITY;
-/// What it takes from there until the writer knows: another one is told once a second, and reports once a second.
+/// The additional time until the writer knows: other control nodes are notified once a second, and report once a
+/// second.
 const WRITER_UPDATE_DELAY: Micros = 2_000_000;
 
-/// What a sidecar has, as it said last.
+/// The state of a sidecar, as it last reported.
 #[derive(Clone, Debug)]
 pub(crate) struct SidecarState {
     pub identity: Identity,
@@ -38,16 +41,16 @@
     pub rank: u8,
     pub last_heard: Micros,
     pub hash: u64,
-    /// None: it has not been told yet.
+    /// None: it has not reported them yet.
     pub statuses: Option<Vec<Status>>,
-    /// None: it has told of none.
+    /// None: it has reported no lists.
     pub lists: Option<SidecarLists>,
-    /// When it came to count this control node as its first.
+    /// When it started to use this control node as its first one.
     pub first_since: Micros,
 }
 
 impl SidecarState {
-    /// How it stands to the latest document of a key that it knows.
+    /// The state of the latest document of a key that it knows.
     fn status(&self, key: DocumentKey) -> Option<(Version, &State)> {
         if let Some(service) = list_of(key) {
             let status = self.lists.as_ref()?.statuses.get(service)?;
@@ -69,36 +72,37 @@
         is_for(key, &self.identity, wants)
     }
 
-    /// Whether it has said that it knows lists: a build that does knows deltas, too.
+    /// Whether it has sent a lists update: a build that knows lists also knows deltas.
     pub fn takes_deltas(&self) -> bool {
         self.lists.is_some()
     }
 }
 
-/// What a digest has brought.
+/// The result of a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DigestOutcome {
     /// There is no room for another sidecar.
     NoRoom,
-    /// It has asked only whether this control node is there.
+    /// The sidecar only checks whether this control node answers.
     Probe,
-    /// What it has is known; `new`: it was not known before.
+    /// The sidecar's state is known; `new`: the sidecar was not known before.
     Known { new: bool },
-    /// It has to tell what it has.
+    /// The sidecar has to send its statuses.
     Unknown,
 }
 
-/// All of them.
+/// All sidecars of this control node.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscribers {
     table: BTreeMap<u16, SidecarState>,
-    /// Sidecars that have come to count this control node as their first, and how often that was told.
+    /// Sidecars that have started to use this control node as their first one, and how often the others were notified.
     arrivals: BTreeMap<u16, u32>,
     max_sidecars: usize,
     digest_interval: Micros,
 }
 
 impl Subscribers {
+    /// Creates an empty table with these limits.
     pub fn new(limits: &Limits) -> Subscribers {
         let (max_sidecars, digest_interval) = (limits.subscribers, limits.digest_interval.max(1));
         Subscribers {
@@ -109,26 +113,28 @@
         }
     }
 
+    /// The number of sidecars.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Sidecars that count this control node as their first.
+    /// The number of sidecars that use this control node as their first.
     pub fn first_of(&self) -> usize {
         self.table.values().filter(|sidecar| sidecar.rank == 0).count()
     }
 
+    /// The state of a sidecar.
     pub fn get(&self, number: u16) -> Option<&SidecarState> {
         self.table.get(&number)
     }
 
-    /// Those that a document of this key is for.
+    /// The sidecars that a document of this key is for.
     pub fn covered(&self, key: DocumentKey) -> impl Iterator<Item = (u16, &SidecarState)> {
         let covered = self.table.iter().filter(move |(_, sidecar)| sidecar.receives(key));
         covered.map(|(number, sidecar)| (*number, sidecar))
     }
 
-    /// Those that a document of this key has to come into force at.
+    /// The sidecars where a document of this key has to come into force.
     fn expected(&self, key: DocumentKey) -> impl Iterator<Item = (u16, &SidecarState)> {
         let of_all = list_of(key).is_some() && mutant::is(Mutant::ListsExpectedOfAll);
         let expected =
@@ -136,7 +142,7 @@
         expected.map(|(number, sidecar)| (*number, sidecar))
     }
 
-    /// A digest has come.
+    /// Handles a digest.
     pub fn on_digest(&mut self, now: Micros, from: u16, digest: Digest) -> DigestOutcome {
         if digest.rank > 1 {
             return DigestOutcome::Probe;
@@ -171,7 +177,7 @@
         if is_known { DigestOutcome::Known { new: !known } } else { DigestOutcome::Unknown }
     }
 
-    /// A sidecar has told of its lists; None: it is not known here.
+    /// Handles a sidecar's report of its lists; None: the sidecar is not known here.
     pub fn on_lists_update(
         &mut self,
         now: Micros,
@@ -183,15 +189,16 @@
         Some(sidecar.lists.get_or_insert_default().on_update(now, lists))
     }
 
-    /// Sidecars that the other control nodes have to be told of. Each is counted at one of them only.
+    /// The sidecars that the other control nodes have to be notified of, so that each is counted at one control node
+    /// only. Counts a notice for each of them.
     pub fn take_arrivals(&mut self) -> Vec<u16> {
         self.arrivals.values_mut().for_each(|notices| *notices += 1);
         self.arrivals.retain(|_, notices| *notices <= MOVE_ANNOUNCEMENTS);
         self.arrivals.keys().copied().collect()
     }
 
-    /// Sidecars that count this control node as their first and have said so within the last interval but one. Where
-    /// another one has heard of them later than that, it does not believe it: see [`Subscribers::moved`].
+    /// Sidecars that use this control node as their first and have sent a digest within the last two intervals. A
+    /// control node that has received a later digest of them ignores the notice: see [`Subscribers::drop_moved`].
     pub fn recent_firsts(&self, now: Micros) -> Vec<u16> {
         let is_recent = |sidecar: &SidecarState| {
             sidecar.rank == 0 && now <= sidecar.last_heard + LEFT_INTERVALS * self.digest_interval
@@ -200,7 +207,7 @@
         firsts.map(|(number, _)| *number).collect()
     }
 
-    /// Whether a sidecar that counts this control node as its first is silent.
+    /// Whether a sidecar that uses this control node as its first is silent.
     pub fn has_silent_first(&self, now: Micros) -> bool {
         let silent = |sidecar: &SidecarState| {
             now > sidecar.last_heard + SILENT_INTERVALS * self.digest_interval
@@ -208,7 +215,8 @@
         self.table.values().any(|sidecar| sidecar.rank == 0 && silent(sidecar))
     }
 
-    /// These count another control node as their first one now, unless they have just said otherwise here.
+    /// These members use another control node as their first one now; they are dropped unless they have sent a digest
+    /// here recently.
     pub fn drop_moved(&mut self, now: Micros, members: &[u16]) {
         let interval = self.digest_interval;
         let members: BTreeSet<u16> = members.iter().copied().collect();
@@ -218,7 +226,7 @@
         });
     }
 
-    /// Forgets those that have been silent for long; which.
+    /// Drops the sidecars that have been silent for long, and returns them.
     pub fn expire(&mut self, now: Micros) -> Vec<u16> {
         let interval = self.digest_interval;
         let gone = self.table.iter().filter(|(_, sidecar)| {
@@ -230,7 +238,7 @@
         gone
     }
 
-    /// How far a document has come at those that count this control node as their first.
+    /// The rollout of a document at the sidecars that use this control node as their first.
     pub fn rollout(&self, now: Micros, id: DocumentId) -> Rollout {
         let mut rollout = Rollout::default();
         for (number, sidecar) in self.expected(id.key).filter(|(_, sidecar)| sidecar.rank == 0) {
@@ -246,8 +254,8 @@
             let silent = now > sidecar.last_heard + SILENT_INTERVALS * self.digest_interval;
             match status.map(|(_, state)| state) {
                 Some(State::InForce) => rollout.in_force += 1,
-                // A silent one may count at another control node, where this one could not hear of it: a refusal that is
-                // told there, too, would be two.
+                // A silent sidecar may be counted at another control node already: if it reported a refusal there, too,
+                // the refusal would count twice.
                 Some(State::Refused(refusal)) if !silent => {
                     rollout.refused += 1;
                     rollout.first_refusal.get_or_insert_with(|| (number, refusal.clone()));
--- a/crates/millethook-distribution/src/control/sync.rs
+++ b/crates/millethook-distribution/src/control/sync.rs
@@ -1,5 +1,5 @@
-//! How a control node learns what another one keeps: buckets that differ are listed, and what is newer there is
-//! fetched. Used once a second with a random other one, by a new writer, and after a start.
+//! How a control node learns what another one stores: it lists the buckets that differ and fetches newer documents.
+//! This happens once a second with a random other control node, when a writer starts, and after the start of a process.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,30 +9,30 @@
 use crate::message::{Buckets, ListEntry, Message};
 use crate::{DocumentKey, Version};
 
-/// What was not answered is asked again after this time.
+/// An unanswered request is sent again after this time.
 const RETRY_INTERVAL: Micros = 200_000;
-/// Questions in a row that were not answered; then it is given up.
+/// The maximum number of consecutive unanswered requests; after that the session ends.
 const MAX_TRIES: u32 = 25;
-/// Documents that are fetched together.
+/// The maximum number of documents that are fetched at the same time.
 const MAX_PARALLEL_FETCHES: usize = 16;
 
-/// What is being learned from one control node.
+/// A session that learns what one control node stores.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
     round: u32,
-    /// Buckets that are to be listed, and behind which key the list of the first one goes on.
+    /// Buckets that have to be listed, and the key after which the list of the first one continues.
     buckets: BTreeSet<u8>,
     after: Option<DocumentKey>,
-    /// Versions that are to be fetched; whether the other one knows that it is committed.
+    /// Versions that have to be fetched, and whether the other control node knows that they are committed.
     wanted: BTreeMap<DocumentKey, (Version, bool)>,
-    /// Whether what is only accepted there is learned, too.
+    /// Whether documents that are only accepted there are learned, too.
     accepted: bool,
     retry_at: Micros,
     tries: u32,
 }
 
 impl Session {
-    /// Begins to learn from one whose buckets are `theirs`.
+    /// Starts a session with a control node whose bucket hashes are `theirs`.
     pub fn new(round: u32, mine: &Buckets, theirs: &Buckets, accepted: bool) -> Session {
         let differ =
             mine.iter().zip(theirs).enumerate().filter(|(_, (mine, theirs))| mine != theirs);
@@ -41,7 +41,7 @@
         Session { round, buckets, after: None, wanted, accepted, retry_at: 0, tries: 0 }
     }
 
-    /// The list of a bucket has come; versions that are known here already to be accepted, and there to be committed.
+    /// Handles the list of a bucket. Returns the versions that are already accepted here and committed there.
     pub fn on_entries(
         &mut self,
         store: &Store,
@@ -76,12 +76,13 @@
         committed
     }
 
-    /// Whether this version is to be fetched.
+    /// Whether this version has to be fetched.
     pub fn wants(&self, key: DocumentKey, version: Version) -> bool {
         self.wanted.get(&key).is_some_and(|(wanted, _)| *wanted == version)
     }
 
-    /// Leaves out what is here by now; whether all that is kept there is known here.
+    /// Removes the versions that have arrived; returns whether everything that the other control node stores is known
+    /// here.
     pub fn is_done(&mut self, store: &Store) -> bool {
         let before = self.wanted.len();
         self.wanted.retain(|key, (version, committed)| {
@@ -95,22 +96,22 @@
         self.buckets.is_empty() && self.wanted.is_empty()
     }
 
-    /// Whether what is only accepted there is learned, too.
+    /// Whether documents that are only accepted there are learned, too.
     pub fn learns_accepted(&self) -> bool {
         self.accepted
     }
 
-    /// Whether the other one has not answered for long.
+    /// Whether too many requests in a row were not answered.
     pub fn has_timed_out(&self) -> bool {
         self.tries > MAX_TRIES
     }
 
-    /// When [`Session::due`] has something to ask.
+    /// The time at which [`Session::due`] has to be called next.
     pub fn next_at(&self) -> Micros {
         self.retry_at
     }
 
-    /// Questions that are due; `is_coming` says of what nothing need be asked.
+    /// Requests that are due; versions for which `is_in_transit` is true are not requested.
     pub fn due(&mut self, now: Micros, is_in_transit: impl Fn(Version) -> bool) -> Vec<Message> {
         if self.retry_at > now {
             return Vec::new();
--- a/crates/millethook-distribution/src/control/upkeep.rs
+++ b/crates/millethook-distribution/src/control/upkeep.rs
@@ -1,4 +1,4 @@
-//! What a control node does as time passes.
+//! The periodic work of a control node.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,34 @@
 use crate::transfer::Request;
 use crate::{DocumentId, DocumentKey};
 
-/// Another control node is compared with once in this time, and so is each in answer to it. It is told which sidecars
-/// are counted here, too.
+/// The interval at which a random other control node is compared with, and at most at which each comparison is
+/// answered. The other one is also told which sidecars are counted here.
 const COMPARE_INTERVAL: Micros = 1_000_000;
-/// Reports go to the writer once in this time, if they have changed, and that on the latest document in any case...
+/// The interval of reports to the writer; they include changed reports, and the report on the latest document in any
+/// case...
 const REPORT_INTERVAL: Micros = 1_000_000;
-/// ...the others in any case once in this one...
+/// ...unchanged reports are repeated at this interval...
 const REPORT_REFRESH_INTERVAL: Micros = 2_000_000;
-/// ...for so long after a document was committed; those before it in turn, one each time.
+/// ...for this time after the document was committed. Older documents are reported in turn, one each time.
 const RECENT_PERIOD: Micros = 60_000_000;
-/// Reports that go out together, at most.
+/// The maximum number of reports sent at once.
 const MAX_REPORTS: usize = 128;
 
-/// When something is due next.
+/// The times at which periodic work is due.
 #[derive(Clone, Debug)]
 pub(super) struct Timers {
     compare_at: Micros,
     report_at: Micros,
-    /// When this control node last told another one what it keeps.
+    /// When this control node last sent its bucket hashes to each other one.
     compared: BTreeMap<u16, Micros>,
-    /// The control node that was asked last, in turn, which sidecars it counts.
+    /// The control node that was last asked, in turn, which sidecars it counts.
     last_asked: Option<u16>,
-    /// The last old document that was reported on.
+    /// The last older document that was reported on.
     last_reported: Option<DocumentKey>,
 }
 
 impl Timers {
+    /// Creates timers that are spread over their intervals by a random number.
     pub fn new(now: Micros, random: u64) -> Timers {
         let compare_at = now + random % COMPARE_INTERVAL;
         let report_at = now + (random >> 32) % REPORT_INTERVAL;
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Whether it is time again to tell another one what is kept.
+    /// Whether enough time has passed to send the bucket hashes to another control node again.
     pub fn may_compare(&mut self, now: Micros, to: u16) -> bool {
         let last = self.compared.get(&to).copied();
         let may = last.is_none_or(|last| now >= last + COMPARE_INTERVAL / 2);
@@ -60,7 +62,7 @@
 }
 
 impl ControlNode {
-    /// Does what is due.
+    /// Does the work that is due.
     pub fn tick(&mut self, now: Micros) {
         self.query_others(now);
         self.retry_announcement(now);
@@ -85,7 +87,7 @@
         self.outgoing.send_due(now);
     }
 
-    /// When [`ControlNode::tick`] has to be called next.
+    /// The time at which [`ControlNode::tick`] has to be called next.
     pub fn poll_timeout(&self) -> Micros {
         let timers = self.timers.compare_at.min(self.timers.report_at);
         let sessions = self.sessions.values().map(|session| session.next_at()).min();
@@ -98,7 +100,7 @@
             .min(self.outgoing.next_at())
     }
 
-    /// Asks the others what they hold, before it votes.
+    /// Asks the other control nodes what they store, before this one votes.
     fn query_others(&mut self, now: Micros) {
         let Some(recovery) = &mut self.recovery else { return };
         if !recovery.is_due(now) {
@@ -117,7 +119,7 @@
         self.finish_sessions(now);
     }
 
-    /// Asks for what is being learned.
+    /// Sends the requests of all sessions.
     fn poll_sessions(&mut self, now: Micros) {
         let mut messages = Vec::new();
         for (from, session) in &mut self.sessions {
@@ -130,6 +132,7 @@
         }
     }
 
+    /// Sends the bucket hashes to a random other control node.
     fn compare_with_one(&mut self, now: Micros) {
         let jitter = self.random.next_u64() % (COMPARE_INTERVAL / 4);
         self.timers.compare_at = now + COMPARE_INTERVAL - jitter;
@@ -148,10 +151,10 @@
         }
     }
 
-    /// Asks the next of the other control nodes, in turn, which sidecars it counts: one that is silent here may have gone
-    /// there while neither could be heard here. Each is asked within as many rounds as there are others. Without the
-    /// question the answer comes by chance ([`ControlNode::compare_with_one`]), and one may be left out for minutes, in which
-    /// a sidecar is counted twice.
+    /// Asks the next of the other control nodes, in turn, which sidecars it counts: a sidecar that is silent here may
+    /// have moved there while neither of them could be reached from here. Each is asked within as many rounds as there
+    /// are others. Without the question, the answer comes by chance ([`ControlNode::compare_with_one`]), and a control
+    /// node may be left out for minutes, in which a sidecar is counted twice.
     fn ask_for_firsts(&mut self) {
         let other_control_nodes = self.other_control_nodes();
         let last = self.timers.last_asked.unwrap_or(self.config.me);
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Another control node tells which sidecars it counts, or asks which are counted here.
+    /// Another control node reports which sidecars it counts, or asks which are counted here.
     pub(super) fn on_moved(&mut self, now: Micros, from: u16, members: &[u16]) {
         if members.is_empty() {
             self.send_firsts(now, from);
@@ -175,8 +178,8 @@
         }
     }
 
-    /// Tells another control node which sidecars are counted here: one that was cut off while they came has not heard of
-    /// it.
+    /// Tells another control node which sidecars are counted here. One that was unreachable when they moved here has
+    /// missed the notices.
     pub(super) fn send_firsts(&mut self, now: Micros, other: u16) {
         let firsts = self.subscribers.recent_firsts(now);
         for members in firsts.chunks(MAX_MOVED_MEMBERS) {
@@ -184,13 +187,13 @@
         }
     }
 
-    /// Tells another control node what is committed here.
+    /// Sends the bucket hashes of the committed documents to another control node.
     pub(super) fn compare_with(&mut self, other: u16) {
         let (highest, buckets) = (self.fence.highest(), self.store.buckets(false));
         self.send(other, &Message::Compare { highest, buckets });
     }
 
-    /// Tells the other control nodes which sidecars have come.
+    /// Notifies the other control nodes of the sidecars that have moved here.
     fn announce_arrivals(&mut self) {
         let arrivals = self.subscribers.take_arrivals();
         let other_control_nodes =
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Tells the writer how far documents have come at those that this control node counts.
+    /// Reports to the writer the rollout of documents among the sidecars that this control node counts.
     fn send_reports(&mut self, now: Micros) {
         let writer = self.fence.highest().owner;
         self.reported.retain(|key, (version, ..)| self.store.committed_version(*key) == *version);
@@ -224,7 +227,7 @@
             let same = told.is_some_and(|(version, before, at)| {
                 *version == id.version && *before == rollout && now < *at + REPORT_REFRESH_INTERVAL
             });
-            // By the first one the writer knows that this control node is there.
+            // The first report tells the writer that this control node is up.
             if !same || place == 0 {
                 self.reported.insert(id.key, (id.version, rollout.clone(), now));
                 self.send(writer, &Message::Report { id, rollout });
--- a/crates/millethook-distribution/src/control/voting.rs
+++ b/crates/millethook-distribution/src/control/voting.rs
@@ -1,4 +1,4 @@
-//! How a control node votes, and how documents come to it from others.
+//! How a control node votes, and how it receives documents from other control nodes.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use super::sync::Session;
 
 impl ControlNode {
-    /// A writer asks to be admitted.
+    /// Handles a writer's request to be acknowledged.
     pub(super) fn on_announce(&mut self, from: u16, token: Token, round: u32) {
         if token.owner != from {
             self.figures.malformed += 1;
@@ -27,7 +27,7 @@
         self.send(from, &Message::Promise { token, round, buckets });
     }
 
-    /// Whether a writer's token is as high as all that are known; if not, it is told.
+    /// Whether a writer's token is at least as high as all known ones; if not, the writer is told.
     fn admit(&mut self, from: u16, token: Token) -> bool {
         let highest = self.fence.highest();
         if token < highest && !mutant::is(Mutant::NoFence) {
@@ -39,7 +39,7 @@
         true
     }
 
-    /// A token of a writer is known: lower ones are refused, the own one too.
+    /// Records a writer's token; lower tokens are rejected from now on, including this control node's own.
     pub(super) fn raise_fence(&mut self, token: Token) {
         if token <= self.fence.highest() {
             return;
@@ -53,13 +53,13 @@
         self.pending = self.pending.filter(|pending| *pending >= token);
     }
 
-    /// The head of a document has come.
+    /// Handles the head of a document.
     pub(super) fn on_offer(&mut self, now: Micros, from: u16, mut offer: Offer) {
         let id = offer.id;
         let wanted = self.sessions.values().any(|session| session.wants(id.key, id.version));
         let may_vote = self.recovery.is_none() && id.version.token >= self.fence.highest();
         if matches!(offer.stage, Stage::Proposed(_)) && wanted && !may_vote {
-            // What a writer still asks votes for is learned from it like what others have accepted.
+            // A document that the writer still collects votes for is learned like one that others have accepted.
             offer.stage = Stage::Accepted;
         }
         match offer.stage {
@@ -101,13 +101,13 @@
         self.on_arrival(now, from, arrival);
     }
 
-    /// Whether this very document is kept here.
+    /// Whether this version is stored here with the same hash.
     fn holds(&self, id: DocumentId, offer: &Offer) -> bool {
         let held = self.store.find(Some(id.key), id.version);
         held.is_some_and(|(document, _)| document.hash == offer.hash)
     }
 
-    /// What was accepted here is committed.
+    /// Commits a document that was accepted here.
     fn commit_held(&mut self, now: Micros, id: DocumentId) {
         let held = self.store.find(Some(id.key), id.version).map(|(document, _)| document.clone());
         if let Some(document) = held {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A chunk of a document has come.
+    /// Handles a chunk of a document.
     pub(super) fn on_chunk(
         &mut self,
         now: Micros,
@@ -130,13 +130,14 @@
         }
     }
 
+    /// Stores a document that has arrived completely, as its stage requires.
     fn on_arrival(&mut self, now: Micros, from: u16, arrival: Arrival) {
         let Arrival::Complete(document, stage) = arrival else { return };
         let id = document.id();
         let document = Arc::new(document);
         match stage {
             Stage::Proposed(round) => {
-                // The head was admitted, and a higher token may have come since.
+                // The head was admitted, but a higher token may have become known since.
                 let writer = id.version.token.owner;
                 if self.recovery.is_none() && self.admit(writer, id.version.token) {
                     self.accept(now, &document);
@@ -168,7 +169,7 @@
         accepted
     }
 
-    /// A document is known to be committed.
+    /// Commits a document that a majority is known to have accepted.
     pub(super) fn commit(&mut self, now: Micros, document: Arc<Document>) {
         let id = document.id();
         self.remember_last_good(now, &document);
@@ -179,11 +180,11 @@
         }
     }
 
-    /// Keeps what is about to be followed, if it was in force at most of the sidecars.
+    /// Remembers the document that is about to be replaced, if it was in force at most of the sidecars.
     fn remember_last_good(&mut self, now: Micros, next: &Document) {
         let Some(before) = self.store.committed(next.key).cloned() else { return };
         let rollout = self.sum(now, before.id());
-        // Sidecars that are silent say nothing of it.
+        // Silent sidecars do not count.
         let reachable = rollout.expected.saturating_sub(rollout.not_heard);
         let was_in_force = reachable == 0 || 2 * rollout.in_force > reachable;
         let is_replaced = was_in_force && before.hash != next.hash && before.version < next.version;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Another control node tells what is committed there.
+    /// Another control node sends the bucket hashes of its committed documents.
     pub(super) fn on_compare(&mut self, now: Micros, from: u16, highest: Token, theirs: &Buckets) {
         self.raise_fence(highest);
         let mine = self.store.buckets(false);
@@ -203,14 +204,14 @@
             let round = self.next_round();
             self.sessions.insert(from, Session::new(round, &mine, theirs, false));
         }
-        // It may lack something, too.
+        // The other control node may lack documents, too.
         if self.timers.may_compare(now, from) {
             self.compare_with(from);
             self.send_firsts(now, from);
         }
     }
 
-    /// Another control node asks what is held in a bucket.
+    /// Another control node asks for the entries of a bucket.
     pub(super) fn on_list(
         &mut self,
         from: u16,
@@ -225,7 +226,7 @@
         self.send(from, &Message::BucketEntries { bucket, more, round, entries });
     }
 
-    /// The list of a bucket has come.
+    /// Handles the entries of a bucket.
     pub(super) fn on_entries(
         &mut self,
         now: Micros,
@@ -240,7 +241,7 @@
         self.finish_sessions(now);
     }
 
-    /// Another control node has started and asks what is held here.
+    /// Another control node has started and asks what is stored here.
     pub(super) fn on_recover(&mut self, from: u16, round: u32) {
         if let Some(recovery) = &mut self.recovery {
             recovery.on_asked(from);
@@ -250,7 +251,7 @@
         self.send(from, &Message::Recovered { round, recovering, highest, buckets });
     }
 
-    /// Another control node has answered what it holds.
+    /// Another control node has answered what it stores.
     pub(super) fn on_recovered(
         &mut self,
         now: Micros,
@@ -267,7 +268,7 @@
         self.finish_sessions(now);
     }
 
-    /// Ends what has been learned, or was given up.
+    /// Ends the sessions that are complete or have timed out.
     pub(super) fn finish_sessions(&mut self, now: Micros) {
         let store = &self.store;
         let done = self.sessions.iter_mut().filter_map(|(from, session)| {
--- a/crates/millethook-distribution/src/control/writing.rs
+++ b/crates/millethook-distribution/src/control/writing.rs
@@ -16,8 +16,9 @@
 use crate::{Document, DocumentId, DocumentKey, MAX_CONTENT_BYTES, Rollout, Version};
 
 impl ControlNode {
-    /// This control node holds the writer's lease under this token: it asks the others to admit it, and learns what
-    /// they hold. To be called again with each higher token; with the same one it changes nothing.
+    /// This control node holds the writer's lease under this token: it asks the others to acknowledge the token, and
+    /// learns what they store. The host has to call this again with each higher token; a call with the same token has
+    /// no effect.
     pub fn announce_writer(&mut self, now: Micros, token: Token) {
         if self.writer.as_ref().is_some_and(|writer| writer.token >= token) {
             return;
@@ -38,11 +39,13 @@
         self.become_ready(now);
     }
 
-    /// It holds the lease no more. What is not committed is left to the next writer.
+    /// This control node does not hold the lease any more. Documents that are not committed are left to the next
+    /// writer.
     pub fn resign(&mut self, _now: Micros) {
         self.step_down();
     }
 
+    /// Stops being the writer and drops its proposals.
     pub(super) fn step_down(&mut self) {
         self.pending = None;
         if self.writer.take().is_some() {
@@ -50,11 +53,12 @@
         }
     }
 
-    /// A number by which the answers of a round are known; never 0.
+    /// A number that identifies the answers of a round; never 0.
     pub(super) fn next_round(&mut self) -> u32 {
         self.random.next_u32().max(1)
     }
 
+    /// Starts a new round of announcements.
     fn start_announcing(&mut self, now: Micros) {
         let (me, round) = (self.config.me, self.next_round());
         // What was learned in an earlier round does not count in this one.
@@ -64,7 +68,7 @@
         }
     }
 
-    /// Asks again whoever has not answered.
+    /// Sends the announcement again to control nodes that have not answered.
     pub(super) fn retry_announcement(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return };
@@ -80,7 +84,7 @@
         let message = Message::Announce { token: writer.token, round: writer.round };
         let learned = writer.learned.clone();
         for other in self.other_control_nodes() {
-            // What is being compared with it once a second says nothing of its votes.
+            // The comparison that is made once a second does not include the other's votes.
             let learning =
                 self.sessions.get(&other).is_some_and(|session| session.learns_accepted());
             if !learned.contains(&other) && !learning {
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Another control node takes no lower token any more.
+    /// Another control node accepts no lower token any more.
     pub(super) fn on_promise(
         &mut self,
         now: Micros,
@@ -112,7 +116,7 @@
         self.finish_sessions(now);
     }
 
-    /// All that another control node holds is known here.
+    /// Everything that another control node stores is known here.
     pub(super) fn on_learned(&mut self, now: Micros, from: u16) {
         if let Some(writer) = self.writer.as_mut().filter(|w| w.promised.contains(&from)) {
             writer.learned.insert(from);
@@ -120,7 +124,7 @@
         }
     }
 
-    /// The writer may publish once all that a majority holds is known, and it is told in time.
+    /// The writer may publish once it knows everything that a majority stores, if the round has not expired.
     fn become_ready(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &mut self.writer else { return };
@@ -132,7 +136,7 @@
         writer.ready = true;
         let token = writer.token;
         self.queue_event(ControlEvent::WriterReady(token));
-        // What a majority may have accepted is published again, under a version that is greater.
+        // Documents that a majority may have accepted are published again, under a higher version.
         if !mutant::is(Mutant::LeftoversForgotten) {
             for document in self.store.uncommitted() {
                 self.start_publication(now, document.key, document.body.clone());
@@ -140,11 +144,13 @@
         }
     }
 
-    /// Publishes a document, or with None retracts the one of this key. The version is known at once; it is in force
-    /// nowhere before [`ControlEvent::Committed`]. Of several for one key in a row only the latest need be committed.
+    /// Publishes a document, or retracts the document of this key if `body` is None. The version is known at once; it
+    /// is not in force anywhere before [`ControlEvent::Committed`]. Of several consecutive documents for one key, only
+    /// the latest has to be committed.
     ///
     /// # Errors
-    /// Says why not.
+    ///
+    /// Returns the reason why it was not published.
     pub fn publish(
         &mut self,
         now: Micros,
@@ -169,7 +175,7 @@
         version.ok_or(PublishError::NotWriter(highest))
     }
 
-    /// Makes the next document of a key; it goes out when the one before it is committed.
+    /// Creates the next document of a key; it is proposed when the previous one is committed.
     fn start_publication(
         &mut self,
         now: Micros,
@@ -207,7 +213,7 @@
         self.count_votes(now, key);
     }
 
-    /// Asks again for votes where a round is over.
+    /// Starts a new vote where a round has expired.
     pub(super) fn retry_proposals(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return };
@@ -220,7 +226,7 @@
         expired.into_iter().for_each(|document| self.propose(now, document));
     }
 
-    /// When a round of votes is over.
+    /// The time at which the next round of votes expires.
     pub(super) fn next_round_end(&self) -> Micros {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return Micros::MAX };
@@ -245,7 +251,7 @@
         }
     }
 
-    /// A document that a majority has accepted is committed.
+    /// Commits a document that a majority has accepted.
     fn count_votes(&mut self, now: Micros, key: DocumentKey) {
         let Some(writer) = &mut self.writer else { return };
         let Some(publication) = writer.publications.get(&key) else { return };
@@ -270,7 +276,7 @@
         }
     }
 
-    /// How far a document has come: at the writer in sum, elsewhere among those that this control node counts.
+    /// The rollout of a document: the total at the writer; elsewhere, the part that this control node counts.
     pub(super) fn sum(&self, now: Micros, id: DocumentId) -> Rollout {
         let own = self.rollout(now, id);
         match &self.writer {
@@ -279,7 +285,7 @@
         }
     }
 
-    /// Puts back what was before a document that too many refuse.
+    /// Restores the previous content of a document that too many sidecars refuse.
     pub(super) fn stop_refused(&mut self, now: Micros) {
         let Some(writer) = self.writer.as_ref().filter(|writer| writer.ready) else { return };
         let limits = self.config.limits;
--- a/crates/millethook-distribution/src/delta.rs
+++ b/crates/millethook-distribution/src/delta.rs
@@ -1,20 +1,21 @@
-//! What has changed from one content to the next: pieces that are copied from the base, and bytes between them.
+//! Computes and applies deltas between two contents: ranges that are copied from the base, with new bytes in between.
 //!
-//! A delta is a row of steps. Each is the count of new bytes, these bytes, where the copy begins in the base, relative
-//! to the end of the copy before, and the length of the copy. Numbers have seven bits a byte, the lowest first; the
-//! relative one is signed ("zigzag"). A delta proves nothing: whoever applies it has to compare the hash of the result.
+//! A delta is a sequence of steps. Each step is the number of new bytes, these bytes, the position in the base at which
+//! the copy begins, relative to the end of the previous copy, and the length of the copy. Numbers are encoded with
+//! seven bits a byte, lowest bits first; the relative position is signed ("zigzag"). A delta does not authenticate its
+//! result: whoever applies it has to compare the hash of the result.
 
 use std::collections::HashMap;
 
 use crate::MAX_CONTENT_BYTES;
 
-/// Bytes by which a piece of the base is found, and the shortest one that is copied.
+/// Bytes by which a range of the base is looked up; also the length of the shortest range that is copied.
 const WINDOW_BYTES: usize = 8;
-/// Places in the base that are compared for one piece: those behind the end of the last copy, and those before it.
+/// Positions in the base that are compared for one range: those after the end of the last copy, and those before it.
 const POSITIONS_AFTER: usize = 8;
 const POSITIONS_BEFORE: usize = 2;
 
-/// The delta from a base to a content; None: it is longer than `most` bytes.
+/// The delta from a base to a content; None: it is longer than `max_bytes`.
 pub(crate) fn compute(base: &[u8], content: &[u8], max_bytes: usize) -> Option<Vec<u8>> {
     let positions = positions_by_window(base);
     let mut delta = Vec::new();
@@ -38,7 +39,7 @@
     (delta.len() <= max_bytes).then_some(delta)
 }
 
-/// What a delta makes of a base; None: it does not fit it, or the result has not `length` bytes.
+/// Applies a delta to a base; None: it does not fit the base, or the result does not have `length` bytes.
 pub(crate) fn apply(base: &[u8], mut delta: &[u8], length: usize) -> Option<Vec<u8>> {
     let mut content = Vec::new();
     let mut expected = 0i64;
@@ -60,7 +61,7 @@
     (content.len() == length).then_some(content)
 }
 
-/// Where each window stands in the base, in ascending order.
+/// The positions of each window in the base, in ascending order.
 fn positions_by_window(base: &[u8]) -> HashMap<&[u8], Vec<usize>> {
     let mut positions: HashMap<&[u8], Vec<usize>> = HashMap::new();
     for (position, window) in base.windows(WINDOW_BYTES).enumerate() {
@@ -69,7 +70,8 @@
     positions
 }
 
-/// The longest piece of the base that the content begins with, of those that are looked at: where it is, and its length.
+/// The longest range of the base that equals the beginning of the content, among the compared positions: its position
+/// and its length.
 fn longest_copy(
     base: &[u8],
     positions: &HashMap<&[u8], Vec<usize>>,
--- a/crates/millethook-distribution/src/document.rs
+++ b/crates/millethook-distribution/src/document.rs
@@ -5,10 +5,10 @@
 
 use crate::{DocumentKey, Version};
 
-/// The longest content, in bytes.
+/// The maximum length of a content in bytes.
 pub const MAX_CONTENT_BYTES: usize = 64 * 1024;
 
-/// The first 16 bytes of SHA-256 over whether it is a retraction, and the content.
+/// The first 16 bytes of the SHA-256 of a flag for retractions, followed by the content.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,32 +27,32 @@
     }
 }
 
-/// A document. It is whole: its hash was right when it was made or read.
+/// A document. Its hash was verified when it was created or read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// What it is known by.
+    /// The key under which it is published.
     pub key: DocumentKey,
-    /// Which one of this key.
+    /// The version of this key.
     pub version: Version,
-    /// What it says, at most [`MOST_CONTENT`] bytes; None: the scope has no document any more (a retraction).
+    /// The content, at most [`MAX_CONTENT_BYTES`] bytes; None: the scope has no document any more (a retraction).
     pub body: Option<Vec<u8>>,
     /// The hash of the body.
     pub hash: ContentHash,
 }
 
 impl Document {
-    /// A document, with its hash.
+    /// Creates a document and computes its hash.
     pub fn new(key: DocumentKey, version: Version, body: Option<Vec<u8>>) -> Document {
         let hash = ContentHash::of(body.as_deref());
         Document { key, version, body, hash }
     }
 
-    /// Bytes of the content.
+    /// The length of the content in bytes.
     pub fn length(&self) -> usize {
         self.body.as_ref().map_or(0, Vec::len)
     }
 
-    /// Whether the hash is that of the body, and the body no longer than it may be.
+    /// Whether the hash matches the body and the body does not exceed the maximum length.
     pub fn is_intact(&self) -> bool {
         self.length() <= MAX_CONTENT_BYTES && self.hash == ContentHash::of(self.body.as_deref())
     }
--- a/crates/millethook-distribution/src/lib.rs
+++ b/crates/millethook-distribution/src/lib.rs
@@ -1,14 +1,16 @@
-//! Documents (configuration, lists of servers) that reach every sidecar of a fleet, without each one asking the source.
+//! Distributes documents (configuration, lists of servers) to all sidecars of a fleet, so that not every sidecar has to
+//! query the source.
 //!
-//! A few members are **control nodes**. One of them at a time is the **writer**, by a lease whose [`Token`] is handed in.
-//! A document is committed when a majority of the control nodes has accepted it under that token; then each control
-//! node pushes it to the sidecars that have chosen it. A sidecar ([`Subscriber`]) chooses two. It offers a document that
-//! is whole to its host, and nothing is in force before the host has taken it; what is in force, and what was refused
-//! and why, comes back and is summed at the writer. Why it is so is in `docs/design/distribution.md`.
+//! A few members are **control nodes**. One of them at a time is the **writer**, by a lease whose [`Token`] the host
+//! passes in. A document is committed when a majority of the control nodes has accepted it under that token; each
+//! control node then pushes it to the sidecars that have chosen it. A sidecar ([`Subscriber`]) chooses two control
+//! nodes. It offers each complete document to its host, and nothing is in force before the host has accepted it.
+//! Sidecars report what is in force and what was refused and why; the writer adds up these reports.
+//! `docs/design/distribution.md` gives the reasons for this design.
 //!
-//! [`Subscriber`] and [`ControlNode`] have no socket and no clock: contents of datagrams and the time, in microseconds,
-//! are handed in; messages and events come out. The same calls give the same results. The time has to run on while the
-//! process stands still.
+//! [`Subscriber`] and [`ControlNode`] use no socket and no clock: the host passes in the contents of datagrams and the
+//! time in microseconds, and fetches messages and events. The same calls give the same results. The time has to advance
+//! while the process is suspended.
 #![forbid(unsafe_code)]
 
 mod chunks;
--- a/crates/millethook-distribution/src/message.rs
+++ b/crates/millethook-distribution/src/message.rs
@@ -1,7 +1,7 @@
-//! What members say to one another about documents: one message is one content of at most 241 bytes. Numbers are
-//! big-endian. The first byte is what it is, with the highest bit set if it is for the receiver's sidecar and not for
-//! its control node: one member may be both. What follows is in the order of the fields below: a key has 5 bytes, a
-//! token 12, a version 16, a hash of a content 16, hashes of buckets 8 each.
+//! Messages of the distribution protocol. Each message is the content of one datagram, at most 241 bytes. Numbers are
+//! big-endian. The first byte is the message's type; its highest bit is set if the message is for the receiver's
+//! sidecar and not for its control node, since one member may be both. The fields follow in the order in which they are
+//! declared below: a key has 5 bytes, a token 12, a version 16, a hash of a content 16, and each bucket hash 8.
 
 mod fields;
 mod lists;
@@ -22,119 +22,81 @@
     write_digest, write_offer, write_rollout,
 };
 
-/// Ranges of keys that are compared.
+/// The number of ranges of keys that are compared.
 pub(crate) const BUCKETS: usize = 24;
-/// Hashes of all that a control node keeps, by bucket.
+/// Hashes of the documents that a control node stores, by bucket.
 pub(crate) type Buckets = [u64; BUCKETS];
 /// Bytes of an offer before an inline content.
 const OFFER_HEADER_BYTES: usize = 40;
-/// The longest content that travels within a committed offer.
+/// The longest content that fits into a committed offer.
 pub(crate) const MAX_INLINE_BYTES: usize = LONGEST - OFFER_HEADER_BYTES;
-/// Bytes of an entry of a list: key, committed and accepted version.
+/// Bytes of one list entry: key, committed and accepted version.
 const ENTRY_BYTES: usize = 37;
-/// Entries of a list in one message.
+/// The maximum number of list entries in one message.
 pub(crate) const MAX_LIST_ENTRIES: usize = (LONGEST - 7) / ENTRY_BYTES;
-/// Members that are named in one message.
+/// The maximum number of members named in one message.
 pub(crate) const MAX_MOVED_MEMBERS: usize = (LONGEST - 1) / 2;
+/// Flag in the first byte: the message is for the receiver's sidecar.
 const FOR_SIDECAR: u8 = 0x80;
 
+/// A message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Message {
+    /// The state of a sidecar.
     Digest(Digest),
-    /// An answer: whether the statuses with this hash are known.
-    DigestReply {
-        hash: u64,
-        known: bool,
-    },
+    /// Answers a digest: whether the statuses with this hash are known.
+    DigestReply { hash: u64, known: bool },
+    /// Offers a document.
     Offer(Offer),
-    Chunk {
-        version: Version,
-        index: u16,
-        count: u16,
-        bytes: Vec<u8>,
-    },
-    /// Send me these chunks of a document, and its head. Without a key: its head has not come.
+    /// One chunk of a document's content.
+    Chunk { version: Version, index: u16, count: u16, bytes: Vec<u8> },
+    /// Requests chunks of a document, and its head. Without a key, the sender has not received the head.
     Fetch {
+        /// The role of the sender, to which the parts are sent.
         of: Role,
         key: Option<DocumentKey>,
         version: Version,
         wanted: Wanted,
     },
-    /// I keep this version, or a later one of its key; in answer to a proposal with its round, else 0.
-    Accepted {
-        id: DocumentId,
-        round: u32,
-    },
-    /// I am the writer under this token: take none below.
-    Announce {
-        token: Token,
-        round: u32,
-    },
-    /// I take none below, and hold this.
-    Promise {
-        token: Token,
-        round: u32,
-        buckets: Buckets,
-    },
-    /// I know this higher token.
-    Stale {
-        highest: Token,
-    },
-    /// What I hold; this writer is the highest that I know.
-    Compare {
-        highest: Token,
-        buckets: Buckets,
-    },
-    /// Tell me what you hold in a bucket, behind this key.
-    ListBucket {
-        bucket: u8,
-        after: Option<DocumentKey>,
-        round: u32,
-    },
-    /// That is what I hold.
-    BucketEntries {
-        bucket: u8,
-        more: bool,
-        round: u32,
-        entries: Vec<ListEntry>,
-    },
-    /// I have started and know nothing of my votes: what do you hold?
-    Recover {
-        round: u32,
-    },
-    /// That is what I hold; I have started, too, and do not vote yet.
-    Recovered {
-        round: u32,
-        recovering: bool,
-        highest: Token,
-        buckets: Buckets,
-    },
-    /// How far a document has come among the sidecars that I count.
-    Report {
-        id: DocumentId,
-        rollout: Rollout,
-    },
-    /// These sidecars have come to count me as their first control node. Without members: which do you count? A build that
-    /// does not know the question takes it for news of nobody.
-    Moved {
-        members: Vec<u16>,
-    },
-    /// These lists I want, and that is how I stand to them.
+    /// The sender stores this version or a later one of its key. `round` is that of the proposal being answered, else
+    /// 0.
+    Accepted { id: DocumentId, round: u32 },
+    /// The sender is the writer under this token and asks the receiver to accept no lower token.
+    Announce { token: Token, round: u32 },
+    /// The sender accepts no lower token and stores documents with these bucket hashes.
+    Promise { token: Token, round: u32, buckets: Buckets },
+    /// The sender knows this higher token.
+    Stale { highest: Token },
+    /// The bucket hashes of the sender's committed documents, and the highest writer token that it knows.
+    Compare { highest: Token, buckets: Buckets },
+    /// Requests the entries of a bucket that follow this key.
+    ListBucket { bucket: u8, after: Option<DocumentKey>, round: u32 },
+    /// The entries of a bucket.
+    BucketEntries { bucket: u8, more: bool, round: u32, entries: Vec<ListEntry> },
+    /// The sender has started and has forgotten its votes; it asks what the receiver stores.
+    Recover { round: u32 },
+    /// Answers `Recover` with the bucket hashes of the sender; `recovering`: it has just started, too, and does not
+    /// vote yet.
+    Recovered { round: u32, recovering: bool, highest: Token, buckets: Buckets },
+    /// The rollout of a document among the sidecars that the sender counts.
+    Report { id: DocumentId, rollout: Rollout },
+    /// These sidecars now use the sender as their first control node. Without members, it asks for the sidecars that
+    /// the receiver counts; a build that does not know this question takes it for an empty notice.
+    Moved { members: Vec<u16> },
+    /// The lists that the sidecar subscribes to, and their states.
     ListsUpdate(ListsUpdate),
-    /// An answer: whether the lists with this hash are known.
-    ListsReply {
-        hash: u64,
-        known: bool,
-    },
+    /// Answers a lists update: whether the lists with this hash are known.
+    ListsReply { hash: u64, known: bool },
+    /// One part of a delta.
     Delta(Delta),
 }
 
-/// Why a content is no message.
+/// The content is not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Malformed;
 
 impl Message {
-    /// The content, for that part of the receiver.
+    /// Encodes the message, addressed to the given role of the receiver.
     pub fn write(&self, to: Role) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(LONGEST);
         let flag = if to == Role::Sidecar { FOR_SIDECAR } else { 0 };
@@ -144,6 +106,7 @@
         bytes
     }
 
+    /// The message's type on the wire.
     fn number(&self) -> u8 {
         match self {
             Message::Digest(_) => 1,
@@ -243,10 +206,11 @@
         }
     }
 
-    /// Reads a content.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// It makes no sense; nothing of it may be used.
+    ///
+    /// The content is malformed; no part of it may be used.
     pub fn read(bytes: &[u8]) -> Result<(Role, Message), Malformed> {
         let mut rest = bytes;
         let first = codec::byte(&mut rest).ok_or(Malformed)?;
@@ -310,4 +274,5 @@
     })
 }
 
+/// Flag of a fetch request: a key follows.
 const HAS_KEY: u8 = 2;
--- a/crates/millethook-distribution/src/message/fields.rs
+++ b/crates/millethook-distribution/src/message/fields.rs
@@ -1,27 +1,29 @@
-//! What messages are made of.
+//! The types that messages are composed of.
 
 use crate::lists::ListStatus;
 use crate::{ContentHash, DocumentId, DocumentKey, Identity, Refusal, Version};
 
-/// Whose message it is: of a control node or of a sidecar.
+/// The role of a message's sender or receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Role {
+    /// The control node of a member.
     ControlNode,
+    /// The sidecar of a member.
     Sidecar,
 }
 
-/// How far a document is that is offered.
+/// The stage of an offered document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// The writer asks for a vote, in this round.
     Proposed(u32),
-    /// The sender has accepted it; whether it is committed is not known there.
+    /// The sender has accepted it, and does not know whether it is committed.
     Accepted,
     /// A majority has accepted it.
     Committed,
 }
 
-/// A document's head; with a short content the whole document.
+/// The head of a document; for a short content, the whole document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Offer {
     pub stage: Stage,
@@ -32,11 +34,14 @@
     pub inline: Option<Vec<u8>>,
 }
 
-/// How a sidecar stands to the latest document of a key that it knows.
+/// The state, at a sidecar, of the latest document of a key that it knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum State {
+    /// The host has put it into force.
     InForce,
+    /// It waits for the host's decision.
     Offered,
+    /// The host refused it.
     Refused(Refusal),
 }
 
@@ -51,6 +56,7 @@
     }
 }
 
+/// The state, at a sidecar, of the latest document of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
     pub key: DocumentKey,
@@ -58,56 +64,56 @@
     pub state: State,
 }
 
-/// What a sidecar has.
+/// The documents that a sidecar has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Digest {
     pub identity: Identity,
-    /// 0: the receiver is its first control node; 1: its second; more: it only asks whether it is there.
+    /// 0: the receiver is its first control node; 1: its second; more: it only checks whether the receiver answers.
     pub rank: u8,
     /// The hash of all statuses.
     pub hash: u64,
-    /// The statuses, if they are told.
+    /// The statuses, if the message includes them.
     pub statuses: Option<Vec<Status>>,
 }
 
-/// Which lists a sidecar wants and how it stands to them, by service.
+/// The lists that a sidecar subscribes to and their states, by service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ListsUpdate {
-    /// The hash of all of it.
+    /// The hash of all list statuses.
     pub hash: u64,
     pub payload: ListsPayload,
 }
 
-/// How much a sidecar tells of its lists.
+/// How much of its list statuses a sidecar sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ListsPayload {
-    /// Only the hash: does the receiver know the rest?
+    /// Only the hash: asks whether the receiver knows the rest.
     Hash,
-    /// What has changed in what the receiver knows.
+    /// What has changed since the state that the receiver knows.
     Changes(Vec<(u32, ListStatus)>),
-    /// A part of all.
+    /// One part of all statuses.
     Full(Vec<(u32, ListStatus)>),
 }
 
-/// A part of what makes a committed document of the one before.
+/// One part of the delta from the previous committed document to a new one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Delta {
     pub id: DocumentId,
-    /// The hash and the length of the whole content.
+    /// The hash and the length of the complete content.
     pub hash: ContentHash,
     pub length: usize,
-    /// The version that it is made from.
+    /// The version that the delta is applied to.
     pub base: Version,
     pub index: u8,
     pub count: u8,
     pub bytes: Vec<u8>,
 }
 
-/// What a control node holds of a key.
+/// What a control node stores for a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ListEntry {
     pub key: DocumentKey,
-    /// The lowest version: none.
+    /// The lowest version stands for none.
     pub committed: Version,
     pub accepted: Version,
 }
--- a/crates/millethook-distribution/src/message/lists.rs
+++ b/crates/millethook-distribution/src/message/lists.rs
@@ -1,5 +1,5 @@
-//! Messages about lists of servers, and deltas. Members of a build without them take them for malformed, and answer
-//! nothing.
+//! Encoding of messages about server lists, and of deltas. Members of a build that does not know them treat them as
+//! malformed and do not answer.
 
 use millethook_machine::codec::{self, BufMut};
 
@@ -15,9 +15,10 @@
 const DELTA_HEADER_BYTES: usize = 1 + 21 + 16 + 16 + 3 + 1 + 1;
 /// Bytes of a delta in one message; the last part may be shorter.
 pub(crate) const DELTA_PART_BYTES: usize = LONGEST - DELTA_HEADER_BYTES;
-/// Parts of the longest delta. A delta comes unasked, as does a content of so many chunks at most.
+/// The maximum number of parts of a delta. A delta is sent without a request, like a content with at most this many
+/// chunks.
 pub(crate) const MAX_DELTA_PARTS: usize = crate::chunks::MAX_EAGER_CHUNKS;
-/// The state of a list that is wanted and not there.
+/// The state of a list that the sidecar subscribes to and does not have.
 const STATE_ABSENT: u8 = 3;
 
 /// Splits statuses into as many messages as they need.
@@ -39,6 +40,7 @@
     messages
 }
 
+/// Appends a list status.
 fn put_status(bytes: &mut Vec<u8>, service: u32, status: &ListStatus) {
     bytes.put_u32(service);
     if status.version == Version::default() {
@@ -52,6 +54,7 @@
     }
 }
 
+/// Reads a list status.
 fn read_status(bytes: &mut &[u8]) -> Option<(u32, ListStatus)> {
     let (service, number) = (codec::word(bytes)?, codec::byte(bytes)?);
     if number == STATE_ABSENT {
@@ -67,6 +70,7 @@
     Some((service, ListStatus { version, state }))
 }
 
+/// Appends a lists update.
 pub(super) fn write_lists(bytes: &mut Vec<u8>, lists: &ListsUpdate) {
     bytes.put_u64(lists.hash);
     let (number, statuses) = match &lists.payload {
@@ -78,6 +82,7 @@
     statuses.iter().for_each(|(service, status)| put_status(bytes, *service, status));
 }
 
+/// Reads a lists update.
 pub(super) fn read_lists(bytes: &mut &[u8]) -> Option<ListsUpdate> {
     let (hash, number) = (codec::uint(bytes, 8)?, codec::byte(bytes)?);
     let mut statuses = Vec::new();
@@ -93,6 +98,7 @@
     Some(ListsUpdate { hash, payload })
 }
 
+/// Appends a part of a delta.
 pub(super) fn write_delta(bytes: &mut Vec<u8>, delta: &Delta) {
     put_id(bytes, delta.id);
     bytes.extend_from_slice(&delta.hash.0);
@@ -103,6 +109,7 @@
     bytes.extend_from_slice(&delta.bytes);
 }
 
+/// Reads a part of a delta; None: it is malformed.
 pub(super) fn read_delta(bytes: &mut &[u8]) -> Option<Delta> {
     let id = read_id(bytes)?;
     let (hash, rest) = bytes.split_first_chunk::<16>()?;
--- a/crates/millethook-distribution/src/message/parts.rs
+++ b/crates/millethook-distribution/src/message/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of messages: heads of documents, digests, reports.
+//! Encoding of the parts of messages: heads of documents, digests, reports.
 
 use millethook_machine::codec::{self, BufMut};
 
@@ -6,10 +6,12 @@
 use crate::report::{MAX_NAMED_MEMBERS, MAX_REASON_BYTES};
 use crate::{ContentHash, DocumentId, DocumentKey, Identity, LONGEST, Refusal, Rollout, Version};
 
+/// Appends bucket hashes.
 pub(super) fn put_buckets(bytes: &mut Vec<u8>, buckets: &Buckets) {
     buckets.iter().for_each(|hash| bytes.put_u64(*hash));
 }
 
+/// Reads bucket hashes.
 pub(super) fn read_buckets(bytes: &mut &[u8]) -> Option<Buckets> {
     let mut buckets = [0; BUCKETS];
     for hash in &mut buckets {
@@ -18,16 +20,18 @@
     Some(buckets)
 }
 
+/// Appends a key and a version.
 pub(super) fn put_id(bytes: &mut Vec<u8>, id: DocumentId) {
     id.key.write(bytes);
     id.version.write(bytes);
 }
 
+/// Reads a key and a version.
 pub(super) fn read_id(bytes: &mut &[u8]) -> Option<DocumentId> {
     Some(DocumentId { key: DocumentKey::read(bytes)?, version: Version::read(bytes)? })
 }
 
-/// Adds a refusal, its reason cut to what `room` allows.
+/// Appends a refusal, with its reason cut to `max_bytes`.
 pub(super) fn put_refusal(bytes: &mut Vec<u8>, refusal: &Refusal, max_bytes: usize) {
     let reason = refusal.cut(max_bytes.min(MAX_REASON_BYTES));
     bytes.put_u8(refusal.code);
@@ -35,6 +39,7 @@
     bytes.extend_from_slice(reason.as_bytes());
 }
 
+/// Reads a refusal.
 pub(super) fn read_refusal(bytes: &mut &[u8]) -> Option<Refusal> {
     let (code, length) = (codec::byte(bytes)?, usize::from(codec::byte(bytes)?));
     let (reason, rest) = bytes.split_at_checked(length)?;
@@ -42,6 +47,7 @@
     Some(Refusal { code, reason: String::from_utf8_lossy(reason).into_owned() })
 }
 
+/// Appends a digest.
 pub(super) fn write_digest(bytes: &mut Vec<u8>, digest: &Digest) {
     bytes.put_u32(digest.identity.region);
     bytes.put_u32(digest.identity.zone);
@@ -56,13 +62,14 @@
         status.version.write(bytes);
         bytes.put_u8(status.state.number());
         if let State::Refused(refusal) = &status.state {
-            // Those that follow need at most so much.
+            // The maximum size of the statuses that follow.
             let reserved = (statuses.len() - n - 1) * (Version::LENGTH + 4) + 2;
             put_refusal(bytes, refusal, LONGEST.saturating_sub(bytes.len() + reserved));
         }
     }
 }
 
+/// Reads a digest.
 pub(super) fn read_digest(bytes: &mut &[u8]) -> Option<Digest> {
     let (region, zone) = (codec::word(bytes)?, codec::word(bytes)?);
     let (service, number) = (codec::word(bytes)?, codec::short(bytes)?);
@@ -93,6 +100,7 @@
 const RETRACTED: u8 = 0x10;
 const INLINE: u8 = 0x20;
 
+/// Appends an offer.
 pub(super) fn write_offer(bytes: &mut Vec<u8>, offer: &Offer) {
     let stage = match offer.stage {
         Stage::Proposed(_) => 0,
@@ -116,6 +124,7 @@
     }
 }
 
+/// Reads an offer; None: it is malformed.
 pub(super) fn read_offer(bytes: &mut &[u8]) -> Option<Offer> {
     let flags = codec::byte(bytes)?;
     let id = read_id(bytes)?;
@@ -139,11 +148,13 @@
     is_valid.then_some(Offer { stage, id, hash, retracted, length, inline })
 }
 
-/// Beside how many members are named: the count of those that move follows. It is told only where there are any.
+/// Flag in the byte that counts the named members: the number of moving sidecars follows. It is sent only if there are
+/// any.
 const MOVING: u8 = 0x80;
-/// The sender has the document on its disk.
+/// Flag in the same byte: the sender has the document on its disk.
 const PERSISTED: u8 = 0x40;
 
+/// Appends a rollout.
 pub(super) fn write_rollout(bytes: &mut Vec<u8>, rollout: &Rollout) {
     for count in [rollout.expected, rollout.in_force, rollout.refused, rollout.not_heard] {
         bytes.put_u16(u16::try_from(count).unwrap_or(u16::MAX));
@@ -162,6 +173,7 @@
     }
 }
 
+/// Reads a rollout; None: it is malformed.
 pub(super) fn read_rollout(bytes: &mut &[u8]) -> Option<Rollout> {
     let mut count = || codec::short(bytes).map(u32::from);
     let (expected, in_force, refused, not_heard) = (count()?, count()?, count()?, count()?);
--- a/crates/millethook-distribution/src/mutant.rs
+++ b/crates/millethook-distribution/src/mutant.rs
@@ -1,33 +1,33 @@
-//! Rules that tests take out (`--features mutants`).
+//! Rules that tests can remove (`--features mutants`).
 
 millethook_machine::mutants! {
     /// One control node less than a majority is enough.
     NoMajority,
-    /// A control node takes proposals of a writer that was followed by another.
+    /// A control node accepts proposals of a writer that was replaced by another.
     NoFence,
-    /// A new writer does not learn what the others hold.
+    /// A new writer does not learn what the other control nodes store.
     NoCatchUp,
-    /// A new writer leaves alone what was accepted and not committed.
+    /// A new writer ignores documents that were accepted and not committed.
     LeftoversForgotten,
     /// A control node that has started votes at once.
     NoSilence,
-    /// Votes count for a round that was sent long ago.
+    /// Votes count for a round that has expired.
     RoundsForever,
-    /// A writer gives two documents one version.
+    /// A writer gives two documents the same version.
     CounterStays,
-    /// What is accepted goes to sidecars before it is committed.
+    /// Accepted documents are sent to sidecars before they are committed.
     UncommittedTravels,
-    /// A sidecar takes a document that is older than the one in force.
+    /// A sidecar accepts a document that is older than the one in force.
     VersionsGoBack,
-    /// A sidecar takes documents that are not for it.
+    /// A sidecar accepts documents that are not for it.
     AnyScope,
-    /// A document counts as whole when its last chunk is there.
+    /// A document counts as complete when its last chunk has arrived.
     LastChunkIsEnough,
-    /// What the host refused can still be put into force.
+    /// A document that the host refused can still be put into force.
     RefusedComesBack,
-    /// A document that many refuse goes on.
+    /// A document that many sidecars refuse is not stopped.
     NeverStopped,
-    /// Lists of servers are for the sidecars beside the service.
+    /// Server lists are sent to the sidecars beside the service.
     ListsByIdentity,
     /// A delta is applied to whatever is in force, and the hash is not compared.
     DeltaUnchecked,
--- a/crates/millethook-distribution/src/outgoing.rs
+++ b/crates/millethook-distribution/src/outgoing.rs
@@ -1,5 +1,5 @@
-//! Documents on their way out: which receiver still needs what of which document, sent within a budget of bytes a
-//! second, fair among receivers.
+//! Documents that are being sent: which parts of which document each receiver still needs. They are sent within a
+//! budget of bytes a second that receivers share fairly.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,20 +11,20 @@
 use crate::message::{MAX_INLINE_BYTES, Message, Offer, Role, Stage};
 use crate::{Document, DocumentId, DocumentKey, Version};
 
-/// A head that nobody has answered goes out again after so long, then after half as much more each time.
+/// An unanswered head is sent again after this time; the wait then grows by half of it with each try.
 const RETRY_DELAY: Micros = 250_000;
-/// Times that a head goes out; then the receiver's next digest decides.
+/// The maximum number of times that a head is sent; after that, the receiver's next digest decides.
 const MAX_TRIES: u32 = 8;
-/// Pushes that are kept, at most.
+/// The maximum number of pushes in progress.
 const MAX_PUSHES: usize = 262_144;
-/// Messages that wait to be fetched; with this many no push is made.
+/// Messages that wait to be fetched; no push is made while there are this many.
 const MAX_QUEUED_MESSAGES: usize = 512;
-/// What the budget may save up, as a part of a second, and in bytes at least.
+/// The maximum unused budget: the bytes of this part of a second, and at least the number of bytes below.
 const BURST_SECONDS: f64 = 0.05;
 const MIN_BURST_BYTES: f64 = 8_192.0;
-/// When the budget is spent, pushes go on after this time.
+/// While the budget is used up, pushes are tried again after this time.
 const BUDGET_RETRY_DELAY: Micros = 1_000;
-/// Bytes of a datagram beside a content, that the budget counts too.
+/// Bytes of a datagram in addition to its content, which count against the budget, too.
 const FRAME_OVERHEAD_BYTES: f64 = 15.0;
 
 /// The receiver of a push.
@@ -34,25 +34,27 @@
     pub role: Role,
 }
 
-/// One document for one receiver.
+/// The transfer of one document to one receiver.
 #[derive(Clone, Debug)]
 struct Push {
     document: Arc<Document>,
     stage: Stage,
-    /// The head has to go out.
+    /// Whether the head has to be sent.
     head: bool,
-    /// It goes as a delta, and again as a whole delta while nobody answers; None: as head and chunks.
+    /// It is sent as a delta, and repeated as a whole delta while it is not answered; None: it is sent as head and
+    /// chunks.
     delta: Option<DeltaParts>,
-    /// Chunks, or parts of the delta, that have to go out.
+    /// Chunks, or parts of the delta, that have to be sent.
     chunks: ChunkSet,
-    /// The receiver has asked for chunks: it has the head, and asks again by itself.
+    /// The receiver has asked for chunks: it has the head, and repeats its requests itself.
     has_head: bool,
     tries: u32,
-    /// Where it stands in the queue of its receiver's role.
+    /// Its position in the queue of its receiver's role.
     due_key: DueKey,
 }
 
 impl Push {
+    /// Creates a push that has not been sent yet.
     fn new(document: &Arc<Document>, stage: Stage, head: bool, chunks: ChunkSet) -> Push {
         let document = document.clone();
         let (has_head, tries, due_key) = (false, 0, (0, 0));
@@ -60,15 +62,16 @@
     }
 }
 
-/// When something is due, and a number that no other one has.
+/// The time at which something is due, and a unique sequence number.
 type DueKey = (Micros, u64);
 
-/// All pushes, of each receiver and key the latest, and all other messages that wait.
+/// All pushes, the latest for each receiver and key, and all other messages that wait.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
     pushes: BTreeMap<(Receiver, DocumentKey), Push>,
-    /// Those to control nodes go first: each of them serves hundreds of sidecars. Danger: in turn with all sidecars of a
-    /// writer whose budget is spent, one that lacks a long document would have it when the last of these has.
+    /// Pushes to control nodes come first, since each of them serves hundreds of sidecars. If they took turns with all
+    /// sidecars of a writer whose budget is used up, a control node that lacks a long document would be complete only
+    /// when the last of these sidecars is.
     due_to_control_nodes: BTreeMap<DueKey, (Receiver, DocumentKey)>,
     due_to_sidecars: BTreeMap<DueKey, (Receiver, DocumentKey)>,
     next_sequence: u64,
@@ -76,11 +79,12 @@
     rate: f64,
     budget: f64,
     budget_updated_at: Micros,
-    /// Bytes that were sent, datagram headers not counted.
+    /// Bytes that were sent, without datagram headers.
     pub sent_bytes: u64,
 }
 
 impl Outgoing {
+    /// Creates an empty queue that sends at most `rate` bytes a second.
     pub fn new(rate: u32, now: Micros) -> Outgoing {
         let rate = f64::from(rate.max(1));
         Outgoing {
@@ -96,12 +100,12 @@
         }
     }
 
-    /// Pushes under way.
+    /// The number of pushes in progress.
     pub fn len(&self) -> usize {
         self.pushes.len()
     }
 
-    /// Sends a message, at once.
+    /// Queues a message for sending at once.
     pub fn send(&mut self, to: Receiver, message: &Message) {
         let content = message.write(to.role);
         self.budget -= content.len() as f64 + FRAME_OVERHEAD_BYTES;
@@ -109,8 +113,8 @@
         self.outbox.push(to.number, content);
     }
 
-    /// Pushes a document: its head, and all chunks if it has any and `with_chunks`. What was under way of an earlier
-    /// version is dropped; of the same version what is still to be sent stays.
+    /// Pushes a document: its head, and all its chunks if `with_chunks`. A push of an earlier version is dropped; of a
+    /// push of the same version, the parts that have not been sent remain queued.
     pub fn push(
         &mut self,
         now: Micros,
@@ -122,7 +126,7 @@
         let key = (to, document.key);
         let before = self.take_push(key);
         let chunks = match before {
-            // A delta that is under way goes on.
+            // A delta in progress continues.
             Some(before)
                 if before.document.version > document.version
                     || before.document.version == document.version && before.delta.is_some() =>
@@ -142,7 +146,7 @@
         self.insert_push(now, key, Push::new(document, stage, true, chunks));
     }
 
-    /// Pushes a committed document to a receiver that has the one that the delta is made from.
+    /// Pushes a committed document to a receiver that has the base of the delta.
     pub fn push_delta(
         &mut self,
         now: Micros,
@@ -158,7 +162,7 @@
         }
     }
 
-    /// A receiver asks for parts of a document.
+    /// Handles a receiver's request for parts of a document.
     pub fn resend(
         &mut self,
         now: Micros,
@@ -198,8 +202,8 @@
         }
     }
 
-    /// A control node has accepted a version, in answer to this round, or keeps it in any case (round 0). Of a document
-    /// that is committed since it has to say the latter: an answer to the proposal may have come late.
+    /// A control node has accepted a version in this round, or stores it in any case (round 0). For a document that has
+    /// been committed since, only the latter counts: an answer to the proposal may have arrived late.
     pub fn accepted(&mut self, to: Receiver, id: DocumentId, round: u32) {
         let stage = self.pushes.get(&(to, id.key)).map(|push| push.stage);
         if round == 0 || !matches!(stage, Some(Stage::Committed)) {
@@ -214,7 +218,7 @@
         keys.into_iter().for_each(|key| drop(self.take_push(key)));
     }
 
-    /// Drops pushes that no longer hold, such as proposals of a writer that is none any more.
+    /// Drops pushes that are not valid any more, such as proposals of a writer that has been replaced.
     pub fn retain(&mut self, is_valid: impl Fn(&Document, Stage) -> bool) {
         let obsolete = self.pushes.iter().filter(|(_, push)| !is_valid(&push.document, push.stage));
         let obsolete: Vec<_> = obsolete.map(|(key, _)| *key).collect();
@@ -257,13 +261,13 @@
             let version = push.document.version;
             self.send(key.0, &Message::Chunk { version, index: index as u16, count, bytes });
         } else {
-            // Nobody has answered.
+            // No answer has arrived.
             push.head = true;
         }
         self.reschedule(now, key, push);
     }
 
-    /// Puts a push back until its next message is due.
+    /// Queues a push again until its next message is due.
     fn reschedule(&mut self, now: Micros, key: (Receiver, DocumentKey), push: Push) {
         let more = push.head || !push.chunks.is_empty();
         if more {
@@ -294,12 +298,12 @@
         }
     }
 
-    /// The next message, and to whom it goes.
+    /// The next message and its receiver.
     pub fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)> {
         self.outbox.pop()
     }
 
-    /// When [`Outgoing::pump`] has something to do.
+    /// The time at which [`Outgoing::send_due`] has to be called next.
     pub fn next_at(&self) -> Micros {
         let queues = [&self.due_to_control_nodes, &self.due_to_sidecars];
         let first = queues.into_iter().filter_map(|due| due.first_key_value());
@@ -311,11 +315,13 @@
     }
 }
 
+/// Whether the content fits into the offer.
 fn is_inline(document: &Document, stage: Stage) -> bool {
     let round = if matches!(stage, Stage::Proposed(_)) { 4 } else { 0 };
     document.length() + round <= MAX_INLINE_BYTES
 }
 
+/// The offer of a document, with the content if it fits.
 fn offer(document: &Document, stage: Stage) -> Offer {
     let inline = is_inline(document, stage);
     Offer {
--- a/crates/millethook-distribution/src/rendezvous.rs
+++ b/crates/millethook-distribution/src/rendezvous.rs
@@ -1,15 +1,15 @@
-//! Which control nodes a sidecar prefers.
+//! The order in which a sidecar prefers control nodes.
 
 use millethook_machine::hash::{mix, weight};
 
 use crate::{ControlMember, Identity};
 
-/// All control nodes but the sidecar's own process, the most preferred first, by rendezvous hashing: one of its own
+/// All control nodes except the sidecar's own process, the most preferred first, by rendezvous hashing: one of its own
 /// zone, then one of another zone of its region, then all others, those of its zone before those of its region before
-/// any.
+/// the rest.
 ///
-/// The second is of another zone on purpose: when all control nodes of a zone are gone at once, each sidecar there still
-/// has one that knows it.
+/// The second one is of another zone, so that each sidecar still has a control node that knows it when all control
+/// nodes of a zone fail at once.
 pub(crate) fn preference_order(sidecar: &Identity, control_nodes: &[ControlMember]) -> Vec<u16> {
     let distance = |node: &ControlMember| match node {
         node if node.zone == sidecar.zone && node.region == sidecar.region => 0u8,
--- a/crates/millethook-distribution/src/report.rs
+++ b/crates/millethook-distribution/src/report.rs
@@ -1,23 +1,23 @@
-//! How far a document has come.
+//! Reports on the rollout of a document: where it is in force, and where it was refused.
 
 use crate::{DocumentKey, Version};
 
-/// The longest reason of a refusal that is told, in bytes.
+/// The maximum length of a refusal's reason in a report, in bytes.
 pub const MAX_REASON_BYTES: usize = 60;
-/// Members that are named in a report, at most.
+/// The maximum number of members named in a report.
 pub const MAX_NAMED_MEMBERS: usize = 16;
 
-/// Why a host did not take a document. The code is the host's own.
+/// Why a host refused a document. The code is the host's own.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Refusal {
-    /// What kind of fault.
+    /// The kind of error.
     pub code: u8,
-    /// What was wrong: file, key, found, expected. Cut to [`MOST_REASON`] bytes.
+    /// What is wrong: file, key, found value, expected value. Cut to [`MAX_REASON_BYTES`] bytes.
     pub reason: String,
 }
 
 impl Refusal {
-    /// The reason, cut to so many bytes between two characters.
+    /// The reason, cut to at most `most` bytes at a character boundary.
     pub(crate) fn cut(&self, most: usize) -> &str {
         let end =
             (0..=most.min(self.reason.len())).rev().find(|n| self.reason.is_char_boundary(*n));
@@ -25,35 +25,36 @@
     }
 }
 
-/// How far a document has come, at the sidecars that it is for and that count one control node as their first; at the
-/// writer the sum over all control nodes.
+/// The rollout of a document among the sidecars that it is for and that use one control node as their first; at the
+/// writer, the sum over all control nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rollout {
-    /// Sidecars that it is for and that were heard of.
+    /// Sidecars that the document is for and that have sent a digest.
     pub expected: u32,
-    /// It is in force there.
+    /// Sidecars where it is in force.
     pub in_force: u32,
-    /// It was refused there, by sidecars that are heard of.
+    /// Sidecars that refused it and still send digests.
     pub refused: u32,
-    /// Who refused it, and why: the first that was heard of.
+    /// The sidecar whose refusal arrived first, and its reason.
     pub first_refusal: Option<(u16, Refusal)>,
-    /// Sidecars that are silent, and not known to have it in force.
+    /// Sidecars that are silent and not known to have it in force.
     pub not_heard: u32,
-    /// Some of these, at most [`MOST_NAMED`].
+    /// Some of these, at most [`MAX_NAMED_MEMBERS`].
     pub not_heard_members: Vec<u16>,
-    /// Sidecars that have just come from another control node. They are counted nowhere else here: the other one may
-    /// count them still.
+    /// Sidecars that have just moved here from another control node. They are not counted in the other fields, since
+    /// the other control node may still count them.
     pub moving: u32,
-    /// Control nodes that have it on their disk: what a majority has there outlives that all of them die at once.
+    /// Control nodes that have it on disk. A document that a majority has on disk survives the simultaneous failure of
+    /// all control nodes.
     pub persisted: u32,
-    /// At the writer: control nodes that there are; elsewhere 0.
+    /// At the writer: the number of control nodes; elsewhere 0.
     pub control_nodes: u32,
     /// At the writer: control nodes that have not reported on it.
     pub control_nodes_missing: u32,
 }
 
 impl Rollout {
-    /// Adds what another control node counts.
+    /// Adds the counts of another control node.
     pub(crate) fn add(&mut self, other: &Rollout) {
         self.expected += other.expected;
         self.in_force += other.in_force;
@@ -73,17 +74,17 @@
         self.control_nodes > 0 && self.persisted > self.control_nodes / 2
     }
 
-    /// Whether it is in force wherever it should be, as far as is known.
+    /// Whether it is in force at all sidecars that it is for, as far as is known.
     pub fn is_complete(&self) -> bool {
         self.in_force == self.expected && self.moving == 0 && self.control_nodes_missing == 0
     }
 }
 
-/// A document's key and version.
+/// The key and version of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DocumentId {
-    /// What it is known by.
+    /// The key of the document.
     pub key: DocumentKey,
-    /// Which one.
+    /// Its version.
     pub version: Version,
 }
--- a/crates/millethook-distribution/src/scope.rs
+++ b/crates/millethook-distribution/src/scope.rs
@@ -1,40 +1,40 @@
-//! For whom a document is, and the order in which documents are merged.
+//! Scopes of documents: which sidecars a document is for, and the order in which documents are merged.
 
 use millethook_machine::codec::{self, BufMut};
 use serde::{Deserialize, Serialize};
 
-/// Where a sidecar stands. Names of regions, zones and services are numbers here; the host maps them, alike at all
-/// members (an index of a configured list, or a hash of the name).
+/// The location of a sidecar. Names of regions, zones and services are numbers here; the host maps them in the same way
+/// at all members (an index into a configured list, or a hash of the name).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
     /// Its region.
     pub region: u32,
     /// Its zone.
     pub zone: u32,
-    /// The service that it stands beside.
+    /// The service that it runs beside.
     pub service: u32,
     /// Its member number.
     pub number: u16,
 }
 
-/// For whom a document is. The order of the variants is the order of merge: of two documents that are for one sidecar
-/// the later variant's keys win.
+/// The sidecars that a document is for. The order of the variants is the merge order: of two documents for one sidecar,
+/// the keys of the later variant win.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
     /// All sidecars.
     All,
-    /// Those of a region.
+    /// The sidecars of a region.
     Region(u32),
-    /// Those of a zone.
+    /// The sidecars of a zone.
     Zone(u32),
-    /// Those of a service.
+    /// The sidecars of a service.
     Service(u32),
     /// One sidecar, by its member number.
     Sidecar(u16),
 }
 
 impl Scope {
-    /// Scopes that apply to one sidecar: one of each variant.
+    /// The number of scopes that apply to one sidecar: one of each variant.
     pub const LEVELS: usize = 5;
 
     /// Whether a document of this scope is for this sidecar.
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The scopes that apply to a sidecar, in the order of merge.
+    /// The scopes that apply to a sidecar, in merge order.
     pub fn of(sidecar: &Identity) -> [Scope; Scope::LEVELS] {
         [
             Scope::All,
@@ -59,7 +59,7 @@
         ]
     }
 
-    /// Its place in the order of merge, from 0.
+    /// Its position in the merge order, from 0.
     pub fn level(self) -> u8 {
         match self {
             Scope::All => 0,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The number that names it within its level.
+    /// The number that identifies it within its level.
     fn number(self) -> u32 {
         match self {
             Scope::All => 0,
@@ -80,27 +80,27 @@
     }
 }
 
-/// What a document holds.
+/// What a document contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DocumentKind {
     /// Settings of the sidecar.
     Configuration,
-    /// The servers of a service. It is for the sidecars that want it, by
-    /// [`DistributionConfig::lists`](crate::DistributionConfig::lists), and not for those that stand beside the service.
+    /// The servers of a service. It is for the sidecars that subscribe to it by
+    /// [`DistributionConfig::lists`](crate::DistributionConfig::lists), and not for those that run beside the service.
     ServerList,
 }
 
 impl DocumentKind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [DocumentKind; 2] = [DocumentKind::Configuration, DocumentKind::ServerList];
 }
 
-/// What a document is known by: of each key one document is in force.
+/// The key of a document; of each key, one document is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DocumentKey {
-    /// What it holds.
+    /// What the document contains.
     pub kind: DocumentKind,
-    /// For whom it is.
+    /// The sidecars that it is for.
     pub scope: Scope,
 }
 
@@ -110,30 +110,30 @@
         DocumentKey { kind: DocumentKind::Configuration, scope }
     }
 
-    /// The key of the list of a service's servers. The number names the service as in [`Identity::service`].
+    /// The key of the list of a service's servers. The number identifies the service as in [`Identity::service`].
     pub fn server_list(service: u32) -> DocumentKey {
         DocumentKey { kind: DocumentKind::ServerList, scope: Scope::Service(service) }
     }
 
-    /// The key as one byte, for a reader that knows the sidecar's identity: kind and level.
+    /// The key as one byte of kind and level, for a reader that knows the sidecar's identity.
     pub(crate) fn compact(self) -> u8 {
         (self.kind as u8) << 4 | self.scope.level()
     }
 
-    /// The key that [`DocumentKey::short`] stands for at a sidecar.
+    /// The key that a byte of [`DocumentKey::compact`] stands for at a sidecar.
     pub(crate) fn from_compact(compact: u8, sidecar: &Identity) -> Option<DocumentKey> {
         let kind = *DocumentKind::ALL.get(usize::from(compact >> 4))?;
         let scope = *Scope::of(sidecar).get(usize::from(compact & 0x0f))?;
         Some(DocumentKey { kind, scope })
     }
 
-    /// Adds it to a message: 5 bytes.
+    /// Appends it to a message: 5 bytes.
     pub(crate) fn write(self, bytes: &mut Vec<u8>) {
         bytes.put_u8(self.compact());
         bytes.put_u32(self.scope.number());
     }
 
-    /// Takes it from a message; None: there is less, or no such key.
+    /// Reads it from a message; None: the message is too short, or there is no such key.
     pub(crate) fn read(bytes: &mut &[u8]) -> Option<DocumentKey> {
         let compact = codec::byte(bytes)?;
         let number = codec::word(bytes)?;
--- a/crates/millethook-distribution/src/sidecar.rs
+++ b/crates/millethook-distribution/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! The side of a sidecar: it takes documents from two control nodes.
+//! A sidecar's part of the protocol: it receives documents from two control nodes.
 
 mod check;
 mod deltas;
@@ -27,73 +27,73 @@
 use list_links::ListLinks;
 use statuses::Candidate;
 
-/// Messages that wait to be fetched, at most.
+/// The maximum number of messages that wait to be fetched.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Keys that one sidecar has documents of, at most, beside the lists that it wants.
+/// The maximum number of keys for which a sidecar has documents, in addition to the lists that it subscribes to.
 const MAX_BASE_KEYS: usize = Scope::LEVELS * DocumentKind::ALL.len();
-/// Chunks of a document that are asked for together. Half of them have to be on their way while the next are asked for; and
-/// as soon as a better control node has the document, what is not asked for yet comes from there.
+/// The maximum number of chunks in one request. Half of them have to be in transit while the next are requested; and as
+/// soon as a better control node has the document, the remaining chunks are requested from it.
 const CHUNK_REQUEST_WINDOW: usize = 64;
-/// Where a long list waits for its delta ([`DELTA_IS_LATE`]) and another control node than the first tells of it once more,
-/// the whole is asked for after so long. Elsewhere it has no effect: the first head of a document sets the wait to [`GAP`],
-/// which is shorter, and a later time does not prolong it.
+/// While a long list waits for its delta ([`DELTA_FETCH_DELAY`]) and a control node other than the first offers it
+/// again, the complete list is requested after this time. Elsewhere this has no effect: the first head of a document
+/// sets the wait to [`ARRIVAL_TIMEOUT`], which is shorter, and a later time does not extend it.
 const SECONDARY_FETCH_DELAY: Micros = 300_000;
-/// A list of which an earlier version is in force is asked for at another control node than the first after so long: the
-/// first one sends a delta. Where a fifth is lost it may itself have the list half a second after others, and the delta may
-/// have to go out three times.
+/// A list of which an earlier version is in force is requested from a control node other than the first after this
+/// time, since the first one sends a delta. At 20% loss, the first one may have the list half a second after others,
+/// and may have to send the delta three times.
 const DELTA_FETCH_DELAY: Micros = 1_500_000;
 
-/// Something that the host has to act on.
+/// An event that the host has to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriberEvent {
-    /// Documents have come whole that are newer than those in force: all of one kind that wait for a decision, in the
-    /// order of merge. The host merges them with [`Subscriber::in_force`], checks the result and calls
-    /// [`Subscriber::accept`] or [`Subscriber::refuse`]. An event replaces the ones before of its kind. Kinds are decided
-    /// on independently: a delay or a refusal of one holds no other one.
+    /// Complete documents have arrived that are newer than those in force: all documents of one kind that wait for a
+    /// decision, in merge order. The host merges them with [`Subscriber::in_force`], checks the result and calls
+    /// [`Subscriber::accept`] or [`Subscriber::refuse`]. An event replaces earlier events of its kind. Kinds are
+    /// decided on independently: a delay or a refusal of one does not hold up another.
     Offered {
         /// The documents.
         documents: Vec<Arc<Document>>,
     },
 }
 
-/// The document is not offered: a newer one has come, or it was decided on.
+/// The document is not offered: a newer one has arrived, or the host has already decided on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("version {0} is not offered (any more)")]
 pub struct NotOffered(pub Version);
 
-/// Counts since the start, and how many there are now.
+/// Counters since the start, and current numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberFigures {
-    /// Documents in force, retractions too.
+    /// Documents in force, including retractions.
     pub in_force: usize,
     /// Documents that wait for the host's decision.
     pub offered: usize,
-    /// Documents that are on their way, some of their chunks here.
+    /// Documents that are being received.
     pub incoming: usize,
-    /// Documents that were taken.
+    /// Documents that the host accepted.
     pub accepted: u64,
     /// Documents that the host refused.
     pub refused: u64,
-    /// Documents whose hash was wrong when they were whole.
+    /// Documents whose hash was wrong once they were complete.
     pub damaged: u64,
-    /// Documents that came as a delta to the one before.
+    /// Documents that arrived as a delta to the previous one.
     pub deltas: u64,
-    /// Documents that were older than what is known, or of a scope that is not this sidecar's.
+    /// Documents that were older than the known version, or of a scope that does not include this sidecar.
     pub not_for_me: u64,
-    /// Messages that made no sense.
+    /// Malformed messages.
     pub malformed: u64,
-    /// Control nodes that answer, of the two that are asked.
+    /// Control nodes in use that answer, two at most.
     pub control_nodes: usize,
-    /// Times that another control node was taken as the first.
+    /// How often another control node became the first.
     pub switches: u64,
 }
 
-/// One sidecar.
+/// The state machine of one sidecar.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     config: DistributionConfig,
     links: Links,
-    /// Services whose lists are wanted, and what control nodes know of that.
+    /// Services whose lists this sidecar subscribes to, and what control nodes know of that.
     lists: BTreeSet<u32>,
     list_links: ListLinks,
     in_force: BTreeMap<DocumentKey, Arc<Document>>,
@@ -109,7 +109,8 @@
 }
 
 impl Subscriber {
-    /// One that has in force what the snapshot holds, as far as it is whole and for this sidecar.
+    /// Creates a sidecar that has the documents of the snapshot in force, if their hash is right and they are for this
+    /// sidecar.
     pub fn new(config: DistributionConfig, snapshot: Option<Snapshot>, now: Micros) -> Subscriber {
         let lists: BTreeSet<u32> = config.lists.iter().copied().take(MAX_LISTS).collect();
         let mut in_force: BTreeMap<DocumentKey, Arc<Document>> = BTreeMap::new();
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Keys that it has documents of, at most.
+    /// The maximum number of keys for which it has documents.
     fn max_keys(&self) -> usize {
         MAX_BASE_KEYS + self.lists.len()
     }
@@ -148,7 +149,7 @@
         is_for(key, &self.config.identity, |list| self.lists.contains(&list))
     }
 
-    /// How it stands to a document has changed.
+    /// The state of a document has changed.
     fn changed(&mut self, now: Micros, key: DocumentKey) {
         match list_of(key) {
             Some(service) => self.list_links.changed(now, service),
@@ -156,11 +157,11 @@
         }
     }
 
-    /// A message of a member.
+    /// Handles a message of a member.
     pub fn handle(&mut self, now: Micros, from: u16, content: &[u8]) {
         let message = match Message::read(content) {
             Ok((Role::Sidecar, message)) if self.links.is_control_node(from) => message,
-            // It is for a control node in this process.
+            // It is addressed to a control node in this process.
             Ok((Role::ControlNode, _)) => return,
             _ => {
                 self.figures.malformed += 1;
@@ -194,13 +195,14 @@
         self.tick(now);
     }
 
+    /// Handles an offer.
     fn on_offer(&mut self, now: Micros, from: u16, offer: Offer) {
         if self.is_new_offer(now, from, &offer) {
             self.on_offer_head(now, from, offer);
         }
     }
 
-    /// Whether what is offered is for this sidecar and new.
+    /// Whether the offered document is for this sidecar and new.
     fn is_new_offer(&mut self, now: Micros, from: u16, offer: &Offer) -> bool {
         let id = offer.id;
         let mine = self.applies_here(id.key) || mutant::is(Mutant::AnyScope);
@@ -210,7 +212,7 @@
         }
         let known = self.known_version(id.key);
         if known >= Some(id.version) && !mutant::is(Mutant::VersionsGoBack) {
-            // The sender does not know what this sidecar has.
+            // The sender does not know which version this sidecar has.
             self.figures.not_for_me += u64::from(known > Some(id.version));
             match list_of(id.key) {
                 Some(service) => self.list_links.resend_status(now, from, service),
@@ -221,7 +223,7 @@
         true
     }
 
-    /// The head of a document has come that is for this sidecar and new.
+    /// Handles the head of a document that is for this sidecar and new.
     fn on_offer_head(&mut self, now: Micros, from: u16, offer: Offer) {
         let id = offer.id;
         let fetch_at = self.fetch_time(now, from, offer.length);
@@ -233,16 +235,17 @@
         self.on_arrival(now, arrival);
     }
 
+    /// Whether this control node is the first one in use.
     fn is_first_node(&self, control_node: u16) -> bool {
         self.links.numbers().first() == Some(&control_node)
     }
 
-    /// Whether the first control node is expected to send a delta to a list whose head has come from another one.
+    /// Whether the first control node is expected to send a delta of a list whose head was sent by another one.
     fn may_come_as_delta(&self, from: u16, key: DocumentKey) -> bool {
         !self.is_first_node(from) && list_of(key).is_some() && self.in_force.contains_key(&key)
     }
 
-    /// When a document is asked for whose head has come from this control node.
+    /// When to request a document whose head was sent by this control node.
     fn fetch_time(&self, now: Micros, from: u16, length: usize) -> Micros {
         let is_first_node = self.is_first_node(from);
         match (chunks::is_sent_eagerly(length), is_first_node) {
@@ -252,6 +255,7 @@
         }
     }
 
+    /// Handles the result of a received head or chunk.
     fn on_arrival(&mut self, now: Micros, arrival: Arrival) {
         match arrival {
             Arrival::Complete(document, Stage::Committed) => self.on_complete(now, document),
@@ -260,6 +264,7 @@
         }
     }
 
+    /// Offers a complete document to the host, if it is newer than the known version.
     fn on_complete(&mut self, now: Micros, document: Document) {
         let id = document.id();
         let newer =
@@ -274,7 +279,7 @@
         self.changed(now, id.key);
     }
 
-    /// Does what is due.
+    /// Does the work that is due.
     pub fn tick(&mut self, now: Micros) {
         let preferred_senders = self.links.numbers();
         for Request { to, key, version, wanted } in self.incoming.due(now, &preferred_senders) {
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Tells control nodes which lists are wanted, and how this sidecar stands to them.
+    /// Sends control nodes the lists that this sidecar subscribes to, with their states.
     fn send_list_statuses(&mut self, now: Micros) {
         if self.list_links.next_at() > now {
             return;
@@ -309,18 +314,19 @@
         }
     }
 
-    /// When [`Subscriber::tick`] has to be called next.
+    /// The time at which [`Subscriber::tick`] has to be called next.
     pub fn poll_timeout(&self) -> Micros {
         self.links.next_at().min(self.incoming.next_at()).min(self.list_links.next_at())
     }
 
-    /// The next message, and to whom it goes.
+    /// The next message and its receiver.
     pub fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)> {
         self.outbox.pop()
     }
 }
 
 impl Document {
+    /// Its key and version.
     pub(crate) fn id(&self) -> DocumentId {
         DocumentId { key: self.key, version: self.version }
     }
--- a/crates/millethook-distribution/src/sidecar/check.rs
+++ b/crates/millethook-distribution/src/sidecar/check.rs
@@ -1,4 +1,4 @@
-//! What may never be at a sidecar, by name.
+//! The invariants of a sidecar.
 
 use millethook_machine::{Micros, Violation};
 
@@ -7,10 +7,11 @@
 use crate::{DocumentKey, DocumentKind};
 
 impl Subscriber {
-    /// Looks at every rule of this sidecar.
+    /// Checks all invariants of this sidecar.
     ///
     /// # Errors
-    /// The first one that is broken, with the values.
+    ///
+    /// Returns the first violated invariant, with the values.
     pub fn check(&self, _now: Micros) -> Result<(), Violation> {
         let require = Violation::unless;
         let counts = (self.in_force.len(), self.candidates.len(), self.incoming.len());
@@ -25,7 +26,7 @@
         )?;
         for (key, document) in &self.in_force {
             let of = &|| format!("{key}: {}", document.version);
-            // Not by `is_mine`, which a mutant changes.
+            // `applies_here` cannot be used, since a mutant changes it.
             match key.kind {
                 DocumentKind::Configuration => require(
                     key.scope.covers(&self.config.identity),
--- a/crates/millethook-distribution/src/sidecar/deltas.rs
+++ b/crates/millethook-distribution/src/sidecar/deltas.rs
@@ -1,5 +1,5 @@
-//! Deltas on their way in. One that cannot be applied here counts as the head of its document, whose chunks are asked
-//! for then.
+//! Deltas that are being received. A delta that cannot be applied here counts as the head of its document, whose chunks
+//! are then requested.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 use crate::mutant::{self, Mutant};
 use crate::{Document, DocumentKey, Version};
 
-/// One of which nothing has come for so long is given up.
+/// A delta of which nothing has arrived for this time is dropped.
 const DELTA_TIMEOUT: Micros = 8_000_000;
 
-/// A control node sends what is not answered again after 0.25 s, then after 0.13 s more each time. While parts come at
-/// least once in this time, the whole is not asked for.
+/// A control node repeats an unanswered delta after 0.25 s, with 0.13 s added to the wait at each repetition. The
+/// complete document is not requested while parts arrive at least once in this time.
 const DELTA_PART_TIMEOUT: Micros = 750_000;
 
-/// A delta of which some parts have come.
+/// A delta of which some parts have arrived.
 #[derive(Clone, Debug)]
 struct Parts {
     version: Version,
@@ -29,27 +29,29 @@
     arrived: Micros,
 }
 
-/// Deltas that are not whole yet, of each key the latest.
+/// Incomplete deltas, the latest of each key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Deltas(BTreeMap<DocumentKey, Parts>);
 
 impl Deltas {
+    /// The number of incomplete deltas.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Drops the delta of a key.
     pub fn drop_key(&mut self, key: DocumentKey) {
         self.0.remove(&key);
     }
 
-    /// A part has come; the whole delta once all are there.
+    /// Adds a part; returns the delta once it is complete.
     fn add_part(&mut self, now: Micros, delta: &Delta) -> Option<Vec<u8>> {
         self.0.retain(|_, parts| now < parts.arrived.saturating_add(DELTA_TIMEOUT));
         let (version, base) = (delta.id.version, delta.base);
         let new_parts = || Parts { version, base, parts: BTreeMap::new(), arrived: now };
         let parts = self.0.entry(delta.id.key).or_insert_with(new_parts);
         if (parts.version, parts.base) != (version, base) {
-            // Two control nodes may make it of different bases: one after the other comes whole.
+            // Two control nodes may compute it from different bases; their deltas are completed one after the other.
             if parts.version > version {
                 return None;
             }
@@ -66,7 +68,7 @@
 }
 
 impl Subscriber {
-    /// A part of a delta has come. The document that comes of it is that of the whole content's hash.
+    /// Handles a part of a delta. The resulting document has to match the hash of the complete content.
     pub(super) fn on_delta(&mut self, now: Micros, from: u16, delta: Delta) {
         let head = Offer {
             stage: Stage::Committed,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The document of this version, if it is here.
+    /// The document of this version, if it is in force or offered here.
     fn base(&self, key: DocumentKey, version: Version) -> Option<Arc<Document>> {
         let in_force = self.in_force.get(&key).cloned();
         if mutant::is(Mutant::DeltaUnchecked) {
--- a/crates/millethook-distribution/src/sidecar/host.rs
+++ b/crates/millethook-distribution/src/sidecar/host.rs
@@ -1,4 +1,4 @@
-//! What a sidecar's host asks, and decides.
+//! The calls of a sidecar's host: events, decisions and queries.
 
 use std::sync::Arc;
 
@@ -28,17 +28,18 @@
         None
     }
 
-    /// The host has put these into force, together.
+    /// The host has put these versions into force together.
     ///
     /// # Errors
-    /// One of them is not offered any more; then none counts as in force, and the host goes back to what
-    /// [`Subscriber::in_force`] says, or takes the newer event.
+    ///
+    /// One of them is not offered any more. Then none of them counts as in force, and the host has to go back to the
+    /// documents of [`Subscriber::in_force`], or handle the newer event.
     pub fn accept(&mut self, now: Micros, versions: &[Version]) -> Result<(), NotOffered> {
         let documents: Vec<Arc<Document>> = versions
             .iter()
             .map(|version| self.offered(*version).ok_or(NotOffered(*version)))
             .collect::<Result<_, _>>()?;
-        // Nothing to accept is told as before.
+        // An empty decision is reported like one on configuration.
         let mut configuration = documents.is_empty();
         for document in documents {
             let key = document.key;
@@ -58,9 +59,10 @@
         Ok(())
     }
 
-    /// The host does not take this one. What is in force stays; the refusal is reported.
+    /// The host refuses this version. What is in force stays; the refusal is reported.
     ///
     /// # Errors
+    ///
     /// It is not offered any more.
     pub fn refuse(
         &mut self,
@@ -78,18 +80,18 @@
         Ok(())
     }
 
-    /// The documents in force, in the order of merge: of each kind from [`Scope::All`](crate::Scope::All) to [`Scope::Sidecar`](crate::Scope::Sidecar).
-    /// Retractions are left out.
+    /// The documents in force, in merge order: of each kind from [`Scope::All`](crate::Scope::All) to
+    /// [`Scope::Sidecar`](crate::Scope::Sidecar), without retractions.
     pub fn in_force(&self) -> Vec<Arc<Document>> {
         self.in_force.values().filter(|document| document.body.is_some()).cloned().collect()
     }
 
-    /// The version in force of a key, a retraction's too.
+    /// The version in force of a key; it may be that of a retraction.
     pub fn version_in_force(&self, key: DocumentKey) -> Option<Version> {
         self.in_force.get(&key).map(|document| document.version)
     }
 
-    /// What the host has to keep for the next start; to be written after each decision.
+    /// What the host has to store for the next start, after each decision.
     pub fn snapshot(&self) -> Snapshot {
         let documents: Vec<Document> =
             self.in_force.values().map(|document| Document::clone(document)).collect();
@@ -97,7 +99,7 @@
         Snapshot { fence, documents }
     }
 
-    /// Counts since the start, and how many there are now.
+    /// Counters since the start, and current numbers.
     pub fn figures(&self) -> SubscriberFigures {
         let offered = |c: &&Candidate| matches!(c, Candidate::Offered(_));
         SubscriberFigures {
--- a/crates/millethook-distribution/src/sidecar/links.rs
+++ b/crates/millethook-distribution/src/sidecar/links.rs
@@ -1,9 +1,9 @@
-//! The control nodes that a sidecar asks: two, and others when these are silent.
+//! The control nodes that a sidecar uses: two, and others when these are silent.
 //!
-//! A question without an answer is repeated, since a fifth of all datagrams may be lost. The wait before each repetition
-//! is random and doubles up to the interval of digests that are answered: a control node that is short of processor time
-//! is asked little more than one that answers. Without that bound the repetitions alone keep it overloaded after what
-//! caused the overload has ended (Bronson et al., "Metastable failures in distributed systems", HotOS 2021).
+//! An unanswered request is repeated, since a fifth of all datagrams may be lost. The wait before each repetition is
+//! random and doubles up to the interval of answered digests, so a control node that is short of processor time
+//! receives little more than one that answers. Without that bound, the repetitions alone keep it overloaded after the
+//! cause of the overload has ended (Bronson et al., "Metastable failures in distributed systems", HotOS 2021).
 
 use millethook_machine::Micros;
 use millethook_machine::hash::mix;
@@ -12,34 +12,35 @@
 
 use crate::{DistributionConfig, rendezvous};
 
-/// The mean wait until a digest that was not answered goes out again. It doubles with each repetition, up to the interval
-/// of digests that are answered.
+/// The mean wait until an unanswered digest is sent again. It doubles with each repetition, up to the interval of
+/// answered digests.
 const RETRY_MEAN: Micros = 350_000;
-/// Digests in a row that were not answered: the control node counts as silent.
+/// The number of consecutive unanswered digests after which a control node counts as silent.
 const SILENT_AFTER: u32 = 5;
-/// One that is silent is asked once in so many times the interval of one that answers: with those that are tried beside it,
-/// a sidecar that nobody answers asks as often as one that is answered.
+/// The digest interval of a silent control node, as a multiple of the regular one. Together with the digests to other
+/// candidates, a sidecar that gets no answers sends as often as one that is answered.
 const SILENT_INTERVAL_FACTOR: Micros = 2;
-/// With so many unanswered at both, others are asked already.
+/// The number of unanswered digests at both control nodes after which others are tried.
 const SEARCH_AFTER: u32 = 3;
-/// The second control node is asked once in so many digests of the first.
+/// The digest interval of the second control node, as a multiple of that of the first.
 const SECOND_INTERVAL_FACTOR: Micros = 4;
-/// The longest mean wait between two tries of others.
+/// The maximum mean wait between two tries of other control nodes.
 const MAX_SEARCH_WAIT: Micros = 4_000_000;
 /// A preferred control node that was silent is tried again after this time.
 const PREFERRED_RETRY: Micros = 30_000_000;
-/// A change of what is in force is told within this time.
+/// A change of what is in force is reported within this time.
 const CHANGE_REPORT_DELAY: Micros = 50_000;
-/// Of a fleet that starts together each control node gets one first digest in this time: first those of the sidecars that
-/// are to be served by it, then those of the others. A sidecar of a fleet of 16,000 with 36 control nodes waits up to
-/// 0.9 s; a control node that handles a message in 0.1 ms spends a twentieth of a core on it.
+/// In a fleet that starts together, each control node receives one first digest in this time: first those of the
+/// sidecars that it will serve as their first control node, then those of the others. A sidecar in a fleet of 16,000
+/// with 36 control nodes waits up to 0.9 s; a control node that needs 0.1 ms for a message spends a twentieth of a core
+/// on it.
 const FIRST_DIGEST_SPACING: Micros = 2_000;
 
-/// One control node that is asked.
+/// The state of one control node that is used.
 #[derive(Clone, Debug)]
 struct Link {
     number: u16,
-    /// A digest is out.
+    /// A digest has been sent and not answered yet.
     awaiting_answer: bool,
     unanswered: u32,
     next_at: Micros,
@@ -52,11 +53,11 @@
 pub(super) struct DueDigest {
     pub to: u16,
     pub rank: u8,
-    /// Whether the receiver has to be told all statuses.
+    /// Whether the digest has to include all statuses.
     pub whole: bool,
 }
 
-/// The control nodes that a sidecar asks.
+/// The control nodes that a sidecar uses.
 #[derive(Clone, Debug)]
 pub(super) struct Links {
     /// All control nodes, the most preferred first.
@@ -64,7 +65,8 @@
     links: Vec<Link>,
     interval: Micros,
     random: Pcg32,
-    /// Where in `order` the next control node to be tried is, when to try, and how often that was done in a row.
+    /// The index in `preference` of the next control node to be tried, the time of the next try, and the number of
+    /// consecutive tries.
     search_position: usize,
     search_at: Micros,
     search_count: u32,
@@ -73,6 +75,7 @@
 }
 
 impl Links {
+    /// Selects the two preferred control nodes, and spreads the first digests over the start of the fleet.
     pub fn new(config: &DistributionConfig, now: Micros) -> Links {
         let mut random = Pcg32::seed_from_u64(mix(config.seed ^ u64::from(config.me)));
         let preference = rendezvous::preference_order(&config.identity, &config.control_nodes);
@@ -102,7 +105,7 @@
         self.links.first().map(|link| link.number)
     }
 
-    /// The control nodes that are asked, the first one first.
+    /// The control nodes that are used, the first one first.
     pub fn numbers(&self) -> Vec<u16> {
         self.links.iter().map(|link| link.number).collect()
     }
@@ -112,19 +115,19 @@
         self.preference.contains(&number)
     }
 
-    /// Control nodes that answer, of those that are asked.
+    /// The number of control nodes in use that answer.
     pub fn answering(&self) -> usize {
         self.links.iter().filter(|link| link.unanswered == 0 && link.known_hash.is_some()).count()
     }
 
-    /// A message of a control node has come.
+    /// A message of a control node has arrived.
     pub fn heard(&mut self, from: u16) {
         if let Some(link) = self.links.iter_mut().find(|link| link.number == from) {
             link.unanswered = 0;
         }
     }
 
-    /// A control node has answered a digest; `agreed`: it knows the statuses of this hash.
+    /// A control node has answered a digest; `known`: it knows the statuses with this hash.
     pub fn answered(&mut self, now: Micros, from: u16, hash: u64, known: bool, current: u64) {
         let rank = self.links.iter().position(|link| link.number == from);
         let Some(rank) = rank else {
@@ -145,19 +148,19 @@
         self.rank(now, SILENT_AFTER, self.preference.len());
     }
 
-    /// What this sidecar has to tell has changed.
+    /// The statuses of this sidecar have changed.
     pub fn report_soon(&mut self, now: Micros) {
         for n in 0..self.links.len() {
             let soon = now + random_below(&mut self.random, CHANGE_REPORT_DELAY);
             let link = &mut self.links[n];
-            // The first digest after a start keeps its place among those of the fleet.
+            // The first digest after a start keeps its time among those of the fleet.
             if link.known_hash.is_some() || link.unanswered > 0 {
                 link.next_at = link.next_at.min(soon);
             }
         }
     }
 
-    /// This control node asks for something that it was told already.
+    /// This control node sends something that it was already told about.
     pub fn resend_status(&mut self, now: Micros, to: u16) {
         if let Some(link) = self.links.iter_mut().find(|link| link.number == to) {
             link.known_hash = None;
@@ -195,9 +198,9 @@
         due
     }
 
-    /// Where the first control node has just left a digest unanswered, the second is asked before the first is asked
-    /// again. Otherwise a sidecar whose two control nodes are gone would learn of the second one only with the next of
-    /// its rare digests.
+    /// When the first control node has just left a digest unanswered, the second is asked before the first is asked
+    /// again. Otherwise a sidecar whose control nodes are both down would notice the failure of the second one only at
+    /// the next of its rare digests.
     fn hasten_second(&mut self, now: Micros) {
         let [first, second, ..] = &mut self.links[..] else { return };
         if first.unanswered == 1 && second.unanswered == 0 && !second.awaiting_answer {
@@ -206,15 +209,15 @@
         }
     }
 
-    /// Whether others than those two have to be tried.
+    /// Whether control nodes other than the two in use have to be tried.
     fn needs_search(&self) -> bool {
         let silent = self.links.iter().any(|link| link.unanswered >= SILENT_AFTER);
         let all_doubtful = self.links.iter().all(|link| link.unanswered >= SEARCH_AFTER);
         self.preference.len() > self.links.len() && (silent || all_doubtful)
     }
 
-    /// Two other control nodes: at first the next two in the order of preference, behind the last one that was tried. Then
-    /// the next one and any other: where all of a region are gone, the preferred ones are gone together.
+    /// Two other control nodes to try: at first the next two in the order of preference after the last one tried; then
+    /// the next one and a random one, since the preferred ones fail together when all control nodes of a region fail.
     fn next_candidates(&mut self, now: Micros) -> Vec<DueDigest> {
         let first_try = self.search_count == 0;
         let next = self.next_unlinked(self.search_position, None);
@@ -233,7 +236,8 @@
             .collect()
     }
 
-    /// The next place in the order of preference, from one on and around, of a control node that is not asked already.
+    /// The next index in the order of preference, starting at `from` and wrapping around, of a control node that is not
+    /// in use.
     fn next_unlinked(&self, from: usize, but: Option<usize>) -> Option<usize> {
         let count = self.preference.len();
         let is_linked =
@@ -242,18 +246,18 @@
         indices.find(|index| Some(*index) != but && !is_linked(*index))
     }
 
-    /// A control node that was tried has answered: it takes the place of a silent or of a less preferred one.
+    /// A control node that was tried has answered: it replaces a silent or a less preferred one.
     fn add_link(&mut self, now: Micros, number: u16) {
         let Some(_) = self.preference.iter().position(|other| *other == number) else { return };
         self.links.push(Link::new(number, now));
         self.rank(now, SEARCH_AFTER, 2);
     }
 
-    /// Puts those that answer first, then the more preferred ones, and keeps so many. Whoever has left so many digests
-    /// unanswered counts as silent.
+    /// Sorts the control nodes: those that answer first, then by preference, and keeps at most `most`. A control node
+    /// that has left `silent` digests unanswered counts as silent.
     ///
-    /// Where no third control node answers, the second has to become the first all the same: a sidecar is counted, and
-    /// sent documents, by its first one only.
+    /// Even if no third control node answers, the second has to become the first, since a sidecar is counted, and sent
+    /// documents, by its first one only.
     fn rank(&mut self, now: Micros, silent: u32, most: usize) {
         let before = self.first();
         let index = |number: u16| self.preference.iter().position(|other| *other == number);
@@ -261,13 +265,13 @@
         self.links.truncate(most);
         if before != self.first() {
             self.switches += 1;
-            // Each that answers is told its new rank; a silent one learns it when it is asked again.
+            // Each control node that answers is told its new rank; a silent one learns it when it is asked again.
             let answering = self.links.iter_mut().filter(|link| link.unanswered < silent);
             answering.for_each(|link| link.next_at = now);
         }
     }
 
-    /// When [`Links::due`] has something to send.
+    /// The time at which [`Links::due`] has to be called next.
     pub fn next_at(&self) -> Micros {
         let next = self.links.iter().map(|link| link.next_at).min().unwrap_or(Micros::MAX);
         let next = if self.needs_search() { next.min(self.search_at) } else { next };
@@ -291,12 +295,12 @@
     if rank == 0 { interval } else { interval * SECOND_INTERVAL_FACTOR }
 }
 
-/// The mean wait before a question is repeated of which so many repetitions were in vain.
+/// The mean wait before the next repetition, after this many unanswered ones.
 fn retry_wait(failed_tries: u32, most: Micros) -> Micros {
     RETRY_MEAN.saturating_mul(1 << failed_tries.min(16)).min(most)
 }
 
-/// A random wait around a mean, from a half to three halves of it, so that what started together falls apart.
+/// A random wait between a half and three halves of the mean, to spread sidecars that started together.
 fn with_jitter(random: &mut Pcg32, mean: Micros) -> Micros {
     mean / 2 + random_below(random, mean)
 }
--- a/crates/millethook-distribution/src/sidecar/list_links.rs
+++ b/crates/millethook-distribution/src/sidecar/list_links.rs
@@ -1,8 +1,8 @@
-//! What a sidecar has told its control nodes about the lists that it wants.
+//! What a sidecar has told its control nodes about the lists that it subscribes to.
 //!
-//! All of it goes to a control node that says that it does not know its hash, what has changed to one that knew it
-//! before. The hash alone goes out once in [`CONFIRM_EVERY`]: a control node that has forgotten all of it asks. One of a
-//! build without lists never answers, and is told the hash alone.
+//! A control node that reports an unknown hash is sent all list statuses; one that knew the previous state is sent the
+//! changes. The hash alone is sent once in [`CONFIRM_INTERVAL`], so that a control node that has forgotten the statuses
+//! asks for them. A control node of a build without lists never answers, and is sent the hash only.
 
 use std::collections::BTreeSet;
 
@@ -14,28 +14,28 @@
 use crate::lists::ListStatuses;
 use crate::message::{ListsPayload, ListsUpdate, split_into_messages};
 
-/// A control node that knows the lists is told their hash once in so long.
+/// The interval at which the hash of the lists is sent to a control node that knows them.
 pub(crate) const CONFIRM_INTERVAL: Micros = 4_000_000;
-/// The mean wait until what was not answered is told again. It doubles each time, up to [`CONFIRM_EVERY`].
+/// The mean wait until an unanswered message is repeated. It doubles each time, up to [`CONFIRM_INTERVAL`].
 const RETRY_MEAN: Micros = 350_000;
-/// A change is told within this time.
+/// A change is reported within this time.
 const CHANGE_REPORT_DELAY: Micros = 50_000;
 
-/// One control node that is told.
+/// The state of one control node.
 #[derive(Clone, Debug)]
 struct ListLink {
     number: u16,
-    /// It has said that it knows all that is not in `changed`.
+    /// It has confirmed that it knows everything that is not in `changed`.
     is_in_sync: bool,
-    /// It has said that it does not know the hash.
+    /// It has reported that it does not know the hash.
     needs_full: bool,
-    /// Services whose lists it may know less of.
+    /// Services whose list statuses it may not know.
     changed: BTreeSet<u32>,
     unanswered: u32,
     next_at: Micros,
 }
 
-/// The control nodes that are told.
+/// The control nodes that are informed.
 #[derive(Clone, Debug)]
 pub(super) struct ListLinks {
     links: Vec<ListLink>,
@@ -43,11 +43,12 @@
 }
 
 impl ListLinks {
+    /// Creates an empty set.
     pub fn new(seed: u64) -> ListLinks {
         ListLinks { links: Vec::new(), random: Pcg32::seed_from_u64(mix(!seed)) }
     }
 
-    /// A control node that is asked has answered a digest; `knew`: it had what the digest says.
+    /// A control node in use has answered a digest; `knew`: it knew the statuses of the digest.
     pub fn on_digest_reply(&mut self, now: Micros, number: u16, knew: bool) {
         match self.links.iter_mut().find(|link| link.number == number) {
             Some(link) if !knew => link.next_at = link.next_at.min(now + CHANGE_REPORT_DELAY),
@@ -63,12 +64,12 @@
         }
     }
 
-    /// Only these are asked.
+    /// Drops all control nodes except these.
     pub fn retain(&mut self, numbers: &[u16]) {
         self.links.retain(|link| numbers.contains(&link.number));
     }
 
-    /// A control node has answered; `current` is the hash now.
+    /// A control node has answered; `current` is the present hash.
     pub fn answered(&mut self, now: Micros, number: u16, hash: u64, known: bool, current: u64) {
         let wait = self.with_jitter(CONFIRM_INTERVAL);
         let Some(link) = self.links.iter_mut().find(|link| link.number == number) else { return };
@@ -84,7 +85,7 @@
         }
     }
 
-    /// How this sidecar stands to the list of a service has changed.
+    /// The status of the list of a service has changed.
     pub fn changed(&mut self, now: Micros, service: u32) {
         for n in 0..self.links.len() {
             let soon = now + self.random.next_u64() % CHANGE_REPORT_DELAY;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// This control node offers a list that is known here already.
+    /// This control node offers a list that is already known here.
     pub fn resend_status(&mut self, now: Micros, number: u16, service: u32) {
         if let Some(link) = self.links.iter_mut().find(|link| link.number == number) {
             link.changed.insert(service);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// What is due, by control node.
+    /// The updates that are due, by control node.
     pub fn due(&mut self, now: Micros, statuses: &ListStatuses) -> Vec<(u16, ListsUpdate)> {
         let mut due = Vec::new();
         let hash = statuses.hash();
@@ -123,19 +124,19 @@
         due
     }
 
-    /// When [`ListLinks::due`] has something to tell.
+    /// The time at which [`ListLinks::due`] has to be called next.
     pub fn next_at(&self) -> Micros {
         self.links.iter().map(|link| link.next_at).min().unwrap_or(Micros::MAX)
     }
 
-    /// A random wait around a mean, from three quarters to five quarters of it.
+    /// A random wait between three quarters and five quarters of the mean.
     fn with_jitter(&mut self, mean: Micros) -> Micros {
         mean - mean / 4 + self.random.next_u64() % (mean / 2).max(1)
     }
 }
 
 impl ListLink {
-    /// What it has to be told.
+    /// The payloads that this control node has to be sent.
     fn payloads_due(&self, statuses: &ListStatuses) -> Vec<ListsPayload> {
         if self.needs_full {
             return split_into_messages(statuses).into_iter().map(ListsPayload::Full).collect();
@@ -152,7 +153,7 @@
         let mut messages = split_into_messages(&changes);
         match (messages.pop(), messages.is_empty()) {
             (Some(changes), true) => vec![ListsPayload::Changes(changes)],
-            // More than one message of changes: they could come in any order.
+            // Several messages of changes could arrive in any order, so all statuses are sent.
             _ => split_into_messages(statuses).into_iter().map(ListsPayload::Full).collect(),
         }
     }
--- a/crates/millethook-distribution/src/sidecar/statuses.rs
+++ b/crates/millethook-distribution/src/sidecar/statuses.rs
@@ -1,4 +1,4 @@
-//! How a sidecar stands to the documents that it knows.
+//! The states of the documents that a sidecar knows.
 
 use std::sync::Arc;
 
@@ -11,13 +11,14 @@
 /// A document that is newer than the one in force.
 #[derive(Clone, Debug)]
 pub(super) enum Candidate {
-    /// It waits for the host.
+    /// It waits for the host's decision.
     Offered(Arc<Document>),
-    /// The host did not take it.
+    /// The host refused it.
     Refused(Version, Refusal),
 }
 
 impl Candidate {
+    /// The candidate's version.
     pub fn version(&self) -> Version {
         match self {
             Candidate::Offered(document) => document.version,
@@ -25,6 +26,7 @@
         }
     }
 
+    /// The candidate's state in a report.
     fn state(&self) -> State {
         match self {
             Candidate::Offered(_) => State::Offered,
@@ -34,7 +36,7 @@
 }
 
 impl Subscriber {
-    /// The latest version of a key that is known.
+    /// The latest known version of a key.
     pub(super) fn known_version(&self, key: DocumentKey) -> Option<Version> {
         let in_force = self.in_force.get(&key).map(|document| document.version);
         in_force.max(self.candidates.get(&key).map(Candidate::version))
@@ -54,7 +56,7 @@
         })
     }
 
-    /// How this sidecar stands to the latest document of a key.
+    /// The state of the latest document of a key.
     fn status(&self, key: DocumentKey) -> Option<(Version, State)> {
         match (self.candidates.get(&key), self.in_force.get(&key)) {
             (Some(candidate), _) => Some((candidate.version(), candidate.state())),
@@ -63,7 +65,7 @@
         }
     }
 
-    /// How it stands to the latest document of each key of configuration.
+    /// The state of the latest document of each configuration key.
     pub(super) fn statuses(&self) -> Vec<Status> {
         let keys = self.in_force.keys().chain(self.candidates.keys());
         let mut keys: Vec<DocumentKey> =
@@ -74,12 +76,12 @@
         keys.into_iter().filter_map(status).collect()
     }
 
-    /// The hash of what a digest says.
+    /// The hash of the statuses in a digest.
     pub(super) fn hash(&self) -> u64 {
         hash_of_statuses(&self.statuses())
     }
 
-    /// How it stands to each list that it wants.
+    /// The state of each list that it subscribes to.
     pub(super) fn list_statuses(&self) -> ListStatuses {
         let mut statuses = ListStatuses::default();
         for service in &self.lists {
--- a/crates/millethook-distribution/src/snapshot.rs
+++ b/crates/millethook-distribution/src/snapshot.rs
@@ -1,14 +1,14 @@
-//! What outlives a process.
+//! The state that survives a restart.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Document, Version};
 
-/// What a member had in force, to be written by the host whenever it changes and handed in at the next start. A
-/// document that is not whole is left out when it is read.
+/// The documents that a member had in force. The host writes the snapshot whenever it changes, and passes it in at the
+/// next start. Documents whose hash does not match are ignored when it is read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The highest version that was seen: its token fences earlier writers.
+    /// The highest version that was seen; its token fences off earlier writers.
     pub fence: Version,
     /// The documents.
     pub documents: Vec<Document>,
--- a/crates/millethook-distribution/src/status.rs
+++ b/crates/millethook-distribution/src/status.rs
@@ -1,11 +1,11 @@
-//! The hash of what a sidecar tells about its documents.
+//! Hashes of the document states that sidecars report.
 
 use millethook_machine::hash::mix;
 
 use crate::Version;
 use crate::message::Status;
 
-/// A hash of statuses, the same at the sidecar and at its control nodes.
+/// A hash of statuses, computed in the same way at the sidecar and at its control nodes.
 pub(crate) fn hash_of_statuses(statuses: &[Status]) -> u64 {
     statuses.iter().fold(mix(statuses.len() as u64), |hash, status| {
         let of = u64::from(status.key.compact()) << 8 | u64::from(status.state.number());
--- a/crates/millethook-distribution/src/transfer.rs
+++ b/crates/millethook-distribution/src/transfer.rs
@@ -1,4 +1,5 @@
-//! Documents on their way in: heads and chunks in any order, from several senders, and what is asked for again.
+//! Documents that are being received: heads and chunks in any order, from several senders, and requests for missing
+//! parts.
 
 use std::collections::BTreeMap;
 
@@ -9,88 +10,91 @@
 use crate::mutant::{self, Mutant};
 use crate::{ContentHash, Document, DocumentId, DocumentKey, Version};
 
-/// What is missing is asked for when nothing has arrived for so long, and again after it.
+/// Missing parts are requested when nothing has arrived for this time, and again after each further period.
 pub(crate) const ARRIVAL_TIMEOUT: Micros = 120_000;
-/// While chunks arrive, those count as lost that are missing so long after a later one came: chunks are sent in order, and
-/// datagrams overtake each other by some milliseconds. They are asked for once in this time.
+/// While chunks arrive, a chunk counts as lost if it is missing this long after a later one arrived: chunks are sent in
+/// order, and datagrams overtake each other by a few milliseconds only. Lost chunks are requested at most once in this
+/// time.
 const REORDER_TOLERANCE: Micros = 60_000;
-/// The wait doubles after so many requests in vain. Danger: where a fifth is lost, every third request or its answer is;
-/// a wait that doubles at once is what the last sidecars would wait for.
+/// The wait doubles after this many unanswered requests. At 20% loss (a fifth of all datagrams), every third request or
+/// its answer is lost; if the wait doubled at once, the last sidecars would wait for it.
 const REQUESTS_BEFORE_BACKOFF: u32 = 4;
-/// The longest wait between two requests.
+/// The maximum wait between two requests.
 const MAX_REQUEST_WAIT: Micros = 1_000_000;
-/// A document of which nothing has arrived for so long is given up; the next digest brings it again.
+/// A document of which nothing has arrived for this time is dropped; the next digest starts its transfer again.
 const TRANSFER_TIMEOUT: Micros = 8_000_000;
-/// Senders that are remembered for a document.
+/// The number of senders that are remembered for a document.
 const MAX_SENDERS: usize = 3;
-/// Documents whose head has not come, at most.
+/// The maximum number of documents whose head has not arrived.
 const MAX_HEADLESS: usize = 8;
 
-/// A document that is not whole yet.
+/// A document of which some chunks are missing.
 #[derive(Clone, Debug)]
 struct Assembly {
-    /// None: its head has not come.
+    /// None: the head has not arrived.
     head: Option<Offer>,
     received: ChunkSet,
     count: usize,
     content: Vec<u8>,
-    /// Who has it, the latest that sent something last.
+    /// The members that have sent parts of it, the most recent sender last.
     senders: Vec<u16>,
-    /// One behind the highest chunk that has arrived, now and when that was last looked at.
+    /// The highest received chunk number plus one: now, and at the last check for lost chunks.
     end: usize,
     loss_check: (Micros, usize),
-    /// Chunks below this one that are missing are lost: they are to be asked for now.
+    /// Missing chunks below this number are lost and have to be requested now.
     lost_below: usize,
-    /// Chunks below this one were asked for, or come without that.
+    /// Chunks below this number were requested, or are sent without a request.
     requested_end: usize,
     arrived: Micros,
     fetch_at: Micros,
     request_count: u32,
 }
 
-/// A request for what is missing.
+/// A request for missing parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Request {
     pub to: u16,
-    /// None: its head has not come.
+    /// None: the head has not arrived.
     pub key: Option<DocumentKey>,
     pub version: Version,
     pub wanted: Wanted,
 }
 
-/// What has come of a message.
+/// The result of a received head or chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Arrival {
-    /// Nothing that is whole yet.
+    /// No document is complete yet.
     Incomplete,
-    /// A document, and how far it is as its sender said.
+    /// A complete document, with the stage that its sender stated.
     Complete(Document, Stage),
-    /// All is there, and the hash is wrong: it begins again.
+    /// All chunks have arrived, but the hash is wrong: the transfer starts again.
     Damaged,
-    /// There is no room.
+    /// The limit on documents is reached.
     NoRoom,
 }
 
-/// All documents that are not whole yet, by version.
+/// All documents that are being received, by version.
 #[derive(Clone, Debug)]
 pub(crate) struct Incoming {
     assemblies: BTreeMap<Version, Assembly>,
     max_assemblies: usize,
-    /// Chunks that are asked for together, at most.
+    /// The maximum number of chunks in one request.
     window: usize,
 }
 
 impl Incoming {
+    /// Creates an empty set for at most `max_assemblies` documents.
     pub fn new(max_assemblies: usize, window: usize) -> Incoming {
         Incoming { assemblies: BTreeMap::new(), max_assemblies, window }
     }
 
+    /// The number of documents that are being received.
     pub fn len(&self) -> usize {
         self.assemblies.len()
     }
 
-    /// A head has come, with the content if that is short. Otherwise its chunks are asked for at `ask_at` if none has come
-    /// by then.
+    /// Handles a head, which includes a short content. Otherwise the chunks are requested at `fetch_at` if none has
+    /// arrived by then.
     pub fn offer(&mut self, now: Micros, fetch_at: Micros, from: u16, offer: Offer) -> Arrival {
         let version = offer.id.version;
         if let Some(content) = offer.inline {
@@ -101,7 +105,7 @@
             self.assemblies.remove(&version);
             return Arrival::Complete(document, offer.stage);
         }
-        // Of one key the latest is enough.
+        // Only the latest version of each key is needed.
         let id = offer.id;
         self.assemblies.retain(|other, assembly| {
             let key = assembly.head.as_ref().map(|head| head.id.key);
@@ -115,7 +119,8 @@
         if assembly.received.is_empty() && assembly.request_count == 0 {
             assembly.fetch_at = assembly.fetch_at.min(fetch_at);
         }
-        // A later stage is news; another hash under the same version is a fault of the sender's, and the first counts.
+        // The stage may advance. A different hash under the same version is a fault of the sender; the first hash
+        // counts.
         match &mut assembly.head {
             Some(head) if head.hash != offer.hash => return Arrival::Damaged,
             Some(head) => head.stage = offer.stage,
@@ -124,7 +129,8 @@
         self.finish(now, version)
     }
 
-    /// A part of a delta to this version has come: its chunks, if none was asked for, are not asked for before `until`.
+    /// Handles the arrival of a part of a delta to this version: unless chunks have been requested already, they are
+    /// not requested before `until`.
     pub fn wait_for_delta(&mut self, version: Version, until: Micros) {
         let waits =
             |assembly: &&mut Assembly| assembly.received.is_empty() && assembly.request_count == 0;
@@ -133,7 +139,7 @@
         }
     }
 
-    /// A chunk has come.
+    /// Handles a chunk.
     pub fn chunk(
         &mut self,
         now: Micros,
@@ -173,7 +179,7 @@
         self.finish(now, version)
     }
 
-    /// The assembly of a version, begun if there is room.
+    /// The assembly of a version, created if there is room.
     fn assembly(
         &mut self,
         now: Micros,
@@ -205,6 +211,7 @@
         }))
     }
 
+    /// Returns the document if it is complete and its hash is right.
     fn finish(&mut self, now: Micros, version: Version) -> Arrival {
         let Some(assembly) = self.assemblies.get_mut(&version) else { return Arrival::Incomplete };
         let Some(head) = &assembly.head else { return Arrival::Incomplete };
@@ -231,7 +238,7 @@
         Arrival::Damaged
     }
 
-    /// Requests that are due; `asked_first` are asked before other senders.
+    /// Requests that are due; `preferred_senders` are asked before other senders.
     pub fn due(&mut self, now: Micros, preferred_senders: &[u16]) -> Vec<Request> {
         self.assemblies
             .retain(|_, assembly| now < assembly.arrived.saturating_add(TRANSFER_TIMEOUT));
@@ -262,17 +269,17 @@
         requests
     }
 
-    /// When [`Incoming::due`] has something to ask for.
+    /// The time at which [`Incoming::due`] has to be called next.
     pub fn next_at(&self) -> Micros {
         self.assemblies.values().map(|a| a.fetch_at).min().unwrap_or(Micros::MAX)
     }
 
-    /// Whether a version is under way.
+    /// Whether a version is being received.
     pub fn contains(&self, version: Version) -> bool {
         self.assemblies.contains_key(&version)
     }
 
-    /// Drops what is no newer than this version of a key.
+    /// Drops this version, and all earlier versions of its key.
     pub fn drop_up_to(&mut self, id: DocumentId) {
         self.assemblies.retain(|version, assembly| {
             let key = assembly.head.as_ref().map(|head| head.id.key);
@@ -282,6 +289,7 @@
 }
 
 impl Assembly {
+    /// Makes a member the most recent sender.
     fn add_sender(&mut self, from: u16) {
         self.senders.retain(|sender| *sender != from);
         self.senders.push(from);
@@ -290,7 +298,7 @@
         }
     }
 
-    /// A chunk has arrived: those before it that are missing for long are lost.
+    /// Handles the arrival of a chunk: chunks before it that have been missing for long count as lost.
     fn detect_loss(&mut self, now: Micros, index: usize) {
         self.end = self.end.max(index + 1);
         let (checked_at, end) = self.loss_check;
@@ -304,37 +312,37 @@
         }
     }
 
-    /// Whether half of what was asked for last has come and there is more.
+    /// Whether half of the chunks requested last have arrived and there are more to request.
     fn wants_next_window(&self, window: usize) -> bool {
         self.requested_end < self.count && self.end + window / 2 >= self.requested_end
     }
 
-    /// What is asked for next while chunks come; empty: it is too early, or all was asked for.
+    /// The chunks to request next while chunks arrive; empty: it is too early, or all were requested.
     fn next_window(&mut self, missing: ChunkSet, window: usize) -> ChunkSet {
         if !self.wants_next_window(window) {
             return ChunkSet::default();
         }
         let next = missing.without(ChunkSet::below(self.requested_end)).lowest(window);
         if next.is_empty() {
-            // The rest has come unasked.
+            // The rest has arrived without a request.
             self.requested_end = self.count;
         }
         next
     }
 
-    /// Whether a chunk has come lately.
+    /// Whether a chunk has arrived recently.
     fn is_flowing(&self, now: Micros) -> bool {
         !self.received.is_empty() && now < self.arrived + ARRIVAL_TIMEOUT
     }
 
-    /// Who of those that have it is asked while it comes.
+    /// The sender to ask while chunks arrive.
     fn best_sender(&self, preferred_senders: &[u16]) -> Option<u16> {
         let preferred = preferred_senders.iter().find(|number| self.senders.contains(number));
         preferred.or(self.senders.last()).copied()
     }
 
-    /// Who is asked for what is missing, as nothing comes: the best one twice, then all in turn, since a sender may have
-    /// forgotten this member, or be gone. Those that are known to have it come before others.
+    /// The member to ask for missing parts while nothing arrives: the best sender twice, then all in turn, since a
+    /// sender may have forgotten this member or be down. Members that are known to have the document come first.
     fn next_sender(&mut self, now: Micros, preferred_senders: &[u16]) -> Option<u16> {
         let has_it = |number: &&u16| self.senders.contains(number);
         let preferred = preferred_senders.iter().filter(has_it);
--- a/crates/millethook-distribution/src/version.rs
+++ b/crates/millethook-distribution/src/version.rs
@@ -1,29 +1,29 @@
-//! What orders the documents of a key.
+//! Versions, which order the documents of a key.
 
 use millethook_lease::Token;
 use millethook_machine::codec::{self, BufMut};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The name of one document: no two documents have one, and of two of a key the later one's is greater.
+/// The unique identifier of one version of a document. Of two versions of a key, the later one is greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
-    /// The lease of the writer that made it.
+    /// The lease token of the writer that created it.
     pub token: Token,
-    /// The writer's count of its documents, over all keys.
+    /// The writer's counter of its documents, over all keys.
     pub counter: u32,
 }
 
 impl Version {
-    /// Bytes of a version in a message.
+    /// The length of an encoded version in bytes.
     pub(crate) const LENGTH: usize = Token::LENGTH + 4;
 
-    /// Adds it to a message.
+    /// Appends it to a message.
     pub(crate) fn write(self, bytes: &mut Vec<u8>) {
         self.token.write(bytes);
         bytes.put_u32(self.counter);
     }
 
-    /// Takes it from a message; None: there is less.
+    /// Reads it from a message; None: the message is too short.
     pub(crate) fn read(bytes: &mut &[u8]) -> Option<Version> {
         Some(Version { token: Token::read(bytes)?, counter: codec::word(bytes)? })
     }
@@ -35,7 +35,7 @@
     }
 }
 
-/// A text that is no version.
+/// A text that is not a version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?}: a token of 24 hexadecimal digits, \"-\" and a number expected")]
 pub struct InvalidVersion(pub String);
--- a/crates/millethook-distribution/src/writer.rs
+++ b/crates/millethook-distribution/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer: one control node at a time, by a token from outside.
+//! The state of the writer: one control node at a time, by a lease token that the host passes in.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 use crate::mutant::{self, Mutant};
 use crate::{Document, DocumentId, DocumentKey, Limits, Rollout, Version};
 
-/// An announcement that was not answered goes out again after this time.
+/// An unanswered announcement is sent again after this time.
 const ANNOUNCE_RETRY: Micros = 250_000;
-/// A round counts for this part of the silence: clocks may differ by a fifth.
+/// A round is valid for this share of the silence, since clock rates may differ by a fifth.
 const ROUND_SHARE_OF_SILENCE: f64 = 0.8;
-/// Keys of which reports are kept, at most.
+/// The maximum number of keys whose reports are stored.
 const MAX_REPORTED_KEYS: usize = 1_024;
-/// A control node that has reported nothing for so long is not counted: its sidecars are counted elsewhere soon. Each
-/// reports something once a second.
+/// The reports of a control node that has reported nothing for this time are not counted, since its sidecars are soon
+/// counted elsewhere. Each control node reports something once a second.
 pub(crate) const REPORT_VALIDITY: Micros = 4_000_000;
 
-/// The control nodes that are configured: a majority of them decides.
+/// The configured control nodes, a majority of which decides.
 #[derive(Clone, Debug)]
 pub(crate) struct Quorum(pub Vec<u16>);
 
 impl Quorum {
-    /// Whether these are a majority.
+    /// Whether `of` holds a majority of the control nodes.
     pub fn is_majority(&self, of: &BTreeSet<u16>) -> bool {
         let missing_allowed = usize::from(mutant::is(Mutant::NoMajority));
         let count = self.0.iter().filter(|number| of.contains(number)).count();
@@ -32,39 +32,39 @@
     }
 }
 
-/// How long a round of a writer counts, in microseconds.
+/// How long votes of a round count, in microseconds.
 pub(crate) fn round_length(limits: &Limits) -> Micros {
     (limits.silence as f64 * ROUND_SHARE_OF_SILENCE) as Micros
 }
 
-/// A document on its way to a majority.
+/// A document that a majority has not accepted yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Publication {
     pub document: Arc<Document>,
-    /// By which votes are known, and when it was sent: votes for it count for [`round_length`].
+    /// Identifies the votes of a round, with the time at which the round started: votes count for [`round_length`].
     pub round: u32,
     pub sent: Micros,
     pub accepted: BTreeSet<u16>,
-    /// What is published next; of several the latest.
+    /// The document to publish next; only the latest one is kept.
     pub waiting: Option<Arc<Document>>,
 }
 
-/// The control node that may publish.
+/// The state of the control node that may publish.
 #[derive(Clone, Debug)]
 pub(crate) struct Writer {
     pub token: Token,
-    /// Documents that were made under this token.
+    /// The number of documents created under this token.
     counter: u32,
-    /// The round of the announcement, and when it began.
+    /// The round of the announcement, and the time at which it started.
     pub round: u32,
     pub sent: Micros,
     pub announce_at: Micros,
-    /// Who takes no lower token any more, and of whom all is known.
+    /// The control nodes that accept no lower token, and those whose stored documents are all known here.
     pub promised: BTreeSet<u16>,
     pub learned: BTreeSet<u16>,
     pub ready: bool,
     pub publications: BTreeMap<DocumentKey, Publication>,
-    /// Versions that put back what was before: they are not stopped again.
+    /// Versions that restored a previous content: they are not stopped again.
     pub restored: BTreeSet<Version>,
     reports: BTreeMap<DocumentKey, (Version, BTreeMap<u16, Rollout>)>,
     /// When each control node last reported on any document.
@@ -72,6 +72,7 @@
 }
 
 impl Writer {
+    /// Creates the state of a writer that is not ready yet.
     pub fn new(token: Token) -> Writer {
         Writer {
             token,
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Begins a round of announcements.
+    /// Starts a round of announcements.
     pub fn start_round(&mut self, now: Micros, me: u16, round: u32) {
         (self.round, self.sent, self.announce_at) = (round, now, now);
         self.promised = BTreeSet::from([me]);
         self.learned = BTreeSet::from([me]);
     }
 
-    /// Whether an announcement has to go out now.
+    /// Whether an announcement has to be sent now.
     pub fn is_due(&mut self, now: Micros) -> bool {
         let due = !self.ready && self.announce_at <= now;
         if due {
@@ -105,7 +106,7 @@
         due
     }
 
-    /// The next version.
+    /// Returns the next version.
     pub fn next_version(&mut self) -> Version {
         if !mutant::is(Mutant::CounterStays) || self.counter == 0 {
             self.counter = self.counter.saturating_add(1);
@@ -113,12 +114,12 @@
         Version { token: self.token, counter: self.counter }
     }
 
-    /// Whether versions are left under this token.
+    /// Whether the counter of this token is not used up.
     pub fn has_versions(&self) -> bool {
         self.counter < u32::MAX
     }
 
-    /// A control node has told how far a document has come.
+    /// Stores a control node's report on the rollout of a document.
     pub fn on_report(&mut self, now: Micros, from: u16, id: DocumentId, rollout: Rollout) {
         self.reported.insert(from, now);
         let entry = self.reports.entry(id.key).or_insert_with(|| (id.version, BTreeMap::new()));
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The sum of what `own` and the other control nodes have told, of so many in all.
+    /// The sum of `own` and the reports of the other control nodes, of which there are `count` in all.
     pub fn sum(&self, now: Micros, id: DocumentId, own: Rollout, count: usize) -> Rollout {
         let mut sum = own;
         let mut reporting = 1;
