--- a/crates/millethook-distribution/examples/scale/lists.rs
+++ b/crates/millethook-distribution/examples/scale/lists.rs
@@ -1,4 +1,4 @@
-//! Lists of servers: what they cost while nothing changes, after a start, and with each change.
+//! The costs of server lists: while nothing changes, after a start, and with each change.
 
 use std::collections::VecDeque;
 
@@ -8,25 +8,31 @@
 use super::{CONTROL, Member, start_with_lists};
 
 const SERVICES: u32 = 1_300;
-/// The service of which each sidecar wants the list, with so many servers; the others have [`SERVERS`].
+/// The service whose list, with this many servers, every sidecar subscribes to; the other lists have [`SERVERS`].
 const LARGE: u32 = 0;
 const LARGE_SERVERS: usize = 1_000;
-/// A service with few servers of which each sidecar wants the list.
+/// A service with few servers whose list every sidecar subscribes to.
 const SMALL: u32 = 1;
 const SERVERS: usize = 12;
-/// Lists that a sidecar wants in runs that measure changes.
+/// The number of lists that a sidecar subscribes to in runs that measure changes.
 const WANTED: u32 = 20;
 
-/// A list of servers, without those that `leaves` names; the weight of server `changed` is another one.
-fn body(service: u32, servers: usize, changed: usize, leaves: impl Fn(usize) -> bool) -> Vec<u8> {
+/// A list of servers, without the servers for which `is_removed` is true; server `changed` has a different weight.
+fn body(
+    service: u32,
+    servers: usize,
+    changed: usize,
+    is_removed: impl Fn(usize) -> bool,
+) -> Vec<u8> {
     let server = |n: usize| {
         let weight = if n == changed { 7 } else { 100 };
         format!("s{service:04}-{n:05} 10.{service}.{}.{}:8080 {weight}\n", n / 250, n % 250)
     };
-    (0..servers).filter(|n| !leaves(*n)).map(server).collect::<String>().into_bytes()
+    (0..servers).filter(|n| !is_removed(*n)).map(server).collect::<String>().into_bytes()
 }
 
-/// The lists that a sidecar wants: the first so many are wanted by all if it is `common`, else any of all services.
+/// The lists that a sidecar subscribes to: the first `common` ones are common to all sidecars, the others are spread
+/// over all services.
 fn wanted(n: u16, count: u32, common: u32) -> Vec<u32> {
     let first = 0..common.min(count);
     let others =
@@ -38,13 +44,13 @@
     fleet: Fleet<Member>,
     sidecars: u16,
     seed: u64,
-    /// Lists that each wants, and how many of these all want.
+    /// The number of lists that each sidecar subscribes to, and how many of these are common to all.
     count: u32,
     common: u32,
 }
 
-/// What a change has cost.
-struct Marks {
+/// The cost of a change.
+struct ChangeCost {
     in_force: [f64; 3],
     received_mean: f64,
     received_most: f64,
@@ -89,7 +95,7 @@
         println!("{measurement},{unit},sidecars,{sidecars},{seed},{value:.3},virtual,any,none");
     }
 
-    /// Bytes that each sidecar was sent, lost ones left out.
+    /// Bytes that each sidecar received.
     fn received(&self) -> Vec<u64> {
         let received = |member: &Member| match member {
             Member::Sidecar(_, received) => Some(*received),
@@ -102,8 +108,8 @@
         self.fleet.nodes.iter().map(|node| node.sent.0).collect()
     }
 
-    /// Bytes a second while nothing changes.
-    fn quiet(&mut self, what: &str) {
+    /// Measures the bytes a second while nothing changes.
+    fn measure_idle(&mut self, what: &str) {
         let seconds = 20;
         let (sent, received) = (self.sent(), self.received());
         self.fleet.run(seconds * S);
@@ -126,22 +132,28 @@
         );
     }
 
-    /// Publishes, and prints when 50, 99 and 100 of 100 have it in force, and the bytes to each sidecar until then and
-    /// 2 s behind, without those that it is sent when nothing changes.
-    fn change(&mut self, what: &str, service: u32, body: Vec<u8>) {
-        let idle = self.received();
+    /// Publishes, and prints when 50, 99 and 100 of 100 sidecars have the list in force, and the bytes to each sidecar
+    /// until 2 s after that, without those that it receives when nothing changes.
+    fn measure_change(&mut self, what: &str, service: u32, body: Vec<u8>) {
+        let idle_before = self.received();
         self.fleet.run(2 * S);
         let before = self.received();
         let version = self.publish(service, body);
-        let marks = self.follow(service, version, &idle, &before);
-        for (mark, share) in marks.in_force.iter().zip([50, 99, 100]) {
+        let cost = self.measure_until_in_force(service, version, &idle_before, &before);
+        for (mark, share) in cost.in_force.iter().zip([50, 99, 100]) {
             self.row(&format!("list_{what}_in_force_{share}"), "s", *mark);
         }
-        self.row(&format!("list_{what}_to_sidecar"), "bytes", marks.received_mean);
-        self.row(&format!("list_{what}_to_sidecar_most"), "bytes", marks.received_most);
+        self.row(&format!("list_{what}_to_sidecar"), "bytes", cost.received_mean);
+        self.row(&format!("list_{what}_to_sidecar_most"), "bytes", cost.received_most);
     }
 
-    fn follow(&mut self, service: u32, version: Version, idle: &[u64], before: &[u64]) -> Marks {
+    fn measure_until_in_force(
+        &mut self,
+        service: u32,
+        version: Version,
+        idle_before: &[u64],
+        before: &[u64],
+    ) -> ChangeCost {
         let key = DocumentKey::server_list(service);
         let begin = self.fleet.now;
         let mut in_force = [f64::INFINITY; 3];
@@ -160,32 +172,51 @@
         }
         self.fleet.run(2 * S);
         let seconds = (self.fleet.now - begin) as f64 / S as f64;
-        let quiet: u64 = before.iter().zip(idle).map(|(before, idle)| before - idle).sum();
-        let quiet = quiet as f64 / before.len() as f64 / 2.0 * seconds;
+        let idle_bytes: u64 =
+            before.iter().zip(idle_before).map(|(before, idle_before)| before - idle_before).sum();
+        let idle_bytes = idle_bytes as f64 / before.len() as f64 / 2.0 * seconds;
         let received = self.received();
         let bytes = received.iter().zip(before).map(|(after, before)| (after - before) as f64);
         let (sum, most) = bytes.fold((0.0, 0.0f64), |(sum, most), b| (sum + b, most.max(b)));
-        let received_mean = sum / f64::from(self.sidecars) - quiet;
-        Marks { in_force, received_mean, received_most: most - quiet }
+        let received_mean = sum / f64::from(self.sidecars) - idle_bytes;
+        ChangeCost { in_force, received_mean, received_most: most - idle_bytes }
     }
 
-    /// The changes of a list, at the present loss.
-    fn changes(&mut self, loss: &str) {
+    /// Measures the changes of a list at the present loss.
+    fn measure_changes(&mut self, loss: &str) {
         for (name, service, servers) in [("1000", LARGE, LARGE_SERVERS), ("12", SMALL, SERVERS)] {
             let sixth = |n: usize| n % 6 == 3;
             let what = |what: &str| format!("{name}_{what}_{loss}");
-            self.change(&what("one_changes"), service, body(service, servers, 5, |_| false));
-            self.change(&what("sixth_leaves"), service, body(service, servers, 5, sixth));
-            self.change(&what("sixth_comes"), service, body(service, servers, 5, |_| false));
-            // Nothing in common with what it was: what each change cost before there were deltas.
+            self.measure_change(
+                &what("one_changes"),
+                service,
+                body(service, servers, 5, |_| false),
+            );
+            self.measure_change(&what("sixth_leaves"), service, body(service, servers, 5, sixth));
+            self.measure_change(
+                &what("sixth_comes"),
+                service,
+                body(service, servers, 5, |_| false),
+            );
+            // It has nothing in common with the previous content: this is what each change cost before there were
+            // deltas.
             let other = body(service + 2_000, servers, 5, |_| false);
-            self.change(&what("whole"), service, other.iter().map(|byte| byte ^ 0x80).collect());
-            self.change(&what("whole_again"), service, body(service, servers, 0, |_| false));
+            self.measure_change(
+                &what("whole"),
+                service,
+                other.iter().map(|byte| byte ^ 0x80).collect(),
+            );
+            self.measure_change(
+                &what("whole_again"),
+                service,
+                body(service, servers, 0, |_| false),
+            );
         }
     }
 
-    /// All sidecars start anew within 30 s without snapshots: how long after its start the last one has all its lists.
-    fn start_of_all(&mut self, what: &str) {
+    /// Restarts all sidecars within 30 s without snapshots, and measures how long after its start the last one has all
+    /// its lists.
+    fn measure_cold_start(&mut self, what: &str) {
         let numbers: Vec<u16> = (CONTROL..CONTROL + self.sidecars).collect();
         numbers.iter().for_each(|n| self.fleet.kill(*n));
         let begin = self.fleet.now;
@@ -244,21 +275,21 @@
     }
 }
 
-/// All of it for a fleet of this size.
+/// Runs all measurements for a fleet of this size.
 pub fn measure(sidecars: u16, seed: u64) {
     for count in [1, 20, 60] {
         let mut lists = Lists::new(sidecars, seed, count, 0);
-        lists.quiet("quiet");
+        lists.measure_idle("quiet");
         lists.fleet.loss = 0.2;
         lists.fleet.run(5 * S);
-        lists.quiet("loss20");
+        lists.measure_idle("loss20");
     }
     let mut lists = Lists::new(sidecars, seed, WANTED, 2);
     lists.publish(SMALL, body(SMALL, SERVERS, 0, |_| false));
-    lists.change("1000_first_quiet", LARGE, body(LARGE, LARGE_SERVERS, 0, |_| false));
-    lists.changes("quiet");
-    lists.start_of_all("quiet");
+    lists.measure_change("1000_first_quiet", LARGE, body(LARGE, LARGE_SERVERS, 0, |_| false));
+    lists.measure_changes("quiet");
+    lists.measure_cold_start("quiet");
     lists.fleet.loss = 0.2;
-    lists.changes("loss20");
-    lists.start_of_all("loss20");
+    lists.measure_changes("loss20");
+    lists.measure_cold_start("loss20");
 }
--- a/crates/millethook-distribution/examples/scale/main.rs
+++ b/crates/millethook-distribution/examples/scale/main.rs
@@ -1,7 +1,8 @@
-//! How long a change takes to be in force, and what it costs, by size: `cargo run --release -p millethook-distribution
-//! --example scale -- 60,300,1800`, with `short` behind it without the longest documents, with `lists` the same of lists
-//! of servers, and behind that with these seeds. Prints CSV. Datagrams take 1 to 4 ms within a region's cut or not; bytes
-//! are contents and 15 bytes of frame for each.
+//! Measures how long a change takes until it is in force, and what it costs, for several sizes of fleet:
+//! `cargo run --release -p millethook-distribution --example scale -- 60,300,1800`. The second argument `short` leaves
+//! out the longest documents, and `lists` measures lists of servers instead; the third argument lists seeds. Prints CSV.
+//! Datagrams take 1 to 4 ms, within a region and between regions; bytes are those of the contents plus 15 bytes of frame
+//! each.
 
 mod lists;
 
@@ -16,13 +17,13 @@
 
 enum Member {
     Control(Box<ControlNode>),
-    /// And the bytes that it was sent.
+    /// The second value is the number of bytes that it received.
     Sidecar(Box<Subscriber>, u64),
 }
 
 impl Member {
-    /// The host takes all that is offered.
-    fn settle(&mut self, now: Micros) {
+    /// The host accepts everything that is offered.
+    fn accept_all(&mut self, now: Micros) {
         if let Member::Sidecar(sidecar, _) = self {
             while let Some(SubscriberEvent::Offered { documents }) = sidecar.poll_event() {
                 let versions: Vec<Version> = documents.iter().map(|d| d.version).collect();
@@ -41,14 +42,14 @@
                 sidecar.handle(now, from, content);
             }
         }
-        self.settle(now);
+        self.accept_all(now);
     }
     fn tick(&mut self, now: Micros) {
         match self {
             Member::Control(node) => node.tick(now),
             Member::Sidecar(sidecar, _) => sidecar.tick(now),
         }
-        self.settle(now);
+        self.accept_all(now);
     }
     fn poll_timeout(&self) -> Micros {
         match self {
@@ -65,7 +66,7 @@
     }
 }
 
-/// Control nodes are spread over the zones; so are sidecars behind them.
+/// Control nodes are spread over the zones; so are the sidecars, which are numbered after them.
 fn zone(number: u16) -> u32 {
     u32::from(number) % ZONES
 }
@@ -79,7 +80,7 @@
     start_with_lists(fleet, n, Vec::new());
 }
 
-/// The same; it wants these lists.
+/// Does the same for a process that subscribes to these lists.
 fn start_with_lists(fleet: &mut Fleet<Member>, n: u16, lists: Vec<u32>) {
     let control_nodes = (0..CONTROL)
         .map(|n| ControlMember { number: n, region: region(n), zone: zone(n) })
@@ -146,8 +147,8 @@
         println!("{measurement},{unit},{size_of},{size},{},{value:.3},virtual,any,none", self.seed);
     }
 
-    /// How long until what is in force anywhere is in force everywhere.
-    fn healed(&mut self, what: &str) {
+    /// Measures how long it takes until all sidecars have the same version in force.
+    fn measure_convergence(&mut self, what: &str) {
         let begin = self.fleet.now;
         loop {
             self.fleet.run(S / 50);
@@ -165,8 +166,14 @@
         self.fleet.run(4 * S);
     }
 
-    /// Publishes, and prints when 50, 99 and 100 of 100 of the sidecars in `among` have it in force.
-    fn change(&mut self, what: &str, writer: u16, length: usize, among: impl Fn(u16) -> bool) {
+    /// Publishes, and prints when 50, 99 and 100 of 100 of the sidecars in `among` have the document in force.
+    fn measure_change(
+        &mut self,
+        what: &str,
+        writer: u16,
+        length: usize,
+        among: impl Fn(u16) -> bool,
+    ) {
         let numbers: Vec<u16> = (CONTROL..CONTROL + self.sidecars).filter(|n| among(*n)).collect();
         let before: Vec<u64> = self.fleet.nodes.iter().map(|n| n.sent.0).collect();
         let version = self.publish(writer, length);
@@ -200,8 +207,8 @@
         self.fleet.run(4 * S);
     }
 
-    /// Bytes a second of one sidecar and of one control node while nothing changes.
-    fn quiet(&mut self) {
+    /// Measures the bytes a second of one sidecar and of one control node while nothing changes.
+    fn measure_idle(&mut self) {
         self.fleet.run(2 * S);
         let before: Vec<u64> = self.fleet.nodes.iter().map(|n| n.sent.0).collect();
         self.fleet.run(10 * S);
@@ -215,8 +222,8 @@
         self.row("control_node_sends_quiet_most", "bytes/s", "sidecars", sidecars, most);
     }
 
-    /// How long until the writer knows that a change is in force at all.
-    fn known(&mut self) {
+    /// Measures how long it takes until the writer knows that a change is in force everywhere.
+    fn measure_report_delay(&mut self) {
         let version = self.publish(0, 200);
         let begin = self.fleet.now;
         let whole = |member: &mut Member, now| match member {
@@ -230,9 +237,9 @@
         self.row("known_in_force_at_writer", "s", "sidecars", self.sidecars.into(), took);
     }
 
-    /// All sidecars start anew within 30 s, without their snapshots: how long after its start the last one has the
-    /// document, and the most bytes that a control node sends in a second.
-    fn cold_start(&mut self) {
+    /// Restarts all sidecars within 30 s without their snapshots, and measures how long after its start the last one
+    /// has the document, and the most bytes that a control node sends in a second.
+    fn measure_cold_start(&mut self) {
         let sidecars: Vec<u16> = (CONTROL..CONTROL + self.sidecars).collect();
         sidecars.iter().for_each(|n| self.fleet.kill(*n));
         let mut starts: Vec<(Micros, u16)> =
@@ -297,34 +304,35 @@
             continue;
         }
         let mut run = Run::new(sidecars, seed);
-        run.quiet();
-        run.change("quiet", 0, 200, |_| true);
-        run.known();
-        run.change("quiet", 0, 2_048, |_| true);
+        run.measure_idle();
+        run.measure_change("quiet", 0, 200, |_| true);
+        run.measure_report_delay();
+        run.measure_change("quiet", 0, 2_048, |_| true);
         run.control_events();
         let long = parts != "short";
         if long {
-            run.change("quiet", 0, 65_536, |_| true);
+            run.measure_change("quiet", 0, 65_536, |_| true);
         }
         run.fleet.loss = 0.2;
         for length in [200, 2_048, 65_536].into_iter().take(if long { 3 } else { 2 }) {
-            run.change("loss20", 0, length, |_| true);
+            run.measure_change("loss20", 0, length, |_| true);
         }
         run.fleet.loss = 0.0;
         run.fleet.run(4 * S);
         // Region 1 is cut off; the writer is in region 0.
         run.fleet.passes = Box::new(|a, b| (region(a) == 1) == (region(b) == 1));
         run.fleet.run(S);
-        run.change("region_cut", 0, 200, |n| region(n) != 1);
+        run.measure_change("region_cut", 0, 200, |n| region(n) != 1);
         run.fleet.passes = Box::new(|_, _| true);
-        run.healed("region_healed");
-        // The control nodes and sidecars of zone 5 are gone; the sidecars of zone 4 have had their second there.
+        run.measure_convergence("region_healed");
+        // The control nodes and sidecars of zone 5 are down; the sidecars of zone 4 had their second control node
+        // there.
         let gone: Vec<u16> = (0..CONTROL + sidecars).filter(|n| zone(*n) == 5).collect();
         gone.iter().for_each(|n| run.fleet.kill(*n));
-        run.change("zone_gone", 0, 200, |n| zone(n) != 5);
-        run.change("zone_gone_later", 0, 2_048, |n| zone(n) != 5);
+        run.measure_change("zone_gone", 0, 200, |n| zone(n) != 5);
+        run.measure_change("zone_gone_later", 0, 2_048, |n| zone(n) != 5);
         gone.iter().filter(|n| **n < CONTROL).for_each(|n| start(&mut run.fleet, *n));
         run.fleet.run(10 * S);
-        run.cold_start();
+        run.measure_cold_start();
     }
 }
--- a/crates/millethook-distribution/tests/golden.rs
+++ b/crates/millethook-distribution/tests/golden.rs
@@ -1,5 +1,5 @@
-//! A fleet whose sidecars want no lists sends byte for byte what it sent before lists travelled. The expected digest is
-//! that of the build before lists (`5e07d42`), by this very program.
+//! A fleet whose sidecars subscribe to no lists sends the same bytes as before lists were introduced. The expected
+//! digest was computed with the build before lists (`5e07d42`) by this same program.
 
 use std::collections::VecDeque;
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The host of each sidecar accepts, but that of the last one, which refuses what begins with "!".
+    /// The host of each sidecar accepts all documents, except that the last one refuses those that begin with "!".
     fn decide(&mut self, now: Micros) {
         for (n, sidecar) in self.sidecars.iter_mut().enumerate() {
             while let Some(SubscriberEvent::Offered { documents }) = sidecar.poll_event() {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes what all members have to send; of each 17 messages one is lost.
+    /// Collects the messages of all members; every 17th message is lost.
     fn collect(&mut self) {
         let mut sent = Vec::new();
         for (n, node) in self.nodes.iter_mut().enumerate() {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn without_lists_all_is_sent_as_before() {
+fn messages_without_lists_match_the_recorded_digest() {
     let mut network = Network::new();
     network.run(0, 3 * SECOND);
     let token = Token { epoch: 1_700_000_000_000, counter: 1, owner: 1 };
--- a/crates/millethook-distribution/tests/it/common/member.rs
+++ b/crates/millethook-distribution/tests/it/common/member.rs
@@ -1,4 +1,4 @@
-//! One process of the virtual fleet: a control node or a sidecar, its host, and its disk.
+//! One process of the simulated fleet: a control node or a sidecar, its host, and its disk.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,9 +10,9 @@
 };
 use millethook_machine::sim::Machine;
 
-use super::truth::Truth;
+use super::oracle::Oracle;
 
-/// What outlives a process.
+/// The state that survives a restart.
 pub type Disk = Rc<RefCell<Option<Snapshot>>>;
 
 /// The two kinds of processes.
@@ -26,12 +26,12 @@
     pub number: u16,
     pub part: Part,
     pub disk: Disk,
-    pub truth: Rc<RefCell<Truth>>,
-    /// The host decides nothing while this is set.
-    pub holds: bool,
+    pub oracle: Rc<RefCell<Oracle>>,
+    /// The host makes no decisions while this is set.
+    pub decisions_paused: bool,
     /// Nothing is written to the disk while this is set.
     pub slow_disk: bool,
-    /// It is of a build without lists: it drops messages that such a build does not know, and sends none.
+    /// It runs a build without lists: it drops messages that such a build does not know, and sends none of them.
     pub is_old: bool,
     /// Events of a control node that tests look at.
     pub events: Vec<ControlEvent>,
@@ -39,8 +39,9 @@
     refused: BTreeSet<Version>,
 }
 
-/// Whether a sidecar's host takes a content: those that begin with "!" are refused by all, with "?" by odd ones.
-pub fn takes(number: u16, body: Option<&[u8]>) -> bool {
+/// Whether a sidecar's host accepts a content: those that begin with "!" are refused by all, those with "?" by odd
+/// ones.
+pub fn accepts(number: u16, body: Option<&[u8]>) -> bool {
     match body.and_then(|body| body.first()) {
         Some(b'!') => false,
         Some(b'?') => number.is_multiple_of(2),
@@ -54,12 +55,14 @@
 }
 
 impl Member {
-    pub fn new(number: u16, part: Part, disk: Disk, truth: Rc<RefCell<Truth>>) -> Member {
-        let (holds, slow_disk, is_old) = (false, false, false);
+    /// Creates a process that has just started.
+    pub fn new(number: u16, part: Part, disk: Disk, oracle: Rc<RefCell<Oracle>>) -> Member {
+        let (decisions_paused, slow_disk, is_old) = (false, false, false);
         let (events, refused) = (Vec::new(), BTreeSet::new());
-        Member { number, part, disk, truth, holds, slow_disk, is_old, events, refused }
+        Member { number, part, disk, oracle, decisions_paused, slow_disk, is_old, events, refused }
     }
 
+    /// The control node, if it is one.
     pub fn control(&mut self) -> Option<&mut ControlNode> {
         match &mut self.part {
             Part::Control(node) => Some(node),
@@ -67,6 +70,7 @@
         }
     }
 
+    /// The sidecar, if it is one.
     pub fn sidecar(&self) -> Option<&Subscriber> {
         match &self.part {
             Part::Control(_) => None,
@@ -74,8 +78,8 @@
         }
     }
 
-    /// What the host does with events, and what the truth has to know.
-    pub fn settle(&mut self, now: Micros) {
+    /// Handles events as the host does, and reports them to the oracle.
+    pub fn process_events(&mut self, now: Micros) {
         match &mut self.part {
             Part::Control(node) => {
                 while let Some(event) = node.poll_event() {
@@ -84,21 +88,21 @@
                         node.mark_persisted(&snapshot);
                         *self.disk.borrow_mut() = Some(snapshot);
                     }
-                    self.truth.borrow_mut().on_event(self.number, node, &event);
+                    self.oracle.borrow_mut().on_event(self.number, node, &event);
                     self.events.push(event);
                 }
-                self.truth.borrow_mut().on_control(self.number, node);
+                self.oracle.borrow_mut().on_control(self.number, node);
             }
-            Part::Sidecar(sidecar) if !self.holds => {
+            Part::Sidecar(sidecar) if !self.decisions_paused => {
                 while let Some(SubscriberEvent::Offered { documents }) = sidecar.poll_event() {
                     let (good, bad): (Vec<_>, Vec<_>) =
-                        documents.iter().partition(|d| takes(self.number, d.body.as_deref()));
+                        documents.iter().partition(|d| accepts(self.number, d.body.as_deref()));
                     for document in bad {
                         let why =
                             Refusal { code: 7, reason: "key x: found !, number expected".into() };
                         let _ = sidecar.refuse(now, document.version, why);
                         self.refused.insert(document.version);
-                        // A host with a fault of its own: what was refused may not come into force by it.
+                        // A faulty host tries to accept a version that it has refused; this must not put it into force.
                         let _ = sidecar.accept(now, &[document.version]);
                     }
                     let versions: Vec<Version> = good.iter().map(|d| d.version).collect();
@@ -106,7 +110,7 @@
                         *self.disk.borrow_mut() = Some(sidecar.snapshot());
                     }
                 }
-                self.truth.borrow_mut().on_sidecar(self.number, sidecar, &self.refused);
+                self.oracle.borrow_mut().on_sidecar(self.number, sidecar, &self.refused);
             }
             Part::Sidecar(_) => {}
         }
@@ -122,14 +126,14 @@
             Part::Control(node) => node.handle(now, from, content),
             Part::Sidecar(sidecar) => sidecar.handle(now, from, content),
         }
-        self.settle(now);
+        self.process_events(now);
     }
     fn tick(&mut self, now: Micros) {
         match &mut self.part {
             Part::Control(node) => node.tick(now),
             Part::Sidecar(sidecar) => sidecar.tick(now),
         }
-        self.settle(now);
+        self.process_events(now);
     }
     fn poll_timeout(&self) -> Micros {
         match &self.part {
--- a/crates/millethook-distribution/tests/it/durability.rs
+++ b/crates/millethook-distribution/tests/it/durability.rs
@@ -1,4 +1,5 @@
-//! What the publisher is told to be on disk outlives that all control nodes die at once; what is committed only need not.
+//! A document that is reported as durable survives the simultaneous failure of all control nodes; a document that is
+//! only committed may be lost.
 
 use crate::common::{CONTROL, World, key};
 use millethook_distribution::{Rollout, Version};
@@ -12,7 +13,7 @@
     world.fleet.with(WRITER, report).flatten().expect("it is the latest of its key")
 }
 
-/// A fleet where these control nodes have not written yet what was committed last.
+/// A fleet in which these control nodes have not yet written the document that was committed last.
 fn world_with_slow_disks(seed: u64, slow: &[u16]) -> (World, Version) {
     let mut world = World::new(seed);
     world.lease(WRITER);
@@ -24,15 +25,16 @@
         panic!("it is the writer")
     };
     world.run(3 * S);
-    assert_eq!(world.broken, None);
+    assert_eq!(world.failure, None);
     (world, version)
 }
 
-/// All control nodes die in one instant, and start again with what is on their disks. Which of them know the version then.
+/// Kills all control nodes at once and restarts them with what is on their disks. Returns those that then know the
+/// version.
 fn known_after_all_have_died(world: &mut World, version: Version) -> Vec<u16> {
     (0..CONTROL).for_each(|n| world.fleet.kill(n));
     (0..CONTROL).for_each(|n| world.start(n));
-    // Rules over all members do not hold for what was lost.
+    // The invariants over all members do not hold for documents that were lost.
     world.fleet.run(3 * S);
     world.lease(1);
     world.fleet.run(4 * S);
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn what_a_majority_has_on_disk_is_there_after_all_have_died() {
+fn documents_on_disk_at_a_majority_survive_the_death_of_all_control_nodes() {
     for (seed, slow) in [vec![], vec![0, 1], vec![0, 4], vec![2, 3], vec![3, 4]].iter().enumerate()
     {
         let (mut world, version) = world_with_slow_disks(seed as u64, slow);
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn what_is_committed_and_on_no_disk_is_not_told_to_be_on_disk() {
+fn committed_documents_on_no_disk_are_not_reported_as_durable() {
     let all: Vec<u16> = (0..CONTROL).collect();
     let (mut world, version) = world_with_slow_disks(7, &all);
     let rollout = report(&mut world, version);
@@ -66,7 +68,7 @@
     assert_eq!((rollout.persisted, rollout.in_force), (0, rollout.expected));
     let known = known_after_all_have_died(&mut world, version);
     assert!(known.is_empty(), "it was in memory only, and {known:?} know it");
-    // A minority is not enough to be told so.
+    // A minority is not enough for a document to be reported as durable.
     let (mut world, version) = world_with_slow_disks(8, &[0, 1, 2]);
     let rollout = report(&mut world, version);
     assert!(!rollout.is_durable(), "{rollout:?}");
--- a/crates/millethook-distribution/tests/it/interface.rs
+++ b/crates/millethook-distribution/tests/it/interface.rs
@@ -1,5 +1,5 @@
-//! What the host sees: errors of the writer, sums of what is in force and refused, snapshots, and messages that make no
-//! sense.
+//! The interface of the host: errors of the writer, sums of what is in force and refused, snapshots, and malformed
+//! messages.
 
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_writer_learns_where_a_document_is_in_force_and_who_refused_it() {
+fn the_writer_reports_where_a_document_is_in_force_and_who_refused_it() {
     let mut world = World::new(2);
     world.lease(0);
     world.run(S);
@@ -64,7 +64,7 @@
     let rollout = report(&mut world, good).expect("it is known");
     assert!(rollout.is_complete(), "{rollout:?}");
     assert_eq!((rollout.expected, rollout.in_force), (6, 6));
-    // One sidecar refuses a document for itself: that is too few to stop it.
+    // One sidecar refuses a document for itself, which is too few to stop it.
     let own = key(5);
     let Some(Ok(bad)) = world.publish(0, own, Some(b"!bad".to_vec())) else { panic!() };
     world.run(6 * S);
@@ -74,18 +74,18 @@
     assert_eq!((who, why.code), (CONTROL, 7));
     assert_eq!(why.reason, "key x: found !, number expected");
     assert_eq!(world.in_force(CONTROL, own), None);
-    // A sidecar that is gone is named.
+    // A sidecar that is down is named.
     world.fleet.kill(CONTROL + 1);
     let Some(Ok(next)) = world.publish(0, all, Some(b"next".to_vec())) else { panic!() };
     world.run(8 * S);
     let rollout = report(&mut world, next).expect("it is known");
     assert_eq!((rollout.expected, rollout.in_force, rollout.not_heard), (6, 5, 1));
     assert_eq!(rollout.not_heard_members, [CONTROL + 1]);
-    assert_eq!(world.broken, None);
+    assert_eq!(world.failure, None);
 }
 
 #[test]
-fn a_sidecar_starts_with_what_was_in_force_and_is_whole_and_its_own() {
+fn a_sidecar_restores_only_intact_documents_of_its_own_scopes() {
     let all = Document::new(key(0), version(1), Some(b"a".to_vec()));
     let mut damaged = Document::new(key(5), version(2), Some(b"b".to_vec()));
     damaged.body = Some(b"c".to_vec());
@@ -104,9 +104,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Each kind of message, with anything behind it, at both kinds of members.
+    /// Each message type, followed by arbitrary bytes, at both kinds of members.
     #[test]
-    fn what_makes_no_sense_is_dropped(
+    fn malformed_messages_are_dropped(
         kind in 0u8..20,
         rest in prop::collection::vec(any::<u8>(), 0..241),
         from in 0..MEMBERS,
@@ -141,7 +141,7 @@
         let node = member.control().expect("it is a control node");
         let listed = node.documents().into_iter().find(|document| document.key == key);
         let found = node.document(key);
-        // The one that is kept, and no copy of it.
+        // It is the stored document and not a copy.
         assert_eq!(found.as_ref().map(Arc::as_ptr), listed.as_ref().map(Arc::as_ptr));
         found
     };
@@ -153,7 +153,7 @@
         let unknown = world.fleet.with(n, |m, _| look_up(m, key(2)));
         assert_eq!(unknown, Some(None));
     }
-    // What one control node alone has accepted is not committed.
+    // A document that only one control node has accepted is not committed.
     world.fleet.passes = Box::new(|_, _| false);
     assert!(matches!(world.publish(0, key(2), Some(b"alone".to_vec())), Some(Ok(_))));
     world.run(S);
--- a/crates/millethook-distribution/tests/it/lists.rs
+++ b/crates/millethook-distribution/tests/it/lists.rs
@@ -1,4 +1,4 @@
-//! Lists of servers go to the sidecars that want them, and to no others; what has changed in them goes as a delta.
+//! Lists of servers are sent to the sidecars that subscribe to them, and to no others; changes are sent as deltas.
 
 use crate::common::member::Member;
 use crate::common::{CONTROL, MEMBERS, World, control_nodes, identity, key, limits};
@@ -21,18 +21,18 @@
     world.fleet.with(0, report).flatten().expect("it is the latest of its key")
 }
 
-/// A content like a list of servers, without those that `leaves` names.
-fn list(servers: usize, changed: usize, leaves: impl Fn(usize) -> bool) -> Vec<u8> {
+/// A content that resembles a list of servers, without the servers for which `is_removed` is true.
+fn list(servers: usize, changed: usize, is_removed: impl Fn(usize) -> bool) -> Vec<u8> {
     let server = |n: usize| {
         let weight = if n == changed { 7 } else { 100 };
         format!("server-{n:05} 10.{}.{}.9:8080 {weight}\n", n / 250, n % 250)
     };
-    (0..servers).filter(|n| !leaves(*n)).map(server).collect::<String>().into_bytes()
+    (0..servers).filter(|n| !is_removed(*n)).map(server).collect::<String>().into_bytes()
 }
 
 #[test]
-fn a_list_goes_to_those_that_want_it_and_not_to_those_beside_the_service() {
-    // Odd sidecars want the list of service 0, beside which stand the even ones.
+fn a_list_reaches_its_subscribers_and_not_the_sidecars_beside_the_service() {
+    // Odd sidecars subscribe to the list of service 0; the even ones run beside that service.
     let mut world = World::with_lists(3, |n| (n % 2) as u8);
     assert_eq!(identity(CONTROL + 1, 0).service, 0);
     world.lease(0);
@@ -49,11 +49,11 @@
     let rollout = report(&mut world, version);
     assert_eq!((rollout.expected, rollout.in_force, rollout.refused), (3, 3, 0), "{rollout:?}");
     assert!(rollout.is_complete(), "{rollout:?}");
-    assert_eq!(world.broken, None);
+    assert_eq!(world.failure, None);
 }
 
 #[test]
-fn a_sidecar_that_starts_again_gets_the_lists_that_it_wants_now() {
+fn a_restarted_sidecar_receives_the_lists_it_subscribes_to_now() {
     let mut world = World::with_lists(4, |_| 0b011);
     world.lease(0);
     world.run(8 * S);
@@ -64,24 +64,24 @@
     let in_force = |world: &World, n| [0, 1, 2].map(|l| world.in_force(n, lists[l]));
     let first = [Some(versions[0]), Some(versions[1]), None];
     assert_eq!(in_force(&world, CONTROL), first);
-    // One wants others now, one none at all.
-    world.act(&crate::common::Act::Want(CONTROL, 0b110));
-    world.act(&crate::common::Act::Want(CONTROL + 1, 0));
+    // One now subscribes to other lists, and one to none.
+    world.apply(&crate::common::Step::Subscribe(CONTROL, 0b110));
+    world.apply(&crate::common::Step::Subscribe(CONTROL + 1, 0));
     world.run(2 * S);
     assert_eq!(in_force(&world, CONTROL), [None, Some(versions[1]), Some(versions[2])]);
     assert_eq!(in_force(&world, CONTROL + 1), [None, None, None]);
     assert_eq!(in_force(&world, CONTROL + 2), first);
-    // It was expected until it is known that it wants none.
+    // It is expected to have them until the control node knows that it subscribes to none.
     world.run(32 * S);
     let counts = versions.clone().into_iter().map(|v| report(&mut world, v).expected);
     assert_eq!(counts.collect::<Vec<_>>(), [4, 5, 1]);
     assert!(versions.into_iter().all(|v| report(&mut world, v).is_complete()));
-    assert_eq!(world.broken, None);
+    assert_eq!(world.failure, None);
 }
 
 #[test]
-fn too_many_refusals_among_those_that_want_a_list_put_back_the_one_before() {
-    // Sidecars 5 and 7 want it; both refuse.
+fn too_many_refusals_among_subscribers_restore_the_previous_list() {
+    // Sidecars 5 and 7 subscribe to it; both refuse.
     let mut world = World::with_lists(5, |n| u8::from(n == 5 || n == 7));
     world.lease(0);
     world.run(8 * S);
@@ -99,12 +99,12 @@
     assert_eq!(stopped, bad);
     assert_eq!(world.in_force(5, list), Some(restored));
     assert_eq!(world.in_force(6, list), None);
-    assert_eq!(world.broken, None);
+    assert_eq!(world.failure, None);
 }
 
-/// Some control nodes and some sidecars are of a build that drops the new messages, and sends none.
+/// Some control nodes and some sidecars run a build that drops the new messages and sends none.
 #[test]
-fn old_and_new_builds_go_together() {
+fn builds_with_and_without_lists_interoperate() {
     for old in [vec![0, 1], vec![2, 3, 4], vec![1, 6, 8], vec![0, 1, 2, 3, 4]] {
         let is_old = |n: u16| old.contains(&n);
         let mut world = World::with_builds(6, |n| u8::from(!is_old(n)), old.clone());
@@ -122,14 +122,14 @@
                 assert_eq!(world.in_force(n, list), None, "{old:?}: {n}");
             }
         }
-        // Where one of the two control nodes of a sidecar knows lists it is enough.
+        // A sidecar receives lists if one of its two control nodes knows them.
         if old.iter().filter(|n| **n < CONTROL).count() <= 1 {
             let new = (CONTROL..MEMBERS).filter(|n| !is_old(*n));
             assert!(new.into_iter().all(|n| world.in_force(n, list) == Some(second)), "{old:?}");
         }
         let rollout = report(&mut world, configuration);
         assert!(rollout.is_complete() && rollout.expected == 6, "{old:?}: {rollout:?}");
-        assert_eq!(world.broken, None, "{old:?}");
+        assert_eq!(world.failure, None, "{old:?}");
     }
 }
 
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn more_lists_than_may_be_wanted_are_an_error() {
+fn more_lists_than_allowed_are_an_error() {
     let mut config = config(CONTROL, (0..64).chain(0..64).collect());
     assert_eq!(config.check(), Ok(()));
     config.lists.push(64);
@@ -162,7 +162,7 @@
     node: ControlNode,
     sidecar: Subscriber,
     now: Micros,
-    /// Bytes of contents to the sidecar, and from it.
+    /// Bytes of contents sent to the sidecar and by the sidecar.
     bytes: (usize, usize),
     longest: usize,
 }
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Publishes, and lets the sidecar take it; how many bytes went to the sidecar.
-    fn change(&mut self, key: DocumentKey, body: &[u8]) -> usize {
+    /// Publishes a content and lets the sidecar accept it; returns the bytes sent to the sidecar.
+    fn publish_and_accept(&mut self, key: DocumentKey, body: &[u8]) -> usize {
         let before = self.bytes.0;
         let version =
             self.node.publish(self.now, key, Some(body.to_vec())).expect("it is the writer");
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn as_many_lists_as_may_be_wanted_are_told_in_bounded_messages_and_come() {
+fn the_maximum_number_of_lists_arrives_and_is_reported_in_bounded_messages() {
     let services: Vec<u32> = (1_000_000..1_000_000 + MAX_LISTS as u32).collect();
     let mut pair = Pair::new(services.clone());
     for service in &services {
@@ -261,37 +261,37 @@
     pair.run(6 * S);
     let rollout = pair.node.report(pair.now, version).expect("it is the latest");
     assert_eq!((rollout.expected, rollout.in_force), (1, 1));
-    // Once that is known, the hash alone is told.
+    // Once the control node knows the statuses, only the hash is sent.
     let before = pair.bytes;
     pair.run(40 * S);
-    let quiet = (pair.bytes.1 - before.1) as f64 / 40.0;
-    println!("64 lists, quiet: the sidecar sends {quiet} bytes of contents a second");
-    assert!(quiet < 40.0, "{quiet} bytes a second");
+    let idle_rate = (pair.bytes.1 - before.1) as f64 / 40.0;
+    println!("64 lists, quiet: the sidecar sends {idle_rate} bytes of contents a second");
+    assert!(idle_rate < 40.0, "{idle_rate} bytes a second");
 }
 
 #[test]
 fn only_what_has_changed_in_a_list_is_sent() {
     let mut pair = Pair::new(vec![5]);
     let key = DocumentKey::server_list(5);
-    let whole = pair.change(key, &list(1_000, 0, |_| false));
-    let one = pair.change(key, &list(1_000, 600, |_| false));
-    let spread = pair.change(key, &list(1_000, 600, |n| n % 6 == 3));
-    let back = pair.change(key, &list(1_000, 600, |_| false));
-    let row = pair.change(key, &list(1_000, 600, |n| (300..467).contains(&n)));
+    let complete = pair.publish_and_accept(key, &list(1_000, 0, |_| false));
+    let one = pair.publish_and_accept(key, &list(1_000, 600, |_| false));
+    let spread = pair.publish_and_accept(key, &list(1_000, 600, |n| n % 6 == 3));
+    let back = pair.publish_and_accept(key, &list(1_000, 600, |_| false));
+    let consecutive = pair.publish_and_accept(key, &list(1_000, 600, |n| (300..467).contains(&n)));
     println!(
-        "bytes to the sidecar in 1 s: whole {whole}, one changes {one}, 167 spread ones leave {spread} and come {back}, \
-         167 in a row leave {row}"
+        "bytes to the sidecar in 1 s: complete {complete}, one changes {one}, 167 spread ones leave {spread} and come {back}, \
+         167 in a row leave {consecutive}"
     );
-    assert!(whole > 30_000, "{whole}");
-    assert!(one < 1_000 && row < 1_000, "{one}, {row}");
+    assert!(complete > 30_000, "{complete}");
+    assert!(one < 1_000 && consecutive < 1_000, "{one}, {consecutive}");
     assert!(spread < 4_000, "{spread}");
     assert_eq!(pair.sidecar.figures().deltas, 4);
 }
 
-/// A fifth of all datagrams is lost, and a sidecar hears of a list from its second control node before the first one has
-/// it. It waits for the delta all the same.
+/// At 20% loss (a fifth of all datagrams), a sidecar may learn of a list from its second control node before the first
+/// one has it. It still waits for the delta.
 #[test]
-fn under_loss_changes_of_a_list_come_as_deltas_too() {
+fn list_changes_arrive_as_deltas_under_loss() {
     let (mut deltas, mut changes) = (0, 0);
     for seed in 0..4 {
         let mut world = World::with_lists(seed, |_| 1);
@@ -311,33 +311,33 @@
         }
         let figures = world.fleet.machines().filter_map(|m| Some(m.sidecar()?.figures()));
         deltas += figures.map(|figures| figures.deltas).sum::<u64>();
-        assert_eq!(world.broken, None);
+        assert_eq!(world.failure, None);
     }
     println!("{deltas} of {changes} changes came as deltas at 20% loss");
     assert!(deltas * 10 >= changes * 9, "{deltas} of {changes}");
 }
 
 #[test]
-fn a_sidecar_that_has_lost_the_base_gets_the_whole() {
+fn a_sidecar_without_the_base_receives_the_complete_list() {
     let mut pair = Pair::new(vec![5]);
     let key = DocumentKey::server_list(5);
-    pair.change(key, &list(1_000, 0, |_| false));
-    // It starts again without its disk; the control node believes that it has the base.
+    pair.publish_and_accept(key, &list(1_000, 0, |_| false));
+    // It restarts without its disk; the control node assumes that it still has the base.
     pair.sidecar = Subscriber::new(config(CONTROL, vec![5]), None, pair.now);
-    pair.change(key, &list(1_000, 1, |_| false));
+    pair.publish_and_accept(key, &list(1_000, 1, |_| false));
     assert_eq!(pair.sidecar.figures().deltas, 0);
 }
 
 #[test]
-fn a_host_that_decides_late_on_one_kind_holds_no_other() {
+fn a_late_decision_on_one_kind_does_not_delay_another() {
     let mut pair = Pair::new(vec![5]);
     let (list, configuration) = (DocumentKey::server_list(5), key(0));
     pair.node.publish(pair.now, configuration, Some(b"bad".to_vec())).expect("it is the writer");
     pair.run(S);
     let Some(SubscriberEvent::Offered { documents }) = pair.sidecar.poll_event() else { panic!() };
     assert_eq!(documents.iter().map(|d| d.key).collect::<Vec<_>>(), [configuration]);
-    let waits = documents[0].version;
-    // While that waits, and then is refused, the list comes and is taken.
+    let pending = documents[0].version;
+    // While the configuration waits, and after it was refused, the list arrives and is accepted.
     for n in 0..2 {
         let version = pair.node.publish(pair.now, list, Some(vec![n; 3])).expect("a writer");
         pair.run(S);
@@ -348,7 +348,7 @@
         assert_eq!(pair.sidecar.accept(pair.now, &[version]), Ok(()));
         if n == 0 {
             let why = Refusal { code: 1, reason: "it is bad".into() };
-            assert_eq!(pair.sidecar.refuse(pair.now, waits, why), Ok(()));
+            assert_eq!(pair.sidecar.refuse(pair.now, pending, why), Ok(()));
         }
         assert_eq!(pair.sidecar.poll_event(), None);
     }
@@ -356,16 +356,16 @@
 }
 
 fn content() -> impl Strategy<Value = Vec<u8>> {
-    // Few values: the same pieces are found at many places.
+    // Few distinct values, so that the same ranges occur at many positions.
     prop::collection::vec(prop_oneof![Just(1u8), Just(2), any::<u8>()], 0..3_000)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any two contents: pieces of the first one, cut out, doubled and moved, between random bytes.
+    /// Any two contents: ranges of the first one, cut, repeated and moved, between random bytes.
     #[test]
-    fn what_comes_into_force_is_what_was_published(
+    fn content_in_force_equals_published_content(
         first in content(),
         pieces in prop::collection::vec((any::<u16>(), any::<u16>(), prop::collection::vec(any::<u8>(), 0..20)), 0..12),
     ) {
@@ -378,7 +378,7 @@
         }
         let mut pair = Pair::new(vec![5]);
         let key = DocumentKey::server_list(5);
-        pair.change(key, &first);
-        pair.change(key, &second);
+        pair.publish_and_accept(key, &first);
+        pair.publish_and_accept(key, &second);
     }
 }
--- a/crates/millethook-distribution/tests/it/long.rs
+++ b/crates/millethook-distribution/tests/it/long.rs
@@ -1,5 +1,5 @@
-//! Documents of 64 KiB where a fifth of all datagrams is lost: how much more than needed control nodes send, whose bytes a
-//! second are what bounds the time at 16,000 sidecars.
+//! Documents of 64 KiB at 20% loss (a fifth of all datagrams): how much more than necessary control nodes send. Their
+//! bytes a second limit the time to reach 16,000 sidecars.
 
 use millethook_distribution::{
     ControlMember, ControlNode, DistributionConfig, DocumentKey, Identity, Limits,
@@ -10,9 +10,9 @@
 const CONTROL: u16 = 4;
 const SIDECARS: u16 = 200;
 const LOSS: f64 = 0.2;
-/// Bytes of one chunk on the way with 220 bytes of content: its message's head and the frame.
-const ON_THE_WAY: f64 = (220.0 + 21.0 + 15.0) / 220.0;
-/// Bytes a second of a control node: a quarter of the sidecars have the document after 2 s at the earliest.
+/// Bytes sent for each byte of content: a chunk of 220 bytes with its message header and the frame.
+const SENT_BYTES_PER_CONTENT_BYTE: f64 = (220.0 + 21.0 + 15.0) / 220.0;
+/// Bytes a second of a control node: a quarter of the sidecars can have the document after 2 s at the earliest.
 const RATE: u32 = 2_400_000;
 
 enum Member {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A fleet with a writer, member 0.
+/// A fleet whose writer is member 0.
 fn fleet(seed: u64) -> Fleet<Member> {
     let node = |n: u16| ControlMember { number: n, region: 0, zone: u32::from(n % 2) };
     let control_nodes: Vec<ControlMember> = (0..CONTROL).map(node).collect();
@@ -92,9 +92,10 @@
     fleet.nodes[..usize::from(CONTROL)].iter().map(|node| node.sent.0).sum()
 }
 
-/// Publishes 64 KiB. Control node 3 hears nothing of the others for so long. How long until all sidecars have it, and
-/// how many bytes control nodes have sent by then, as a multiple of what is needed at this loss.
-fn change(seed: u64, node_3_is_late: Micros) -> (f64, f64) {
+/// Publishes 64 KiB while control node 3 is cut off from the other control nodes for a time. Returns the seconds until
+/// all sidecars have the document, and the bytes that control nodes sent by then as a multiple of the bytes needed at
+/// this loss.
+fn measure_change(seed: u64, isolation_of_node_3: Micros) -> (f64, f64) {
     let mut fleet = fleet(seed);
     fleet.loss = LOSS;
     let before = sent(&fleet);
@@ -105,9 +106,9 @@
     });
     let version = published.expect("it runs").expect("it is the writer");
     let begin = fleet.now;
-    if node_3_is_late > 0 {
+    if isolation_of_node_3 > 0 {
         fleet.passes = Box::new(|a, b| (a == 3) == (b == 3) || a >= CONTROL || b >= CONTROL);
-        fleet.run(node_3_is_late);
+        fleet.run(isolation_of_node_3);
         fleet.passes = Box::new(|_, _| true);
     }
     let all = |fleet: &Fleet<Member>| {
@@ -118,26 +119,27 @@
     };
     fleet.run_until(30 * S, all).expect("it is in force at all within 30 s");
     let receivers = f64::from(SIDECARS + CONTROL - 1);
-    let needed = receivers * MAX_CONTENT_BYTES as f64 * ON_THE_WAY / (1.0 - LOSS);
-    let took = (fleet.now - begin) as f64 / S as f64;
-    (took, (sent(&fleet) - before) as f64 / needed)
+    let needed = receivers * MAX_CONTENT_BYTES as f64 * SENT_BYTES_PER_CONTENT_BYTE / (1.0 - LOSS);
+    let duration = (fleet.now - begin) as f64 / S as f64;
+    (duration, (sent(&fleet) - before) as f64 / needed)
 }
 
 #[test]
 fn a_long_document_under_loss_is_sent_little_more_often_than_needed() {
     for seed in 0..4 {
-        let (took, times) = change(seed, 0);
-        let (late, late_times) = change(seed, S);
+        let (duration, overhead_factor) = measure_change(seed, 0);
+        let (late_duration, late_overhead_factor) = measure_change(seed, S);
         println!(
-            "seed {seed}: {took:.2} s, {times:.3} times; one node late {late:.2} s, {late_times:.3} times"
+            "seed {seed}: {duration:.2} s, {overhead_factor:.3} times; one node late {late_duration:.2} s, {late_overhead_factor:.3} times"
         );
-        assert!(times <= 1.1, "seed {seed}: sent {times} times what is needed");
+        assert!(overhead_factor <= 1.1, "seed {seed}: sent {overhead_factor} times what is needed");
         assert!(
-            late_times <= 1.1,
-            "seed {seed}: one node late, sent {late_times} times what is needed"
+            late_overhead_factor <= 1.1,
+            "seed {seed}: one node late, sent {late_overhead_factor} times what is needed"
         );
-        // 2.3 s at the byte rate of the busiest, until control nodes have it, and the rounds of requests.
-        assert!(took <= 3.8, "seed {seed}: {took} s");
-        assert!(late <= 4.6, "seed {seed}: one node late, {late} s");
+        // 2.3 s at the byte rate of the busiest control node, plus the time until control nodes have the document, plus
+        // the rounds of requests.
+        assert!(duration <= 3.8, "seed {seed}: {duration} s");
+        assert!(late_duration <= 4.6, "seed {seed}: one node late, {late_duration} s");
     }
 }
--- a/crates/millethook-distribution/tests/it/main.rs
+++ b/crates/millethook-distribution/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Distribution of documents on the virtual clock, in one program.
+//! Tests of document distribution in simulated time, built as one program.
 
 mod common;
 mod durability;
--- a/crates/millethook-distribution/tests/it/moves.rs
+++ b/crates/millethook-distribution/tests/it/moves.rs
@@ -1,11 +1,11 @@
-//! A sidecar that moves from one control node to another is counted once at the writer, whatever has become of the one
-//! that it left.
+//! A sidecar that moves from one control node to another is counted once at the writer, whatever state the previous
+//! control node is in.
 
-use crate::common::{Act, CONTROL, FIRST_LIST, World, key};
+use crate::common::{CONTROL, FIRST_LIST, Step, World, key};
 use millethook_distribution::{ControlEvent, DocumentKey, Rollout, Scope, Version};
 use millethook_machine::sim::SECOND as S;
 
-/// The sidecar that moves. Its first control node is the only one of its zone.
+/// The sidecar that moves. Its first control node is the only one in its zone.
 const SIDECAR: u16 = CONTROL;
 const FIRST: u16 = 2;
 const WRITER: u16 = 0;
@@ -46,30 +46,30 @@
     events.is_some_and(|events| events.iter().any(stopped))
 }
 
-/// Lets so many seconds pass, in each moment of which the sidecar is counted once at most.
-fn counted_once(world: &mut World, version: Version, seconds: u64) {
+/// Runs for this many seconds and checks that the sidecar is never counted more than once.
+fn assert_counted_once(world: &mut World, version: Version, seconds: u64) {
     for _ in 0..seconds * 20 {
         world.run(S / 20);
         assert!(!was_stopped(world), "one refusal has stopped a document");
         let rollout = report(world, version);
         assert!(rollout.expected <= 1 && rollout.refused <= 1, "counted twice: {rollout:?}");
     }
-    assert_eq!(world.broken, None);
+    assert_eq!(world.failure, None);
 }
 
 #[test]
-fn a_sidecar_that_is_cut_from_its_control_node_is_counted_once() {
+fn a_sidecar_cut_off_from_its_control_node_is_counted_once() {
     for seed in 0..8 {
         let (mut world, version) = world_with_one_refusal(seed);
         world.fleet.passes =
             Box::new(|a, b| (a, b) != (SIDECAR, FIRST) && (b, a) != (SIDECAR, FIRST));
-        counted_once(&mut world, version, 20);
+        assert_counted_once(&mut world, version, 20);
         let rollout = report(&mut world, version);
         let counted = (rollout.expected, rollout.refused, rollout.moving);
         assert_eq!(counted, (1, 1, 0), "after the move: {rollout:?}");
-        // It comes back to the one that it prefers.
+        // It returns to the control node that it prefers.
         world.fleet.passes = Box::new(|_, _| true);
-        counted_once(&mut world, version, 60);
+        assert_counted_once(&mut world, version, 60);
         let rollout = report(&mut world, version);
         let counted = (rollout.expected, rollout.refused, rollout.moving);
         assert_eq!(counted, (1, 1, 0), "after its return: {rollout:?}");
@@ -78,17 +78,17 @@
 }
 
 #[test]
-fn a_sidecar_whose_control_node_is_gone_is_counted_once() {
+fn a_sidecar_whose_control_node_is_down_is_counted_once() {
     for seed in 0..8 {
         let (mut world, version) = world_with_one_refusal(seed);
         world.fleet.kill(FIRST);
-        counted_once(&mut world, version, 20);
+        assert_counted_once(&mut world, version, 20);
         let rollout = report(&mut world, version);
         let counted = (rollout.expected, rollout.refused, rollout.moving);
         assert_eq!(counted, (1, 1, 0), "after the move: {rollout:?}");
         assert_eq!(rollout.control_nodes_missing, 1);
         world.start(FIRST);
-        counted_once(&mut world, version, 60);
+        assert_counted_once(&mut world, version, 60);
         let rollout = report(&mut world, version);
         let counted = (rollout.expected, rollout.refused, rollout.moving);
         assert_eq!(counted, (1, 1, 0), "after its return: {rollout:?}");
@@ -96,16 +96,17 @@
     }
 }
 
-/// The control node that it left is cut off from it and from the one that it goes to, and hears nothing of the move.
+/// The previous control node is cut off from the sidecar and from its new control node, and receives no notice of the
+/// move.
 #[test]
-fn a_control_node_that_has_not_heard_of_a_move_learns_of_it_once_it_can() {
+fn a_control_node_that_missed_a_move_learns_of_it_when_reachable() {
     for seed in 0..8 {
         let (mut world, version) = world_with_one_refusal(seed);
         world.fleet.passes = Box::new(|a, b| (a == FIRST) == (b == FIRST));
-        counted_once(&mut world, version, 20);
+        assert_counted_once(&mut world, version, 20);
         world.fleet.passes =
             Box::new(|a, b| (a, b) != (SIDECAR, FIRST) && (b, a) != (SIDECAR, FIRST));
-        // Until it has heard of the move it names the sidecar as a silent one.
+        // Until it learns of the move, it reports the sidecar as silent.
         for _ in 0..15 * 20 {
             world.run(S / 20);
             let rollout = report(&mut world, version);
@@ -120,14 +121,14 @@
     }
 }
 
-/// No control node is left out by chance when the others tell whom they count: each is told once in a round of them, and
-/// reports to the writer within a second.
+/// No control node is left out by chance when the others announce which sidecars they count: each is told once in a
+/// round over all others, and reports to the writer within a second.
 #[test]
 fn a_control_node_learns_of_a_move_within_one_round_of_the_others() {
     for seed in 0..32 {
         let (mut world, version) = world_with_one_refusal(seed);
         world.fleet.passes = Box::new(|a, b| (a == FIRST) == (b == FIRST));
-        counted_once(&mut world, version, 20);
+        assert_counted_once(&mut world, version, 20);
         world.fleet.passes =
             Box::new(|a, b| (a, b) != (SIDECAR, FIRST) && (b, a) != (SIDECAR, FIRST));
         let round = u64::from(CONTROL - 1) * S;
@@ -137,8 +138,8 @@
     }
 }
 
-/// The control node that it left sends it parts of a list that it wanted there. It asks for the rest, and is not taken for
-/// one that is counted there by that.
+/// The previous control node sends the sidecar parts of a list that it subscribed to there. The sidecar requests the
+/// rest, and must not be counted there because of that.
 #[test]
 fn a_sidecar_that_asks_for_parts_elsewhere_is_not_counted_there() {
     for seed in 0..16 {
@@ -147,7 +148,7 @@
         world.run(8 * S);
         assert_eq!(first_of(&mut world, FIRST), 2);
         world.fleet.passes = Box::new(|a, b| (a == FIRST) == (b == FIRST));
-        world.act(&Act::Want(SIDECAR, 2));
+        world.apply(&Step::Subscribe(SIDECAR, 2));
         world.run(12 * S);
         world.fleet.heal();
         let list = world.publish(WRITER, key(FIRST_LIST), Some(vec![7; 3_000]));
--- a/crates/millethook-distribution/tests/it/overload.rs
+++ b/crates/millethook-distribution/tests/it/overload.rs
@@ -1,6 +1,6 @@
-//! A control node that is short of processor time: what it is asked meanwhile and afterwards. The stand-in handles a
-//! bounded number of messages a second, one after the other, from a bounded line; what comes when the line is full is
-//! dropped, as by a socket's receive buffer.
+//! A control node that is short of processor time: how many messages it receives during and after the overload. The
+//! stand-in handles a limited number of messages a second, one after the other, from a bounded queue; messages that
+//! arrive while the queue is full are dropped, as by the receive buffer of a socket.
 
 use std::collections::VecDeque;
 
@@ -12,20 +12,21 @@
 
 const CONTROL: u16 = 4;
 const SIDECARS: u16 = 400;
-/// Messages that wait at a control node, at most: half a second of its work, and 8 s.
-const LINES: [usize; 2] = [128, 2_000];
-/// Digests a second at a control node in calm: each sidecar's first is asked once a second, its second every 4 s.
-const CALM: f64 = SIDECARS as f64 / CONTROL as f64 * 1.25;
-/// What a control node can handle in calm, as a multiple of that.
+/// The maximum number of messages that wait at a control node: half a second of its work, and 8 s.
+const QUEUE_LIMITS: [usize; 2] = [128, 2_000];
+/// Digests a second at a control node without overload: each sidecar sends one a second to its first control node, and
+/// one every 4 s to its second.
+const NORMAL_DIGEST_RATE: f64 = SIDECARS as f64 / CONTROL as f64 * 1.25;
+/// The capacity of a control node without overload, as a multiple of that rate.
 const HEADROOM: f64 = 2.0;
 
 /// A control node that handles messages one after the other.
 struct SlowNode {
     node: ControlNode,
-    line: VecDeque<(u16, Vec<u8>)>,
-    longest_line: usize,
-    /// What one message takes.
-    work: Micros,
+    queue: VecDeque<(u16, Vec<u8>)>,
+    queue_limit: usize,
+    /// The time to handle one message.
+    service_time: Micros,
     busy_until: Micros,
     arrived: u64,
     dropped: u64,
@@ -34,9 +35,9 @@
 impl SlowNode {
     fn serve(&mut self, now: Micros) {
         while self.busy_until <= now {
-            let Some((from, content)) = self.line.pop_front() else { return };
+            let Some((from, content)) = self.queue.pop_front() else { return };
             self.node.handle(now, from, &content);
-            self.busy_until = now + self.work;
+            self.busy_until = now + self.service_time;
         }
     }
 }
@@ -51,8 +52,8 @@
         match self {
             Member::Control(slow) => {
                 slow.arrived += 1;
-                if slow.line.len() < slow.longest_line {
-                    slow.line.push_back((from, content.to_vec()));
+                if slow.queue.len() < slow.queue_limit {
+                    slow.queue.push_back((from, content.to_vec()));
                 } else {
                     slow.dropped += 1;
                 }
@@ -80,7 +81,7 @@
     }
     fn poll_timeout(&self) -> Micros {
         match self {
-            Member::Control(slow) if slow.line.is_empty() => slow.node.poll_timeout(),
+            Member::Control(slow) if slow.queue.is_empty() => slow.node.poll_timeout(),
             Member::Control(slow) => slow.node.poll_timeout().min(slow.busy_until),
             Member::Sidecar(sidecar) => sidecar.poll_timeout(),
         }
@@ -99,8 +100,8 @@
 }
 
 impl World {
-    /// A fleet in calm, with a writer.
-    fn new(seed: u64, longest_line: usize) -> World {
+    /// A fleet without overload, with a writer.
+    fn new(seed: u64, queue_limit: usize) -> World {
         let control_node = |n: u16| ControlMember { number: n, region: 0, zone: u32::from(n % 2) };
         let control_nodes: Vec<ControlMember> = (0..CONTROL).map(control_node).collect();
         let mut fleet = Fleet::new(CONTROL + SIDECARS, seed);
@@ -119,11 +120,18 @@
                     return Member::Sidecar(Box::new(Subscriber::new(config, None, now)));
                 }
                 let node = ControlNode::new(config, None, now);
-                let line = VecDeque::new();
-                let (work, busy_until) = (1_000, now);
+                let queue = VecDeque::new();
+                let (service_time, busy_until) = (1_000, now);
                 let (arrived, dropped) = (0, 0);
-                let slow =
-                    SlowNode { node, line, longest_line, work, busy_until, arrived, dropped };
+                let slow = SlowNode {
+                    node,
+                    queue,
+                    queue_limit,
+                    service_time,
+                    busy_until,
+                    arrived,
+                    dropped,
+                };
                 Member::Control(Box::new(slow))
             });
         }
@@ -139,18 +147,18 @@
         world
     }
 
-    /// Lets each control node handle so many messages a second from now on.
+    /// Sets how many messages a second each control node can handle from now on.
     fn set_capacity(&mut self, per_second: f64) {
         for n in 0..CONTROL {
             self.fleet.with(n, |member, _| {
                 if let Member::Control(slow) = member {
-                    slow.work = (S as f64 / per_second) as Micros;
+                    slow.service_time = (S as f64 / per_second) as Micros;
                 }
             });
         }
     }
 
-    /// Messages that have arrived at all control nodes, and that were dropped there.
+    /// Messages that have arrived at all control nodes, and messages that were dropped there.
     fn counts(&self) -> (u64, u64) {
         let slow = self.fleet.machines().filter_map(|member| match member {
             Member::Control(slow) => Some(slow),
@@ -159,7 +167,7 @@
         slow.fold((0, 0), |sum, slow| (sum.0 + slow.arrived, sum.1 + slow.dropped))
     }
 
-    /// Messages that arrive at a control node in the mean a second, over so long.
+    /// The mean number of messages a second that arrive at a control node during `length`.
     fn arrivals(&mut self, length: Micros) -> f64 {
         let before = self.counts().0;
         self.fleet.run(length);
@@ -167,14 +175,14 @@
         (self.counts().0 - before) as f64 / seconds / f64::from(CONTROL)
     }
 
-    /// How long until no control node has a tenth of a second of work in its line, and 5 s pass in which that stays so;
-    /// None: not within `most`.
-    fn recovers(&mut self, most: Micros) -> Option<Micros> {
+    /// The time until every control node has less than a tenth of a second of work in its queue, and this stays so for
+    /// 5 s; None: not within `most`.
+    fn time_to_recover(&mut self, most: Micros) -> Option<Micros> {
         let begin = self.fleet.now;
         let mut since = None;
         while self.fleet.now < begin + most {
             let short = self.fleet.machines().all(|member| match member {
-                Member::Control(slow) => slow.line.len() as Micros * slow.work < S / 10,
+                Member::Control(slow) => slow.queue.len() as Micros * slow.service_time < S / 10,
                 Member::Sidecar(_) => true,
             });
             let begun = if short { since.or(Some(self.fleet.now)) } else { None };
@@ -187,8 +195,8 @@
         None
     }
 
-    /// Publishes a document, and waits until it is in force at all sidecars; None: not within `most`.
-    fn change(&mut self, most: Micros) -> Option<Micros> {
+    /// Publishes a document and waits until it is in force at all sidecars; None: not within `most`.
+    fn time_until_in_force(&mut self, most: Micros) -> Option<Micros> {
         let key = DocumentKey::configuration(Scope::All);
         let published = self.fleet.with(0, |member, now| match member {
             Member::Control(slow) => slow.node.publish(now, key, Some(vec![7; 100])),
@@ -206,45 +214,52 @@
 
 #[test]
 fn control_nodes_recover_from_an_overload_once_it_has_ended() {
-    for (seed, line) in [1, 2, 3].into_iter().flat_map(|seed| LINES.map(|line| (seed, line))) {
-        let mut world = World::new(seed, line);
-        world.set_capacity(HEADROOM * CALM);
-        let calm = world.arrivals(10 * S);
+    for (seed, queue) in
+        [1, 2, 3].into_iter().flat_map(|seed| QUEUE_LIMITS.map(|queue| (seed, queue)))
+    {
+        let mut world = World::new(seed, queue);
+        world.set_capacity(HEADROOM * NORMAL_DIGEST_RATE);
+        let normal_rate = world.arrivals(10 * S);
         assert!(
-            (calm / CALM - 1.0).abs() < 0.15,
-            "in calm {calm} messages a second, {CALM} expected"
+            (normal_rate / NORMAL_DIGEST_RATE - 1.0).abs() < 0.15,
+            "{normal_rate} messages a second without overload, {NORMAL_DIGEST_RATE} expected"
         );
-        assert!(world.change(4 * S).is_some(), "a change in calm is in force within 4 s");
-        world.set_capacity(CALM / 2.0);
-        let times = world.arrivals(30 * S) / calm;
-        world.set_capacity(HEADROOM * CALM);
-        let took = world.recovers(120 * S).map(|took| took as f64 / S as f64);
+        assert!(
+            world.time_until_in_force(4 * S).is_some(),
+            "a change without overload is in force within 4 s"
+        );
+        world.set_capacity(NORMAL_DIGEST_RATE / 2.0);
+        let rate_factor = world.arrivals(30 * S) / normal_rate;
+        world.set_capacity(HEADROOM * NORMAL_DIGEST_RATE);
+        let took = world.time_to_recover(120 * S).map(|took| took as f64 / S as f64);
         println!(
-            "line of {line}, seed {seed}: asked {times:.2} times as much, recovered after {took:?} s"
+            "queue of {queue}, seed {seed}: {rate_factor:.2} times the normal rate, recovered after {took:?} s"
         );
-        let case = format!("line of {line}, seed {seed}");
-        assert!(times <= 2.5, "{case}: asked {times:.2} times as much as in calm");
-        // What stands in the line has to be worked off beside what comes.
-        let most = 2.0 + 2.5 * line as f64 / (HEADROOM * CALM);
+        let case = format!("queue of {queue}, seed {seed}");
+        assert!(rate_factor <= 2.5, "{case}: received {rate_factor:.2} times the normal rate");
+        // The queued messages have to be handled in addition to those that arrive.
+        let most = 2.0 + 2.5 * queue as f64 / (HEADROOM * NORMAL_DIGEST_RATE);
         let took = took.unwrap_or_else(|| panic!("{case}: no recovery within 120 s"));
         assert!(took <= most, "{case}: recovered after {took} s, {most} at most");
         world.fleet.loss = 0.2;
         assert!(
-            world.change(4 * S).is_some(),
+            world.time_until_in_force(4 * S).is_some(),
             "{case}: a change at 20% loss is in force within 4 s"
         );
     }
 }
 
-/// With nobody there to answer, a sidecar asks as much as one that is answered.
+/// If no control node answers, a sidecar does not send more than one that is answered.
 #[test]
-fn a_sidecar_that_nobody_answers_asks_as_much_as_in_calm() {
-    let mut world = World::new(7, LINES[0]);
-    let calm = world.arrivals(10 * S);
+fn an_unanswered_sidecar_sends_about_as_often_as_an_answered_one() {
+    let mut world = World::new(7, QUEUE_LIMITS[0]);
+    let normal_rate = world.arrivals(10 * S);
     world.fleet.passes = Box::new(|from, _| from >= CONTROL);
-    let first = world.arrivals(5 * S) / calm;
-    let later = world.arrivals(20 * S) / calm;
-    println!("nobody answers: {first:.2} times as much in the first 5 s, {later:.2} times later");
-    assert!(first <= 3.0, "{first:.2} times as much as in calm in the first 5 s");
-    assert!(later <= 1.1, "{later:.2} times as much as in calm");
+    let first = world.arrivals(5 * S) / normal_rate;
+    let later = world.arrivals(20 * S) / normal_rate;
+    println!(
+        "no answers: {first:.2} times the normal rate in the first 5 s, {later:.2} times later"
+    );
+    assert!(first <= 3.0, "{first:.2} times the normal rate in the first 5 s");
+    assert!(later <= 1.1, "{later:.2} times the normal rate");
 }
--- a/crates/millethook-distribution/tests/it/restart.rs
+++ b/crates/millethook-distribution/tests/it/restart.rs
@@ -1,5 +1,5 @@
-//! A control node that starts again between its promise to a new writer and its answer to what it holds: by then it has
-//! forgotten what it promised to tell.
+//! A control node restarts between its promise to a new writer and its report of what it stores: by then it has
+//! forgotten what it had promised to report.
 
 use std::collections::VecDeque;
 
@@ -10,18 +10,18 @@
 use millethook_machine::sim::SECOND as S;
 
 const CONTROL: u16 = 3;
-/// The tag of the question what is held in a bucket.
-const LIST: u8 = 11;
+/// The message type of a request for the entries of a bucket.
+const LIST_BUCKET_TAG: u8 = 11;
 
 struct Network {
     nodes: Vec<ControlNode>,
     now: Micros,
     queue: VecDeque<(u16, u16, Vec<u8>)>,
-    /// Nothing passes to or from this one.
-    cut: Option<u16>,
-    /// A question of what is held in a bucket that goes to this one is kept back.
-    holds_list_to: Option<u16>,
-    held: Vec<(u16, u16, Vec<u8>)>,
+    /// No message passes to or from this control node.
+    isolated: Option<u16>,
+    /// Requests for the entries of a bucket to this control node are delayed.
+    delayed_list_receiver: Option<u16>,
+    delayed: Vec<(u16, u16, Vec<u8>)>,
 }
 
 fn node(me: u16, now: Micros) -> ControlNode {
@@ -44,16 +44,16 @@
             nodes: (0..CONTROL).map(|n| node(n, 0)).collect(),
             now: 0,
             queue: VecDeque::new(),
-            cut: None,
-            holds_list_to: None,
-            held: Vec::new(),
+            isolated: None,
+            delayed_list_receiver: None,
+            delayed: Vec::new(),
         }
     }
 
-    /// Runs so long, or until a question is held back.
+    /// Runs for this time, or until a request is delayed.
     fn run(&mut self, length: Micros) {
         let end = self.now + length;
-        while self.now < end && self.held.is_empty() {
+        while self.now < end && self.delayed.is_empty() {
             self.now += 2_000;
             self.nodes.iter_mut().for_each(|node| node.tick(self.now));
             for (from, to, content) in std::mem::take(&mut self.queue) {
@@ -62,10 +62,11 @@
             for from in 0..CONTROL {
                 let node = &mut self.nodes[usize::from(from)];
                 for (to, content) in std::iter::from_fn(|| node.poll_transmit()) {
-                    let passes = self.cut != Some(from) && self.cut != Some(to);
-                    let is_held = self.holds_list_to == Some(to) && content[0] == LIST;
-                    if passes && is_held {
-                        self.held.push((from, to, content));
+                    let passes = self.isolated != Some(from) && self.isolated != Some(to);
+                    let is_delayed =
+                        self.delayed_list_receiver == Some(to) && content[0] == LIST_BUCKET_TAG;
+                    if passes && is_delayed {
+                        self.delayed.push((from, to, content));
                     } else if passes {
                         self.queue.push_back((from, to, content));
                     }
@@ -81,34 +82,34 @@
 }
 
 #[test]
-fn what_a_restarted_control_node_holds_does_not_count_for_its_promise_of_before() {
+fn a_restarted_control_node_does_not_answer_for_an_earlier_promise() {
     let mut network = Network::new();
     network.run(3 * S);
     network.announce(0, 1);
     network.run(S);
-    // 0 and 1 have it: it is committed.
-    network.cut = Some(2);
+    // Nodes 0 and 1 have it, so it is committed.
+    network.isolated = Some(2);
     let all = key(0);
     let published = network.nodes[0].publish(network.now, all, Some(b"kept".to_vec()));
     let version = published.expect("it is the writer");
     network.run(S);
     assert!(network.nodes[0].report(network.now, version).is_some(), "it is not committed");
-    // Node 2 is the next writer. It is promised by node 1, which starts again before it tells what it holds.
-    network.cut = Some(0);
-    network.holds_list_to = Some(1);
+    // Node 2 is the next writer. Node 1 promises, and restarts before it reports what it stores.
+    network.isolated = Some(0);
+    network.delayed_list_receiver = Some(1);
     network.announce(2, 2);
     network.run(S);
-    assert!(!network.held.is_empty(), "node 1 is not asked what it holds");
+    assert!(!network.delayed.is_empty(), "node 1 is not asked what it stores");
     network.nodes[1] = node(1, network.now);
-    network.holds_list_to = None;
-    network.queue.extend(network.held.split_off(0));
+    network.delayed_list_receiver = None;
+    network.queue.extend(network.delayed.split_off(0));
     network.run(S / 2);
     let ready = network.nodes[2].figures(network.now).writer_ready;
-    assert!(!ready, "a writer is ready by a promise that was forgotten");
+    assert!(!ready, "a writer is ready because of a forgotten promise");
     let done = network.nodes[2].publish(network.now, all, None);
     assert_eq!(done, Err(PublishError::CatchingUp(3)));
-    // Once node 0 is there again, it learns of it.
-    network.cut = None;
+    // Once node 0 is reachable again, node 2 learns of the document.
+    network.isolated = None;
     network.run(8 * S);
     assert!(network.nodes[2].figures(network.now).writer_ready);
     let bodies = network.nodes[2].documents().into_iter().map(|d| d.body.clone());
--- a/crates/millethook-distribution/tests/it/search.rs
+++ b/crates/millethook-distribution/tests/it/search.rs
@@ -1,11 +1,11 @@
-//! Random changes and random faults: versions that go back, two documents under one version, documents in force that are
-//! not whole, not committed, refused, or for others, and each member's own rules.
+//! Random changes and random faults must not lead to versions that go back, two documents under one version, documents
+//! in force that are damaged, not committed, refused, or for others, or violations of a member's own invariants.
 
 use crate::common::{Script, play, script};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 
-/// Cases of the search here, always the same; `examples/search.rs` plays others and more.
+/// The number of cases here, which are always the same; `examples/search.rs` tries others, and more.
 const CASES: u32 = 24;
 
 fn runner(cases: u32) -> TestRunner {
@@ -21,24 +21,24 @@
 }
 
 #[test]
-fn nothing_that_may_never_be_comes_of_random_changes_and_faults() {
+fn invariants_hold_under_random_changes_and_faults() {
     if let Err(found) = search(CASES) {
         panic!("{found}");
     }
 }
 
 #[test]
-fn nothing_that_may_never_be_comes_of_known_corners() {
-    for script in crate::common::corners() {
+fn invariants_hold_in_known_corner_cases() {
+    for script in crate::common::corner_cases() {
         for seed in 0..5 {
-            if let Err(broken) = play(seed, &script) {
-                panic!("{broken}: {script:?}");
+            if let Err(failure) = play(seed, &script) {
+                panic!("{failure}: {script:?}");
             }
         }
     }
 }
 
-/// Each rule that is taken out is missed by the same search.
+/// The same search detects each rule that is removed.
 #[cfg(feature = "mutants")]
 #[test]
 fn each_missing_rule_is_found() {
@@ -46,15 +46,15 @@
 
     for mutant in Mutant::ALL {
         become_mutant(Some(*mutant));
-        let corner = crate::common::corners().iter().any(|script| play(7, script).is_err());
+        let corner = crate::common::corner_cases().iter().any(|script| play(7, script).is_err());
         if corner {
             become_mutant(None);
-            println!("{mutant:?}: found in a known corner");
+            println!("{mutant:?}: found in a known corner case");
             continue;
         }
         let found = search(4_000);
         become_mutant(None);
-        let found = found.expect_err(&format!("{mutant:?} is not missed"));
+        let found = found.expect_err(&format!("{mutant:?} is not detected"));
         println!("{mutant:?}: {found}");
     }
 }
--- a/crates/millethook-distribution/tests/it/start.rs
+++ b/crates/millethook-distribution/tests/it/start.rs
@@ -1,5 +1,5 @@
-//! Sidecars that start: how long after its own start each has what is in force, and what a fleet that starts together
-//! asks of a control node.
+//! Sidecars that start: how soon after its start each sends its first digest, and how many first digests a control node
+//! receives from a fleet that starts together.
 
 use std::collections::BTreeMap;
 
@@ -29,9 +29,9 @@
     }
 }
 
-/// When each sidecar of a fleet that starts in one instant asks its first control node for the first time, and when each
-/// control node gets the first question of a sidecar.
-fn first_questions(sidecars: u16) -> (Vec<Micros>, BTreeMap<u16, Vec<Micros>>) {
+/// When each sidecar of a fleet that starts at the same time sends the first digest to its first control node, and when
+/// each control node receives the first digests of sidecars.
+fn first_digests(sidecars: u16) -> (Vec<Micros>, BTreeMap<u16, Vec<Micros>>) {
     let (mut firsts, mut arrivals) = (Vec::new(), BTreeMap::<u16, Vec<Micros>>::new());
     for n in CONTROL..CONTROL + sidecars {
         let mut sidecar = Subscriber::new(config(n, CONTROL + sidecars), None, 0);
@@ -39,7 +39,7 @@
         while asked.len() < 2 {
             let now = sidecar.poll_timeout();
             sidecar.tick(now);
-            while let Some((to, question)) = sidecar.poll_transmit() {
+            while let Some((to, digest)) = sidecar.poll_transmit() {
                 if asked.is_empty() {
                     firsts.push(now);
                 }
@@ -49,9 +49,9 @@
                 }
                 // It is answered at once.
                 let mut node = ControlNode::new(config(to, CONTROL + sidecars), None, now);
-                node.handle(now, n, &question);
+                node.handle(now, n, &digest);
                 let answers = std::iter::from_fn(|| node.poll_transmit());
-                let answers: Vec<_> = answers.filter(|(whom, _)| *whom == n).collect();
+                let answers: Vec<_> = answers.filter(|(receiver, _)| *receiver == n).collect();
                 answers.iter().for_each(|(_, answer)| sidecar.handle(now, to, answer));
             }
         }
@@ -60,11 +60,11 @@
 }
 
 #[test]
-fn a_fleet_that_starts_together_asks_soon_and_within_the_control_nodes_means() {
+fn first_digests_of_a_starting_fleet_are_prompt_and_spread() {
     for sidecars in [60, 300, 1_800, 16_000] {
-        let (firsts, arrivals) = first_questions(sidecars);
+        let (firsts, arrivals) = first_digests(sidecars);
         let last = firsts.iter().max().copied().unwrap_or_default();
-        // The most first questions that a control node gets within a tenth of a second.
+        // The maximum number of first digests that a control node receives within a tenth of a second.
         let most = arrivals.values().map(|times| {
             let mut by_tenth = BTreeMap::<Micros, usize>::new();
             times.iter().for_each(|at| *by_tenth.entry(at / (S / 10)).or_default() += 1);
@@ -72,11 +72,11 @@
         });
         let most = most.max().unwrap_or(0);
         println!(
-            "{sidecars}: the last asks after {:.3} s, at most {most} in 0.1 s",
+            "{sidecars}: the last first digest is sent after {:.3} s, at most {most} in 0.1 s",
             last as f64 / S as f64
         );
-        assert!(last <= S, "{sidecars} sidecars: the last one asks after {last} us");
-        // 50 in the mean.
-        assert!(most <= 100, "{sidecars} sidecars: {most} first questions in 0.1 s");
+        assert!(last <= S, "{sidecars} sidecars: the last first digest is sent after {last} us");
+        // The mean is 50.
+        assert!(most <= 100, "{sidecars} sidecars: {most} first digests in 0.1 s");
     }
 }
