--- a/crates/millethook-distribution/src/control/serving.rs
+++ b/crates/millethook-distribution/src/control/serving.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Pushes the documents that a sidecar does not have. Chunks are sent only if they are few and the sidecar is new,
-    /// since it requests the rest of a transfer that has begun itself.
+    /// Pushes the documents that a sidecar does not have. Chunks are sent only if they are few and the sidecar is new;
+    /// any other sidecar requests the missing chunks of a transfer itself.
     fn push_outdated(&mut self, now: Micros, number: u16, new: bool) {
         let to = Receiver { number, role: Role::Sidecar };
         let Some(sidecar) = self.subscribers.get(number) else { return };
@@ -141,7 +141,8 @@
         }
     }
 
-    /// A document of this writer that a majority has not accepted yet is offered for a vote.
+    /// The stage to send with a document. A document of this writer that a majority has not accepted yet is offered for
+    /// a vote.
     fn stage_of(&self, document: &Document, stage: Stage, is_sidecar: bool) -> Stage {
         if is_sidecar {
             return Stage::Committed;
--- a/crates/millethook-distribution/src/control/upkeep.rs
+++ b/crates/millethook-distribution/src/control/upkeep.rs
@@ -10,8 +10,8 @@
 use crate::transfer::Request;
 use crate::{DocumentId, DocumentKey};
 
-/// The interval at which a random other control node is compared with, and at most at which each comparison is
-/// answered. The other one is also told which sidecars are counted here.
+/// The interval at which the bucket hashes are sent to a random other control node. Answers to such a message are
+/// limited in the same way. The other control node is also told which sidecars are counted here.
 const COMPARE_INTERVAL: Micros = 1_000_000;
 /// The interval of reports to the writer; they include changed reports, and the report on the latest document in any
 /// case...
