--- a/crates/millethook-distribution/src/control/voting.rs
+++ b/crates/millethook-distribution/src/control/voting.rs
@@ -72,7 +72,7 @@
                 if self.recovery.is_some() || !self.admit(from, token) {
                     return;
                 }
-                if self.holds(id, &offer) {
+                if self.is_stored(id, &offer) {
                     self.send(from, &Message::Accepted { id, round });
                     return;
                 }
@@ -90,8 +90,8 @@
                     self.send(from, &Message::Accepted { id, round: 0 });
                     return;
                 }
-                if self.holds(id, &offer) {
-                    self.commit_held(now, id);
+                if self.is_stored(id, &offer) {
+                    self.commit_stored(now, id);
                     self.send(from, &Message::Accepted { id, round: 0 });
                     return;
                 }
@@ -102,15 +102,16 @@
     }
 
     /// Whether this version is stored here with the same hash.
-    fn holds(&self, id: DocumentId, offer: &Offer) -> bool {
-        let held = self.store.find(Some(id.key), id.version);
-        held.is_some_and(|(document, _)| document.hash == offer.hash)
+    fn is_stored(&self, id: DocumentId, offer: &Offer) -> bool {
+        let stored = self.store.find(Some(id.key), id.version);
+        stored.is_some_and(|(document, _)| document.hash == offer.hash)
     }
 
     /// Commits a document that was accepted here.
-    fn commit_held(&mut self, now: Micros, id: DocumentId) {
-        let held = self.store.find(Some(id.key), id.version).map(|(document, _)| document.clone());
-        if let Some(document) = held {
+    fn commit_stored(&mut self, now: Micros, id: DocumentId) {
+        let stored =
+            self.store.find(Some(id.key), id.version).map(|(document, _)| document.clone());
+        if let Some(document) = stored {
             self.commit(now, document);
         }
     }
@@ -236,7 +237,7 @@
     ) {
         let Some(session) = self.sessions.get_mut(&from) else { return };
         for (key, version) in session.on_entries(&self.store, header, entries) {
-            self.commit_held(now, DocumentId { key, version });
+            self.commit_stored(now, DocumentId { key, version });
         }
         self.finish_sessions(now);
     }
--- a/crates/millethook-distribution/src/control/writing.rs
+++ b/crates/millethook-distribution/src/control/writing.rs
@@ -238,7 +238,7 @@
     /// A control node has accepted a document.
     pub(super) fn on_accepted(&mut self, now: Micros, from: u16, id: DocumentId, round: u32) {
         let to = Receiver { number: from, role: Role::ControlNode };
-        self.outgoing.accepted(to, id, round);
+        self.outgoing.on_accepted(to, id, round);
         let length = round_length(&self.config.limits);
         let Some(writer) = &mut self.writer else { return };
         let Some(publication) = writer.publications.get_mut(&id.key) else { return };
--- a/crates/millethook-distribution/src/message.rs
+++ b/crates/millethook-distribution/src/message.rs
@@ -100,14 +100,14 @@
     pub fn write(&self, to: Role) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(LONGEST);
         let flag = if to == Role::Sidecar { FOR_SIDECAR } else { 0 };
-        bytes.put_u8(flag | self.number());
+        bytes.put_u8(flag | self.type_code());
         self.write_fields(&mut bytes);
         debug_assert!(bytes.len() <= LONGEST, "{} bytes: {self:?}", bytes.len());
         bytes
     }
 
     /// The message's type on the wire.
-    fn number(&self) -> u8 {
+    fn type_code(&self) -> u8 {
         match self {
             Message::Digest(_) => 1,
             Message::DigestReply { .. } => 2,
@@ -220,8 +220,8 @@
     }
 }
 
-fn read_fields(number: u8, bytes: &mut &[u8]) -> Option<Message> {
-    Some(match number {
+fn read_fields(type_code: u8, bytes: &mut &[u8]) -> Option<Message> {
+    Some(match type_code {
         1 => Message::Digest(read_digest(bytes)?),
         2 => Message::DigestReply { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
         3 => Message::Offer(read_offer(bytes)?),
--- a/crates/millethook-distribution/src/outgoing.rs
+++ b/crates/millethook-distribution/src/outgoing.rs
@@ -204,7 +204,7 @@
 
     /// A control node has accepted a version in this round, or stores it in any case (round 0). For a document that has
     /// been committed since, only the latter counts: an answer to the proposal may have arrived late.
-    pub fn accepted(&mut self, to: Receiver, id: DocumentId, round: u32) {
+    pub fn on_accepted(&mut self, to: Receiver, id: DocumentId, round: u32) {
         let stage = self.pushes.get(&(to, id.key)).map(|push| push.stage);
         if round == 0 || !matches!(stage, Some(Stage::Committed)) {
             self.on_arrived(to, id.key, id.version);
--- a/crates/millethook-distribution/src/sidecar.rs
+++ b/crates/millethook-distribution/src/sidecar.rs
@@ -115,10 +115,11 @@
         let lists: BTreeSet<u32> = config.lists.iter().copied().take(MAX_LISTS).collect();
         let mut in_force: BTreeMap<DocumentKey, Arc<Document>> = BTreeMap::new();
         for document in snapshot.unwrap_or_default().documents {
-            let mine = is_for(document.key, &config.identity, |list| lists.contains(&list));
-            let sound = document.is_intact() && mine;
+            let is_for_this_sidecar =
+                is_for(document.key, &config.identity, |list| lists.contains(&list));
+            let is_valid = document.is_intact() && is_for_this_sidecar;
             let before = in_force.get(&document.key).map(|other| other.version);
-            if sound && before < Some(document.version) {
+            if is_valid && before < Some(document.version) {
                 in_force.insert(document.key, Arc::new(document));
             }
         }
@@ -168,18 +169,18 @@
                 return;
             }
         };
-        self.links.heard(from);
+        self.links.on_message(from);
         match message {
             Message::DigestReply { hash, known } => {
                 let current = self.hash();
-                self.links.answered(now, from, hash, known, current);
+                self.links.on_digest_reply(now, from, hash, known, current);
                 if !self.lists.is_empty() && self.links.numbers().contains(&from) {
                     self.list_links.on_digest_reply(now, from, known);
                 }
             }
             Message::ListsReply { hash, known } => {
                 let current = self.list_statuses().hash();
-                self.list_links.answered(now, from, hash, known, current);
+                self.list_links.on_lists_reply(now, from, hash, known, current);
             }
             Message::Delta(delta) => self.on_delta(now, from, delta),
             Message::Offer(offer) => self.on_offer(now, from, offer),
@@ -205,8 +206,8 @@
     /// Whether the offered document is for this sidecar and new.
     fn is_new_offer(&mut self, now: Micros, from: u16, offer: &Offer) -> bool {
         let id = offer.id;
-        let mine = self.applies_here(id.key) || mutant::is(Mutant::AnyScope);
-        if !mine || offer.stage != Stage::Committed {
+        let is_for_this_sidecar = self.applies_here(id.key) || mutant::is(Mutant::AnyScope);
+        if !is_for_this_sidecar || offer.stage != Stage::Committed {
             self.figures.not_for_me += 1;
             return false;
         }
--- a/crates/millethook-distribution/src/sidecar/links.rs
+++ b/crates/millethook-distribution/src/sidecar/links.rs
@@ -121,14 +121,21 @@
     }
 
     /// A message of a control node has arrived.
-    pub fn heard(&mut self, from: u16) {
+    pub fn on_message(&mut self, from: u16) {
         if let Some(link) = self.links.iter_mut().find(|link| link.number == from) {
             link.unanswered = 0;
         }
     }
 
     /// A control node has answered a digest; `known`: it knows the statuses with this hash.
-    pub fn answered(&mut self, now: Micros, from: u16, hash: u64, known: bool, current: u64) {
+    pub fn on_digest_reply(
+        &mut self,
+        now: Micros,
+        from: u16,
+        hash: u64,
+        known: bool,
+        current: u64,
+    ) {
         let rank = self.links.iter().position(|link| link.number == from);
         let Some(rank) = rank else {
             self.add_link(now, from);
--- a/crates/millethook-distribution/src/sidecar/list_links.rs
+++ b/crates/millethook-distribution/src/sidecar/list_links.rs
@@ -70,7 +70,14 @@
     }
 
     /// A control node has answered; `current` is the present hash.
-    pub fn answered(&mut self, now: Micros, number: u16, hash: u64, known: bool, current: u64) {
+    pub fn on_lists_reply(
+        &mut self,
+        now: Micros,
+        number: u16,
+        hash: u64,
+        known: bool,
+        current: u64,
+    ) {
         let wait = self.with_jitter(CONFIRM_INTERVAL);
         let Some(link) = self.links.iter_mut().find(|link| link.number == number) else { return };
         link.unanswered = 0;
--- a/crates/millethook-distribution/src/writer.rs
+++ b/crates/millethook-distribution/src/writer.rs
@@ -141,8 +141,9 @@
     pub fn sum(&self, now: Micros, id: DocumentId, own: Rollout, count: usize) -> Rollout {
         let mut sum = own;
         let mut reporting = 1;
-        let told = self.reports.get(&id.key).filter(|(version, _)| *version == id.version);
-        for (from, rollout) in told.into_iter().flat_map(|(_, others)| others) {
+        let reports_of_key =
+            self.reports.get(&id.key).filter(|(version, _)| *version == id.version);
+        for (from, rollout) in reports_of_key.into_iter().flat_map(|(_, others)| others) {
             let is_current = |at: &Micros| now < at.saturating_add(REPORT_VALIDITY);
             if self.reported.get(from).is_some_and(is_current) {
                 sum.add(rollout);
