--- a/crates/millethook-bench/src/memory.rs
+++ b/crates/millethook-bench/src/memory.rs
@@ -121,7 +121,7 @@
         }
         let usage = fleet.usage().await.ok_or("the fleet has ended")?;
         let rest = resident_kib();
-        println!("{} connections at rest: {:.2} KiB each", usage.resting, each(rest, before, n));
+        println!("{} connections at rest: {:.2} KiB each", usage.idle, each(rest, before, n));
         Ok(())
     })
 }
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -220,7 +220,7 @@
             undecided: engine.undecided,
             sockets: shared.sockets.taken(),
             opening: engine.connections.opening,
-            resting: engine.connections.idle,
+            idle: engine.connections.idle,
             ended: engine.ended,
             body_bytes: shared.bytes.taken(),
         })
--- a/crates/millethook/src/usage.rs
+++ b/crates/millethook/src/usage.rs
@@ -36,7 +36,7 @@
     /// Connections to servers that are coming up.
     pub opening: usize,
     /// Connections to servers at rest.
-    pub resting: usize,
+    pub idle: usize,
     /// Why connections to servers ended, in numbers so far.
     pub ended: ConnectionsEnded,
     /// Bytes of bodies of requests (those of all fleets, where they share a budget).
@@ -46,8 +46,8 @@
 impl Usage {
     /// Whether nothing is under way, and nothing held but connections at rest.
     pub fn at_rest(&self) -> bool {
-        let Usage { open, requests, attempts, undecided, sockets, resting, body_bytes, .. } = *self;
-        [open, requests, attempts, undecided, body_bytes] == [0; 5] && sockets == resting
+        let Usage { open, requests, attempts, undecided, sockets, idle, body_bytes, .. } = *self;
+        [open, requests, attempts, undecided, body_bytes] == [0; 5] && sockets == idle
     }
 }
 
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -220,12 +220,11 @@
 async fn nothing_held_but(a: &Fleet, b: &Fleet, budget: &Budget) {
     let end = std::time::Instant::now() + BOUND;
     loop {
-        let resting =
-            a.usage().await.expect("alive").resting + b.usage().await.expect("alive").resting;
-        if resting == budget.sockets() {
+        let idle = a.usage().await.expect("alive").idle + b.usage().await.expect("alive").idle;
+        if idle == budget.sockets() {
             return;
         }
-        assert!(std::time::Instant::now() < end, "{resting} at rest of {}", budget.sockets());
+        assert!(std::time::Instant::now() < end, "{idle} at rest of {}", budget.sockets());
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -240,9 +239,9 @@
         let mut most = 0;
         for n in 0..60 {
             fleet.call(request("order")).await.expect("served");
-            let resting = fleet.usage().await.expect("alive").resting;
-            most = most.max(resting);
-            assert_eq!(resting, most, "call {n} closed more than it needed");
+            let idle = fleet.usage().await.expect("alive").idle;
+            most = most.max(idle);
+            assert_eq!(idle, most, "call {n} closed more than it needed");
         }
         assert_eq!(most, 2);
     });
