--- a/crates/millethook/src/usage.rs
+++ b/crates/millethook/src/usage.rs
@@ -45,7 +45,7 @@
 
 impl Usage {
     /// Whether nothing is under way, and nothing held but connections at rest.
-    pub fn at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let Usage { open, requests, attempts, undecided, sockets, idle, body_bytes, .. } = *self;
         [open, requests, attempts, undecided, body_bytes] == [0; 5] && sockets == idle
     }
--- a/crates/millethook/tests/library/common.rs
+++ b/crates/millethook/tests/library/common.rs
@@ -86,7 +86,7 @@
     let end = std::time::Instant::now() + BOUND;
     loop {
         let usage = fleet.usage().await.expect("the fleet lives");
-        if usage.at_rest() {
+        if usage.is_idle() {
             return;
         }
         assert!(std::time::Instant::now() < end, "still held: {usage:?}");
