--- a/crates/millethook/src/config.rs
+++ b/crates/millethook/src/config.rs
@@ -163,7 +163,7 @@
     }
 
     /// Has the fleet share `budget` with others in place of limits of its own.
-    pub fn within(mut self, budget: &Budget) -> FleetConfig {
+    pub fn with_budget(mut self, budget: &Budget) -> FleetConfig {
         self.budget = Some(budget.clone());
         self
     }
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -181,7 +181,7 @@
     let (b, open_b, most_b) = counting();
     let budget = Budget::new(4, 2 << 20);
     let within_it = |server: Server| {
-        let config = keeping(&[server]).build().expect("sound").within(&budget);
+        let config = keeping(&[server]).build().expect("sound").with_budget(&budget);
         Fleet::open(config).expect("open")
     };
     let (first, second) = (within_it(a), within_it(b));
--- a/crates/millethook/tests/unit/config.rs
+++ b/crates/millethook/tests/unit/config.rs
@@ -45,9 +45,9 @@
     let (key, ..) = same().difference(&more.build().expect("sound")).expect("one");
     assert_eq!(key, "known.hosts");
     let budget = Budget::new(4, 1 << 20);
-    let (key, ..) = same().difference(&same().within(&budget)).expect("one");
+    let (key, ..) = same().difference(&same().with_budget(&budget)).expect("one");
     assert_eq!(key, "budget");
-    assert_eq!(same().within(&budget).difference(&same().within(&budget)), None);
+    assert_eq!(same().with_budget(&budget).difference(&same().with_budget(&budget)), None);
     let another = Budget::new(4, 1 << 20);
-    assert!(same().within(&budget).difference(&same().within(&another)).is_some());
+    assert!(same().with_budget(&budget).difference(&same().with_budget(&another)).is_some());
 }
