--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -99,7 +99,7 @@
         let shared = self.shared();
         let (mut head, body) = request.into_parts();
         let meta = head.extensions.remove::<RequestMeta>().unwrap_or_default();
-        let inherited = Inherited::present().or_else(|| head.extensions.remove::<Inherited>());
+        let inherited = Inherited::current().or_else(|| head.extensions.remove::<Inherited>());
         let names = &shared.config.names;
         let (request_head, id) =
             describe(names, &mut head, meta, inherited.as_ref(), || shared.new_id())?;
--- a/crates/millethook/src/inherit.rs
+++ b/crates/millethook/src/inherit.rs
@@ -17,7 +17,7 @@
 use crate::body::Body;
 
 tokio::task_local! {
-    static PRESENT: Inherited;
+    static CURRENT: Inherited;
 }
 
 /// The remaining time, tenant and id of a request that is being handled.
@@ -53,13 +53,13 @@
     }
 
     /// What the present task has inherited.
-    pub fn present() -> Option<Inherited> {
-        PRESENT.try_with(Inherited::clone).ok()
+    pub fn current() -> Option<Inherited> {
+        CURRENT.try_with(Inherited::clone).ok()
     }
 
     /// Runs a future whose calls inherit this, in a task of its own for one.
     pub fn scope<F: Future>(self, future: F) -> impl Future<Output = F::Output> {
-        PRESENT.scope(self, future)
+        CURRENT.scope(self, future)
     }
 
     /// How long whoever sent the request still waits; None if it did not say.
--- a/crates/millethook/tests/library/middleware.rs
+++ b/crates/millethook/tests/library/middleware.rs
@@ -83,9 +83,9 @@
         let (with, without) = inherited
             .clone()
             .scope(async move {
-                let present = || Inherited::present().and_then(|i| Some(i.tenant()?.to_owned()));
-                let with = tokio::spawn(inherited.scope(async move { present() }));
-                let without = tokio::spawn(async move { present() });
+                let current = || Inherited::current().and_then(|i| Some(i.tenant()?.to_owned()));
+                let with = tokio::spawn(inherited.scope(async move { current() }));
+                let without = tokio::spawn(async move { current() });
                 (with.await.expect("no panic"), without.await.expect("no panic"))
             })
             .await;
