--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -28,7 +28,7 @@
 use millethook_handover::inherited;
 use millethook_http::edge::disk::{FileSystem, Storage};
 use millethook_http::edge::{Edge, EdgeSettings};
-use millethook_http::guard::OpenIds;
+use millethook_http::guard::RequestIdRegistry;
 use millethook_http::ingress::Ingress;
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::TcpListener;
@@ -110,7 +110,7 @@
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
     let bytes = Bytes::new((config.memory as f64 * BODIES) as usize);
-    let ids = OpenIds::new(engine.longest_deadline());
+    let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ingress = Ingress::new(
         engine.driver.clone(),
         engine.names.borrow().clone(),
@@ -224,26 +224,26 @@
     let settings = EdgeSettings {
         folder: of.folder.clone(),
         classes: of.classes.clone(),
-        most_bytes: (of.most_mb as u64) << 20,
-        most_writes: of.most_writes,
-        keep: of.keep,
-        forerunner: of.forerunner,
-        go_on: of.go_on,
-        at_once: of.at_once,
+        max_bytes: (of.most_mb as u64) << 20,
+        max_open_writes: of.most_writes,
+        retention: of.keep,
+        predecessor_wait: of.forerunner,
+        send_without_predecessor: of.go_on,
+        max_concurrent: of.at_once,
         fleet_per_second: of.fleet_per_second,
-        slow: of.slow,
-        lease: product.lease.as_ref().map_or(Duration::from_secs(6), |lease| lease.longest),
+        slow_disk: of.slow,
+        max_lease: product.lease.as_ref().map_or(Duration::from_secs(6), |lease| lease.longest),
     };
     let names = engine.names.borrow().clone();
     let edge = Edge::start(settings, engine.driver.clone(), fleet.clone(), names, storage)?;
-    ingress.keep_at(edge.clone());
+    ingress.set_edge(edge.clone());
     Ok(Some(edge))
 }
 
 /// Marks the ingress ready when discovery has first been tried; never ends.
 async fn first_try(ingress: &Ingress, engine: &Engine) {
     engine.discovery_tried().await;
-    ingress.discovery_tried();
+    ingress.mark_discovery_tried();
     std::future::pending().await
 }
 
