--- a/crates/plankvale/src/operated.rs
+++ b/crates/plankvale/src/admin.rs
@@ -1,4 +1,4 @@
-//! What operators see of the daemon.
+//! The daemon's side of the admin address: readiness and metrics.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 
 use crate::distribution::{Spool, write_figures, write_list_figures};
 
-/// What `plankvale fleet` reads.
-fn view(lines: &mut statsd::Lines, fleet: &Fleet, strangers: u64) {
+/// Writes the metrics of the fleet view, which `plankvale fleet` reads.
+fn write_fleet(lines: &mut statsd::Lines, fleet: &Fleet, strangers: u64) {
     let (counts, figures) = (fleet.counts(), fleet.figures());
     lines.gauge("fleet.unknown", counts.unknown);
     lines.gauge("fleet.alive", counts.alive);
@@ -61,43 +61,44 @@
     lines.count("fleet.misnamed", dropped.misnamed);
 }
 
-/// Configurations that came while the daemon ran.
+/// Counts of configurations read at SIGHUP.
 #[derive(Default)]
-pub struct Reloaded {
-    /// Taken over.
+pub struct ReloadCounts {
+    /// Configurations put into force.
     pub applied: Cell<u64>,
-    /// Turned down; the one in force stays.
+    /// Rejected configurations; the previous one stayed in force.
     pub rejected: Cell<u64>,
 }
 
-/// The daemon, as operators ask for it.
-pub struct Operated {
+/// The parts of the daemon whose state operators can query.
+pub struct AdminState {
     ingress: Rc<Ingress>,
     engine: Rc<Engine>,
     edge: Option<Rc<Edge>>,
-    reloaded: Rc<Reloaded>,
+    reload_counts: Rc<ReloadCounts>,
     spool: Option<Rc<Spool>>,
     stopping: Cell<bool>,
 }
 
-impl Operated {
+impl AdminState {
+    /// Combines the parts of a running daemon.
     pub fn new(
         ingress: Rc<Ingress>,
         engine: Rc<Engine>,
         edge: Option<Rc<Edge>>,
-        reloaded: Rc<Reloaded>,
+        reload_counts: Rc<ReloadCounts>,
         spool: Option<Rc<Spool>>,
-    ) -> Operated {
-        Operated { ingress, engine, edge, reloaded, spool, stopping: Cell::new(false) }
+    ) -> AdminState {
+        AdminState { ingress, engine, edge, reload_counts, spool, stopping: Cell::new(false) }
     }
 
-    /// From now on it is not ready: what comes new is for others.
-    pub fn stopping(&self) {
+    /// Makes the readiness check fail, so that new requests go to other instances.
+    pub fn mark_stopping(&self) {
         self.stopping.set(true);
     }
 }
 
-impl Operator for Operated {
+impl Operator for AdminState {
     fn is_ready(&self) -> bool {
         !self.stopping.get() && self.ingress.is_ready()
     }
@@ -119,10 +120,11 @@
             lines.count("membership.snapshots_failed", writes.failed);
         }
         if let Some(fleet) = &self.engine.fleet {
-            view(&mut lines, fleet, self.engine.strangers());
+            write_fleet(&mut lines, fleet, self.engine.strangers());
             if let Some(distribution) = &fleet.distribution {
-                let took = self.spool.as_ref().and_then(|spool| spool.in_force_after_ms());
-                write_figures(&mut lines, distribution, took);
+                let in_force_after_ms =
+                    self.spool.as_ref().and_then(|spool| spool.in_force_after_ms());
+                write_figures(&mut lines, distribution, in_force_after_ms);
             }
         }
         if let Some(role) = &self.engine.list_role {
@@ -141,8 +143,8 @@
             lines.gauge("edge.oldest_s", stats.oldest_s as usize);
             lines.gauge("edge.isolated", usize::from(stats.isolated));
         }
-        lines.count("sighup_applied", self.reloaded.applied.get());
-        lines.count("sighup_rejected", self.reloaded.rejected.get());
+        lines.count("sighup_applied", self.reload_counts.applied.get());
+        lines.count("sighup_rejected", self.reload_counts.rejected.get());
         lines.into_string()
     }
 }
--- a/crates/plankvale/src/cli.rs
+++ b/crates/plankvale/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of the daemon.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,14 +11,15 @@
 use crate::distribution::command::ConfigCommand;
 use crate::edge::EdgeCommand;
 
-/// The variable that names the product's file where `--config` does not.
-const CONFIG: &str = "MILLETHOOK_CONFIG";
+/// Environment variable that names the product's file when `--config` is not given.
+const CONFIG_VARIABLE: &str = "MILLETHOOK_CONFIG";
 
-/// A client-side load balancer beside its application. Without a command it serves, as LB_CONFIG says.
+/// A client-side load balancer that runs beside its application. Without a command it serves with the
+/// configuration in LB_CONFIG.
 #[derive(Parser, Debug)]
 #[command(name = "plankvale", version, about)]
 pub struct Cli {
-    /// The product's own configuration (MILLETHOOK_CONFIG where this is not given)
+    /// The product's own configuration file (default: the value of MILLETHOOK_CONFIG)
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -27,28 +28,28 @@
 
 #[derive(Subcommand, Debug)]
 enum Command {
-    /// Tell all that is wrong with a configuration file; exit with 0 or 2
+    /// Print all errors of a configuration file; exit with 0 if there are none, else with 2
     Check {
-        /// The file
+        /// The product's configuration file
         file: PathBuf,
     },
-    /// Configuration that reaches every sidecar by control nodes
+    /// Publish configuration to all sidecars through the control nodes
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Print the view of the fleet that one or many sidecars have; exit with 0 if they agree, 1 if not, 2 if
-    /// nobody answers
+    /// Print the fleet views of one or more sidecars; exit with 0 if they agree, 1 if not, 2 if no sidecar
+    /// answers
     Fleet {
-        /// An operators' address, an LB_CONFIG file that names one (admin), or a file with one a line
+        /// An admin address, an LB_CONFIG file with the key admin, or a file with one address per line
         whom: String,
     },
-    /// Writes that are kept while no server can be reached
+    /// Inspect and settle writes that were kept while no server could be reached
     Edge {
         #[command(subcommand)]
         command: EdgeCommand,
     },
-    /// The list of servers that is kept over restarts
+    /// Inspect the list of servers that is kept across restarts
     Membership {
         #[command(subcommand)]
         command: MembershipCommand,
@@ -57,30 +58,33 @@
 
 #[derive(Subcommand, Debug)]
 enum MembershipCommand {
-    /// Print a kept list, with the age of each entry
+    /// Print a saved list with the age of each entry
     Show {
-        /// The file that `membership.snapshot` names
+        /// The file configured as `membership.snapshot`
         file: PathBuf,
     },
 }
 
 impl Cli {
-    /// The product's file, if there is one.
-    pub fn product(&self) -> Option<PathBuf> {
-        let named = || std::env::var_os(CONFIG).filter(|v| !v.is_empty()).map(PathBuf::from);
+    /// Path of the product's file, if one is configured.
+    pub fn product_file(&self) -> Option<PathBuf> {
+        let named =
+            || std::env::var_os(CONFIG_VARIABLE).filter(|v| !v.is_empty()).map(PathBuf::from);
         self.config.clone().or_else(named)
     }
 
-    /// Carries out a command that is not to serve; None: it is to serve.
-    pub fn carry_out(&self) -> Option<ExitCode> {
-        let done = match self.command.as_ref()? {
-            Command::Check { file } => check(file),
-            Command::Edge { command } => command.carry_out(),
-            Command::Config { command } => return Some(command.carry_out()),
+    /// Runs the given command and returns its exit code; None without a command: the caller serves.
+    pub fn run_command(&self) -> Option<ExitCode> {
+        let result = match self.command.as_ref()? {
+            Command::Check { file } => check_file(file),
+            Command::Edge { command } => command.execute(),
+            Command::Config { command } => return Some(command.execute()),
             Command::Fleet { whom } => return Some(crate::fleet::show(whom)),
-            Command::Membership { command: MembershipCommand::Show { file } } => show(file),
+            Command::Membership { command: MembershipCommand::Show { file } } => {
+                show_snapshot(file)
+            }
         };
-        Some(match done {
+        Some(match result {
             Ok(text) => {
                 println!("{text}");
                 ExitCode::SUCCESS
@@ -93,35 +97,35 @@
     }
 }
 
-fn check(file: &Path) -> Result<String, String> {
+fn check_file(file: &Path) -> Result<String, String> {
     let product = Product::from_file(file).map_err(|e| e.to_string())?;
     let filter = product.log.filter.as_deref().unwrap_or("info");
     let wrong = |e| format!("{}: log.filter: {e}", file.display());
     filter.parse::<tracing_subscriber::EnvFilter>().map_err(wrong)?;
     let name = |e| format!("{}: {e}", file.display());
     millethook_engine::product::keeper(&product, "").map_err(name)?;
-    if let Some(of) = &product.distribution {
-        millethook_engine::distribution::distinct_names(of).map_err(name)?;
+    if let Some(section) = &product.distribution {
+        millethook_engine::distribution::distinct_names(section).map_err(name)?;
     }
     Ok(format!("{}: sound", file.display()))
 }
 
-fn show(file: &Path) -> Result<String, String> {
-    let kept = store::show(file).map_err(|e| e.to_string())?;
+fn show_snapshot(file: &Path) -> Result<String, String> {
+    let snapshot = store::show(file).map_err(|e| e.to_string())?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    let age = |at: u64| now.checked_sub(at).map_or("in the future".to_owned(), ago);
+    let age = |at: u64| now.checked_sub(at).map_or("in the future".to_owned(), format_age);
     let mut lines = vec![format!(
         "fleet {}, version {}, written {}, {} servers",
-        kept.fleet,
-        kept.seq,
-        age(kept.written_ms),
-        kept.servers.len()
+        snapshot.fleet,
+        snapshot.seq,
+        age(snapshot.written_ms),
+        snapshot.servers.len()
     )];
-    for server in &kept.servers {
+    for server in &snapshot.servers {
         let dial = server.host.dial.map_or("-".to_owned(), |dial| dial.to_string());
-        let chance = kept.history.survival(server.confirmed_ms, now);
+        let survival = snapshot.history.survival(server.confirmed_ms, now);
         lines.push(format!(
-            "{}  {dial}  zone {}  confirmed {}  there with a chance of {chance:.3}",
+            "{}  {dial}  zone {}  confirmed {}  there with a chance of {survival:.3}",
             server.host.host,
             server.host.site,
             age(server.confirmed_ms)
@@ -130,7 +134,7 @@
     Ok(lines.join("\n"))
 }
 
-fn ago(ms: u64) -> String {
+fn format_age(ms: u64) -> String {
     let s = ms / 1000;
     match s {
         0..120 => format!("{s} s ago"),
--- a/crates/plankvale/src/config.rs
+++ b/crates/plankvale/src/config.rs
@@ -1,5 +1,5 @@
-//! What the sidecar is told at its start: `LB_CONFIG` and the other `LB_` variables. Everything is
-//! checked here; an error names the key.
+//! The sidecar's configuration: the file `LB_CONFIG` and the other `LB_` variables. All checks happen
+//! here; each error names the key.
 
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
@@ -13,51 +13,51 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::tuning::{SettingsSource, Tuned};
+use crate::effective_settings::{EffectiveSettings, SettingsSource};
 
-/// With less memory than this even a few clients' buffers would not fit beside the program.
-const LEAST_MEMORY_MB: usize = 16;
+/// With less memory, the program and the buffers of a few clients do not fit.
+const MIN_MEMORY_MB: usize = 16;
 
-/// The configuration, checked.
+/// A checked configuration.
 pub struct Config {
     /// This sidecar's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where operators call, if they may.
+    /// Address for operators, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The clients' listening socket, where whoever started this process holds it.
+    /// Descriptor of the clients' listening socket, if the parent process passes it on.
     pub inherited: Option<RawFd>,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
     /// Bytes of memory that the process may use.
     pub memory: usize,
-    /// Descriptors that the process may hold.
+    /// Number of descriptors that the process may hold.
     pub sockets: usize,
-    /// Where datagrams of other sidecars arrive, if they may come.
+    /// Address on which datagrams of other sidecars arrive, if this sidecar receives any.
     pub peer_listen: Option<SocketAddr>,
-    /// The sidecars of the tier, by their numbers.
+    /// Addresses of the tier's sidecars, by member number.
     pub peers: Vec<SocketAddr>,
-    /// What is sent there reaches every sidecar of the tier.
+    /// Address that reaches every sidecar of the tier.
     pub peers_all: Option<SocketAddr>,
-    /// The list of servers as this sidecar last had it.
+    /// The last list of servers that this sidecar had.
     pub known: Option<List>,
-    /// When servers may begin with a request.
+    /// The point at which servers may begin to process a request.
     pub begins: Begins,
-    /// The module's settings, without documents.
+    /// Settings of the decision module, without documents.
     pub settings: Settings,
-    /// All of the file.
+    /// The whole file.
     pub raw: Value,
-    /// What settings in force are made of.
+    /// The parts from which the effective settings are made.
     pub(crate) source: SettingsSource,
-    /// The product's own configuration, beside it.
+    /// The product's own configuration.
     pub product: Rc<Product>,
 }
 
-/// What a file may lack though the one before it had it.
-const MAY_GO: [&str; 2] = ["known", "begins"];
+/// Keys that a new file may omit even if the previous one had them.
+const OPTIONAL_ON_RELOAD: [&str; 2] = ["known", "begins"];
 
 #[derive(Deserialize)]
 struct File {
@@ -83,20 +83,20 @@
 }
 
 impl Config {
-    /// Reads the configuration that the variables name, and the product's own file beside it.
+    /// Reads the configuration named by the environment variables, and the product's own file.
     ///
     /// # Errors
-    /// Names the variable or the file, the key and what was expected.
+    /// Names the variable or the file, the key and the expected value.
     pub fn from_env(product: Option<&Path>) -> Result<Config, String> {
         let product = match product {
             Some(path) => Product::from_file(path).map_err(|e| e.to_string())?,
             None => Product::default(),
         };
-        Config::of_platform(product.into())
+        Config::from_platform(product.into())
     }
 
-    /// Reads the platform's configuration.
-    fn of_platform(product: Rc<Product>) -> Result<Config, String> {
+    /// Reads the platform's configuration: `LB_CONFIG` and the variables that override it.
+    fn from_platform(product: Rc<Product>) -> Result<Config, String> {
         let var = |key: &str| match std::env::var(key) {
             Ok(value) if !value.is_empty() => Ok(Some(value)),
             Ok(_) | Err(std::env::VarError::NotPresent) => Ok(None),
@@ -107,8 +107,8 @@
         let variables = [var("LB_NAME")?, var("LB_LISTEN")?, var("LB_DISCOVERY")?];
         let mut config =
             Config::from_json(&text, variables, product).map_err(|e| format!("LB_CONFIG: {e}"))?;
-        // Danger: two processes of one sidecar may read the same file, and each has an address of its own
-        // for operators. The variable belongs to the process.
+        // Two processes of one sidecar may read the same file, but each needs its own admin address.
+        // The variable belongs to the process, so it overrides the file.
         if let Some(admin) = var("LB_ADMIN")? {
             config.admin = Some(address("LB_ADMIN", &admin)?);
         }
@@ -121,10 +121,10 @@
         Ok(config)
     }
 
-    /// Reads a configuration; `env` holds the name and the addresses as the variables have them.
+    /// Reads a configuration; `env` holds the values of `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY`.
     ///
     /// # Errors
-    /// Names the key, and what was expected there.
+    /// Names the key and the expected value.
     pub fn from_json(
         text: &[u8],
         env: [Option<String>; 3],
@@ -133,25 +133,25 @@
         let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let raw: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let [name, listen, discovery] = env;
-        let name = agreed("name", file.name, "LB_NAME", name)?;
-        let listen = agreed("listen", file.listen, "LB_LISTEN", listen)?;
-        // Danger: a new configuration may move discovery while the variable, which stays what it
-        // was for as long as the process lives, names the old address. The file holds.
+        let name = from_file_or_env("name", file.name, "LB_NAME", name)?;
+        let listen = from_file_or_env("listen", file.listen, "LB_LISTEN", listen)?;
+        // The file overrides the variable: a new configuration may move discovery, while the variable
+        // names the old address for the life of the process.
         let discovery = match file.discovery {
             Some(discovery) => discovery,
-            None => agreed("discovery", None, "LB_DISCOVERY", discovery)?,
+            None => from_file_or_env("discovery", None, "LB_DISCOVERY", discovery)?,
         };
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| format!("seed: 16 hexadecimal digits expected, not {:?}", file.seed))?;
         if file.limits.sockets < 128 {
             return Err("limits.sockets: 128 or more expected".into());
         }
-        if file.limits.memory_mb < LEAST_MEMORY_MB {
-            return Err(format!("limits.memory_mb: {LEAST_MEMORY_MB} or more expected"));
+        if file.limits.memory_mb < MIN_MEMORY_MB {
+            return Err(format!("limits.memory_mb: {MIN_MEMORY_MB} or more expected"));
         }
         let source = SettingsSource::new(file.settings, file.peers.len(), product.clone());
-        let Tuned { settings, .. } = source.tuned(&[])?;
-        // The platform promises that its servers begin at a request's last byte.
+        let EffectiveSettings { settings, .. } = source.effective(&[])?;
+        // The platform guarantees that its servers begin only after a request's last byte.
         let begins = file.begins.map_or(Ok(Begins::Whole), |text| text.parse());
         Ok(Config {
             name,
@@ -174,21 +174,23 @@
         })
     }
 
-    /// Whether it has all that the one in force, `before`, has.
+    /// Checks that this configuration has all keys of the one in force, `before`.
     ///
-    /// Guards against files that were cut or written by half: much of a configuration has a default, and
-    /// one that lost its `limits` would silently run with others. It does harm to who wants a default
-    /// back by leaving a key out; the key is named, and can be written with its default.
+    /// Guards against truncated files: many keys have defaults, so a file that lost its `limits` would
+    /// silently run with other limits. As a consequence, leaving a key out does not restore its default;
+    /// the error names the key, and the default can be written out.
     ///
     /// # Errors
-    /// Names the first key that is missing.
-    pub fn complete(&self, before: &Value) -> Result<(), String> {
+    /// Names the first missing key.
+    pub fn check_complete(&self, before: &Value) -> Result<(), String> {
         let (Value::Object(before), Value::Object(now)) = (before, &self.raw) else {
             return Err("an object expected".into());
         };
-        for (key, before) in before.iter().filter(|(key, _)| !MAY_GO.contains(&key.as_str())) {
+        for (key, before) in
+            before.iter().filter(|(key, _)| !OPTIONAL_ON_RELOAD.contains(&key.as_str()))
+        {
             match now.get(key) {
-                Some(now) => has_all_of(key, before, now)?,
+                Some(now) => check_keys_of(key, before, now)?,
                 None => return Err(format!("{key}: expected, as in the configuration in force")),
             }
         }
@@ -196,15 +198,15 @@
     }
 }
 
-/// Whether `now` has each key that `before` has. Of a list, each object has to have what all objects of the
-/// list before had.
-fn has_all_of(key: &str, before: &Value, now: &Value) -> Result<(), String> {
+/// Checks that `now` has each key of `before`. In a list, each object needs the keys that all objects
+/// of the previous list had.
+fn check_keys_of(key: &str, before: &Value, now: &Value) -> Result<(), String> {
     match (before, now) {
         (Value::Object(before), Value::Object(now)) => {
             for (name, before) in before {
                 let key = format!("{key}.{name}");
                 match now.get(name) {
-                    Some(now) => has_all_of(&key, before, now)?,
+                    Some(now) => check_keys_of(&key, before, now)?,
                     None => {
                         return Err(format!("{key}: expected, as in the configuration in force"));
                     }
@@ -220,7 +222,7 @@
             }
             let common = Value::Object(common);
             let mut each = now.iter().enumerate();
-            each.try_for_each(|(i, now)| has_all_of(&format!("{key}[{i}]"), &common, now))
+            each.try_for_each(|(i, now)| check_keys_of(&format!("{key}[{i}]"), &common, now))
         }
         (Value::Object(_) | Value::Array(_), _) => {
             Err(format!("{key}: another kind of value expected, as in the configuration in force"))
@@ -233,8 +235,8 @@
     text.parse().map_err(|_| format!("{key}: an address and a port expected, not {text:?}"))
 }
 
-/// A value that may stand in the file, in a variable or, the same, in both.
-fn agreed(
+/// Returns a value given in the file, in a variable, or in both if they are equal.
+fn from_file_or_env(
     key: &str,
     file: Option<String>,
     var: &str,
--- a/crates/plankvale/src/distribution/command.rs
+++ b/crates/plankvale/src/distribution/command.rs
@@ -1,4 +1,4 @@
-//! `plankvale config`: publishes documents, and tells what became of them.
+//! `plankvale config`: publishes documents and prints their status.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,51 +14,51 @@
 use super::request::{NamedScope, Request, new_name, now_ms};
 use super::status::{Status, folder as status_folder};
 
-/// While it waits, the status is read once in so long.
-const POLL: Duration = Duration::from_millis(50);
-/// The longest wait.
-const MOST_WAIT: u64 = 3_600;
+/// Interval between reads of the status while waiting for it.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest wait that `--wait` accepts.
+const MAX_WAIT_SECONDS: u64 = 3_600;
 
-/// What is done about configuration that is distributed.
+/// Commands on distributed configuration.
 #[derive(Subcommand, Debug)]
 pub enum ConfigCommand {
-    /// Publish a document, {"settings": {...}}: a merge patch for the settings of LB_CONFIG. Prints the request's name;
-    /// exit with 0, with --wait 0 if it came to be in force wherever sidecars are heard of and 1 if not, 2 if it cannot
-    /// be published
+    /// Publish a document, {"settings": {...}}: a merge patch for the settings of LB_CONFIG. Prints the name of the
+    /// request. Exit with 0, or with 2 if it cannot be published; with --wait, exit with 0 if the document is in force
+    /// at all sidecars that report, else with 1
     Publish {
-        /// The document; none with --retract
+        /// The document's file; not with --retract
         #[arg(required_unless_present = "retract", conflicts_with = "retract")]
         file: Option<PathBuf>,
-        /// For whom: all, region:NAME, zone:NAME, service:NAME or sidecar:NUMBER
+        /// The sidecars that the document is for: all, region:NAME, zone:NAME, service:NAME or sidecar:NUMBER
         #[arg(long)]
         scope: NamedScope,
-        /// The folder that `distribution.publish` names, of the control node that is the writer
+        /// The folder configured as `distribution.publish` at the control node that is the writer
         #[arg(long, value_name = "FOLDER")]
         into: PathBuf,
-        /// Take back what is published for this scope
+        /// Retract the document that is published for this scope
         #[arg(long)]
         retract: bool,
-        /// Wait at most so many seconds until the request is settled, and print what became of it
-        #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(u64).range(1..=MOST_WAIT))]
+        /// Wait at most this many seconds until the request is settled, and print its status
+        #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(u64).range(1..=MAX_WAIT_SECONDS))]
         wait: Option<u64>,
     },
-    /// Print what became of requests; exit with 0, or 2 if it cannot be read
+    /// Print the status of all requests; exit with 0, or with 2 if it cannot be read
     Status {
-        /// The folder that `distribution.publish` names
+        /// The folder configured as `distribution.publish`
         folder: PathBuf,
     },
 }
 
 impl ConfigCommand {
-    /// Carries the command out.
-    pub fn carry_out(&self) -> ExitCode {
-        let done = match self {
+    /// Runs the command and returns its exit code.
+    pub fn execute(&self) -> ExitCode {
+        let result = match self {
             ConfigCommand::Publish { file, scope, into, wait, .. } => {
                 publish(file.as_deref(), scope, into, wait.map(Duration::from_secs))
             }
             ConfigCommand::Status { folder } => show(folder),
         };
-        done.unwrap_or_else(|e| {
+        result.unwrap_or_else(|e| {
             eprintln!("{e}");
             ExitCode::from(2)
         })
@@ -74,14 +74,14 @@
     let document = file.map(document).transpose()?;
     if !status_folder(into).is_dir() {
         return Err(format!(
-            "{}: the folder that distribution.publish names at a control node that runs expected",
+            "{}: the folder of distribution.publish at a running control node expected",
             into.display()
         ));
     }
     let name = new_name();
     let retract = document.is_none();
     let request = Request { scope: scope.clone(), retract, document, asked_ms: now_ms() };
-    files::leave(into, &name, &request).map_err(|e| format!("{}: {e}", into.display()))?;
+    files::write_request(into, &name, &request).map_err(|e| format!("{}: {e}", into.display()))?;
     println!("{name}");
     match wait {
         Some(wait) => wait_for(into, &name, wait),
@@ -89,12 +89,12 @@
     }
 }
 
-/// Reads a document, and looks whether it can be one.
+/// Reads a document's file and checks its content.
 fn document(path: &Path) -> Result<String, String> {
     let wrong = |e: String| format!("{}: {e}", path.display());
     let bytes = whole_file::read(path, MOST_CONTENT).map_err(|e| wrong(e.to_string()))?;
-    let bytes = bytes.ok_or_else(|| wrong("a file expected, there is none".into()))?;
-    Patch::read(&bytes).map_err(|e| wrong(e.to_string()))?;
+    let bytes = bytes.ok_or_else(|| wrong("no such file".into()))?;
+    Patch::parse(&bytes).map_err(|e| wrong(e.to_string()))?;
     String::from_utf8(bytes).map_err(|e| wrong(e.to_string()))
 }
 
@@ -111,7 +111,7 @@
             let in_force = status.is_some_and(|status| status.stage.is_in_force());
             return Ok(ExitCode::from(u8::from(!in_force)));
         }
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/plankvale/src/distribution/figures.rs
+++ b/crates/plankvale/src/distribution/figures.rs
@@ -1,31 +1,31 @@
-//! Figures of distribution, at the operators' address.
+//! Metrics of distribution, for the admin address.
 
 use millethook_admin::statsd::Lines;
 use millethook_engine::distribution::{Distribution, Scope};
 use millethook_engine::server_lists::ListRole;
 
-/// Adds the figures.
+/// Adds the metrics of distributed configuration.
 pub fn write(
     lines: &mut Lines,
     distribution: &Distribution,
     committed_to_in_force_ms: Option<u64>,
 ) {
-    let own = distribution.figures();
-    lines.gauge("distribution.in_force", own.in_force);
-    lines.gauge("distribution.offered", own.offered);
-    lines.gauge("distribution.incoming", own.incoming);
+    let figures = distribution.figures();
+    lines.gauge("distribution.in_force", figures.in_force);
+    lines.gauge("distribution.offered", figures.offered);
+    lines.gauge("distribution.incoming", figures.incoming);
     lines.gauge("distribution.hash", distribution.hash() as usize);
     for document in distribution.in_force() {
         let level = level(document.key.scope);
         lines.gauge(format_args!("distribution.version.{level}.{}", document.version), 1);
     }
-    lines.gauge("distribution.control_nodes", own.control_nodes);
-    lines.count("distribution.accepted", own.accepted);
-    lines.count("distribution.refused", own.refused);
-    lines.count("distribution.damaged", own.damaged);
-    lines.count("distribution.not_for_me", own.not_for_me);
-    lines.count("distribution.switches", own.switches);
-    lines.count("distribution.malformed", own.malformed);
+    lines.gauge("distribution.control_nodes", figures.control_nodes);
+    lines.count("distribution.accepted", figures.accepted);
+    lines.count("distribution.refused", figures.refused);
+    lines.count("distribution.damaged", figures.damaged);
+    lines.count("distribution.not_for_me", figures.not_for_me);
+    lines.count("distribution.switches", figures.switches);
+    lines.count("distribution.malformed", figures.malformed);
     let Some(control) = distribution.control_figures() else { return };
     lines.gauge("distribution.control.documents", control.documents);
     lines.gauge("distribution.control.bytes", control.bytes);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Adds the figures of the list of servers that comes by distribution.
+/// Adds the metrics of the distributed list of servers.
 pub fn write_list(lines: &mut Lines, role: &ListRole) {
     match role {
         ListRole::Publishes(publisher) => {
--- a/crates/plankvale/src/distribution/files.rs
+++ b/crates/plankvale/src/distribution/files.rs
@@ -1,4 +1,4 @@
-//! The files of a folder of requests. All of it blocks until the disk has answered.
+//! The files in a folder of requests to publish. All functions block on disk operations.
 
 use std::fs::{self, File};
 use std::io::{self, Write as _};
@@ -6,41 +6,42 @@
 
 use millethook_membership::whole_file;
 
-use super::request::{LARGEST, Request};
+use super::request::{MAX_REQUEST_BYTES, Request};
 use super::status::{self, Status};
 
-/// Requests that are read in one go, at most, and entries of the folder that are looked at for them.
-const MOST_REQUESTS: usize = 128;
-const MOST_ENTRIES: usize = 8_192;
-/// Statuses that are kept; older ones are removed.
-const MOST_STATUSES: usize = 512;
-/// What a request's file ends with.
+/// Maximum number of requests that are read in one poll.
+const MAX_REQUESTS: usize = 128;
+/// Maximum number of folder entries that are scanned for requests.
+const MAX_ENTRIES: usize = 8_192;
+/// Number of statuses that are kept; older ones are removed.
+const MAX_STATUSES: usize = 512;
+/// Extension of a request's file.
 const EXTENSION: &str = ".json";
 
-/// A request that was found.
-pub struct Found {
-    /// Its name: that of its file, without the extension.
+/// A request found in the folder.
+pub struct FoundRequest {
+    /// Its file name without the extension.
     pub name: String,
-    /// Itself, or what is wrong with it.
+    /// The parsed request, or why it cannot be read.
     pub request: Result<Request, String>,
 }
 
-/// Makes the folders.
+/// Creates the folder of requests and that of statuses.
 pub fn prepare(folder: &Path) -> io::Result<()> {
     fs::create_dir_all(status::folder(folder))
 }
 
-/// The oldest requests in a folder, by name.
-pub fn requests(folder: &Path) -> io::Result<Vec<Found>> {
+/// Reads the oldest requests in a folder; names sort by age.
+pub fn requests(folder: &Path) -> io::Result<Vec<FoundRequest>> {
     let mut names = names(folder)?;
-    names.truncate(MOST_REQUESTS);
-    Ok(names.into_iter().map(|name| Found { request: read(folder, &name), name }).collect())
+    names.truncate(MAX_REQUESTS);
+    Ok(names.into_iter().map(|name| FoundRequest { request: read(folder, &name), name }).collect())
 }
 
-/// Names of all that has the extension and is not hidden, sorted.
+/// Names of all files that have the extension and are not hidden, sorted.
 pub fn names(folder: &Path) -> io::Result<Vec<String>> {
     let mut names = Vec::new();
-    for entry in fs::read_dir(folder)?.take(MOST_ENTRIES) {
+    for entry in fs::read_dir(folder)?.take(MAX_ENTRIES) {
         let name = entry?.file_name();
         let name = name.to_str().and_then(|name| name.strip_suffix(EXTENSION));
         names.extend(name.filter(|name| !name.starts_with('.')).map(str::to_owned));
@@ -51,20 +52,20 @@
 
 fn read(folder: &Path, name: &str) -> Result<Request, String> {
     let path = folder.join(format!("{name}{EXTENSION}"));
-    let bytes = whole_file::read(&path, LARGEST).map_err(|e| e.to_string())?;
-    let bytes = bytes.ok_or("it is gone")?;
+    let bytes = whole_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| e.to_string())?;
+    let bytes = bytes.ok_or("the request's file has been removed")?;
     serde_json::from_slice(&bytes).map_err(|e| format!("a request expected: {e}"))
 }
 
-/// Takes requests away; the names of those that were there.
+/// Removes requests; returns the names of those that existed.
 pub fn remove(folder: &Path, names: Vec<String>) -> Vec<String> {
-    let mut gone = names;
-    gone.retain(|name| fs::remove_file(folder.join(format!("{name}{EXTENSION}"))).is_ok());
-    gone
+    let mut removed = names;
+    removed.retain(|name| fs::remove_file(folder.join(format!("{name}{EXTENSION}"))).is_ok());
+    removed
 }
 
-/// Leaves a request in a folder: it is there whole or not at all.
-pub fn leave(folder: &Path, name: &str, request: &Request) -> io::Result<()> {
+/// Writes a request into a folder atomically.
+pub fn write_request(folder: &Path, name: &str, request: &Request) -> io::Result<()> {
     let temporary = folder.join(format!(".{name}.tmp"));
     let text = serde_json::to_vec(request)?;
     let written = File::create(&temporary)
@@ -76,7 +77,7 @@
     written
 }
 
-/// Writes statuses, and removes the oldest of more than are kept.
+/// Writes statuses and removes the oldest ones beyond [`MAX_STATUSES`].
 pub fn write_statuses(folder: &Path, statuses: &[(String, Status)]) -> Result<(), String> {
     for (name, status) in statuses {
         let text = serde_json::to_vec_pretty(status).map_err(|e| e.to_string())?;
@@ -87,17 +88,19 @@
             .map_err(|e| format!("{}: {e}", path.display()))?;
     }
     let kept = names(&status::folder(folder)).map_err(|e| e.to_string())?;
-    for old in &kept[..kept.len().saturating_sub(MOST_STATUSES)] {
+    for old in &kept[..kept.len().saturating_sub(MAX_STATUSES)] {
         let _ = fs::remove_file(status::path(folder, old));
     }
     Ok(())
 }
 
-/// Reads a status; None: there is none (yet).
+/// Reads a status; None if there is none (yet).
 pub fn read_status(folder: &Path, name: &str) -> Result<Option<Status>, String> {
     let path = status::path(folder, name);
     let wrong = |e: String| format!("{}: {e}", path.display());
-    let Some(bytes) = whole_file::read(&path, LARGEST).map_err(|e| wrong(e.to_string()))? else {
+    let Some(bytes) =
+        whole_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| wrong(e.to_string()))?
+    else {
         return Ok(None);
     };
     serde_json::from_slice(&bytes).map(Some).map_err(|e| wrong(e.to_string()))
--- a/crates/plankvale/src/distribution/mod.rs
+++ b/crates/plankvale/src/distribution/mod.rs
@@ -1,5 +1,5 @@
-//! Configuration that comes by distribution: what documents say, how they get into force here, and how operators
-//! publish them.
+//! Distributed configuration: the content of documents, how they take effect in this process, and how
+//! operators publish them.
 
 pub mod command;
 mod figures;
@@ -22,37 +22,38 @@
 pub use spool::Spool;
 
 use crate::config::Config;
-use crate::tuning::Tuned;
+use crate::effective_settings::EffectiveSettings;
 use patch::Patch;
 
-/// Distribution as it begins, and the settings in force with the documents of its snapshot.
-pub struct Begun {
-    /// None: there is none.
+/// The state of distribution at the start, and the settings with the documents of its snapshot.
+pub struct DistributionStart {
+    /// None if distribution is not configured or not possible.
     pub distribution: Option<Distribution>,
-    /// Settings to begin with.
-    pub tuned: Tuned,
+    /// The settings in force at the start.
+    pub effective: EffectiveSettings,
 }
 
-/// Sets distribution up where the product's file asks for it and it is possible.
+/// Sets distribution up if the product's file configures it and it is possible.
 ///
 /// # Errors
-/// Names the key that makes no sense.
-pub fn begin(config: &Config) -> Result<Begun, String> {
-    let plain = || config.source.tuned(&[]).map_err(|e| format!("LB_CONFIG: {e}"));
-    let Some(of) = set_up(config)? else {
-        return Ok(Begun { distribution: None, tuned: plain()? });
+/// Names the invalid key.
+pub fn start(config: &Config) -> Result<DistributionStart, String> {
+    let plain = || config.source.effective(&[]).map_err(|e| format!("LB_CONFIG: {e}"));
+    let Some(distribution_settings) = set_up(config)? else {
+        return Ok(DistributionStart { distribution: None, effective: plain()? });
     };
-    let distribution = Distribution::new(of.clone());
-    match patches(&distribution.in_force()).and_then(|patches| config.source.tuned(&patches)) {
-        Ok(tuned) => Ok(Begun { distribution: Some(distribution), tuned }),
+    let distribution = Distribution::new(distribution_settings.clone());
+    match patches(&distribution.in_force()).and_then(|patches| config.source.effective(&patches)) {
+        Ok(effective) => Ok(DistributionStart { distribution: Some(distribution), effective }),
         Err(e) => {
-            // LB_CONFIG or the program has changed since. The documents come again, and are refused or taken.
+            // LB_CONFIG or the program has changed since the snapshot. The documents will be offered
+            // again, and accepted or refused then.
             tracing::error!(
                 event = "distribution_snapshot_refused",
-                "the documents from before do not fit, LB_CONFIG holds alone: {e}"
+                "the documents in the snapshot do not fit, only LB_CONFIG is in force: {e}"
             );
-            let distribution = Some(Distribution::with_nothing_in_force(of));
-            Ok(Begun { distribution, tuned: plain()? })
+            let distribution = Some(Distribution::with_nothing_in_force(distribution_settings));
+            Ok(DistributionStart { distribution, effective: plain()? })
         }
     }
 }
@@ -63,26 +64,29 @@
         return Ok(None);
     }
     if let Some(obstacle) = obstacle(&config.settings, members) {
-        tracing::warn!(event = "distribution_off", "no documents are taken: {obstacle}");
+        tracing::warn!(event = "distribution_off", "documents are not accepted: {obstacle}");
         return Ok(None);
     }
-    let mut set_up = settings(&config.product, (config.settings.me, members), config.seed)?;
+    let mut distribution_settings =
+        settings(&config.product, (config.settings.me, members), config.seed)?;
     let pushed = config.settings.discovery == How::Pushed;
-    if let Some(of) = set_up.as_mut().filter(|of| pushed && of.takes_list()) {
+    if let Some(own) = distribution_settings.as_mut().filter(|own| pushed && own.takes_list()) {
         tracing::warn!(
             event = "distribution_list_off",
-            "distribution.list: no list is taken: settings.discovery is \"pushed\", \"on_request\" expected"
+            "distribution.list: lists are not accepted: settings.discovery is \"pushed\", \"on_request\" expected"
         );
-        of.take_no_list();
+        own.take_no_list();
     }
-    Ok(set_up)
+    Ok(distribution_settings)
 }
 
-/// The patches of documents of configuration, in the order of merge.
+/// The patches of the configuration documents, in the order of merge.
 ///
 /// # Errors
-/// One of them makes no sense.
+/// Names the first invalid document and what is wrong with it.
 pub fn patches(documents: &[Arc<Document>]) -> Result<Vec<Patch>, String> {
     let configuration = documents.iter().filter(|d| d.key.kind == DocumentKind::Configuration);
-    configuration.map(|d| Patch::of(d).map_err(|e| format!("{}: {}", d.key, e.reason))).collect()
+    configuration
+        .map(|d| Patch::from_document(d).map_err(|e| format!("{}: {}", d.key, e.reason)))
+        .collect()
 }
--- a/crates/plankvale/src/distribution/patch.rs
+++ b/crates/plankvale/src/distribution/patch.rs
@@ -1,114 +1,117 @@
-//! What a document of configuration says: `{"settings": {...}}`, a JSON merge patch (RFC 7396) for `settings` of
-//! `LB_CONFIG`.
+//! The content of a configuration document: `{"settings": {...}}`, a JSON merge patch (RFC 7396) for
+//! the `settings` of `LB_CONFIG`.
 
 use millethook_engine::distribution::{Document, MOST_CONTENT, Refusal};
 use serde_json::Value;
 
-/// The one key of a document.
+/// The only key of a document.
 const SETTINGS: &str = "settings";
-/// Keys of the settings that belong to one process: with another value it would be somebody else, or would not hear
-/// of the next document.
-const FIXED: [&str; 3] = ["/me", "/instances", "/limits/mayTell"];
+/// Settings that belong to one process. With another value the process would take another member's
+/// identity, or would no longer receive documents.
+const PROCESS_KEYS: [&str; 3] = ["/me", "/instances", "/limits/mayTell"];
 
-/// Why a document cannot be used, wherever it goes.
+/// Why a document is invalid for every sidecar.
 #[derive(Debug, thiserror::Error)]
-pub enum Unsound {
-    /// It is too long.
+pub enum DocumentError {
+    /// The document is too long.
     #[error("{0} bytes: {MOST_CONTENT} at most expected")]
     TooLong(usize),
-    /// It is no JSON.
+    /// The document is not JSON.
     #[error("no JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A part is no object.
+    /// A part of the document is not an object.
     #[error("{key}: an object expected, found {found}")]
     NotAnObject {
-        /// Which part.
+        /// The part.
         key: &'static str,
-        /// What it is.
+        /// The kind of value found there.
         found: &'static str,
     },
-    /// The settings are not there.
+    /// The document has no settings.
     #[error("settings: expected, found no such key")]
     NoSettings,
-    /// A key that is none.
+    /// The document has an unknown key.
     #[error("{0:?}: no such key, only \"settings\" expected")]
     UnknownKey(String),
-    /// A key that belongs to one process.
+    /// The document sets a key that belongs to one process.
     #[error("settings{0}: belongs to one process, only LB_CONFIG sets it")]
-    Fixed(String),
+    ProcessKey(String),
 }
 
-/// Codes of refusals.
+/// Codes of refusals, as reported to the control nodes.
 #[derive(Clone, Copy, Debug)]
 pub enum RefusalCode {
-    /// The document by itself makes no sense.
-    Unsound = 1,
-    /// Merged into this sidecar's settings it makes none.
-    Settings = 2,
+    /// The document itself is invalid.
+    InvalidDocument = 1,
+    /// The document is valid, but the settings of this sidecar merged with it are not.
+    InvalidSettings = 2,
 }
 
-/// A document that was read.
+/// The merge patch of a checked document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Patch(Value);
 
 impl Patch {
-    /// Reads a document's content.
+    /// Parses and checks a document's content.
     ///
     /// # Errors
-    /// Says what is wrong, where, and what was expected.
-    pub fn read(content: &[u8]) -> Result<Patch, Unsound> {
+    /// Says what is wrong, where, and what is expected.
+    pub fn parse(content: &[u8]) -> Result<Patch, DocumentError> {
         if content.len() > MOST_CONTENT {
-            return Err(Unsound::TooLong(content.len()));
+            return Err(DocumentError::TooLong(content.len()));
         }
         let Value::Object(mut document) = serde_json::from_slice(content)? else {
             return Err(not_an_object("the document", content));
         };
         let settings = document.remove(SETTINGS);
         if let Some(key) = document.keys().next() {
-            return Err(Unsound::UnknownKey(key.chars().take(40).collect()));
+            return Err(DocumentError::UnknownKey(key.chars().take(40).collect()));
         }
-        let settings = settings.ok_or(Unsound::NoSettings)?;
+        let settings = settings.ok_or(DocumentError::NoSettings)?;
         if !settings.is_object() {
-            return Err(Unsound::NotAnObject { key: SETTINGS, found: kind(&settings) });
+            return Err(DocumentError::NotAnObject { key: SETTINGS, found: json_kind(&settings) });
         }
-        // A patch replaces what is no object as a whole, or takes it out.
+        // A patch value that is not an object would replace or remove all limits.
         if let Some(limits) = settings.get("limits").filter(|limits| !limits.is_object()) {
-            return Err(Unsound::NotAnObject { key: "settings.limits", found: kind(limits) });
+            return Err(DocumentError::NotAnObject {
+                key: "settings.limits",
+                found: json_kind(limits),
+            });
         }
-        match FIXED.iter().find(|key| settings.pointer(key).is_some()) {
-            Some(key) => Err(Unsound::Fixed(key.replace('/', "."))),
+        match PROCESS_KEYS.iter().find(|key| settings.pointer(key).is_some()) {
+            Some(key) => Err(DocumentError::ProcessKey(key.replace('/', "."))),
             None => Ok(Patch(settings)),
         }
     }
 
-    /// Reads a document's body; a retraction patches nothing.
+    /// Parses a document's body; a retraction yields an empty patch.
     ///
     /// # Errors
-    /// As [`Patch::read`], as a refusal.
-    pub fn of(document: &Document) -> Result<Patch, Refusal> {
+    /// Those of [`Patch::parse`], as a refusal.
+    pub fn from_document(document: &Document) -> Result<Patch, Refusal> {
         let Some(body) = &document.body else {
             return Ok(Patch(Value::Object(Default::default())));
         };
-        Patch::read(body).map_err(|e| refusal(RefusalCode::Unsound, &e.to_string()))
+        Patch::parse(body).map_err(|e| refusal(RefusalCode::InvalidDocument, &e.to_string()))
     }
 
-    /// Changes the settings.
+    /// Merges the patch into `settings`.
     pub fn apply(&self, settings: &mut Value) {
         json_patch::merge(settings, &self.0);
     }
 }
 
-/// A refusal; its reason is cut where it travels.
+/// Makes a refusal; its reason is truncated when it is sent.
 pub fn refusal(code: RefusalCode, reason: &str) -> Refusal {
     Refusal { code: code as u8, reason: reason.to_owned() }
 }
 
-fn not_an_object(key: &'static str, content: &[u8]) -> Unsound {
-    let found = serde_json::from_slice(content).map_or("no JSON", |value| kind(&value));
-    Unsound::NotAnObject { key, found }
+fn not_an_object(key: &'static str, content: &[u8]) -> DocumentError {
+    let found = serde_json::from_slice(content).map_or("no JSON", |value| json_kind(&value));
+    DocumentError::NotAnObject { key, found }
 }
 
-fn kind(value: &Value) -> &'static str {
+fn json_kind(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
         Value::Bool(_) => "true or false",
--- a/crates/plankvale/src/distribution/request.rs
+++ b/crates/plankvale/src/distribution/request.rs
@@ -1,4 +1,4 @@
-//! A request to publish, as it lies in the folder of a control node.
+//! A request to publish a document, as stored in the folder of a control node.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,29 +8,29 @@
 use millethook_engine::distribution::{DocumentKey, MOST_CONTENT, Scope, name_number};
 use serde::{Deserialize, Serialize};
 
-/// The largest file of a request: a content in which each byte is escaped as six.
-pub const LARGEST: usize = 6 * MOST_CONTENT + 1024;
-/// The longest name of a region, zone or service.
-const LONGEST_NAME: usize = 64;
+/// Maximum size of a request's file: each byte of the content may be escaped as six bytes.
+pub const MAX_REQUEST_BYTES: usize = 6 * MOST_CONTENT + 1024;
+/// Maximum length of the name of a region, zone or service.
+const MAX_NAME_BYTES: usize = 64;
 
-/// For whom a document is, by names.
+/// The sidecars that a document is for, by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum NamedScope {
     /// All sidecars.
     All,
-    /// Those of a region.
+    /// The sidecars of a region.
     Region(String),
-    /// Those of a zone.
+    /// The sidecars of a zone.
     Zone(String),
-    /// Those of a service.
+    /// The sidecars of a service.
     Service(String),
-    /// One, by its member number.
+    /// One sidecar, by its member number.
     Sidecar(u16),
 }
 
 impl NamedScope {
-    /// The key of its configuration.
+    /// The key of the configuration document for this scope.
     pub fn key(&self) -> DocumentKey {
         DocumentKey::configuration(match self {
             NamedScope::All => Scope::All,
@@ -47,13 +47,13 @@
 
     fn from_str(text: &str) -> Result<NamedScope, String> {
         let wrong = || {
-            let text: String = text.chars().take(LONGEST_NAME).collect();
+            let text: String = text.chars().take(MAX_NAME_BYTES).collect();
             format!(
                 "all, region:NAME, zone:NAME, service:NAME or sidecar:NUMBER expected, not {text:?}"
             )
         };
         let name = |name: &str| {
-            let fits = !name.is_empty() && name.len() <= LONGEST_NAME;
+            let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES;
             fits.then(|| name.to_owned()).ok_or_else(wrong)
         };
         match text.split_once(':') {
@@ -97,21 +97,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// For whom.
+    /// The sidecars that the document is for.
     pub scope: NamedScope,
-    /// What is published for the scope is taken back.
+    /// Whether to retract the document that is published for the scope.
     pub retract: bool,
-    /// The document's text, unless that is so.
+    /// The document's text; None for a retraction.
     pub document: Option<String>,
-    /// When it was made, in milliseconds of Unix time.
+    /// Time of the request, in milliseconds of Unix time.
     pub asked_ms: u64,
 }
 
 impl Request {
-    /// The document's text; None: what is published is taken back.
+    /// The document's text; None for a retraction.
     ///
     /// # Errors
-    /// Both are there, or neither: a document that was lost on the way must not take anything back.
+    /// The request has both or neither: a request that lost its document must not retract anything.
     pub fn body(&self) -> Result<Option<&str>, String> {
         match (self.retract, &self.document) {
             (true, None) => Ok(None),
@@ -121,12 +121,12 @@
     }
 }
 
-/// Milliseconds of Unix time.
+/// The current Unix time in milliseconds.
 pub fn now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// A name for a request that no other one has; later ones come behind earlier ones.
+/// A unique name for a request; later names sort after earlier ones.
 pub fn new_name() -> String {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
--- a/crates/plankvale/src/distribution/spool.rs
+++ b/crates/plankvale/src/distribution/spool.rs
@@ -1,5 +1,5 @@
-//! The folder of requests to publish, at a control node: what lies there is published while this process is the writer,
-//! and what becomes of it is written beside it.
+//! The folder of requests to publish, at a control node. Requests are published while this process is
+//! the writer; their statuses are written to a folder inside.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -12,22 +12,22 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
-use super::files::{self, Found};
+use super::files::{self, FoundRequest};
 use super::patch::Patch;
 use super::request::{Request, now_ms};
 use super::status::{Stage, Status};
 use super::tracked::Tracked;
 
-/// The folder is looked at once in so long.
-const POLL: Duration = Duration::from_millis(200);
-/// A request waits so long for this process to become the writer.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// A request that is older is not published: it may have been overtaken by another control node's.
-const OLDEST: Duration = Duration::from_secs(30);
-/// Published documents whose way is followed, at most.
-const MOST_TRACKED: usize = 512;
+/// Interval between scans of the folder.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a request waits for this process to become the writer.
+const WRITER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Older requests are not published: a later request at another control node may have overtaken them.
+const MAX_REQUEST_AGE: Duration = Duration::from_secs(30);
+/// Maximum number of published documents that are tracked.
+const MAX_TRACKED: usize = 512;
 
-/// The folder at work.
+/// The task that publishes the requests of a folder.
 pub struct Spool {
     folder: PathBuf,
     fleet: Rc<Fleet>,
@@ -35,22 +35,22 @@
     in_force_after_ms: Cell<Option<u64>>,
 }
 
-/// What is known of the folder's requests.
+/// The state of the folder's requests.
 #[derive(Default)]
-struct Book {
-    /// When each request was first seen that waits for this process to become the writer.
+struct SpoolState {
+    /// For each request that waits for this process to become the writer: when it was first seen.
     waiting: HashMap<String, Instant>,
-    /// What was published, the latest last.
+    /// Published documents, the latest last.
     tracked: Vec<Tracked>,
-    /// Statuses to be written.
+    /// Statuses to write.
     statuses: Vec<(String, Status)>,
 }
 
 impl Spool {
-    /// Begins to look at the folder, on the present `LocalSet`.
+    /// Starts the task on the current `LocalSet`.
     ///
     /// # Errors
-    /// The folder, or the one of the statuses in it, cannot be made.
+    /// The folder of requests or that of statuses cannot be created.
     pub fn start(
         folder: PathBuf,
         fleet: Rc<Fleet>,
@@ -64,28 +64,28 @@
         Ok(spool)
     }
 
-    /// How long the last document that came to be in force everywhere took, from its publication.
+    /// Milliseconds from publication until in force everywhere, for the last document that got there.
     pub fn in_force_after_ms(&self) -> Option<u64> {
         self.in_force_after_ms.get()
     }
 
     async fn run(self: Rc<Spool>) {
-        let mut book = Book::default();
+        let mut state = SpoolState::default();
         loop {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
             let folder = self.folder.clone();
             match spawn_blocking(move || files::requests(&folder)).await {
-                Ok(Ok(found)) => self.take(&mut book, found).await,
+                Ok(Ok(found)) => self.publish_due(&mut state, found).await,
                 Ok(Err(e)) => tracing::error!(
                     event = "distribution_spool_failed",
                     "{}: {e}",
                     self.folder.display()
                 ),
-                // The process ends.
+                // The runtime is shutting down.
                 Err(_) => return,
             }
-            self.follow(&mut book);
-            let (folder, statuses) = (self.folder.clone(), std::mem::take(&mut book.statuses));
+            self.update_tracked(&mut state);
+            let (folder, statuses) = (self.folder.clone(), std::mem::take(&mut state.statuses));
             if !statuses.is_empty() {
                 let written = spawn_blocking(move || files::write_statuses(&folder, &statuses));
                 if let Ok(Err(e)) = written.await {
@@ -95,58 +95,60 @@
         }
     }
 
-    /// Publishes the requests that are due.
-    async fn take(&self, book: &mut Book, found: Vec<Found>) {
+    /// Publishes the requests that need not wait any longer.
+    async fn publish_due(&self, state: &mut SpoolState, found: Vec<FoundRequest>) {
         let ready = self.distribution.control_figures().is_some_and(|f| f.writer_ready);
-        book.waiting.retain(|name, _| found.iter().any(|request| request.name == *name));
+        state.waiting.retain(|name, _| found.iter().any(|request| request.name == *name));
         let mut due = Vec::new();
-        for Found { name, request } in found {
-            let since = *book.waiting.entry(name.clone()).or_insert_with(Instant::now);
-            let unsound = request.is_err();
-            if ready || unsound || since.elapsed() >= PATIENCE {
-                book.waiting.remove(&name);
+        for FoundRequest { name, request } in found {
+            let since = *state.waiting.entry(name.clone()).or_insert_with(Instant::now);
+            let invalid = request.is_err();
+            if ready || invalid || since.elapsed() >= WRITER_TIMEOUT {
+                state.waiting.remove(&name);
                 due.push((name, request));
             }
         }
         if due.is_empty() {
             return;
         }
-        // A request is taken away before it is published: a process that dies in between publishes it never, and not a
-        // second time, over what was published elsewhere since.
+        // A request is removed before it is published. If the process dies in between, the request is
+        // lost rather than published a second time, over a later document from another control node.
         let (folder, names) = (self.folder.clone(), due.iter().map(|d| d.0.clone()).collect());
-        let gone = spawn_blocking(move || files::remove(&folder, names)).await.unwrap_or_default();
+        let removed =
+            spawn_blocking(move || files::remove(&folder, names)).await.unwrap_or_default();
         for (name, request) in due {
-            if !gone.contains(&name) {
+            if !removed.contains(&name) {
                 continue;
             }
             match request {
-                Ok(request) => self.publish(book, name, request),
+                Ok(request) => self.publish(state, name, request),
                 Err(e) => {
-                    book.statuses.push((name, Status::new(Stage::Rejected, None).because(e)));
+                    state.statuses.push((name, Status::new(Stage::Rejected, None).with_error(e)));
                 }
             }
         }
     }
 
-    fn publish(&self, book: &mut Book, name: String, request: Request) {
-        let answer = |stage, error: String| {
+    fn publish(&self, state: &mut SpoolState, name: String, request: Request) {
+        let refused = |stage, error: String| {
             tracing::warn!(event = "distribution_not_published", request = %name, "{}: {error}", request.scope);
-            Status::new(stage, Some(request.scope.clone())).because(error)
+            Status::new(stage, Some(request.scope.clone())).with_error(error)
         };
         let age = Duration::from_millis(now_ms().saturating_sub(request.asked_ms));
-        if age > OLDEST {
-            let text = format!("{} s old, {} at most expected", age.as_secs(), OLDEST.as_secs());
-            book.statuses.push((name.clone(), answer(Stage::Expired, text)));
+        if age > MAX_REQUEST_AGE {
+            let text =
+                format!("{} s old, {} at most expected", age.as_secs(), MAX_REQUEST_AGE.as_secs());
+            state.statuses.push((name.clone(), refused(Stage::Expired, text)));
             return;
         }
         let body = request.body().and_then(|text| {
-            let sound = text.map(|text| Patch::read(text.as_bytes())).transpose();
-            sound.map(|_| text.map(|text| text.as_bytes().to_vec())).map_err(|e| e.to_string())
+            let checked = text.map(|text| Patch::parse(text.as_bytes())).transpose();
+            checked.map(|_| text.map(|text| text.as_bytes().to_vec())).map_err(|e| e.to_string())
         });
         let body = match body {
             Ok(body) => body,
             Err(e) => {
-                book.statuses.push((name.clone(), answer(Stage::Rejected, e)));
+                state.statuses.push((name.clone(), refused(Stage::Rejected, e)));
                 return;
             }
         };
@@ -155,8 +157,8 @@
             Ok(version) => {
                 tracing::info!(event = "distribution_published", request = %name, %version, "{}", request.scope);
                 let tracked = Tracked::new(name, request.scope, key, version);
-                book.statuses.push((tracked.name.clone(), tracked.status.clone()));
-                book.tracked.push(tracked);
+                state.statuses.push((tracked.name.clone(), tracked.status.clone()));
+                state.tracked.push(tracked);
             }
             Err(e @ (PublishError::NotWriter(_) | PublishError::CatchingUp(_))) => {
                 let writer = match e {
@@ -164,36 +166,36 @@
                     _ => String::new(),
                 };
                 let text = format!("{e}{writer}");
-                book.statuses.push((name.clone(), answer(Stage::NotTheWriter, text)));
+                state.statuses.push((name.clone(), refused(Stage::NotTheWriter, text)));
             }
-            Err(e) => book.statuses.push((name.clone(), answer(Stage::Rejected, e.to_string()))),
+            Err(e) => state.statuses.push((name.clone(), refused(Stage::Rejected, e.to_string()))),
         }
     }
 
-    /// Takes over what has become of published documents.
-    fn follow(&self, book: &mut Book) {
+    /// Updates the statuses of published documents.
+    fn update_tracked(&self, state: &mut SpoolState) {
         while let Some(event) = self.distribution.take_control_event() {
-            tell(&event);
-            book.tracked.iter_mut().for_each(|tracked| tracked.take(&event));
+            log_event(&event);
+            state.tracked.iter_mut().for_each(|tracked| tracked.on_event(&event));
         }
-        let too_many = book.tracked.len().saturating_sub(MOST_TRACKED);
-        for place in 0..book.tracked.len() {
+        let too_many = state.tracked.len().saturating_sub(MAX_TRACKED);
+        for index in 0..state.tracked.len() {
             let (tracked, later) =
-                book.tracked[place..].split_first_mut().expect("below the length");
+                state.tracked[index..].split_first_mut().expect("below the length");
             let replaced = later.iter().any(|other| other.replaces(tracked));
             let rollout = self.distribution.report(tracked.id.version);
-            if tracked.follow(rollout.as_ref(), replaced, place < too_many) {
-                book.statuses.push((tracked.name.clone(), tracked.status.clone()));
+            if tracked.update(rollout.as_ref(), replaced, index < too_many) {
+                state.statuses.push((tracked.name.clone(), tracked.status.clone()));
             }
             if let Some(ms) = tracked.status.in_force_after_ms {
                 self.in_force_after_ms.set(Some(ms));
             }
         }
-        book.tracked.retain(|tracked| !tracked.status.stage.is_settled());
+        state.tracked.retain(|tracked| !tracked.status.stage.is_settled());
     }
 }
 
-fn tell(event: &ControlEvent) {
+fn log_event(event: &ControlEvent) {
     match event {
         ControlEvent::WriterReady(token) => tracing::info!(
             event = "distribution_writer",
@@ -207,12 +209,12 @@
             "this control node is no longer the writer: member {} is",
             by.owner
         ),
-        // Lists are confirmed once a second.
+        // Lists of servers are committed once a second, too often to log.
         ControlEvent::Committed(id) if id.key.kind == DocumentKind::ServerList => {}
         ControlEvent::Committed(id) => tracing::info!(
             event = "distribution_committed",
             version = %id.version,
-            "{}: a majority of the control nodes has it",
+            "{}: accepted by a majority of the control nodes",
             id.key
         ),
         ControlEvent::Stored(_) => {}
@@ -222,7 +224,7 @@
                 event = "distribution_stopped",
                 version = %stopped.version,
                 %restored,
-                "{}: {} of {} refused it, what was before is put back: {why}",
+                "{}: {} of {} sidecars refused it, the previous document is restored: {why}",
                 stopped.key,
                 rollout.refused,
                 rollout.expected
--- a/crates/plankvale/src/distribution/status.rs
+++ b/crates/plankvale/src/distribution/status.rs
@@ -1,4 +1,4 @@
-//! What became of a request: a file of its own, replaced as things go on.
+//! The status of a request: one file per request, replaced at each change.
 
 use std::path::{Path, PathBuf};
 
@@ -7,111 +7,111 @@
 
 use super::request::NamedScope;
 
-/// Beside the requests.
-const FOLDER: &str = "status";
+/// Name of the folder of statuses, inside the folder of requests.
+const STATUS_FOLDER: &str = "status";
 
-/// How far a request is.
+/// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It makes no sense, or there is no room; nothing was published.
+    /// The request is invalid, or there is no room; nothing was published.
     Rejected,
-    /// This control node was not the writer for too long; nothing was published.
+    /// This control node did not become the writer in time; nothing was published.
     NotTheWriter,
-    /// It lay there for too long; nothing was published.
+    /// The request was too old; nothing was published.
     Expired,
-    /// It has a version; a majority of the control nodes has not accepted it yet.
+    /// The document has a version; a majority of the control nodes has not accepted it yet.
     Proposed,
-    /// A majority of the control nodes has accepted it, in memory, and it goes to the sidecars.
+    /// A majority of the control nodes has accepted it in memory, and it is being sent to the sidecars.
     Committed,
-    /// It is in force at all sidecars that it is for and that were heard of, and a majority of the control nodes has it
-    /// on disk.
+    /// It is in force at all known sidecars of its scope, and a majority of the control nodes has it on
+    /// disk.
     InForce,
-    /// It is in force at all that were heard of since; others, or whole control nodes, are silent, or less than a majority
-    /// of the control nodes has it on disk.
+    /// It is in force at all sidecars that have reported since. Other sidecars or control nodes are
+    /// silent, or no majority of the control nodes has it on disk.
     InForceWhereHeard,
-    /// Too many refused it: what was in force before is published again.
+    /// Too many sidecars refused it; the previous document is published again.
     Stopped,
     /// A later document of the same scope has replaced it.
     Superseded,
-    /// Nothing has changed for long; it is not looked at any more.
+    /// The rollout did not complete in time and is no longer tracked.
     Unsettled,
 }
 
 impl Stage {
-    /// Whether it is in force as far as that can be known.
+    /// Whether the document is in force at all sidecars that have reported.
     pub fn is_in_force(self) -> bool {
         matches!(self, Stage::InForce | Stage::InForceWhereHeard)
     }
 
-    /// Whether nothing more is to come.
+    /// Whether the stage is final.
     pub fn is_settled(self) -> bool {
         !matches!(self, Stage::Proposed | Stage::Committed)
     }
 }
 
-/// Who refused a document first, and why.
+/// The first refusal of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FirstRefusal {
-    /// Its member number.
+    /// Member number of the sidecar that refused it.
     pub member: u16,
-    /// What kind of fault: 1, the document makes no sense; 2, merged into that sidecar's settings it makes none.
+    /// 1 if the document is invalid, 2 if the sidecar's settings merged with it are invalid.
     pub code: u8,
-    /// What was wrong.
+    /// Why it was refused.
     pub reason: String,
 }
 
-/// What became of a request.
+/// The status of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// How far it is.
+    /// How far the request has come.
     pub stage: Stage,
-    /// For whom it is.
+    /// The sidecars that the document is for.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub scope: Option<NamedScope>,
-    /// What was wrong.
+    /// Why the document was not published.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub error: Option<String>,
-    /// Its version.
+    /// Version of the document.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub version: Option<Version>,
-    /// Sidecars where it is in force.
+    /// Number of sidecars where the document is in force.
     pub in_force: u32,
-    /// Sidecars that it is for and that were heard of.
+    /// Number of known sidecars that the document is for.
     pub expected: u32,
-    /// Sidecars that refused it.
+    /// Number of sidecars that refused the document.
     pub refused: u32,
-    /// The first of these.
+    /// The first refusal.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub first_refusal: Option<FirstRefusal>,
-    /// Sidecars that were silent since it was published.
+    /// Number of sidecars that have not reported since the publication.
     pub not_heard: u32,
-    /// Some of these.
+    /// Some of these sidecars.
     pub not_heard_members: Vec<u16>,
-    /// Sidecars that have just come from another control node and are counted in a moment.
+    /// Number of sidecars that have just moved from another control node and are not counted yet.
     #[serde(default)]
     pub moving: u32,
-    /// Control nodes that have it on their disk.
+    /// Number of control nodes that have the document on disk.
     #[serde(default)]
     pub on_disk: u32,
-    /// Control nodes that there are.
+    /// Number of control nodes.
     #[serde(default)]
     pub control_nodes: u32,
-    /// Control nodes that have not reported.
+    /// Number of control nodes that have not reported.
     pub control_nodes_missing: u32,
-    /// The version under which what was before was put back.
+    /// The new version of the previous document, if that was published again.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub restored: Option<Version>,
-    /// Milliseconds from its publication until a majority had accepted it.
+    /// Milliseconds from the publication until a majority had accepted the document.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub committed_after_ms: Option<u64>,
-    /// Milliseconds from its publication until it was known to be in force everywhere.
+    /// Milliseconds from the publication until the document was known to be in force everywhere.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub in_force_after_ms: Option<u64>,
 }
 
 impl Status {
-    /// One that nothing more is known of.
+    /// A status at `stage` without further details.
     pub fn new(stage: Stage, scope: Option<NamedScope>) -> Status {
         Status {
             stage,
@@ -134,20 +134,20 @@
         }
     }
 
-    /// The same with what was wrong.
-    pub fn because(self, error: impl Into<String>) -> Status {
+    /// Adds the error.
+    pub fn with_error(self, error: impl Into<String>) -> Status {
         Status { error: Some(error.into()), ..self }
     }
 
-    /// Takes over how far the document has come.
-    pub fn count(&mut self, rollout: &Rollout) {
+    /// Copies the counts of the rollout.
+    pub fn update_counts(&mut self, rollout: &Rollout) {
         self.in_force = rollout.in_force;
         self.expected = rollout.expected;
         self.refused = rollout.refused;
         self.not_heard = rollout.not_heard;
         self.not_heard_members = rollout.not_heard_members.clone();
         self.moving = rollout.moving;
-        // What is on a disk stays there while its control node is silent.
+        // A document on disk stays there while its control node is silent, so the count never falls.
         self.on_disk = self.on_disk.max(rollout.kept);
         self.control_nodes = rollout.control_nodes;
         self.control_nodes_missing = rollout.control_nodes_missing;
@@ -158,12 +158,12 @@
         });
     }
 
-    /// Whether a majority of the control nodes has it on disk.
+    /// Whether a majority of the control nodes has the document on disk.
     pub fn is_durable(&self) -> bool {
         self.control_nodes > 0 && self.on_disk > self.control_nodes / 2
     }
 
-    /// It in words, for one line.
+    /// The status as one line of text.
     pub fn describe(&self) -> String {
         let scope = self.scope.as_ref().map_or("?".to_owned(), ToString::to_string);
         let stage = match self.stage {
@@ -211,12 +211,12 @@
     }
 }
 
-/// The folder of all statuses.
-pub fn folder(of: &Path) -> PathBuf {
-    of.join(FOLDER)
+/// The folder of statuses inside the folder of requests.
+pub fn folder(requests: &Path) -> PathBuf {
+    requests.join(STATUS_FOLDER)
 }
 
-/// The file of a request's status.
-pub fn path(of: &Path, request: &str) -> PathBuf {
-    folder(of).join(format!("{request}.json"))
+/// Path of the status file of a request.
+pub fn path(requests: &Path, request: &str) -> PathBuf {
+    folder(requests).join(format!("{request}.json"))
 }
--- a/crates/plankvale/src/distribution/tracked.rs
+++ b/crates/plankvale/src/distribution/tracked.rs
@@ -1,4 +1,4 @@
-//! A published document on its way, as its status tells it.
+//! Tracks the rollout of a published document for its status.
 
 use std::time::{Duration, Instant};
 
@@ -7,25 +7,25 @@
 use super::request::NamedScope;
 use super::status::{Stage, Status};
 
-/// Where some are silent, that is what there is to know after so long: by then sidecars have left a control node that
-/// is gone, and are counted at another one.
-const KNOWN_AFTER: Duration = Duration::from_secs(6);
-/// A document that is not in force everywhere is followed for so long.
-const FOLLOWED: Duration = Duration::from_secs(120);
+/// A rollout with silent sidecars counts as settled after this time. By then, sidecars have left a
+/// failed control node and are counted at another one.
+const SETTLE_DESPITE_SILENT: Duration = Duration::from_secs(6);
+/// How long a document that is not in force everywhere is tracked.
+const TRACKING_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// One of them.
+/// A published document and the status of its rollout.
 pub struct Tracked {
-    /// The request's name.
+    /// Name of the request.
     pub name: String,
-    /// The document.
+    /// Key and version of the document.
     pub id: DocumentId,
-    /// As it was last written.
+    /// The current status.
     pub status: Status,
     published: Instant,
 }
 
 impl Tracked {
-    /// One that has just been published.
+    /// Starts to track a document that has just been published.
     pub fn new(name: String, scope: NamedScope, key: DocumentKey, version: Version) -> Tracked {
         let status = Status { version: Some(version), ..Status::new(Stage::Proposed, Some(scope)) };
         Tracked { name, id: DocumentId { key, version }, status, published: Instant::now() }
@@ -35,15 +35,15 @@
         self.published.elapsed().as_millis() as u64
     }
 
-    /// Something has happened at this control node.
-    pub fn take(&mut self, event: &ControlEvent) {
+    /// Updates the status after an event at this control node.
+    pub fn on_event(&mut self, event: &ControlEvent) {
         match event {
             ControlEvent::Committed(id) if *id == self.id => {
                 self.status.stage = Stage::Committed;
                 self.status.committed_after_ms = Some(self.age_ms());
             }
             ControlEvent::Stopped { stopped, rollout, restored, .. } if *stopped == self.id => {
-                self.status.count(rollout);
+                self.status.update_counts(rollout);
                 self.status.stage = Stage::Stopped;
                 self.status.restored = Some(*restored);
             }
@@ -51,24 +51,26 @@
         }
     }
 
-    /// Whether this one takes the place of an earlier one: it is for the same scope and committed.
+    /// Whether this document replaces an earlier one: it has the same scope and is committed.
     pub fn replaces(&self, earlier: &Tracked) -> bool {
         let committed = self.status.committed_after_ms.is_some();
         committed && self.id.key == earlier.id.key && self.id.version > earlier.id.version
     }
 
-    fn is_known_where_heard(&self) -> bool {
+    /// Whether the document is in force at all sidecars that have reported, and the silent ones have
+    /// had enough time to report.
+    fn is_settled_despite_silent(&self) -> bool {
         let Status { in_force, not_heard, expected, moving, .. } = self.status;
         let decided = moving == 0 && in_force + not_heard == expected;
-        self.published.elapsed() > KNOWN_AFTER && in_force > 0 && decided
+        self.published.elapsed() > SETTLE_DESPITE_SILENT && in_force > 0 && decided
     }
 
-    /// Takes over how far it has come. `replaced`: a later one has its place; `give_up`: there is no room to follow it.
-    /// True: the status has changed.
-    pub fn follow(&mut self, rollout: Option<&Rollout>, replaced: bool, give_up: bool) -> bool {
+    /// Updates the status from the rollout. `replaced`: a later document has replaced this one;
+    /// `give_up`: there is no room to track it any more. Returns whether the status has to be written.
+    pub fn update(&mut self, rollout: Option<&Rollout>, replaced: bool, give_up: bool) -> bool {
         let before = self.status.clone();
         if let Some(rollout) = rollout.filter(|_| !self.status.stage.is_settled()) {
-            self.status.count(rollout);
+            self.status.update_counts(rollout);
         }
         let complete = rollout.is_some_and(Rollout::is_complete);
         match self.status.stage {
@@ -76,16 +78,16 @@
                 self.status.stage = Stage::InForce;
                 self.status.in_force_after_ms = Some(self.age_ms());
             }
-            Stage::Committed if self.is_known_where_heard() => {
+            Stage::Committed if self.is_settled_despite_silent() => {
                 self.status.stage = Stage::InForceWhereHeard;
             }
             Stage::Proposed | Stage::Committed if replaced => self.status.stage = Stage::Superseded,
             Stage::Proposed | Stage::Committed
-                if give_up || self.published.elapsed() > FOLLOWED =>
+                if give_up || self.published.elapsed() > TRACKING_TIMEOUT =>
             {
                 self.status.stage = Stage::Unsettled;
             }
-            // What an event has settled is written once.
+            // The stage was set by an event; the status is written once.
             _ => {}
         }
         before != self.status || self.status.stage.is_settled()
--- a/crates/plankvale/src/edge.rs
+++ b/crates/plankvale/src/edge.rs
@@ -1,4 +1,5 @@
-//! `plankvale edge`: what stores of kept writes hold, and an operator's word on what is in doubt.
+//! `plankvale edge`: shows the stores of kept writes, and records operators' decisions on writes in
+//! doubt.
 
 use std::fs::File;
 use std::io::{self, Write as _};
@@ -10,45 +11,47 @@
 use millethook_edge::{Book, State, WriteId, log};
 use millethook_http::edge::folder::{self, StoreFile};
 
-/// What is done with a folder of stores.
+/// Commands on a folder of stores of kept writes.
 #[derive(Subcommand, Debug)]
 pub enum EdgeCommand {
-    /// Print what each store holds, and each write that has no end or did not end well
+    /// Print the counts of each store, and each write that is unfinished or did not end well
     Show {
-        /// The folder that `edge.folder` names
+        /// The folder configured as `edge.folder`
         folder: PathBuf,
     },
-    /// Print each write without an end, or set apart, as JSON, one a line, with its body in hexadecimal
+    /// Print each write that is unfinished or set apart, one JSON object per line, with its body in hexadecimal
     Export {
-        /// The folder that `edge.folder` names
+        /// The folder configured as `edge.folder`
         folder: PathBuf,
     },
-    /// Have a write that is in doubt sent again: it is known not to have run, or may run twice
+    /// Send a write in doubt again: it is known not to have run, or it may run twice
     Release {
-        /// The folder that `edge.folder` names
+        /// The folder configured as `edge.folder`
         folder: PathBuf,
-        /// The write's name, as `show` prints it
+        /// The write's id as printed by `show`
         write: WriteId,
     },
-    /// Have a write not sent any more; those that come after it go on
+    /// Stop sending a write; the writes that wait for it continue
     Drop {
-        /// The folder that `edge.folder` names
+        /// The folder configured as `edge.folder`
         folder: PathBuf,
-        /// The write's name, as `show` prints it
+        /// The write's id as printed by `show`
         write: WriteId,
     },
 }
 
 impl EdgeCommand {
-    /// Carries the command out.
+    /// Runs the command and returns the text to print.
     ///
     /// # Errors
-    /// Names the folder, the store or the write that it was not possible with.
-    pub fn carry_out(&self) -> Result<String, String> {
+    /// Names the folder, the store or the write that failed.
+    pub fn execute(&self) -> Result<String, String> {
         match self {
-            EdgeCommand::Show { folder } => each(folder, show),
-            EdgeCommand::Export { folder } => each(folder, export),
-            EdgeCommand::Release { folder, write } => say(folder, *write, &Record::Release),
+            EdgeCommand::Show { folder } => for_each_store(folder, show),
+            EdgeCommand::Export { folder } => for_each_store(folder, export),
+            EdgeCommand::Release { folder, write } => {
+                append_record(folder, *write, &Record::Release)
+            }
             EdgeCommand::Drop { folder, write } => {
                 let end = Record::End {
                     how: End::Dropped,
@@ -56,7 +59,7 @@
                     answer: Vec::new(),
                     at_ms: now_ms(),
                 };
-                say(folder, *write, &end)
+                append_record(folder, *write, &end)
             }
         }
     }
@@ -66,7 +69,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-fn each(
+fn for_each_store(
     folder: &Path,
     print: fn(&Path, &Book, &mut Vec<String>) -> io::Result<()>,
 ) -> Result<String, String> {
@@ -82,7 +85,7 @@
     Ok(lines.join("\n"))
 }
 
-fn state(state: State) -> String {
+fn describe_state(state: State) -> String {
     match state {
         State::Taken => "not acknowledged".into(),
         State::Kept => "kept".into(),
@@ -117,7 +120,7 @@
         let after: Vec<String> = entry.after.iter().map(ToString::to_string).collect();
         let after =
             if after.is_empty() { String::new() } else { format!(", after {}", after.join(" ")) };
-        lines.push(format!("  {id}  {class}  {}, {age} s old{after}", state(entry.state)));
+        lines.push(format!("  {id}  {class}  {}, {age} s old{after}", describe_state(entry.state)));
     }
     Ok(())
 }
@@ -132,7 +135,7 @@
             .collect();
         let body: String = write.body.iter().map(|b| format!("{b:02x}")).collect();
         let line = serde_json::json!({
-            "write": WriteId { edge: book.edge, seq }.to_string(), "state": state(entry.state),
+            "write": WriteId { edge: book.edge, seq }.to_string(), "state": describe_state(entry.state),
             "kept_ms": write.at_ms, "class": write.class, "method": write.method,
             "target": write.target, "headers": headers, "body": body,
         });
@@ -141,8 +144,8 @@
     Ok(())
 }
 
-/// Writes an operator's word where the owner of the replay reads it.
-fn say(folder: &Path, write: WriteId, record: &Record) -> Result<String, String> {
+/// Appends an operator's record to the log that the sidecar that replays the store reads.
+fn append_record(folder: &Path, write: WriteId, record: &Record) -> Result<String, String> {
     let wrong = |e: io::Error| format!("{}: {e}", folder.display());
     let (book, _) = folder::load(folder, write.edge).map_err(wrong)?;
     let entry = book.entry(write.seq).ok_or_else(|| format!("{write}: no such write"))?;
@@ -153,8 +156,8 @@
     };
     if !fits {
         return Err(format!(
-            "{write}: one in doubt or without an end expected, it is {}",
-            state(entry.state)
+            "{write}: a write in doubt or without an end expected, this one is {}",
+            describe_state(entry.state)
         ));
     }
     let mut bytes = Vec::new();
@@ -166,5 +169,5 @@
         file.sync_all()
     };
     append().map_err(wrong)?;
-    Ok(format!("{write}: told; the sidecar that replays it hears of it within a second"))
+    Ok(format!("{write}: recorded; the sidecar that replays it reads it within a second"))
 }
--- a/crates/plankvale/src/tuning.rs
+++ b/crates/plankvale/src/effective_settings.rs
@@ -1,5 +1,5 @@
-//! Settings in force: those of `LB_CONFIG`, patched by documents, with what the product's file adds. This is the one
-//! place that makes and checks them, whether a start, SIGHUP or a document asks for it.
+//! The effective settings: those of `LB_CONFIG`, patched by documents, with the additions of the
+//! product's file. They are made and checked here only, at the start, at SIGHUP and for new documents.
 
 use std::rc::Rc;
 
@@ -12,48 +12,48 @@
 
 use crate::distribution::patch::Patch;
 
-/// What settings are made of, beside documents.
+/// The parts from which settings are made, apart from documents.
 #[derive(Clone)]
 pub struct SettingsSource {
-    /// The file's.
+    /// The `settings` object of the file.
     settings: Value,
-    /// Addresses of peers in the file.
+    /// Number of peer addresses in the file.
     peers: usize,
     product: Rc<Product>,
 }
 
-/// Settings that were checked.
-pub struct Tuned {
-    /// The module's settings.
+/// Checked settings.
+pub struct EffectiveSettings {
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names that stand on sockets for the module's numbers.
+    /// The names used in HTTP messages for the module's numbers.
     pub names: Names,
-    /// The object that they were read from.
+    /// The JSON object from which they were read.
     pub raw: Value,
 }
 
 impl SettingsSource {
-    /// Those of a file that names so many peers.
+    /// Takes the `settings` object of a file that lists `peers` peer addresses.
     pub fn new(settings: Value, peers: usize, product: Rc<Product>) -> SettingsSource {
         SettingsSource { settings, peers, product }
     }
 
-    /// Makes the settings in force; the patches are in the order of merge.
+    /// Makes the effective settings; `patches` are applied in order.
     ///
     /// # Errors
-    /// Names the key that makes no sense, and what was expected.
-    pub fn tuned(&self, patches: &[Patch]) -> Result<Tuned, String> {
+    /// Names the invalid key and the expected value.
+    pub fn effective(&self, patches: &[Patch]) -> Result<EffectiveSettings, String> {
         let mut raw = self.settings.clone();
         patches.iter().for_each(|patch| patch.apply(&mut raw));
         let mut settings = Settings::from_json(raw.to_string().as_bytes())?;
         if self.peers > 0 && self.peers != settings.instances as usize {
-            return Err("peers: as many as settings.instances expected".into());
+            return Err("peers: as many addresses as settings.instances expected".into());
         }
         retune(&self.product, &mut settings);
         if let Some(edge) = &self.product.edge {
             add_replay_classes(&edge.classes, &mut settings);
         }
         let names = Names::new(&settings, &raw)?;
-        Ok(Tuned { settings, names, raw })
+        Ok(EffectiveSettings { settings, names, raw })
     }
 }
--- a/crates/plankvale/src/fleet.rs
+++ b/crates/plankvale/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `plankvale fleet`: the views of one or many sidecars, read at their operators' addresses.
+//! `plankvale fleet`: prints the fleet views of one or more sidecars, read from their admin addresses.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -8,12 +8,12 @@
 
 use serde_json::Value;
 
-/// How long one sidecar may take to answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// The longest answer.
-const LONGEST: u64 = 1 << 20;
+/// Limit for each step of the request to one sidecar.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longer answers are cut.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// What one sidecar says of the fleet.
+/// The `fleet` metrics of one sidecar.
 struct View {
     figures: BTreeMap<String, u64>,
 }
@@ -23,7 +23,7 @@
         self.figures.get(name).copied().unwrap_or(0)
     }
 
-    /// Members that are not there, in words.
+    /// The absent members and their status, as text.
     fn absent(&self) -> String {
         let absent = self.figures.keys().filter_map(|key| key.strip_prefix("absent."));
         let words: Vec<String> = absent.map(|a| a.replace('.', " ")).collect();
@@ -31,9 +31,9 @@
     }
 }
 
-/// Prints the views.
-pub fn show(whom: &str) -> ExitCode {
-    let addresses = match addresses(whom) {
+/// Prints the views of the sidecars that `target` names.
+pub fn show(target: &str) -> ExitCode {
+    let addresses = match addresses(target) {
         Ok(addresses) => addresses,
         Err(e) => {
             eprintln!("{e}");
@@ -42,7 +42,7 @@
     };
     let mut views = Vec::new();
     for at in addresses {
-        match ask(at) {
+        match fetch_view(at) {
             Ok(view) => {
                 println!(
                     "{at}  view {:08x}  alive {}  suspect {}  dead {}  left {}  unknown {}  {}",
@@ -67,39 +67,39 @@
     if agree { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
-/// The operators' addresses that are meant.
-fn addresses(whom: &str) -> Result<Vec<SocketAddr>, String> {
-    if let Ok(at) = whom.parse() {
+/// The admin addresses that `target` names: itself, or those in the file.
+fn addresses(target: &str) -> Result<Vec<SocketAddr>, String> {
+    if let Ok(at) = target.parse() {
         return Ok(vec![at]);
     }
-    let text = std::fs::read_to_string(whom)
-        .map_err(|e| format!("{whom}: an address and a port, or a file, expected: {e}"))?;
+    let text = std::fs::read_to_string(target)
+        .map_err(|e| format!("{target}: an address and a port, or a file, expected: {e}"))?;
     if let Ok(config) = serde_json::from_str::<Value>(&text) {
-        let admin = config["admin"].as_str().ok_or(format!("{whom}: admin: expected"))?;
+        let admin = config["admin"].as_str().ok_or(format!("{target}: admin: expected"))?;
         let admin = admin.parse();
         return Ok(vec![
-            admin.map_err(|_| format!("{whom}: admin: an address and a port expected"))?,
+            admin.map_err(|_| format!("{target}: admin: an address and a port expected"))?,
         ]);
     }
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     let read = lines.map(|(n, line)| {
         let wrong =
-            |_| format!("{whom}: line {}: an address and a port expected, not {line:?}", n + 1);
+            |_| format!("{target}: line {}: an address and a port expected, not {line:?}", n + 1);
         line.trim().parse().map_err(wrong)
     });
     let read: Vec<SocketAddr> = read.collect::<Result<_, _>>()?;
-    if read.is_empty() { Err(format!("{whom}: an address a line expected")) } else { Ok(read) }
+    if read.is_empty() { Err(format!("{target}: one address per line expected")) } else { Ok(read) }
 }
 
-fn ask(at: SocketAddr) -> Result<View, String> {
+fn fetch_view(at: SocketAddr) -> Result<View, String> {
     let io = |e: std::io::Error| e.to_string();
-    let mut socket = TcpStream::connect_timeout(&at, PATIENCE).map_err(io)?;
-    socket.set_read_timeout(Some(PATIENCE)).map_err(io)?;
-    socket.set_write_timeout(Some(PATIENCE)).map_err(io)?;
-    let call = "GET /v1/metrics HTTP/1.1\r\nHost: operator\r\nConnection: close\r\n\r\n";
-    socket.write_all(call.as_bytes()).map_err(io)?;
+    let mut socket = TcpStream::connect_timeout(&at, IO_TIMEOUT).map_err(io)?;
+    socket.set_read_timeout(Some(IO_TIMEOUT)).map_err(io)?;
+    socket.set_write_timeout(Some(IO_TIMEOUT)).map_err(io)?;
+    let request = "GET /v1/metrics HTTP/1.1\r\nHost: operator\r\nConnection: close\r\n\r\n";
+    socket.write_all(request.as_bytes()).map_err(io)?;
     let mut text = String::new();
-    socket.take(LONGEST).read_to_string(&mut text).map_err(io)?;
+    socket.take(MAX_ANSWER_BYTES).read_to_string(&mut text).map_err(io)?;
     let figures: BTreeMap<String, u64> = (text.lines())
         .filter_map(|line| {
             let (name, value) = line.strip_prefix("sidecar.fleet.")?.split_once(':')?;
@@ -107,7 +107,10 @@
         })
         .collect();
     match figures.is_empty() {
-        true => Err("it keeps no view of the fleet: [fleet] in its product's file expected".into()),
+        true => {
+            Err("no view of the fleet: a section [fleet] in the sidecar's product file expected"
+                .into())
+        }
         false => Ok(View { figures }),
     }
 }
--- a/crates/plankvale/src/succession.rs
+++ b/crates/plankvale/src/handover.rs
@@ -1,4 +1,5 @@
-//! A new version of the daemon beside the old one: who holds the seat, and connections on their way.
+//! Upgrades: a new process of the daemon takes client connections over from the old one. The seat, a
+//! socket in a folder that the processes share, is where a process finds its successor.
 
 use std::future::{Future, ready};
 use std::io;
@@ -17,27 +18,29 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// After a failed accept.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// The place of this process among those of one sidecar.
-pub struct Place {
-    /// The seat, from which the next process can be found.
+/// This process's turn among the processes of one sidecar.
+pub struct ProcessTurn {
+    /// The seat, at which the next process can be found.
     pub seat: Rc<Seat>,
-    /// Where that is.
+    /// Path of the seat.
     path: PathBuf,
-    /// Who held it before.
+    /// The process that held the seat before, if any.
     incumbent: Option<Incumbent>,
-    /// Whether the process before this one has begun to hand over.
-    begun: watch::Sender<bool>,
+    /// Whether the previous process has begun to hand over.
+    handover_started: watch::Sender<bool>,
 }
 
-impl Place {
-    /// Takes the seat of this sidecar, in the folder that its processes share (`TMPDIR`), or stands in line for it. Without that
-    /// folder, or where it cannot be written to, the daemon serves all the same, and drains at its end.
-    pub fn take(name: &str) -> Option<Place> {
+impl ProcessTurn {
+    /// Takes the seat of this sidecar in the folder that its processes share (`TMPDIR`), or queues for it.
+    /// Without that folder, or if it cannot be written, the daemon serves without hand-over and drains at
+    /// its end.
+    pub fn acquire(name: &str) -> Option<ProcessTurn> {
         let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-        // A name may hold what no file's name can, and a socket's path is short.
+        // The name is hashed: it may hold characters that file names cannot, and a socket's path is
+        // limited in length.
         let file = format!("plankvale-{:016x}.seat", stable_hash(name.as_bytes()));
         let path = PathBuf::from(folder).join(file);
         let incumbent = Incumbent::at(&path);
@@ -47,13 +50,13 @@
         };
         match seat {
             Ok(seat) => {
-                let begun = watch::Sender::new(false);
-                Some(Place { seat: seat.into(), path, incumbent, begun })
+                let handover_started = watch::Sender::new(false);
+                Some(ProcessTurn { seat: seat.into(), path, incumbent, handover_started })
             }
             Err(e) => {
                 tracing::warn!(
                     event = "handover_off",
-                    "no connections can be passed on at an upgrade: {}: {e}",
+                    "connections cannot be handed over at an upgrade: {}: {e}",
                     path.display()
                 );
                 None
@@ -61,24 +64,25 @@
         }
     }
 
-    /// Goes on with what processes before this one pass on. The future is done once it is this process's turn to take
-    /// requests: the one before it has begun to hand over, has ended, or says nothing.
-    pub fn succeed(
+    /// Starts to take connections over from previous processes. The returned future completes when this
+    /// process may accept requests: the previous process has begun to hand over, has ended, or does not
+    /// respond.
+    pub fn take_over(
         self,
         ingress: Rc<Ingress>,
         ids: Rc<RequestIdRegistry>,
     ) -> impl Future<Output = ()> {
-        let Place { seat, path, mut incumbent, begun } = self;
-        let mut turn = begun.subscribe();
-        spawn_local(adopt(seat.clone(), ingress, ids, begun));
+        let ProcessTurn { seat, path, mut incumbent, handover_started } = self;
+        let mut started = handover_started.subscribe();
+        spawn_local(accept_predecessors(seat.clone(), ingress, ids, handover_started));
         async move {
-            while let Some(before) = incumbent {
+            while let Some(previous) = incumbent {
                 let handed_over = tokio::select! {
-                    _ = turn.wait_for(|begun| *begun) => true,
-                    () = before.ended() => false,
+                    _ = started.wait_for(|started| *started) => true,
+                    () = previous.ended() => false,
                 };
                 incumbent = match seat.take_turn() {
-                    // One that came later is next, and this one waits for that.
+                    // A process that started later has taken the seat; this one waits for it.
                     Ok(false) if !handed_over => Incumbent::overtaking(&path),
                     Ok(_) => None,
                     Err(e) => {
@@ -91,42 +95,48 @@
     }
 }
 
-/// Goes on with what processes before this one pass on.
-async fn adopt(
+/// Accepts previous processes at the seat and takes over what each passes on.
+async fn accept_predecessors(
     seat: Rc<Seat>,
     ingress: Rc<Ingress>,
     ids: Rc<RequestIdRegistry>,
-    begun: watch::Sender<bool>,
+    handover_started: watch::Sender<bool>,
 ) {
     loop {
         match seat.predecessor().await {
             Ok(predecessor) => {
-                let taking = take_over(predecessor, ingress.clone(), ids.clone(), begun.clone());
-                drop(spawn_local(taking));
+                let receiving = receive_handover(
+                    predecessor,
+                    ingress.clone(),
+                    ids.clone(),
+                    handover_started.clone(),
+                );
+                drop(spawn_local(receiving));
             }
             Err(e) => {
                 tracing::warn!(
                     event = "handover_failed",
-                    "a process that wants to pass connections on: {e}"
+                    "cannot accept a process that hands connections over: {e}"
                 );
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-async fn take_over(
+/// Takes over connections and request ids from one previous process until it closes the channel.
+async fn receive_handover(
     predecessor: Predecessor,
     ingress: Rc<Ingress>,
     ids: Rc<RequestIdRegistry>,
-    begun: watch::Sender<bool>,
+    handover_started: watch::Sender<bool>,
 ) {
     let mut taken = 0;
     loop {
         let passed = predecessor.next().await;
-        // One that only asks whether this process lives passes nothing on.
+        // A process that only checks whether this one is alive passes nothing on.
         if let Ok(Some(_)) = passed {
-            begun.send_replace(true);
+            handover_started.send_replace(true);
         }
         match passed {
             Ok(Some(Passed::Connection(socket, asked))) => {
@@ -141,7 +151,10 @@
             }
             Ok(None) => break,
             Err(e) => {
-                tracing::warn!(event = "handover_failed", "the process before this one: {e}");
+                tracing::warn!(
+                    event = "handover_failed",
+                    "hand-over from the previous process: {e}"
+                );
                 break;
             }
         }
@@ -149,27 +162,27 @@
     if taken > 0 {
         tracing::info!(
             event = "took_over",
-            "went on with {taken} connections of the process before this one"
+            "took over {taken} connections of the previous process"
         );
     }
 }
 
-/// The process after this one, as clients' connections see it.
-pub struct Next(pub Successor);
+/// The next process, as the receiver of client connections.
+pub struct NextProcess(pub Successor);
 
-impl ingress::Successor for Next {
+impl ingress::Successor for NextProcess {
     fn pass_ids(&self, ids: &[u64]) {
         if let Err(e) = self.0.pass_ids(ids) {
-            tracing::warn!(event = "ids_stay", "the ids that are in use stay here: {e}");
+            tracing::warn!(event = "ids_stay", "cannot pass on the request ids in use: {e}");
         }
     }
 
     fn reserve_id(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>> {
         match self.0.claim(id) {
-            Ok(asked) => Box::pin(asked.granted()),
-            // So much is under way to it that no more fits.
+            Ok(reservation) => Box::pin(reservation.granted()),
+            // The channel to the successor is full.
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Box::pin(ready(None)),
-            // It has ended, and nobody else can have the id.
+            // The successor has ended, so no other process can use the id.
             Err(_) => Box::pin(ready(Some(true))),
         }
     }
@@ -177,7 +190,7 @@
     fn pass_connection(&self, connection: &TcpStream, asked: bool) -> bool {
         let passed = self.0.pass(connection, asked.into());
         if let Err(e) = &passed {
-            tracing::debug!(event = "connection_stays", "a connection stays here: {e}");
+            tracing::debug!(event = "connection_stays", "cannot pass on a connection: {e}");
         }
         passed.is_ok()
     }
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -1,17 +1,17 @@
-//! The daemon: clients on one side, servers on the other, and discovery and the other sidecars
-//! beside them, for as long as the process lives.
+//! The daemon: accepts clients' requests and sends them to servers, with discovery, the view of the
+//! fleet and distributed configuration.
 #![forbid(unsafe_code)]
 
+mod admin;
 pub mod cli;
 pub mod config;
 mod distribution;
 mod edge;
+mod effective_settings;
 mod fleet;
-mod follower;
-mod operated;
+mod handover;
+mod reloader;
 mod shutdown;
-mod succession;
-mod tuning;
 
 use std::future::Future;
 use std::io;
@@ -36,27 +36,31 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
+use admin::AdminState;
 use config::Config;
-use distribution::{Begun, Spool};
-use follower::{Follower, Inert};
+use distribution::{DistributionStart, Spool};
 use millethook_config::Product;
-use operated::Operated;
+use reloader::{Reloader, StartupConfig};
 
-/// Connections that may wait to be accepted: a crowd comes within a second.
-const BACKLOG: i32 = 4096;
-/// The share of the memory that bodies of requests may take.
-const BODIES: f64 = 0.4;
+/// Length of the listen queue. Many clients may connect within the same second.
+const LISTEN_BACKLOG: i32 = 4096;
+/// Share of the process's memory limit that request bodies may take.
+const BODY_MEMORY_SHARE: f64 = 0.4;
 
-/// How long the last write of the list of servers may hold up the end.
-const LAST_WRITE: Duration = Duration::from_secs(1);
-/// How long a process beside another one waits for a list of servers before it accepts clients.
-const UNLISTED: Duration = Duration::from_secs(1);
+/// Limit on how long the final write of each snapshot may delay the exit.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a process that shares its listener with another one waits for a list of servers before
+/// it accepts clients.
+const SERVER_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A change of the configuration, as SIGHUP brings it, or what is wrong with the file.
+/// A configuration read at SIGHUP, or the error in the file.
 pub type Reload = Result<Box<Config>, String>;
 
-/// Runs the sidecar until `stop` is done and all that was taken is answered. `reloads` brings the
-/// configurations that come later. An error names the address that could not be had.
+/// Runs the sidecar until `stop` completes and all accepted requests are answered. `reloads` yields
+/// later configurations.
+///
+/// # Errors
+/// Names the configuration key or the address that cannot be used.
 pub async fn run(
     config: Config,
     stop: impl Future<Output = ()>,
@@ -65,7 +69,7 @@
     run_on(FileSystem, config, stop, reloads).await
 }
 
-/// The same, on a storage of the caller's for writes that are kept.
+/// Like [`run`], with the caller's storage for kept writes.
 ///
 /// # Errors
 /// As [`run`].
@@ -75,8 +79,8 @@
     stop: impl Future<Output = ()>,
     reloads: mpsc::Receiver<Reload>,
 ) -> Result<(), String> {
-    let inert = Inert::of(&config);
-    let Begun { distribution, tuned } = distribution::begin(&config)?;
+    let startup = StartupConfig::of(&config);
+    let DistributionStart { distribution, effective } = distribution::start(&config)?;
     let listener = match config.inherited {
         Some(fd) => inherited::listener(fd)
             .and_then(TcpListener::from_std)
@@ -87,16 +91,16 @@
         Some(at) => Some(listen(at).map_err(|e| format!("admin: {at}: {e}"))?),
         None => None,
     };
-    let place = config.inherited.and_then(|_| succession::Place::take(&config.name));
-    let seat = place.as_ref().map(|place| place.seat.clone());
+    let process_turn = config.inherited.and_then(|_| handover::ProcessTurn::acquire(&config.name));
+    let seat = process_turn.as_ref().map(|turn| turn.seat.clone());
     let Config { peers, peers_all: all, .. } = config;
     let keeper = product::keeper(&config.product, &config.name)?;
     let connections = product::connections(&config.product, Limits::default());
     let peers = config.peer_listen.map(|listen| PeerConfig { listen, peers, all });
     let sockets = Rc::new(Sockets::new(config.sockets));
     let engine = EngineConfig {
-        settings: tuned.settings,
-        names: Arc::new(tuned.names),
+        settings: effective.settings,
+        names: Arc::new(effective.names),
         seed: config.seed,
         discovery: Some(config.discovery),
         known: config.known,
@@ -109,7 +113,7 @@
         distribution,
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
-    let bytes = Bytes::new((config.memory as f64 * BODIES) as usize);
+    let bytes = Bytes::new((config.memory as f64 * BODY_MEMORY_SHARE) as usize);
     let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ingress = Ingress::new(
         engine.driver.clone(),
@@ -118,54 +122,55 @@
         bytes,
         ids.clone(),
     );
-    let edge = keep_writes(&config.product, &engine, &ingress, storage)?;
-    let documents = engine.fleet.as_ref().and_then(|fleet| fleet.distribution.clone());
-    let spool = take_requests(&config.product, &engine, documents.as_ref())?;
-    let reloaded = Rc::default();
-    let follower = Follower {
-        inert,
-        whole: config.raw,
+    let edge = start_edge(&config.product, &engine, &ingress, storage)?;
+    let distribution = engine.fleet.as_ref().and_then(|fleet| fleet.distribution.clone());
+    let spool = start_spool(&config.product, &engine, distribution.as_ref())?;
+    let reload_counts = Rc::default();
+    let reloader = Reloader {
+        startup,
+        raw: config.raw,
         source: config.source,
         engine: engine.clone(),
         ingress: ingress.clone(),
         edge: edge.clone(),
-        reloaded: Rc::clone(&reloaded),
-        distribution: documents.clone(),
+        counts: Rc::clone(&reload_counts),
+        distribution: distribution.clone(),
     };
-    spawn_local(follower.follow(reloads));
-    let operated = Rc::new(Operated::new(ingress.clone(), engine.clone(), edge, reloaded, spool));
+    spawn_local(reloader.run(reloads));
+    let admin_state =
+        Rc::new(AdminState::new(ingress.clone(), engine.clone(), edge, reload_counts, spool));
     if let Some(admin) = admin {
         let at = admin.local_addr().map_err(|e| format!("admin: {e}"))?;
         tracing::info!(event = "admin_listening", "operators call at {at}");
-        spawn_local(millethook_admin::serve(admin, operated.clone()));
+        spawn_local(millethook_admin::serve(admin, admin_state.clone()));
     }
     let at = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     tracing::info!(event = "listening", "{} listens on {at}", config.name);
-    let turn = place.map(|place| place.succeed(ingress.clone(), ids));
+    let turn_reached = process_turn.map(|turn| turn.take_over(ingress.clone(), ids));
     let shares_listener = config.inherited.is_some();
-    let (front, driver) = (ingress.clone(), engine.driver.clone());
+    let (acceptor, driver) = (ingress.clone(), engine.driver.clone());
     let accepting = async move {
-        // The process beside this one serves until this one can, and then until it hands over: the two do not know
-        // which requests the other one has open.
+        // The other process serves until this one has servers, and then until it hands over: neither
+        // process knows which requests the other one has open.
         if shares_listener {
-            let _ = timeout(UNLISTED, driver.first_listed()).await;
+            let _ = timeout(SERVER_LIST_TIMEOUT, driver.first_listed()).await;
         }
-        if let Some(turn) = turn {
-            turn.await;
+        if let Some(turn_reached) = turn_reached {
+            turn_reached.await;
         }
-        front.accept(listener).await;
+        acceptor.accept(listener).await;
     };
     tokio::pin!(accepting, stop);
     tokio::select! {
         () = accepting.as_mut() => {}
-        () = first_try(&ingress, &engine) => {}
+        () = mark_ready(&ingress, &engine) => {}
         () = stop => {}
     }
-    operated.stopping();
+    admin_state.mark_stopping();
     if let Some(fleet) = &engine.fleet {
         fleet.leave();
     }
-    // What is known at the end is kept, however the rest goes.
+    // The list of servers is saved even if the shutdown does not complete.
     if let Some(keeper) = engine.keeper.clone() {
         spawn_local(async move { keeper.save().await });
     }
@@ -177,7 +182,7 @@
         );
         shutdown::hand_over(
             ingress,
-            Rc::new(succession::Next(successor)),
+            Rc::new(handover::NextProcess(successor)),
             engine.longest_deadline(),
         )
         .await;
@@ -188,50 +193,51 @@
         () = shutdown::drain(ingress, engine.longest_deadline()) => {}
     }
     if let Some(keeper) = &engine.keeper {
-        let _ = timeout(LAST_WRITE, keeper.save()).await;
+        let _ = timeout(FINAL_WRITE_TIMEOUT, keeper.save()).await;
     }
-    if let Some(documents) = documents {
-        let _ = timeout(LAST_WRITE, documents.save()).await;
+    if let Some(distribution) = distribution {
+        let _ = timeout(FINAL_WRITE_TIMEOUT, distribution.save()).await;
     }
     Ok(())
 }
 
-/// Publishes what lies in the folder that the product's file names.
-fn take_requests(
+/// Starts publishing requests from the folder that the product's file names.
+fn start_spool(
     product: &Product,
     engine: &Engine,
-    documents: Option<&Rc<Distribution>>,
+    distribution: Option<&Rc<Distribution>>,
 ) -> Result<Option<Rc<Spool>>, String> {
-    let folder = product.distribution.as_ref().and_then(|of| of.publish.clone());
-    let parts = folder.zip(engine.fleet.as_ref()).zip(documents);
-    let spool = parts
-        .map(|((folder, fleet), documents)| Spool::start(folder, fleet.clone(), documents.clone()));
+    let folder = product.distribution.as_ref().and_then(|section| section.publish.clone());
+    let parts = folder.zip(engine.fleet.as_ref()).zip(distribution);
+    let spool = parts.map(|((folder, fleet), distribution)| {
+        Spool::start(folder, fleet.clone(), distribution.clone())
+    });
     spool.transpose()
 }
 
-/// Keeps writes where the product's file says so.
-fn keep_writes(
+/// Starts the store of kept writes if the product's file configures one.
+fn start_edge(
     product: &Product,
     engine: &Engine,
     ingress: &Ingress,
     storage: impl Storage,
 ) -> Result<Option<Rc<Edge>>, String> {
-    let Some(of) = &product.edge else { return Ok(None) };
+    let Some(section) = &product.edge else { return Ok(None) };
     let Some(fleet) = &engine.fleet else {
-        tracing::warn!(event = "edge_off", "no writes are kept: there is no view of the fleet");
+        tracing::warn!(event = "edge_off", "writes are not kept: they need a view of the fleet");
         return Ok(None);
     };
     let settings = EdgeSettings {
-        folder: of.folder.clone(),
-        classes: of.classes.clone(),
-        max_bytes: (of.most_mb as u64) << 20,
-        max_open_writes: of.most_writes,
-        retention: of.keep,
-        predecessor_wait: of.forerunner,
-        send_without_predecessor: of.go_on,
-        max_concurrent: of.at_once,
-        fleet_per_second: of.fleet_per_second,
-        slow_disk: of.slow,
+        folder: section.folder.clone(),
+        classes: section.classes.clone(),
+        max_bytes: (section.most_mb as u64) << 20,
+        max_open_writes: section.most_writes,
+        retention: section.keep,
+        predecessor_wait: section.forerunner,
+        send_without_predecessor: section.go_on,
+        max_concurrent: section.at_once,
+        fleet_per_second: section.fleet_per_second,
+        slow_disk: section.slow,
         max_lease: product.lease.as_ref().map_or(Duration::from_secs(6), |lease| lease.longest),
     };
     let names = engine.names.borrow().clone();
@@ -240,8 +246,8 @@
     Ok(Some(edge))
 }
 
-/// Marks the ingress ready when discovery has first been tried; never ends.
-async fn first_try(ingress: &Ingress, engine: &Engine) {
+/// Marks the ingress ready after the first attempt at discovery; never completes.
+async fn mark_ready(ingress: &Ingress, engine: &Engine) {
     engine.discovery_tried().await;
     ingress.mark_discovery_tried();
     std::future::pending().await
@@ -252,6 +258,6 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
--- a/crates/plankvale/src/main.rs
+++ b/crates/plankvale/src/main.rs
@@ -1,4 +1,4 @@
-//! One real sidecar: reads its configuration, then runs until it is told to stop.
+//! The sidecar program: reads its configuration and runs until SIGTERM.
 #![forbid(unsafe_code)]
 
 use std::path::PathBuf;
@@ -16,10 +16,10 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Some(code) = cli.carry_out() {
+    if let Some(code) = cli.run_command() {
         return code;
     }
-    match run(cli.product()) {
+    match run(cli.product_file()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("plankvale: {e}");
@@ -30,11 +30,11 @@
 
 fn run(product: Option<PathBuf>) -> Result<(), String> {
     let config = Config::from_env(product.as_deref())?;
-    log(&config)?;
+    init_logging(&config)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|e| format!("no runtime: {e}"))?;
+        .map_err(|e| format!("cannot start the async runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let mut told = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
         let changed = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
@@ -47,8 +47,8 @@
     })
 }
 
-/// Writes log lines as the configuration says.
-fn log(config: &Config) -> Result<(), String> {
+/// Sets up logging to stderr with the configured filter and format.
+fn init_logging(config: &Config) -> Result<(), String> {
     let log = &config.product.log;
     let filter = EnvFilter::try_new(log.filter.as_deref().unwrap_or("info"));
     let filter = filter.map_err(|e| format!("log.filter: {e}"))?;
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Reads the configuration anew at each SIGHUP. One that is not sound leaves the old one in force.
+/// Reads the configuration again at each SIGHUP. An invalid one leaves the old one in force.
 async fn reload(product: Option<PathBuf>, mut changed: Signal, to_sidecar: mpsc::Sender<Reload>) {
     while changed.recv().await.is_some() {
         let config = Config::from_env(product.as_deref()).map(Box::new);
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/reloader.rs
@@ -1,4 +1,4 @@
-//! Takes on what changes while the daemon runs: `LB_CONFIG` at SIGHUP, and documents.
+//! Applies changes while the daemon runs: `LB_CONFIG` at SIGHUP, and distributed documents.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use tokio::sync::mpsc;
 
 use crate::Reload;
+use crate::admin::ReloadCounts;
 use crate::config::Config;
 use crate::distribution::patch::{Patch, RefusalCode, refusal};
 use crate::distribution::patches;
-use crate::operated::Reloaded;
-use crate::tuning::{SettingsSource, Tuned};
+use crate::effective_settings::{EffectiveSettings, SettingsSource};
 
-/// What a configuration fixes for as long as the process lives.
-pub(crate) struct Inert {
+/// The parts of a configuration that take effect at the start only.
+pub(crate) struct StartupConfig {
     listen: SocketAddr,
     memory: usize,
     sockets: usize,
@@ -29,20 +29,22 @@
     product: Product,
 }
 
-impl Inert {
-    pub fn of(config: &Config) -> Inert {
-        Inert {
+impl StartupConfig {
+    /// Extracts these parts from `config`.
+    pub fn of(config: &Config) -> StartupConfig {
+        StartupConfig {
             listen: config.listen,
             memory: config.memory,
             sockets: config.sockets,
             peer_listen: config.peer_listen,
-            // Settings follow the file at once; the rest of it is read at the start.
+            // [failover] changes settings and takes effect at a reload; the other sections are read at
+            // the start only.
             product: Product { failover: None, ..Product::clone(&config.product) },
         }
     }
 
-    /// The keys in which `new` differs.
-    fn differences(&self, new: &Inert) -> Vec<&'static str> {
+    /// The keys whose values differ in `new`.
+    fn differences(&self, new: &StartupConfig) -> Vec<&'static str> {
         let (a, b) = (&self.product, &new.product);
         let differs = [
             ("listen", self.listen != new.listen),
@@ -61,25 +63,27 @@
     }
 }
 
-/// Takes on new configurations: settings, where discovery is, and where the other sidecars are.
-pub(crate) struct Follower {
-    pub inert: Inert,
+/// Applies new configurations: settings, the address of discovery and those of the other sidecars.
+pub(crate) struct Reloader {
+    /// The parts that stay as they were at the start.
+    pub startup: StartupConfig,
     /// The whole configuration in force.
-    pub whole: Value,
-    /// What the settings in force are made of, beside documents.
+    pub raw: Value,
+    /// The parts from which the settings in force are made, apart from documents.
     pub source: SettingsSource,
     pub engine: Rc<Engine>,
     pub ingress: Rc<Ingress>,
     pub edge: Option<Rc<Edge>>,
-    pub reloaded: Rc<Reloaded>,
+    pub counts: Rc<ReloadCounts>,
     pub distribution: Option<Rc<Distribution>>,
 }
 
-impl Follower {
-    pub async fn follow(mut self, mut reloads: mpsc::Receiver<Reload>) {
+impl Reloader {
+    /// Applies configurations from `reloads` and offered documents as they arrive.
+    pub async fn run(mut self, mut reloads: mpsc::Receiver<Reload>) {
         let distribution = self.distribution.clone();
         loop {
-            let news = async {
+            let offered = async {
                 match &distribution {
                     Some(distribution) => distribution.news().await,
                     None => std::future::pending().await,
@@ -87,50 +91,50 @@
             };
             tokio::select! {
                 Some(reload) = reloads.recv() => self.reload(reload),
-                () = news => self.decide(),
+                () = offered => self.apply_offered(),
                 else => return,
             }
         }
     }
 
     fn reload(&mut self, reload: Reload) {
-        let count = match reload.and_then(|config| self.take(*config)) {
-            Ok(()) => &self.reloaded.applied,
+        let count = match reload.and_then(|config| self.apply_config(*config)) {
+            Ok(()) => &self.counts.applied,
             Err(e) => {
                 tracing::error!(
                     event = "reload_rejected",
                     "the configuration stays as it was: {e}"
                 );
-                &self.reloaded.rejected
+                &self.counts.rejected
             }
         };
         count.set(count.get() + 1);
     }
 
-    /// Takes one configuration, with the documents in force over it, or nothing of it.
-    fn take(&mut self, config: Config) -> Result<(), String> {
-        config.complete(&self.whole).map_err(|e| format!("LB_CONFIG: {e}"))?;
-        let kept = self.inert.differences(&Inert::of(&config)).join(", ");
-        if !kept.is_empty() {
-            tracing::warn!(event = "reload_in_part", keys = %kept, "these change at the next start only");
+    /// Applies a configuration together with the documents in force, completely or not at all.
+    fn apply_config(&mut self, config: Config) -> Result<(), String> {
+        config.check_complete(&self.raw).map_err(|e| format!("LB_CONFIG: {e}"))?;
+        let unchanged = self.startup.differences(&StartupConfig::of(&config)).join(", ");
+        if !unchanged.is_empty() {
+            tracing::warn!(event = "reload_in_part", keys = %unchanged, "changes of these keys take effect at the next start only");
         }
         let in_force = self.distribution.as_ref().map_or(Vec::new(), |d| d.in_force());
-        let tuned = patches(&in_force).and_then(|patches| config.source.tuned(&patches));
+        let tuned = patches(&in_force).and_then(|patches| config.source.effective(&patches));
         let with = if in_force.is_empty() { "" } else { " with the documents in force" };
-        self.apply(tuned.map_err(|e| format!("LB_CONFIG{with}: {e}"))?)?;
+        self.apply_settings(tuned.map_err(|e| format!("LB_CONFIG{with}: {e}"))?)?;
         tracing::info!(
             event = "reload_applied",
-            "new configuration: discovery at {}",
+            "new configuration applied, discovery at {}",
             config.discovery
         );
         self.engine.moved(config.discovery, config.peers, config.peers_all);
-        self.whole = config.raw;
+        self.raw = config.raw;
         self.source = config.source;
         Ok(())
     }
 
-    /// Puts settings into force, or nothing of them.
-    fn apply(&self, tuned: Tuned) -> Result<(), String> {
+    /// Puts settings into force, completely or not at all.
+    fn apply_settings(&self, tuned: EffectiveSettings) -> Result<(), String> {
         let names = self.engine.retune(tuned.settings, &tuned.raw)?;
         if let Some(edge) = &self.edge {
             edge.set_names(names.clone());
@@ -139,8 +143,8 @@
         Ok(())
     }
 
-    /// Decides about documents that are offered: all together, or, if that makes no sense, one after the other.
-    fn decide(&self) {
+    /// Accepts or refuses offered documents: all together or, if the result is invalid, one by one.
+    fn apply_offered(&self) {
         let Some(distribution) = &self.distribution else { return };
         let Some(offered) = distribution.take_offered() else { return };
         let all = merged(&distribution.in_force(), &offered);
@@ -148,20 +152,20 @@
             self.accept(distribution, &offered);
             return;
         }
-        // One of them spoils the rest. What is sound without it is taken.
+        // At least one document is invalid. The others are accepted without it.
         for document in offered {
             let alone = std::slice::from_ref(&document);
             let with = merged(&distribution.in_force(), alone);
-            let taken = Patch::of(&document).and_then(|_| {
-                self.put_into_force(&with).map_err(|e| refusal(RefusalCode::Settings, &e))
+            let result = Patch::from_document(&document).and_then(|_| {
+                self.put_into_force(&with).map_err(|e| refusal(RefusalCode::InvalidSettings, &e))
             });
-            match taken {
+            match result {
                 Ok(()) => self.accept(distribution, alone),
                 Err(why) => {
                     tracing::warn!(
                         event = "distribution_refused",
                         version = %document.version,
-                        "{}: what was in force stays: {}",
+                        "{}: document refused, the previous one stays in force: {}",
                         document.key,
                         why.reason
                     );
@@ -172,8 +176,8 @@
     }
 
     fn put_into_force(&self, documents: &[Arc<Document>]) -> Result<(), String> {
-        let tuned = patches(documents).and_then(|patches| self.source.tuned(&patches))?;
-        self.apply(tuned)
+        let tuned = patches(documents).and_then(|patches| self.source.effective(&patches))?;
+        self.apply_settings(tuned)
     }
 
     fn accept(&self, distribution: &Distribution, documents: &[Arc<Document>]) {
@@ -183,20 +187,23 @@
                 tracing::info!(
                     event = "distribution_applied",
                     version = %document.version,
-                    "{}: in force",
+                    "{}: document in force",
                     document.key
                 );
             }
             return;
         }
-        // A newer one has come meanwhile and is offered.
+        // A newer document has arrived in the meantime and is offered, so these are rolled back.
         if let Err(e) = self.put_into_force(&distribution.in_force()) {
-            tracing::error!(event = "distribution_not_undone", "documents in force: {e}");
+            tracing::error!(
+                event = "distribution_not_undone",
+                "cannot restore the documents in force: {e}"
+            );
         }
     }
 }
 
-/// What would be in force with these, in the order of merge.
+/// The documents that would be in force after accepting `offered`, in the order of merge.
 fn merged(in_force: &[Arc<Document>], offered: &[Arc<Document>]) -> Vec<Arc<Document>> {
     let all = in_force.iter().chain(offered);
     let by_key: BTreeMap<DocumentKey, Arc<Document>> =
