--- a/crates/millethook/src/axum_support.rs
+++ b/crates/millethook/src/axum_support.rs
@@ -1,4 +1,4 @@
-//! For axum: errors as answers, and what a handler inherits as an extractor.
+//! Support for axum: errors as responses, and an extractor for what a handler inherits.
 
 use axum_core::body::Body as AxumBody;
 use axum_core::extract::FromRequestParts;
--- a/crates/millethook/src/body.rs
+++ b/crates/millethook/src/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers.
+//! Bodies of answers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,25 +9,25 @@
 use millethook_http::answer::AnswerBody;
 
 use crate::error::BoxError;
-use crate::opening::Entered;
+use crate::opening::OpenRequest;
 
-/// The body of an answer: whole, or passed on as it comes.
+/// The body of an answer, either complete or streamed.
 ///
-/// A long answer that breaks off ends in an error, never as if it were whole. Dropped on the way,
-/// the attempt behind it is called off.
+/// A streamed body that is cut off ends with an error, never as if it were complete. Dropping it
+/// cancels the attempt.
 pub struct Body {
     inner: AnswerBody,
-    /// Keeps the fleet open, and a drain waiting, until a long answer is through.
-    _entered: Option<Entered>,
+    /// Keeps the fleet open, and a drain waiting, until a streamed answer ends.
+    _open_request: Option<OpenRequest>,
 }
 
 impl Body {
-    /// `entered` keeps the fleet open for what is still coming in.
-    pub(crate) fn new(inner: AnswerBody, entered: Option<Entered>) -> Body {
-        Body { inner, _entered: entered }
+    /// `open_request` keeps the fleet open until a streamed body ends.
+    pub(crate) fn new(inner: AnswerBody, open_request: Option<OpenRequest>) -> Body {
+        Body { inner, _open_request: open_request }
     }
 
-    /// A body of no bytes.
+    /// An empty body.
     pub fn empty() -> Body {
         Body::new(Either::Left(Full::default()), None)
     }
--- a/crates/millethook/src/budget.rs
+++ b/crates/millethook/src/budget.rs
@@ -1,4 +1,4 @@
-//! What all fleets of a process may hold together.
+//! Limits that several fleets of a process share.
 
 use std::sync::Arc;
 
@@ -6,8 +6,8 @@
 
 /// Sockets and bytes that several fleets of one process share. A clone is the same budget.
 ///
-/// A fleet that finds no socket free has the others close connections that rest; none of them can
-/// hold what the next one needs.
+/// A fleet that finds no free socket makes the others close idle connections, so that idle connections
+/// of one fleet cannot block another one.
 #[derive(Clone)]
 pub struct Budget {
     pub(crate) sockets: Arc<ConnectionPermits>,
@@ -15,23 +15,24 @@
 }
 
 impl Budget {
-    /// A budget of so many connections to servers, and so many bytes for bodies of requests that are
-    /// under way (1 MiB and one body of 64 KiB at the least).
+    /// A budget of `sockets` connections to servers and `bytes` bytes for bodies of open requests (at
+    /// least 1 MiB plus one body of 64 KiB).
     pub fn new(sockets: usize, bytes: usize) -> Budget {
         Budget { sockets: ConnectionPermits::new(sockets.max(1)), bytes: Bytes::new(bytes) }
     }
 
-    /// How many connections to servers there are now.
+    /// Current number of connections to servers.
     pub fn sockets(&self) -> usize {
         self.sockets.taken()
     }
 
-    /// How many bytes bodies of requests take now.
+    /// Current number of bytes in request bodies.
     pub fn bytes(&self) -> usize {
         self.bytes.taken()
     }
 
-    pub(crate) fn is(&self, other: &Budget) -> bool {
+    /// Whether both are clones of the same budget.
+    pub(crate) fn is_same(&self, other: &Budget) -> bool {
         Arc::ptr_eq(&self.sockets, &other.sockets) && Arc::ptr_eq(&self.bytes, &other.bytes)
     }
 }
--- a/crates/millethook/src/config.rs
+++ b/crates/millethook/src/config.rs
@@ -1,7 +1,7 @@
-//! What a fleet is: its servers, its classes, its limits.
+//! The configuration of a fleet: its servers, classes and limits.
 //!
-//! One form lies beneath all others, the object that the daemon reads from `LB_CONFIG`; a builder
-//! writes it, a file holds it, and two fleets are the same if theirs is.
+//! All configurations have the JSON format that the daemon reads from `LB_CONFIG`: a builder makes such
+//! an object, a file holds one, and two configurations are compared by their objects.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -31,14 +31,14 @@
 use difference::difference;
 use file::File;
 
-/// Connections to servers, where the configuration says nothing.
-const SOCKETS: usize = 256;
-/// Requests that may be open at once, where it says nothing.
-const OPEN: usize = 1024;
-/// Bytes of bodies of requests, where it says nothing.
-const BODY_BYTES: usize = 16 << 20;
+/// Default limit on connections to servers.
+const DEFAULT_SOCKETS: usize = 256;
+/// Default limit on open requests.
+const DEFAULT_OPEN_REQUESTS: usize = 1024;
+/// Default limit on bytes in request bodies.
+const DEFAULT_BODY_BYTES: usize = 16 << 20;
 
-/// A fleet's configuration, checked.
+/// A checked configuration of a fleet.
 #[derive(Clone)]
 pub struct FleetConfig {
     pub(crate) name: String,
@@ -47,7 +47,7 @@
     pub(crate) known: Option<List>,
     pub(crate) begins: Begins,
     pub(crate) connections: Limits,
-    /// None: as the settings price a handshake.
+    /// None if the settings decide by the price of a handshake.
     pub(crate) reuse: Option<Reuse>,
     pub(crate) keeper: Option<KeeperConfig>,
     pub(crate) peers: Option<(SocketAddr, Vec<SocketAddr>)>,
@@ -58,7 +58,7 @@
     pub(crate) open: usize,
     pub(crate) body_bytes: usize,
     pub(crate) budget: Option<Budget>,
-    /// All of it as it was given, for the comparison with another one.
+    /// The whole configuration as given, for the comparison with another one.
     given: Value,
 }
 
@@ -69,15 +69,15 @@
 }
 
 impl FleetConfig {
-    /// Begins a configuration in code.
+    /// Starts a configuration in code.
     pub fn builder(name: &str) -> FleetBuilder {
         FleetBuilder::new(name)
     }
 
-    /// Reads a file of the daemon's form.
+    /// Reads a file in the daemon's format.
     ///
     /// # Errors
-    /// Names the file, the key and what was expected.
+    /// Names the file, the key and the expected value.
     pub fn from_file(path: impl AsRef<Path>) -> Result<FleetConfig, OpenError> {
         let path = path.as_ref();
         let at = |e: &dyn std::fmt::Display| OpenError::Config(format!("{}: {e}", path.display()));
@@ -85,10 +85,10 @@
         FleetConfig::from_json(&text).map_err(|e| at(&e))
     }
 
-    /// Reads the daemon's form from text.
+    /// Reads text in the daemon's format.
     ///
     /// # Errors
-    /// Names the key and what was expected.
+    /// Names the key and the expected value.
     pub fn from_json(text: &str) -> Result<FleetConfig, OpenError> {
         let given = serde_json::from_str(text).map_err(|e| OpenError::Config(e.to_string()))?;
         FleetConfig::from_value(given)
@@ -98,7 +98,7 @@
         let wrong = |text: String| OpenError::Config(text);
         let file: File = serde_json::from_value(given.clone()).map_err(|e| wrong(e.to_string()))?;
         if file.name.is_empty() {
-            return Err(wrong("name: one that is not empty expected".into()));
+            return Err(wrong("name: a name that is not empty expected".into()));
         }
         let address = |text: String| {
             let parsed = text.parse();
@@ -114,7 +114,7 @@
             None => random(),
         };
         if discovery.is_none() && file.known.as_ref().is_none_or(|list| list.hosts.is_empty()) {
-            return Err(wrong("discovery: expected, or servers in its place".into()));
+            return Err(wrong("discovery: an address expected, or servers instead".into()));
         }
         let limits = file.limits;
         let at_least = |key: &str, value: usize, least: usize| {
@@ -123,24 +123,24 @@
         };
         let begins = file.begins.map_or(Ok(Begins::Head), |text| text.parse());
         let begins = begins.map_err(|e| wrong(format!("begins: {e}")))?;
-        let (given_ones, usual) = (file.connections, Limits::default());
-        let one = |key: &str, value: Option<usize>, usual: usize| match value {
+        let (given_limits, defaults) = (file.connections, Limits::default());
+        let at_least_one = |key: &str, value: Option<usize>, default: usize| match value {
             Some(0) => Err(wrong(format!("connections.{key}: 1 or more expected"))),
-            other => Ok(other.unwrap_or(usual)),
+            other => Ok(other.unwrap_or(default)),
         };
         let connections = Limits {
-            per_server: one("per_server", given_ones.per_server, usual.per_server)?,
-            opening: one("opening", given_ones.opening, usual.opening)?,
-            spare: given_ones.spare.unwrap_or(usual.spare),
-            ..usual
+            per_server: at_least_one("per_server", given_limits.per_server, defaults.per_server)?,
+            opening: at_least_one("opening", given_limits.opening, defaults.opening)?,
+            spare: given_limits.spare.unwrap_or(defaults.spare),
+            ..defaults
         };
-        let reuse = given_ones.reuse.map(|text| text.parse()).transpose();
+        let reuse = given_limits.reuse.map(|text| text.parse()).transpose();
         let reuse = reuse.map_err(|e| wrong(format!("connections.reuse: {e}")))?;
         let settings = Settings::from_json(file.settings.to_string().as_bytes()).map_err(wrong)?;
         let names = Names::new(&settings, &file.settings).map_err(wrong)?;
-        // Of a file that is the daemon's, too: the share of its memory that is for bodies there.
-        let of_memory = limits.memory_mb.map(|mb| (mb << 20) / 5 * 2);
-        let body_bytes = limits.body_bytes.or(of_memory).unwrap_or(BODY_BYTES);
+        // A file of the daemon gives a memory limit; two fifths of it are for request bodies, as there.
+        let from_memory = limits.memory_mb.map(|mb| (mb << 20) / 5 * 2);
+        let body_bytes = limits.body_bytes.or(from_memory).unwrap_or(DEFAULT_BODY_BYTES);
         Ok(FleetConfig {
             name: file.name,
             seed,
@@ -154,26 +154,26 @@
             view: None,
             settings,
             names: Arc::new(names),
-            sockets: at_least("sockets", limits.sockets.unwrap_or(SOCKETS), 1)?,
-            open: at_least("open", limits.open.unwrap_or(OPEN), 1)?,
+            sockets: at_least("sockets", limits.sockets.unwrap_or(DEFAULT_SOCKETS), 1)?,
+            open: at_least("open", limits.open.unwrap_or(DEFAULT_OPEN_REQUESTS), 1)?,
             body_bytes: at_least("body_bytes", body_bytes, 64 << 10)?,
             budget: None,
             given,
         })
     }
 
-    /// Has the fleet share `budget` with others in place of limits of its own.
+    /// Makes the fleet share `budget` with other fleets, instead of its own limits.
     pub fn with_budget(mut self, budget: &Budget) -> FleetConfig {
         self.budget = Some(budget.clone());
         self
     }
 
-    /// Adds what the product's own file says: how the list of servers is kept, limits on connections, what is
-    /// done about slow servers, and the view of the fleet, where there are [`FleetBuilder::peers`]. `[log]` is the host's affair and passed over. Limits that the file names go
-    /// before those set in code.
+    /// Adds the product's own file: the snapshot of the list of servers, limits on connections, the
+    /// handling of slow servers and, with [`FleetBuilder::peers`], the view of the fleet. The section
+    /// `[log]` is ignored; logging is up to the host. Limits in the file override those set in code.
     ///
     /// # Errors
-    /// Names the file, and each key that is wrong with its line.
+    /// Names the file, and each wrong key with its line.
     pub fn with_product(mut self, path: impl AsRef<Path>) -> Result<FleetConfig, OpenError> {
         let product = Product::from_file(path.as_ref());
         let product = product.map_err(|e| OpenError::Config(e.to_string()))?;
@@ -183,7 +183,7 @@
         self.connections = product::connections(&product, self.connections);
         self.reuse = product::reuse(&product).or(self.reuse);
         product::retune(&product, &mut self.settings);
-        // Another opening of the fleet has to have the same file.
+        // Another opening of the fleet must have the same file.
         self.given["product"] = format!("{product:?}").into();
         Ok(self)
     }
@@ -193,20 +193,20 @@
         &self.name
     }
 
-    /// The first key in which another configuration differs, with its value here and there.
+    /// The first key whose value differs in another configuration, with its values here and there.
     pub(crate) fn difference(&self, other: &FleetConfig) -> Option<(String, String, String)> {
         let found = difference("", &self.given, &other.given);
         let shared = |c: &FleetConfig| if c.budget.is_some() { "shared" } else { "its own" };
         found.or_else(|| match (&self.budget, &other.budget) {
             (None, None) => None,
-            (Some(a), Some(b)) if a.is(b) => None,
+            (Some(a), Some(b)) if a.is_same(b) => None,
             (Some(_), Some(_)) => Some(("budget".into(), "one".into(), "another one".into())),
             _ => Some(("budget".into(), shared(self).into(), shared(other).into())),
         })
     }
 }
 
-/// A seed that no other process has, most likely.
+/// A random seed, most likely unique to this process.
 pub(crate) fn random() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
--- a/crates/millethook/src/config/builder.rs
+++ b/crates/millethook/src/config/builder.rs
@@ -1,4 +1,4 @@
-//! A fleet's configuration, put together in code.
+//! Builds a fleet's configuration in code.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use super::{ClassConfig, FleetConfig};
 use crate::error::OpenError;
 
-/// Puts a [`FleetConfig`] together in code.
+/// Builds a [`FleetConfig`] in code.
 #[derive(Clone, Debug)]
 pub struct FleetBuilder {
     name: String,
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Where discovery is; it keeps the list of servers.
+    /// Address of discovery, which provides the list of servers.
     pub fn discovery(mut self, at: SocketAddr) -> FleetBuilder {
         self.discovery = Some(at);
         self
     }
 
-    /// A server of the fleet. Without discovery these are all there are; with it, they are used until
-    /// it has answered.
+    /// Adds a server. Without discovery, these are all servers of the fleet; with it, they are used
+    /// until it has answered.
     pub fn server(self, name: &str, at: SocketAddr) -> FleetBuilder {
         self.server_in("", name, at)
     }
 
-    /// A server that stands in this zone.
+    /// Adds a server in this zone.
     pub fn server_in(mut self, zone: &str, name: &str, at: SocketAddr) -> FleetBuilder {
         if !self.zones.iter().any(|z| z == zone) {
             self.zones.push(zone.to_owned());
@@ -89,39 +89,40 @@
         self
     }
 
-    /// A class of requests. It is the first part of their paths, unless a request says otherwise.
+    /// Adds a class of requests. The class of a request is the first segment of its path, unless the
+    /// request names another one.
     pub fn class(mut self, class: ClassConfig) -> FleetBuilder {
         self.classes.push(class.0);
         self
     }
 
-    /// A tenant. Once there is one, each request has to name its own.
+    /// Adds a tenant. If there are tenants, each request has to name one.
     pub fn tenant(mut self, name: &str) -> FleetBuilder {
         self.tenants.push(json!({"name": name}));
         self
     }
 
-    /// The most connections to servers (256 if not set).
+    /// Maximum number of connections to servers (default 256).
     pub fn sockets(mut self, most: usize) -> FleetBuilder {
         self.limits["sockets"] = most.into();
         self
     }
 
-    /// The most requests that may be open at once (1,024 if not set); more are refused at once.
+    /// Maximum number of open requests (default 1,024); further ones are refused immediately.
     pub fn open(mut self, most: usize) -> FleetBuilder {
         self.limits["open"] = most.into();
         self
     }
 
-    /// The bytes that bodies of requests may take together (16 MiB if not set); more wait.
+    /// Maximum number of bytes in all request bodies (default 16 MiB); further bodies wait.
     pub fn body_bytes(mut self, most: usize) -> FleetBuilder {
         self.limits["body_bytes"] = most.into();
         self
     }
 
-    /// The other instances of the fleet, this one among them: where their datagrams arrive here, the own number
-    /// and the address of each by its number. They are told of nothing unless the product's file has `[fleet]`
-    /// ([`FleetConfig::with_product`]); then they keep a view of who is alive.
+    /// The instances of the fleet: the local address for datagrams, the number of this instance, and the
+    /// addresses of all instances by number. They exchange datagrams only if the product's file has a
+    /// section `[fleet]` ([`FleetConfig::with_product`]); then they keep a view of which are alive.
     pub fn peers(mut self, listen: SocketAddr, me: u32, peers: &[SocketAddr]) -> FleetBuilder {
         self.peers = Some((listen, peers.to_vec()));
         self.settings["me"] = me.into();
@@ -130,78 +131,80 @@
         self
     }
 
-    /// The seed of random numbers, for runs that are to be alike (a random one if not set).
+    /// Seed of the random numbers, for reproducible runs (default: a random seed).
     pub fn seed(mut self, seed: u64) -> FleetBuilder {
         self.seed = Some(seed);
         self
     }
 
-    /// The most attempts of one request (4 if not set).
+    /// Maximum number of attempts of one request (default 4).
     pub fn attempts(mut self, most: usize) -> FleetBuilder {
         self.settings["limits"]["maxAttempts"] = most.into();
         self
     }
 
-    /// How long a connection may take to come up (250 ms if not set).
+    /// Time limit for connecting to a server (default 250 ms).
     pub fn connect_timeout(mut self, timeout: Duration) -> FleetBuilder {
         self.settings["limits"]["connectTimeout"] = (timeout.as_micros() as u64).into();
         self
     }
 
-    /// When servers may begin with a request ([`Begins::Head`] if not set: any HTTP server).
-    /// [`Begins::Whole`] is a promise of all servers of the fleet; where one does not keep it, what
-    /// must not run twice may.
+    /// The point at which servers may begin to process a request (default [`Begins::Head`], which holds
+    /// for any HTTP server). [`Begins::Whole`] must hold for all servers of the fleet; with a server that
+    /// begins earlier, an unsafe request may run twice.
     pub fn begins(mut self, begins: Begins) -> FleetBuilder {
         self.begins = Some(begins);
         self
     }
 
-    /// Whether a safe or keyed request gets another attempt once its aim is over and its server has said nothing
-    /// since the request went there (yes, if not set): a server that accepts and never answers costs an aim, not
-    /// the request. Such attempts are within the retry budget (a tenth of the requests), and none is made in an
-    /// overload. A request that must not run twice is never sent again for this.
+    /// Whether a safe or keyed request gets another attempt when its aim has passed and its server has sent
+    /// nothing since the request was sent (default yes). A server that accepts and never answers then
+    /// delays the request by its aim rather than failing it. These attempts count against the retry
+    /// budget (a tenth of the requests), and none is made in an overload. Unsafe requests get no such
+    /// attempt.
     pub fn copy_at_aim(mut self, copy: bool) -> FleetBuilder {
         self.settings["failover"]["copyAtAim"] = copy.into();
         self
     }
 
-    /// The most connections to one server (1,024 if not set).
+    /// Maximum number of connections to one server (default 1,024).
     pub fn connections_per_server(mut self, most: usize) -> FleetBuilder {
         self.connections["per_server"] = most.into();
         self
     }
 
-    /// The most handshakes with one server at once (8 if not set).
+    /// Maximum number of concurrent handshakes with one server (default 8).
     pub fn handshakes_per_server(mut self, most: usize) -> FleetBuilder {
         self.connections["opening"] = most.into();
         self
     }
 
-    /// The most connections to one server that are opened ahead of need while use rises (0 if not
-    /// set).
+    /// Maximum number of connections to one server that are opened in advance while use rises
+    /// (default 0).
     pub fn spare_connections(mut self, most: usize) -> FleetBuilder {
         self.connections["spare"] = most.into();
         self
     }
 
-    /// For how many requests a connection is used ([`Reuse::Proven`] if not set: no caller gets an answer that was made for
-    /// another one, at a handshake for two requests). [`Reuse::Compared`] costs next to none where answers differ, and
-    /// misses a second answer with another body. [`Reuse::Unlimited`] trusts servers where answers do not differ.
+    /// When a connection is reused for further requests. With [`Reuse::Proven`], the default, no caller
+    /// gets an answer made for another one, at the cost of one handshake for two requests.
+    /// [`Reuse::Compared`] costs hardly any handshakes if answers differ, and misses a second answer with
+    /// another body. [`Reuse::Unlimited`] trusts the servers if answers do not differ.
     pub fn reuse(mut self, reuse: Reuse) -> FleetBuilder {
         self.connections["reuse"] = reuse.to_string().into();
         self
     }
 
-    /// How long servers keep a connection at rest (10 s if not set).
+    /// How long servers keep an idle connection open (default 10 s).
     pub fn server_idle(mut self, idle: Duration) -> FleetBuilder {
         self.settings["limits"]["connIdle"] = (idle.as_micros() as u64).into();
         self
     }
 
-    /// Checks it all.
+    /// Checks and returns the configuration.
     ///
     /// # Errors
-    /// Names the key and what was expected.
+    /// Names the key and the expected value.
     pub fn build(self) -> Result<FleetConfig, OpenError> {
         let mut zones = self.zones;
         if !zones.contains(&self.zone) {
--- a/crates/millethook/src/config/difference.rs
+++ b/crates/millethook/src/config/difference.rs
@@ -1,8 +1,9 @@
-//! The first key in which two configurations differ.
+//! Finds the first key whose value differs between two configurations.
 
 use serde_json::Value;
 
-/// The first place in which two values differ.
+/// The path of the first difference between two values, and both values as text; `at` is the path of
+/// the values themselves.
 pub(super) fn difference(at: &str, a: &Value, b: &Value) -> Option<(String, String, String)> {
     match (a, b) {
         (Value::Object(x), Value::Object(y)) => {
--- a/crates/millethook/src/config/file.rs
+++ b/crates/millethook/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The form of a configuration file. It is the daemon's `LB_CONFIG`.
+//! The format of a configuration file, which is that of the daemon's `LB_CONFIG`.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The file's form. Keys that only the daemon needs (`listen`) are passed over.
+/// The file's keys. Keys that only the daemon needs (`listen`) are ignored.
 #[derive(Deserialize)]
 pub(super) struct File {
     pub(super) name: String,
@@ -24,7 +24,7 @@
     pub(super) settings: Value,
 }
 
-/// What bounds connections to one server.
+/// Limits on connections to one server.
 #[derive(Deserialize, Default)]
 pub(super) struct Connections {
     pub(super) per_server: Option<usize>,
@@ -33,6 +33,7 @@
     pub(super) reuse: Option<String>,
 }
 
+/// Limits of the process.
 #[derive(Deserialize, Default)]
 pub(super) struct FileLimits {
     pub(super) sockets: Option<usize>,
--- a/crates/millethook/src/error.rs
+++ b/crates/millethook/src/error.rs
@@ -1,4 +1,4 @@
-//! How a call can end without an answer.
+//! Errors of calls and of opening a fleet.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,44 +6,44 @@
 use http::StatusCode;
 pub use millethook_http::head::Invalid;
 
-/// Any error, of a host's body for one.
+/// Any error, for example of a request body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Whether a request may have had an effect at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// No server has begun on it, and none will.
+    /// No server has begun to process the request, and none will.
     NeverRan,
-    /// Some server may have done it, or may be about to.
+    /// A server may have processed the request, or may still do so.
     MayHaveRun,
 }
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Error {
-    /// The request cannot be taken as it is. It was not sent.
+    /// The request is invalid. It was not sent.
     Invalid(Invalid),
-    /// The body is longer than this many bytes. The request was not sent.
+    /// The body is too long. The request was not sent.
     TooLarge {
-        /// The most bytes that a body may have.
+        /// Maximum length of a body in bytes.
         limit: usize,
     },
-    /// The host's body broke off. The request was not sent.
+    /// The request body failed before its end. The request was not sent.
     Body(BoxError),
-    /// Turned away: trying again does no harm, also where a safe request may have run.
+    /// The request was refused. It may be retried, even if a safe request may have run.
     Refused {
-        /// How long to wait before that, where the settings have clients told.
+        /// How long to wait before a retry, if the settings provide it.
         retry_after: Option<Duration>,
-        /// Whether some attempt may have run.
+        /// Whether an attempt may have run.
         execution: Execution,
     },
-    /// It has failed; trying again may do what has been done already.
+    /// The request failed. A retry may take effect a second time.
     Failed {
-        /// The time that the caller gave is over.
+        /// Whether the caller's timeout has passed.
         timed_out: bool,
     },
-    /// The fleet is being drained, or has ended. The request was not sent.
+    /// The fleet is draining or has ended. The request was not sent.
     Closed,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// How long to wait before trying again, where that does no harm and the time is told.
+    /// How long to wait before a retry, if the request may be retried and the time is known.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Error::Refused { retry_after, .. } => *retry_after,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// The status that tells an HTTP client of it: 503 says that trying again does no harm (with
-    /// `Retry-After`, where the time is told), 502 and 504 say nothing of the kind.
+    /// The status that represents this error for an HTTP client: 503 means that the client may retry
+    /// (with `Retry-After` if the time is known); 502 and 504 do not.
     pub fn status(&self) -> StatusCode {
         match self {
             Error::Invalid(invalid) => invalid.status(),
@@ -84,10 +84,10 @@
         match self {
             Error::Invalid(invalid) => write!(f, "invalid request: {invalid}"),
             Error::TooLarge { limit } => write!(f, "body: {limit} bytes at most expected"),
-            Error::Body(e) => write!(f, "body: broke off: {e}"),
+            Error::Body(e) => write!(f, "body: ended early: {e}"),
             Error::Refused { retry_after: None, .. } => f.write_str("refused"),
-            Error::Refused { retry_after: Some(t), .. } => write!(f, "refused; again in {t:?}"),
-            Error::Failed { timed_out: true } => f.write_str("failed: out of time; may have run"),
+            Error::Refused { retry_after: Some(t), .. } => write!(f, "refused; retry after {t:?}"),
+            Error::Failed { timed_out: true } => f.write_str("failed: timed out; may have run"),
             Error::Failed { timed_out: false } => f.write_str("failed; may have run"),
             Error::Closed => f.write_str("the fleet is closed"),
         }
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum OpenError {
-    /// The configuration is not sound; the text names the key and what was expected.
+    /// The configuration is invalid; the text names the key and the expected value.
     Config(String),
     /// The fleet is open in this process with another configuration.
     Conflict {
@@ -124,10 +124,10 @@
         key: String,
         /// Its value in the fleet that is open.
         open: String,
-        /// Its value in the configuration at hand.
+        /// Its value in the new configuration.
         here: String,
     },
-    /// The system gave no thread or no event queue.
+    /// The system could not provide a thread or an event queue.
     System(std::io::Error),
 }
 
@@ -138,7 +138,7 @@
             OpenError::Conflict { fleet, key, open, here } => {
                 write!(f, "fleet {fleet:?} is open with {key} = {open}, not {here}")
             }
-            OpenError::System(e) => write!(f, "no engine: {e}"),
+            OpenError::System(e) => write!(f, "the engine cannot start: {e}"),
         }
     }
 }
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The handle that hosts hold.
+//! The handle through which a host program uses a fleet.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -26,17 +26,17 @@
 use crate::inherit::Inherited;
 use crate::opening::Opening;
 use crate::registry;
-use crate::request::{RequestMeta, describe};
+use crate::request::{RequestMeta, read_attributes};
 use crate::shared::Shared;
-use crate::thread::{Call, Command, Life};
+use crate::thread::{Call, Command, EngineState};
 use crate::usage::{Drained, PeerView, Usage};
 
-/// The engine answers by the deadline. A call that has heard nothing for so long after it ends by
-/// itself: the engine's thread has no processor, or is gone.
-const GRACE: Duration = Duration::from_millis(100);
+/// The engine answers by the deadline. A call without an answer fails this long after it: the engine's
+/// thread has ended or gets no processor time.
+const ENGINE_REPLY_GRACE: Duration = Duration::from_millis(100);
 
-/// A fleet of servers, ready to be called. Clones are the same handle; the engine behind them ends
-/// when the last one of the last opening is dropped and nothing is under way.
+/// A fleet of servers, ready for requests. Clones are the same handle. The engine behind them ends when
+/// the last clone of the last opening is dropped and no request is open.
 ///
 /// Calls need a tokio runtime with time enabled, of any flavour.
 #[derive(Clone)]
@@ -51,13 +51,13 @@
 }
 
 impl Fleet {
-    /// Opens a fleet: the engine that is open in this process under the configuration's name, or a
-    /// new one. It blocks for the start of a thread, and, where a fleet of this name is just ending,
-    /// for its end.
+    /// Opens a fleet: the engine that is open in this process under the configuration's name, or a new
+    /// one. Blocks while a thread starts and, if a fleet of this name is just ending, until that has
+    /// ended.
     ///
     /// # Errors
     /// [`OpenError::Conflict`] if the fleet is open with another configuration, and
-    /// [`OpenError::System`] if there is no thread or event queue to be had.
+    /// [`OpenError::System`] if the system cannot provide a thread or an event queue.
     pub fn open(config: FleetConfig) -> Result<Fleet, OpenError> {
         let shared = registry::open(config)?;
         Ok(Fleet { opening: Arc::new(Opening::new(shared)) })
@@ -67,61 +67,60 @@
         &self.opening.shared
     }
 
-    /// Waits until some server is known and discovery has been tried; false if the fleet ended first.
-    /// Cancel safe.
+    /// Waits until a server is known and discovery has been tried; false if the fleet ended first.
+    /// Cancel-safe.
     pub async fn ready(&self) -> bool {
-        let mut life = self.shared().life.clone();
-        let state = life.wait_for(|life| *life != Life::Starting).await;
-        state.is_ok_and(|life| *life == Life::Ready)
+        let mut state = self.shared().state.clone();
+        let reached = state.wait_for(|state| *state != EngineState::Starting).await;
+        reached.is_ok_and(|state| *state == EngineState::Ready)
     }
 
-    /// Sends a request and returns its answer. Under [`Begins::Head`](crate::Begins::Head) that is any
-    /// answer that is no server's error (5xx) and does not ask to try again (408, 421, 425, 429); under
-    /// [`Begins::Whole`](crate::Begins::Whole) one with the status 200.
+    /// Sends a request and returns its answer. Under [`Begins::Head`](crate::Begins::Head), that is any
+    /// answer except server errors (5xx) and those that ask for a retry (408, 421, 425, 429); under
+    /// [`Begins::Whole`](crate::Begins::Whole), one with status 200.
     ///
-    /// A body of up to 64 KiB is read whole first. Of a longer one, up to 32 MiB, the rest is passed on as it
-    /// comes; from then on the request belongs to one server, and is repeated at no other. The time that the
-    /// caller gives runs from the call on, for a longer body from its end, and is over at the class's
-    /// deadline at the latest; by then there is an answer or an error. Of an answer over 64 KiB the head is
-    /// there by then.
+    /// A body of up to 64 KiB is read completely first. A longer one, up to 32 MiB, is streamed after
+    /// that; from then on the request stays with one server and is not retried. The caller's timeout runs
+    /// from the call, for a longer body from the body's end, and is cut to the class's deadline; by then
+    /// there is an answer or an error. For an answer over 64 KiB, the head is there by then.
     ///
-    /// Dropping the future calls the request off wherever it is: attempts are ended, what they held
-    /// is given back, and nothing more is sent for it. What a server has begun on by then may have
-    /// run.
+    /// Dropping the future cancels the request at any stage: its attempts end, their resources are
+    /// released, and nothing more is sent for it. A server that has already begun to process it may still
+    /// run it.
     ///
     /// # Errors
-    /// See [`Error`]; [`Error::execution`] tells whether the request may have run.
+    /// See [`Error`]; [`Error::execution`] says whether the request may have run.
     pub async fn call<B>(&self, request: Request<B>) -> Result<Response<Body>, Error>
     where
         B: http_body::Body,
         B::Error: Into<BoxError>,
     {
         let began = Instant::now();
-        let entered = self.opening.enter().ok_or(Error::Closed)?;
+        let open_request = self.opening.begin_request().ok_or(Error::Closed)?;
         let shared = self.shared();
         let (mut head, body) = request.into_parts();
         let meta = head.extensions.remove::<RequestMeta>().unwrap_or_default();
         let inherited = Inherited::current().or_else(|| head.extensions.remove::<Inherited>());
         let names = &shared.config.names;
         let (request_head, id) =
-            describe(names, &mut head, meta, inherited.as_ref(), || shared.new_id())?;
+            read_attributes(names, &mut head, meta, inherited.as_ref(), || shared.new_id())?;
         let Ok(permit) = shared.permits.clone().try_acquire_owned() else {
-            return Err(unsent());
+            return Err(refused_unsent());
         };
         let until = began + request_head.left;
         let mut account = shared.bytes.account();
-        // The host's body has its own pace; the request's time bounds it.
-        let (mut body, mut pace) = (Box::pin(body), StallBudget::unbounded());
-        let holding = buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut pace);
-        let held = match timeout_at(until.into(), holding).await {
-            Ok(Ok(held)) => held,
+        // The host's body may stall; only the request's timeout bounds the read.
+        let (mut body, mut stalls) = (Box::pin(body), StallBudget::unbounded());
+        let buffering = buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut stalls);
+        let buffered = match timeout_at(until.into(), buffering).await {
+            Ok(Ok(buffered)) => buffered,
             Ok(Err(ReadError::TooLong)) => return Err(too_large()),
             Ok(Err(ReadError::Broken(e))) => return Err(Error::Body(e.into())),
-            // Its time is over, and it has gone nowhere.
-            Ok(Err(ReadError::TooSlow)) | Err(_) => return Err(unsent()),
+            // The request has timed out before it was sent.
+            Ok(Err(ReadError::TooSlow)) | Err(_) => return Err(refused_unsent()),
         };
         let left = request_head.left;
-        let (pieces, rest) = match held {
+        let (pieces, rest) = match buffered {
             BufferedBody::Complete(pieces) => (pieces, None),
             BufferedBody::Partial(pieces) => (pieces, Some(Upload::new(left))),
         };
@@ -135,18 +134,19 @@
         sent.map_err(|_| Error::Closed)?;
         let (mut until, mut early) = (until, None);
         if let Some(rest) = rest {
-            let feeding = pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut pace, rest));
+            let forwarding =
+                pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut stalls, rest));
             tokio::select! {
                 biased;
-                // It was refused, or a server had no need of the rest.
+                // The request was refused, or a server answered without reading the rest.
                 reply = &mut answer => early = Some(reply),
-                fed = feeding => match fed {
-                    // The time runs from the last byte on.
+                forwarded = forwarding => match forwarded {
+                    // The timeout runs from the last byte of the body.
                     Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
                         until = Instant::now() + left;
                     }
                     Err(ForwardError::Read(ReadError::TooLong)) => return Err(too_large()),
-                    // A part of it has gone out, and a server may have begun on that.
+                    // Part of the body has been sent, and a server may have begun to process it.
                     Err(ForwardError::Read(ReadError::Broken(_))) => {
                         return Err(Error::Failed { timed_out: false });
                     }
@@ -156,11 +156,11 @@
         }
         let reply = match early {
             Some(reply) => Ok(reply),
-            None => timeout_at((until + GRACE).into(), answer).await,
+            None => timeout_at((until + ENGINE_REPLY_GRACE).into(), answer).await,
         };
         let reply = match reply {
             Ok(Ok(reply)) => reply?,
-            // The engine has ended, or its thread stands still.
+            // The engine has ended, or its thread does not run.
             Ok(Err(_)) => return Err(Error::Failed { timed_out: false }),
             Err(_) => return Err(Error::Failed { timed_out: true }),
         };
@@ -168,53 +168,53 @@
             Reply::Served(head, body) => {
                 Ok(answer::complete_response(head, body).map(|body| Body::new(body, None)))
             }
-            Reply::Streaming(long) => {
-                Ok(answer::streaming_response(long).map(|body| Body::new(body, Some(entered))))
-            }
+            Reply::Streaming(response) => Ok(answer::streaming_response(response)
+                .map(|body| Body::new(body, Some(open_request)))),
             Reply::Refused { retry_after, may_have_run } => {
                 let execution =
                     if may_have_run { Execution::MayHaveRun } else { Execution::NeverRan };
                 Err(Error::Refused { retry_after, execution })
             }
             Reply::Failed => {
-                // The engine stops a few milliseconds ahead, for the answer's way to the caller.
+                // The engine stops a few milliseconds before the deadline, to leave time to deliver the
+                // answer to the caller.
                 let early = Duration::from_millis(10);
                 Err(Error::Failed { timed_out: Instant::now() + early >= until })
             }
         }
     }
 
-    /// The planned end of this opening: new calls of its handles are turned away as
-    /// [`Error::Closed`], and what is under way, long answers among it, has until `within` to end.
-    /// If no other part of the process has the fleet open, the engine then ends, and with it its
-    /// connections and its thread; what it had not answered has failed.
+    /// Shuts this opening down: new calls of its handles fail with [`Error::Closed`], and open requests,
+    /// including streamed answers, have `within` to finish. If no other part of the process has the fleet
+    /// open, the engine then ends with its connections and its thread, and unanswered requests fail.
     ///
-    /// Dropped on the way, the opening stays closed to new calls, and the engine ends with its last
-    /// handle.
+    /// If this future is dropped early, the opening stays closed to new calls, and the engine ends with
+    /// its last handle.
     pub async fn drain(&self, within: Duration) -> Drained {
         let opening = &self.opening;
         opening.draining.store(true, Ordering::SeqCst);
-        let _ = timeout(within, opening.idle()).await;
+        let _ = timeout(within, opening.wait_until_idle()).await;
         let unanswered = opening.open.load(Ordering::SeqCst);
-        opening.leave();
-        if self.shared().ended() {
-            let mut life = self.shared().life.clone();
-            // The sender's end says the same.
-            let _ = life.wait_for(|life| *life == Life::Ended).await;
+        opening.close();
+        if self.shared().has_ended() {
+            let mut state = self.shared().state.clone();
+            // An error means that the sender is gone, so the engine has ended, too.
+            let _ = state.wait_for(|state| *state == EngineState::Ended).await;
         }
         Drained { unanswered }
     }
 
+    /// Sends a command to the engine; returns it if the engine has ended.
     pub(crate) fn command(&self, command: Command) -> Result<(), Command> {
         self.shared().commands.send(command).map_err(|unsent| unsent.0)
     }
 
-    /// What the fleet has under way and holds. None: it has ended.
+    /// The fleet's open requests and the resources it holds; None if it has ended.
     pub async fn usage(&self) -> Option<Usage> {
         let shared = self.shared();
-        let (to, told) = oneshot::channel();
-        shared.commands.send(Command::Usage(to)).ok()?;
-        let engine = told.await.ok()?;
+        let (reply, usage) = oneshot::channel();
+        shared.commands.send(Command::Usage(reply)).ok()?;
+        let engine = usage.await.ok()?;
         Some(Usage {
             open: shared.config.open - shared.permits.available_permits(),
             requests: engine.requests,
@@ -228,14 +228,14 @@
         })
     }
 
-    /// What this instance believes of the others. None: it keeps no view (see [`FleetBuilder::peers`]), or the
-    /// fleet has ended. Cancel-safe.
+    /// This instance's view of all instances; None if it keeps no view (see [`FleetBuilder::peers`]) or
+    /// the fleet has ended. Cancel-safe.
     ///
     /// [`FleetBuilder::peers`]: crate::FleetBuilder::peers
     pub async fn view(&self) -> Option<PeerView> {
-        let (to, told) = oneshot::channel();
-        self.shared().commands.send(Command::View(to)).ok()?;
-        let (counts, hash) = told.await.ok()??;
+        let (reply, view) = oneshot::channel();
+        self.shared().commands.send(Command::View(reply)).ok()?;
+        let (counts, hash) = view.await.ok()??;
         let Counts { unknown, alive, suspect, dead, left } = counts;
         Some(PeerView { unknown, alive, suspect, dead, left, hash })
     }
@@ -246,8 +246,8 @@
     }
 }
 
-/// Turned away before anything was sent.
-fn unsent() -> Error {
+/// The error of a request that is refused before anything was sent.
+fn refused_unsent() -> Error {
     Error::Refused { retry_after: None, execution: Execution::NeverRan }
 }
 
@@ -261,7 +261,7 @@
     type Error = Error;
     type Future = Pin<Box<dyn Future<Output = Result<Response<Body>, Error>> + Send>>;
 
-    /// Always ready: a fleet that can take no more says so by refusing, at once.
+    /// Always ready: an overloaded fleet refuses requests immediately.
     fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<Result<(), Error>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/millethook/src/inherit.rs
+++ b/crates/millethook/src/inherit.rs
@@ -1,4 +1,4 @@
-//! What a handler's own calls inherit from the request that it handles.
+//! Passes the timeout, tenant and id of a request on to the calls that its handler makes.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -24,9 +24,9 @@
 
 /// The remaining time, tenant and id of a request that is being handled.
 ///
-/// [`InheritLayer`] puts it where calls of the same task find it by themselves, and into the request's
-/// extensions. A task that the handler spawns is not the same task: take it along with
-/// [`Inherited::scope`].
+/// [`InheritLayer`] stores it in a task-local, where calls of the same task find it, and in the request's
+/// extensions. Tasks that the handler spawns do not inherit it by themselves; use
+/// [`Inherited::scope`] for them.
 #[derive(Clone, Debug)]
 pub struct Inherited(Arc<Inner>);
 
@@ -39,10 +39,10 @@
 }
 
 impl Inherited {
-    /// What a request's headers hand down, counted from now.
+    /// Reads the headers of a request; its remaining time runs from now.
     ///
     /// # Errors
-    /// A header that stands there twice, or whose value makes no sense.
+    /// A header is repeated or has an invalid value.
     pub fn from_headers(headers: &HeaderMap) -> Result<Inherited, Invalid> {
         let owned = |name| Ok(single_value(headers, name)?.map(str::to_owned));
         let left = single_value(headers, &TIME_LEFT)?.map(parse_time_left).transpose()?;
@@ -54,32 +54,32 @@
         })))
     }
 
-    /// What the present task has inherited.
+    /// The value that the current task has inherited.
     pub fn current() -> Option<Inherited> {
         CURRENT.try_with(Inherited::clone).ok()
     }
 
-    /// Runs a future whose calls inherit this, in a task of its own for one.
+    /// Wraps a future so that its calls inherit this value, for example in a spawned task.
     pub fn scope<F: Future>(self, future: F) -> impl Future<Output = F::Output> {
         CURRENT.scope(self, future)
     }
 
-    /// How long whoever sent the request still waits; None if it did not say.
+    /// How long the sender of the request still waits; None if the request does not say.
     pub fn left(&self) -> Option<Duration> {
         self.0.until.map(|until| until.saturating_duration_since(Instant::now()))
     }
 
-    /// Its tenant.
+    /// The request's tenant.
     pub fn tenant(&self) -> Option<&str> {
         self.0.tenant.as_deref()
     }
 
-    /// Its id.
+    /// The request's id.
     pub fn correlation(&self) -> Option<&str> {
         self.0.correlation.as_deref()
     }
 
-    /// An id for the next call that is made for it: no two requests may have the same.
+    /// An id for the next call made for this request. Each call gets its own, as ids must be unique.
     pub(crate) fn next_id(&self) -> Option<String> {
         let id = self.0.correlation.as_deref()?;
         let n = self.0.calls.fetch_add(1, Ordering::Relaxed) + 1;
@@ -87,13 +87,13 @@
     }
 }
 
-/// Has calls made in handlers inherit the request's remaining time, tenant and id. A head in which
-/// one of these cannot be read, or stands twice, is answered 400 and not handled.
+/// Makes the calls of handlers inherit the request's remaining time, tenant and id. A request in which
+/// one of these is invalid or repeated is answered 400 and not handled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InheritLayer(());
 
 impl InheritLayer {
-    /// The layer.
+    /// Creates the layer.
     pub fn new() -> InheritLayer {
         InheritLayer(())
     }
--- a/crates/millethook/src/lib.rs
+++ b/crates/millethook/src/lib.rs
@@ -1,10 +1,9 @@
-//! millethook inside a process: client-side load balancing with overload control.
+//! Client-side load balancing with overload control, as a library.
 //!
-//! A [`Fleet`] sends requests to a set of servers that do the same work. Which server gets one,
-//! whether it is tried again, and what is turned away when the fleet is loaded is decided by the same
-//! code as in the daemon, `plankvale`, and under the same four rules: every request gets exactly one
-//! final answer in time, nothing takes effect twice, servers that drain get nothing new, and a server
-//! that has just started is not pushed over.
+//! A [`Fleet`] sends requests to a set of servers that do the same work. The same code as in the daemon,
+//! `plankvale`, chooses servers, retries requests and sheds load, under the same four rules: every
+//! request gets exactly one final answer in time, no request takes effect twice, draining servers get
+//! nothing new, and a server that has just started is not overloaded.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -24,8 +23,8 @@
 //! # }
 //! ```
 //!
-//! All fleets of one name in a process are one: [`Fleet::open`] gives the same engine to each part of
-//! the program that asks for it, with one set of connections and one set of budgets.
+//! Within a process, all fleets of the same name share one engine: [`Fleet::open`] gives each part of
+//! the program the same connections and the same budgets.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/millethook/src/member.rs
+++ b/crates/millethook/src/member.rs
@@ -1,4 +1,4 @@
-//! Servers that the application's own code tells the fleet of while it runs.
+//! Lets the application add and remove servers while the fleet runs.
 
 use std::net::SocketAddr;
 
@@ -16,12 +16,12 @@
 }
 
 impl Member {
-    /// A server by its name, which has to be the same wherever the fleet is used, and its address.
+    /// A server with its name, which must be the same in all processes that use the fleet, and its address.
     pub fn new(name: impl Into<String>, address: SocketAddr) -> Member {
         Member { name: name.into(), address, zone: String::new() }
     }
 
-    /// The zone in which it stands.
+    /// The server's zone.
     pub fn zone(mut self, zone: impl Into<String>) -> Member {
         self.zone = zone.into();
         self
@@ -53,45 +53,46 @@
 
 impl std::error::Error for Closed {}
 
-/// Lists from code hold like those of discovery; where the fleet has discovery too, the later word holds. A
-/// server that goes on being listed keeps what was learned of it and its connections. One that is not listed
-/// any more gets nothing new, and what it has it finishes. Calls return before the engine has taken the list.
+/// Lists from code have the same effect as those of discovery; if the fleet also has discovery, the later
+/// list applies. A server that stays listed keeps its statistics and connections. A server that is no
+/// longer listed gets nothing new and finishes its open requests. These methods return before the engine
+/// has applied the list.
 impl Fleet {
-    /// Puts this list in the place of the one in force.
+    /// Replaces the list in force by this one.
     ///
     /// # Errors
     /// The fleet has been closed.
     pub fn update(&self, members: impl IntoIterator<Item = Member>) -> Result<(), Closed> {
         let hosts = members.into_iter().map(|m| m.entry(Listed::Active)).collect();
-        self.tell(true, hosts)
+        self.send_list(true, hosts)
     }
 
-    /// Adds a server, or changes where it is.
+    /// Adds a server or changes its address.
     ///
     /// # Errors
     /// The fleet has been closed.
     pub fn insert(&self, member: Member) -> Result<(), Closed> {
-        self.tell(false, vec![member.entry(Listed::Active)])
+        self.send_list(false, vec![member.entry(Listed::Active)])
     }
 
-    /// Sends nothing new to a server, as it is about to end. It stays on the list.
+    /// Sends nothing new to a server that is about to end. It stays on the list.
     ///
     /// # Errors
     /// The fleet has been closed.
     pub fn drain_member(&self, member: Member) -> Result<(), Closed> {
-        self.tell(false, vec![member.entry(Listed::Leaving)])
+        self.send_list(false, vec![member.entry(Listed::Leaving)])
     }
 
-    /// Takes a server off the list by its name.
+    /// Removes a server from the list by its name.
     ///
     /// # Errors
     /// The fleet has been closed.
     pub fn remove(&self, name: &str) -> Result<(), Closed> {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        self.tell(false, vec![Member::new(name, nowhere).entry(Listed::Left)])
+        let no_address = SocketAddr::from(([0, 0, 0, 0], 0));
+        self.send_list(false, vec![Member::new(name, no_address).entry(Listed::Left)])
     }
 
-    fn tell(&self, whole: bool, hosts: Vec<Host>) -> Result<(), Closed> {
+    fn send_list(&self, whole: bool, hosts: Vec<Host>) -> Result<(), Closed> {
         let list = List { seq: 0, whole, hosts };
         self.command(Command::Servers(list)).map_err(|_| Closed)
     }
--- a/crates/millethook/src/request.rs
+++ b/crates/millethook/src/request.rs
@@ -1,4 +1,4 @@
-//! What a call says of itself: in types, in headers, or by the request that it is made for.
+//! The attributes of a call: set in code, in headers, or inherited from the request being handled.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 
 use crate::inherit::Inherited;
 
-/// What a request says of itself, as an extension of it. What is not set is looked for in the
-/// headers that the daemon reads, then in what the present handler has inherited; a value that is set
-/// and stands in a header, too, has to be the same there.
+/// Attributes of a request, stored in its extensions. Attributes that are not set are read from the
+/// headers that the daemon reads, then from what the current handler has inherited. An attribute that is
+/// set both here and in a header must have the same value in both.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMeta {
     class: Option<String>,
@@ -29,12 +29,12 @@
 }
 
 impl RequestMeta {
-    /// One that says nothing.
+    /// No attributes set.
     pub fn new() -> RequestMeta {
         RequestMeta::default()
     }
 
-    /// The class, where it is not the first part of the path.
+    /// The class, if it is not the first segment of the path.
     pub fn class(mut self, class: impl Into<String>) -> RequestMeta {
         self.class = Some(class.into());
         self
@@ -46,49 +46,50 @@
         self
     }
 
-    /// How long the caller will wait, from the call on (`X-Time-Left-Ms`). It is cut to what is left
-    /// of an inherited time, and to the class's deadline.
+    /// How long the caller waits, from the call on (`X-Time-Left-Ms`). It is cut to the rest of an
+    /// inherited timeout and to the class's deadline.
     pub fn timeout(mut self, timeout: Duration) -> RequestMeta {
         self.timeout = Some(timeout);
         self
     }
 
-    /// What the request is about (the cookie `k`), so that it finds a server that is warm for it.
+    /// The key of the data that the request is about (the cookie `k`), so that it goes to a server that
+    /// has this data cached.
     pub fn key(mut self, key: u64) -> RequestMeta {
         self.key = Some(key);
         self
     }
 
-    /// By what servers drop repeats (`Idempotency-Key`).
+    /// The key by which servers drop repeats (`Idempotency-Key`).
     pub fn idempotency_key(mut self, key: impl Into<String>) -> RequestMeta {
         self.idempotency_key = Some(key.into());
         self
     }
 
-    /// The request's id (`X-Correlation-Id`), new with every request. Without one it gets one: that
-    /// of the request being handled with a number behind it, or a random one.
+    /// The request's id (`X-Correlation-Id`), unique to each request. Default: the id of the request being
+    /// handled with a number appended, or a random id.
     pub fn correlation(mut self, id: impl Into<String>) -> RequestMeta {
         self.correlation = Some(id.into());
         self
     }
 
-    /// A guess at the server's work (`X-Weight-Hint`).
+    /// An estimate of the server's work (`X-Weight-Hint`).
     pub fn hint(mut self, work: Duration) -> RequestMeta {
         self.hint = Some(work);
         self
     }
 
-    /// The request is a repeat of an earlier one (`X-Repeat`).
+    /// Marks the request as a repeat of an earlier one (`X-Repeat`).
     pub fn repeat(mut self) -> RequestMeta {
         self.repeat = true;
         self
     }
 }
 
-/// Sets a header to what a type says. One that is there already has to say the same.
-fn agree(head: &mut Parts, name: &'static HeaderName, value: &str) -> Result<(), Invalid> {
+/// Sets a header; one that exists already must have the same value.
+fn set_header(head: &mut Parts, name: &'static HeaderName, value: &str) -> Result<(), Invalid> {
     match head.headers.get(name) {
-        Some(there) if there.to_str().is_ok_and(|there| there.trim() == value) => Ok(()),
+        Some(existing) if existing.to_str().is_ok_and(|text| text.trim() == value) => Ok(()),
         Some(_) => Err(Invalid::Disagree(name.as_str())),
         None => {
             let value = HeaderValue::from_str(value).map_err(|_| Invalid::Header(name.as_str()))?;
@@ -98,8 +99,8 @@
     }
 }
 
-/// Reads what a call asks for, and its id. The head then says all that servers are to be told.
-pub(crate) fn describe(
+/// Reads the attributes of a call and its id, and sets the headers that servers need.
+pub(crate) fn read_attributes(
     names: &Names,
     head: &mut Parts,
     meta: RequestMeta,
@@ -115,27 +116,27 @@
     ];
     for (name, value) in typed {
         if let Some(value) = value {
-            agree(head, name, &value)?;
+            set_header(head, name, &value)?;
         }
     }
     if let Some(from) = inherited {
         if !head.headers.contains_key(&ACCOUNT)
             && let Some(tenant) = from.tenant()
         {
-            agree(head, &ACCOUNT, tenant)?;
+            set_header(head, &ACCOUNT, tenant)?;
         }
         if !head.headers.contains_key(&CORRELATION_ID)
             && let Some(id) = from.next_id()
         {
-            agree(head, &CORRELATION_ID, &id)?;
+            set_header(head, &CORRELATION_ID, &id)?;
         }
     }
     if !head.headers.contains_key(&CORRELATION_ID) {
-        agree(head, &CORRELATION_ID, &new_id())?;
+        set_header(head, &CORRELATION_ID, &new_id())?;
     }
-    let told = head.headers.contains_key(&TIME_LEFT);
+    let has_header = head.headers.contains_key(&TIME_LEFT);
     let inherited_left = inherited.and_then(Inherited::left);
-    let left = meta.timeout.or(inherited_left.filter(|_| !told));
+    let left = meta.timeout.or(inherited_left.filter(|_| !has_header));
     let overrides = HeadOverrides { class: meta.class.as_deref(), left, key: meta.key };
     let (mut request_head, id) =
         head::parse_head(names, &head.method, &head.uri, &head.headers, overrides)?;
--- a/crates/millethook/src/route.rs
+++ b/crates/millethook/src/route.rs
@@ -1,4 +1,4 @@
-//! Whole routes for the fleet, everything else for the application.
+//! Middleware that sends the requests of some classes to a fleet and all others to the application.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -18,8 +18,8 @@
 use crate::fleet::Fleet;
 
 impl Error {
-    /// The answer that tells an HTTP client of it: [`Error::status`], with `Retry-After` in seconds
-    /// where the time is told.
+    /// The HTTP response for this error: [`Error::status`], with `Retry-After` in seconds if the time is
+    /// known.
     pub fn into_response(self) -> Response<Body> {
         let mut response = Response::new(Body::empty());
         *response.status_mut() = self.status();
@@ -30,22 +30,22 @@
     }
 }
 
-/// Hands requests of some classes to a fleet, by the first part of their paths; all others go to the
+/// Sends requests of some classes to a fleet, by the first segment of their paths; all others go to the
 /// application. A refusal becomes 503 with `Retry-After`, a failure 502 or 504.
 #[derive(Clone, Debug)]
 pub struct RouteLayer {
     fleet: Fleet,
-    /// None: every class that the fleet has.
+    /// None for all classes of the fleet.
     classes: Option<Arc<BTreeSet<String>>>,
 }
 
 impl RouteLayer {
-    /// Hands over the requests of every class that the fleet has.
+    /// Sends the requests of all classes of the fleet to it.
     pub fn new(fleet: Fleet) -> RouteLayer {
         RouteLayer { fleet, classes: None }
     }
 
-    /// Hands over the requests of these classes only.
+    /// Sends only the requests of these classes to the fleet.
     pub fn classes<I>(mut self, classes: I) -> RouteLayer
     where
         I: IntoIterator,
@@ -72,7 +72,7 @@
 }
 
 impl<S> Route<S> {
-    fn takes(&self, path: &str) -> bool {
+    fn goes_to_fleet(&self, path: &str) -> bool {
         let class = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         match &self.to.classes {
             Some(classes) => classes.contains(class),
@@ -100,7 +100,7 @@
     }
 
     fn call(&mut self, request: Request<B>) -> Self::Future {
-        if self.takes(request.uri().path()) {
+        if self.goes_to_fleet(request.uri().path()) {
             let fleet = self.to.fleet.clone();
             Box::pin(async move {
                 let end = fleet.call(request).await;
--- a/crates/millethook/src/shared.rs
+++ b/crates/millethook/src/shared.rs
@@ -1,4 +1,5 @@
-//! One engine, and what all handles of it share: the way to its thread, its limits, and how many have it open.
+//! The state that all handles of one engine share: the channel to its thread, its limits and the number
+//! of openings.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,37 +10,40 @@
 
 use crate::config::{FleetConfig, random};
 use crate::error::OpenError;
-use crate::thread::{Command, Life, Started};
+use crate::thread::{Command, EngineState, EngineThread};
 
-/// One engine, and what all its handles share.
+/// The state that all handles of one engine share.
 pub(crate) struct Shared {
     pub(crate) config: FleetConfig,
     pub(crate) commands: mpsc::UnboundedSender<Command>,
-    pub(crate) life: watch::Receiver<Life>,
+    pub(crate) state: watch::Receiver<EngineState>,
+    /// One permit for each request that may be open.
     pub(crate) permits: Arc<Semaphore>,
     pub(crate) sockets: Arc<ConnectionPermits>,
     pub(crate) bytes: Arc<Bytes>,
+    /// A random start and a counter, from which request ids are made.
     ids: (u64, AtomicU64),
-    /// Openings that have been neither dropped nor drained. None: the last of them has been.
+    /// Number of openings that have been neither dropped nor drained; None once the last one has been.
     openings: Mutex<Option<usize>>,
 }
 
 impl Shared {
+    /// Starts an engine with `start` and returns its shared state and its thread.
     pub(crate) fn start(
         config: FleetConfig,
-        start: impl FnOnce(&FleetConfig, Arc<ConnectionPermits>) -> std::io::Result<Started>,
+        start: impl FnOnce(&FleetConfig, Arc<ConnectionPermits>) -> std::io::Result<EngineThread>,
     ) -> Result<(Arc<Shared>, JoinHandle<()>), OpenError> {
         let (sockets, bytes) = match &config.budget {
             Some(budget) => (budget.sockets.clone(), budget.bytes.clone()),
             None => (ConnectionPermits::new(config.sockets), Bytes::new(config.body_bytes)),
         };
-        let Started { commands, life, thread } =
+        let EngineThread { commands, state, thread } =
             start(&config, sockets.clone()).map_err(OpenError::System)?;
         let shared = Shared {
             permits: Arc::new(Semaphore::new(config.open)),
             config,
             commands,
-            life,
+            state,
             sockets,
             bytes,
             ids: (random(), AtomicU64::new(0)),
@@ -52,30 +56,32 @@
         self.openings.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts one more opening; false if the engine has ended, or is about to.
-    pub(crate) fn join(&self) -> bool {
+    /// Counts one more opening; false if the engine has ended or is about to end.
+    pub(crate) fn add_opening(&self) -> bool {
         let mut openings = self.openings();
-        let joined = openings.filter(|_| !self.commands.is_closed()).map(|n| n + 1);
-        *openings = joined.or(*openings);
-        joined.is_some()
+        let added = openings.filter(|_| !self.commands.is_closed()).map(|n| n + 1);
+        *openings = added.or(*openings);
+        added.is_some()
     }
 
-    /// Whether the engine takes requests.
-    pub(crate) fn live(&self) -> bool {
-        !self.ended() && !self.commands.is_closed()
+    /// Whether the engine accepts requests.
+    pub(crate) fn is_running(&self) -> bool {
+        !self.has_ended() && !self.commands.is_closed()
     }
 
-    pub(crate) fn ended(&self) -> bool {
+    /// Whether the last opening has been closed.
+    pub(crate) fn has_ended(&self) -> bool {
         self.openings().is_none()
     }
 
+    /// An id for a request that has none.
     pub(crate) fn new_id(&self) -> String {
         let n = self.ids.1.fetch_add(1, Ordering::Relaxed);
         format!("{:016x}", self.ids.0.wrapping_add(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
     }
 
-    /// The last opening is done with: the engine ends.
-    pub(crate) fn leave(&self) {
+    /// Removes an opening; the engine ends with the last one.
+    pub(crate) fn remove_opening(&self) {
         let mut openings = self.openings();
         *openings = openings.and_then(|n| n.checked_sub(1)).filter(|&n| n > 0);
         if openings.is_none() {
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -1,5 +1,5 @@
-//! The engine's own thread. Its clock and its sockets do not wait for the host's runtime: whatever
-//! that does, deadlines hold here.
+//! The engine's thread. Its timers and sockets do not depend on the host's runtime, so deadlines hold
+//! even if the host blocks that.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -23,14 +23,14 @@
     pub request_head: RequestHead,
     pub id: String,
     pub attempt_request: AttemptRequest,
-    /// When the caller stops waiting.
+    /// The caller's deadline.
     pub until: Instant,
     pub reply: oneshot::Sender<Result<Reply, Invalid>>,
-    /// Its place among the open ones; given back when the engine has closed its books on it.
+    /// Counts against the limit on open requests until the engine has finished the request.
     pub permit: OwnedSemaphorePermit,
 }
 
-/// What the handles tell the engine. The queue is as long as there are open requests, at most.
+/// Messages from the handles to the engine. The limit on open requests bounds the queued calls.
 pub(crate) enum Command {
     Call(Box<Call>),
     Usage(oneshot::Sender<Usage>),
@@ -39,38 +39,39 @@
     Stop,
 }
 
-/// What the handles learn of the engine's life.
+/// State of the engine, as seen by the handles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Life {
+pub(crate) enum EngineState {
     #[default]
     Starting,
-    /// Some server is listed, and discovery has been tried.
+    /// At least one server is listed, and discovery has been tried.
     Ready,
     Ended,
 }
 
-pub(crate) struct Started {
+/// A started engine thread.
+pub(crate) struct EngineThread {
     pub commands: mpsc::UnboundedSender<Command>,
-    pub life: watch::Receiver<Life>,
+    pub state: watch::Receiver<EngineState>,
     pub thread: JoinHandle<()>,
 }
 
-/// Tells of the end, whichever way the thread comes to it.
-struct Alive(watch::Sender<Life>);
+/// Reports the end of the engine when the thread returns or panics.
+struct ReportEnd(watch::Sender<EngineState>);
 
-impl Drop for Alive {
+impl Drop for ReportEnd {
     fn drop(&mut self) {
-        self.0.send_replace(Life::Ended);
+        self.0.send_replace(EngineState::Ended);
     }
 }
 
-/// Starts an engine on a thread of its own; it ends at `Stop`, or with the last sender.
+/// Starts an engine on its own thread. It ends at `Command::Stop` or when the last sender is dropped.
 pub(crate) fn start(
     config: &FleetConfig,
     servers: Arc<ConnectionPermits>,
-) -> std::io::Result<Started> {
+) -> std::io::Result<EngineThread> {
     let (commands, queue) = mpsc::unbounded_channel();
-    let (tell, life) = watch::channel(Life::Starting);
+    let (state_sender, state) = watch::channel(EngineState::Starting);
     let engine = EngineConfig {
         settings: config.settings.clone(),
         names: config.names.clone(),
@@ -80,7 +81,7 @@
         begins: config.begins,
         connections: config.connections,
         reuse: config.reuse,
-        // Without a view there is nothing that is said between instances of a library.
+        // Instances of the library exchange datagrams for the view only.
         peers: config.view.as_ref().and(config.peers.clone()).map(|(listen, peers)| PeerConfig {
             listen,
             peers,
@@ -91,36 +92,36 @@
         keeper: config.keeper.clone().map(|keeper| (config.name.clone(), keeper)),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    // The kernel cuts names of threads after fifteen bytes.
+    // Linux truncates thread names to 15 bytes.
     let thread = std::thread::Builder::new().name(format!("mh-{}", config.name));
     let thread = thread.spawn(move || {
-        let alive = Alive(tell);
+        let report_end = ReportEnd(state_sender);
         let local = LocalSet::new();
-        local.block_on(&runtime, run(engine, servers, queue, &alive.0));
-        // What still runs on the set ends here, and with it every socket; then the runtime.
+        local.block_on(&runtime, run(engine, servers, queue, &report_end.0));
+        // Dropping the set ends its tasks and closes their sockets, before the end is reported.
         drop(local);
         drop(runtime);
-        drop(alive);
+        drop(report_end);
     })?;
-    Ok(Started { commands, life, thread })
+    Ok(EngineThread { commands, state, thread })
 }
 
 async fn run(
     config: EngineConfig,
     servers: Arc<ConnectionPermits>,
     mut queue: mpsc::UnboundedReceiver<Command>,
-    life: &watch::Sender<Life>,
+    state: &watch::Sender<EngineState>,
 ) {
     let sockets = Rc::new(Sockets::of_servers(servers));
     let engine = match Engine::start(config, sockets).await {
         Ok(engine) => Rc::new(engine),
-        Err(e) => return tracing::error!(event = "engine_failed", "no engine: {e}"),
+        Err(e) => return tracing::error!(event = "engine_failed", "the engine cannot start: {e}"),
     };
     let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ready = async {
         engine.discovery_tried().await;
         engine.driver.first_listed().await;
-        life.send_replace(Life::Ready);
+        state.send_replace(EngineState::Ready);
         std::future::pending::<()>().await;
     };
     let serving = async {
@@ -129,10 +130,10 @@
                 Command::Call(call) => {
                     spawn_local(serve(engine.driver.clone(), ids.clone(), *call));
                 }
-                Command::Usage(to) => drop(to.send(engine.driver.usage())),
-                Command::View(to) => {
+                Command::Usage(reply) => drop(reply.send(engine.driver.usage())),
+                Command::View(reply) => {
                     let view = engine.fleet.as_ref().map(|fleet| (fleet.counts(), fleet.hash()));
-                    let _ = to.send(view);
+                    let _ = reply.send(view);
                 }
                 Command::Servers(list) => engine.servers(&list),
                 Command::Stop => return,
@@ -153,7 +154,7 @@
 
 async fn serve(driver: Rc<Driver>, ids: Rc<RequestIdRegistry>, call: Call) {
     let Call { mut request_head, id, attempt_request, until, mut reply, permit } = call;
-    // Without this, something is sent for a caller who has already gone.
+    // The caller has already dropped its future: nothing may be sent for it.
     if reply.is_closed() {
         return;
     }
@@ -168,7 +169,7 @@
     tokio::select! {
         biased;
         answer = ticket.reply() => drop(reply.send(Ok(answer))),
-        // The caller has dropped its future: the ticket, dropped, calls the attempts off.
+        // The caller has dropped its future: dropping the ticket cancels the attempts.
         () = reply.closed() => {}
     }
     drop(ticket);
--- a/crates/millethook/src/usage.rs
+++ b/crates/millethook/src/usage.rs
@@ -1,59 +1,59 @@
-//! What a fleet tells of itself: what is under way, what a drain came to, and its view of other instances.
+//! Reports of a fleet: its usage, the result of a drain, and its view of the other instances.
 
 use millethook_connect::pool::Ended as ConnectionsEnded;
 
-/// What an instance believes of the others: how many are what.
+/// An instance's view of all instances: the number of instances in each state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerView {
-    /// Never heard of.
+    /// Instances that have never been seen.
     pub unknown: usize,
-    /// Alive, this one among them.
+    /// Live instances, including this one.
     pub alive: usize,
-    /// Without an answer lately.
+    /// Instances that have not answered recently.
     pub suspect: usize,
-    /// Without an answer for so long that they are thought dead.
+    /// Instances that have not answered for so long that they are considered dead.
     pub dead: usize,
-    /// Said that they end.
+    /// Instances that have announced their end.
     pub left: usize,
-    /// The same at all instances that believe the same.
+    /// Hash of the view: equal at instances with equal views.
     pub hash: u32,
 }
 
-/// What a fleet has under way and holds, over all its handles.
+/// A fleet's open requests and held resources, over all its handles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Usage {
     /// Requests that callers wait for.
     pub open: usize,
-    /// Requests whose books are open in the engine: unanswered, or with attempts still out.
+    /// Requests that the engine tracks: unanswered, or with attempts in progress.
     pub requests: usize,
-    /// Attempts that are out.
+    /// Attempts in progress.
     pub attempts: usize,
-    /// Requests that the decisions still know.
+    /// Requests that the decision module tracks.
     pub undecided: usize,
-    /// Connections to servers, at rest or not (those of all fleets, where they share a budget).
+    /// Connections to servers, idle or not. With a shared budget, those of all its fleets.
     pub sockets: usize,
-    /// Connections to servers that are coming up.
+    /// Connections to servers that are being opened.
     pub opening: usize,
-    /// Connections to servers at rest.
+    /// Idle connections to servers.
     pub idle: usize,
-    /// Why connections to servers ended, in numbers so far.
+    /// Numbers of closed connections to servers, by reason.
     pub ended: ConnectionsEnded,
-    /// Bytes of bodies of requests (those of all fleets, where they share a budget).
+    /// Bytes of request bodies. With a shared budget, those of all its fleets.
     pub body_bytes: usize,
 }
 
 impl Usage {
-    /// Whether nothing is under way, and nothing held but connections at rest.
+    /// Whether the fleet has no request in progress and holds only idle connections.
     pub fn is_idle(&self) -> bool {
         let Usage { open, requests, attempts, undecided, sockets, idle, body_bytes, .. } = *self;
         [open, requests, attempts, undecided, body_bytes] == [0; 5] && sockets == idle
     }
 }
 
-/// What a drain has come to.
+/// The result of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drained {
-    /// Requests of this opening that had no end by then. They have failed.
+    /// Requests of this opening that did not finish in time. They have failed.
     pub unanswered: usize,
 }
--- a/crates/millethook/tests/unit/config.rs
+++ b/crates/millethook/tests/unit/config.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_sound_configuration_builds() {
     let config = builder().zone("east").tenant("acme").build().expect("sound");
-    assert_eq!((config.name(), config.sockets, config.settings.zone), ("f", SOCKETS, 1));
+    assert_eq!((config.name(), config.sockets, config.settings.zone), ("f", DEFAULT_SOCKETS, 1));
     assert!(config.names.tenants.contains_key("acme"));
 }
 
