--- a/crates/millethook/benches/hop.rs
+++ b/crates/millethook/benches/hop.rs
@@ -1,5 +1,5 @@
-//! What it costs to hand a request to another thread and get its answer back, beside doing so within
-//! one thread: the price of the engine's own thread, for `docs/design/library.md`.
+//! Measures the cost of the engine's own thread: passing a request to another thread and getting the
+//! answer back, compared with doing so within one thread. `docs/design/library.md` uses the result.
 //!
 //!     cargo bench -p millethook --bench hop
 
@@ -11,7 +11,7 @@
 
 type Query = (u64, oneshot::Sender<u64>);
 
-/// Answers each query from a task of its own, as the engine does.
+/// Answers each query in a separate task, as the engine does.
 async fn answer(mut queue: mpsc::UnboundedReceiver<Query>) {
     while let Some((n, to)) = queue.recv().await {
         spawn_local(async move {
@@ -20,7 +20,8 @@
     }
 }
 
-async fn ask(to: mpsc::UnboundedSender<Query>, until: Instant) -> u64 {
+/// Sends queries one after another until `until`; returns how many were answered.
+async fn send_queries(to: mpsc::UnboundedSender<Query>, until: Instant) -> u64 {
     let mut n = 0;
     while Instant::now() < until {
         let (reply, answer) = oneshot::channel();
@@ -42,7 +43,7 @@
 async fn callers(to: &mpsc::UnboundedSender<Query>, callers: usize, until: Instant) -> u64 {
     let mut tasks = JoinSet::new();
     for _ in 0..callers {
-        tasks.spawn(ask(to.clone(), until));
+        tasks.spawn(send_queries(to.clone(), until));
     }
     let mut sent = 0;
     while let Some(n) = tasks.join_next().await {
--- a/crates/millethook/examples/demo.rs
+++ b/crates/millethook/examples/demo.rs
@@ -1,5 +1,5 @@
-//! What it does, live: six stand-in servers, of which one fails, one is slow and one starts cold, and
-//! a load that doubles. Prints figures every second for ten seconds, and ends.
+//! A demonstration with six stand-in servers, of which one fails, one is slow and one starts cold, and
+//! with a load that rises above their capacity. Prints statistics every second for ten seconds.
 //!
 //!     cargo run --release --example demo
 
@@ -25,13 +25,14 @@
     micros: AtomicU64,
 }
 
-async fn one(fleet: Fleet, counts: Arc<Counts>, n: u64) {
-    // Uploads are worth eight lookups.
+/// Sends one request and counts its outcome.
+async fn send_one(fleet: Fleet, counts: Arc<Counts>, n: u64) {
+    // An upload has the value of eight lookups.
     let request = match n % 4 {
         0 => Request::post("/upload/1").header("idempotency-key", n.to_string()),
         _ => Request::get("/look/1"),
     };
-    let mut request = request.body(Full::<Bytes>::default()).expect("a sound request");
+    let mut request = request.body(Full::<Bytes>::default()).expect("a valid request");
     let left = Duration::from_millis(400);
     request.extensions_mut().insert(RequestMeta::new().timeout(left));
     let began = Instant::now();
@@ -81,13 +82,13 @@
     let mut n = 0;
     for second in 1..=SECONDS {
         let counts = Arc::new(Counts::default());
-        // The load doubles in the middle, beyond what these servers can do.
+        // In the second half, the load exceeds the capacity of these servers.
         let rate = if second <= SECONDS / 2 { 800 } else { 2400 };
         let end = began + Duration::from_secs(second);
         let gap = Duration::from_secs(1) / rate;
         let mut next = Instant::now();
         while Instant::now() < end {
-            tokio::spawn(one(fleet.clone(), counts.clone(), n));
+            tokio::spawn(send_one(fleet.clone(), counts.clone(), n));
             n += 1;
             next += gap;
             tokio::time::sleep_until(next.into()).await;
--- a/crates/millethook/examples/plain_tower.rs
+++ b/crates/millethook/examples/plain_tower.rs
@@ -1,4 +1,4 @@
-//! A fleet under layers of plain tower, without any framework.
+//! Uses a fleet as a tower service with tower layers, without a web framework.
 //!
 //!     cargo run --example plain_tower
 
@@ -11,15 +11,15 @@
 use millethook_testkit::{Fault, Stage};
 use tower::{Service, ServiceBuilder, ServiceExt};
 
-/// Writes its requests so that no caller has to say how long it waits.
-fn with_time(mut request: Request<Full<Bytes>>) -> Request<Full<Bytes>> {
+/// Sets a timeout, so that callers need not.
+fn with_timeout(mut request: Request<Full<Bytes>>) -> Request<Full<Bytes>> {
     request.extensions_mut().insert(RequestMeta::new().timeout(Duration::from_millis(300)));
     request
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
-    // Three servers: the first turns every third request away, the second resets some.
+    // Three servers: the first refuses some requests, the second resets some connections.
     let stage = Stage::new(3, |a| match (a.server, a.nth % 3) {
         (0, 0) => Fault::TurnAway,
         (1, 0) => Fault::Reset,
@@ -33,7 +33,7 @@
         config = config.server(&format!("s{n}"), server.address);
     }
     let fleet = Fleet::open(config.build()?)?;
-    let mut service = ServiceBuilder::new().map_request(with_time).service(fleet.clone());
+    let mut service = ServiceBuilder::new().map_request(with_timeout).service(fleet.clone());
 
     for n in 0..12 {
         let request = match n % 2 {
--- a/crates/millethook/examples/upload_helper.rs
+++ b/crates/millethook/examples/upload_helper.rs
@@ -1,10 +1,10 @@
-//! An upload helper with the balancing inside its process: an axum application, and five stand-in
-//! servers that the example starts itself.
+//! An upload helper that balances load inside its process: an axum application with five stand-in
+//! servers that the example starts.
 //!
 //!     cargo run --example upload_helper
 //!
-//! It listens on loopback, sends itself a hundred uploads and a hundred lookups, prints what became
-//! of them, and ends by a planned end.
+//! It listens on loopback, sends itself a hundred uploads and a hundred lookups, prints their results,
+//! and drains the fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 use millethook_testkit::{Cold, Delay, Server, Worker};
 use tokio::net::{TcpListener, TcpStream};
 
-/// One upload: checked here, then kept by one of the log servers. Its remaining time, its tenant and
-/// its id come down from the request by themselves.
+/// Handles one upload: counts its lines and sends it to one of the log servers. The call inherits the
+/// request's remaining time, tenant and id.
 async fn upload(
     State(fleet): State<Fleet>,
     headers: HeaderMap,
@@ -32,7 +32,7 @@
         meta = meta.idempotency_key(key);
     }
     let mut request =
-        Request::post("/log-upload/new").body(Full::new(log)).expect("a sound request");
+        Request::post("/log-upload/new").body(Full::new(log)).expect("a valid request");
     request.extensions_mut().insert(meta);
     fleet.call(request).await?;
     Ok(format!("{lines} lines kept\n"))
@@ -40,7 +40,7 @@
 
 fn servers() -> Vec<Server> {
     let worker = |n: u64| {
-        // The last one has just started, and is slow until it is warm.
+        // The last server has just started and is slow until it is warm.
         let cold = (n == 4).then(|| Cold {
             since: std::time::Instant::now(),
             warm_after: Duration::from_secs(5),
@@ -52,8 +52,8 @@
     (0..5).map(worker).collect()
 }
 
-/// A client of the application, on a connection of its own: the status of one request.
-async fn ask(at: std::net::SocketAddr, request: String) -> std::io::Result<u16> {
+/// Sends one request to the application on a new connection; returns the status.
+async fn send_request(at: std::net::SocketAddr, request: String) -> std::io::Result<u16> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut socket = TcpStream::connect(at).await?;
     socket.write_all(request.as_bytes()).await?;
@@ -75,7 +75,7 @@
     }
     let fleet = Fleet::open(config.build()?)?;
 
-    // Lookups go to the fleet as they are; uploads are the application's own work.
+    // Lookups go directly to the fleet; uploads are handled by the application.
     let app = Router::new()
         .route("/upload", post(upload))
         .with_state(fleet.clone())
@@ -100,7 +100,7 @@
             _ => format!("GET /log-page/{n} HTTP/1.1\r\n{head}\r\n"),
         };
         let kind = if n % 2 == 0 { "uploads" } else { "lookups" };
-        clients.spawn(async move { (kind, ask(at, request).await) });
+        clients.spawn(async move { (kind, send_request(at, request).await) });
         if n % 10 == 9 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
--- a/crates/millethook/tests/library/any_server/closing.rs
+++ b/crates/millethook/tests/library/any_server/closing.rs
@@ -1,4 +1,4 @@
-//! Servers that close or reset connections as they are used.
+//! Servers that close or reset connections while these are in use.
 
 use std::time::Duration;
 
@@ -8,63 +8,64 @@
 use super::early::{End, check, orders};
 use crate::common::*;
 
-/// A server closes a resting connection in the very instant in which an order is written. The pauses
-/// of servers and callers are of one length, so that closes fall on every offset.
-fn closes_in_the_instant(begins: Begins, tries: usize) {
+/// A server closes an idle connection at the moment when an order is written to it. The pauses of servers
+/// and callers have the same length, so that closes occur at every offset.
+fn check_closes_during_use(begins: Begins, tries: usize) {
     let begun = Begun::default();
     let pause = Duration::from_millis(4);
     let servers: Vec<Server> =
         (0..4).map(|n| closing(&begun, begins == Begins::Whole, pause, n)).collect();
-    let config = builder(&name(), &servers).begins(begins).build().expect("sound");
+    let config = builder(&name(), &servers).begins(begins).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let ends = runtime().block_on(orders(&fleet, "order", tries, 4));
     check(&begun, "order", &ends);
     let served = ends.iter().filter(|end| **end == End::Served).count();
-    assert_eq!(served, begun.answered(), "each answer is somebody's");
+    assert_eq!(served, begun.answered(), "each answer reaches a caller");
     assert!(served * 10 > tries * 7, "{served} of {tries} served");
 }
 
 #[test]
-fn a_close_in_the_instant_of_use_under_head() {
-    closes_in_the_instant(Begins::Head, 2000);
+fn a_close_during_use_under_head() {
+    check_closes_during_use(Begins::Head, 2000);
 }
 
 #[test]
-fn a_close_in_the_instant_of_use_under_whole() {
-    closes_in_the_instant(Begins::Whole, 2000);
+fn a_close_during_use_under_whole() {
+    check_closes_during_use(Begins::Whole, 2000);
 }
 
 #[test]
 #[ignore = "long: cargo test -p millethook --release --test library -- --ignored"]
-fn soak_closes_in_the_instant_of_use() {
+fn soak_closes_during_use() {
     for begins in [Begins::Head, Begins::Whole] {
-        closes_in_the_instant(begins, 100_000);
+        check_closes_during_use(begins, 100_000);
     }
 }
 
-/// Each second connection is reset as it comes up. What must not run twice is on trial there, and goes
-/// elsewhere.
+/// Every second connection is reset when it is accepted. An unsafe request is first tried there, and
+/// after a reset it is sent to another server.
 #[test]
 fn a_server_that_resets_each_second_connection() {
     let door = |_, nth: usize| if nth.is_multiple_of(2) { Door::ResetAtOnce } else { Door::Open };
     let stage = Stage::with_doors(3, door, |attempt| Fault::Serve(path(&attempt.message.first)));
-    // With a connection for each request half of all attempts meet a reset, and repeats have a budget.
+    // With a new connection for each request, half of all attempts would meet a reset, which exceeds the
+    // retry budget.
     let config = builder(&name(), &stage.servers).reuse(Reuse::Unlimited);
-    let fleet = Fleet::open(config.build().expect("sound")).expect("open");
+    let fleet = Fleet::open(config.build().expect("valid")).expect("open");
     let ends = runtime().block_on(orders(&fleet, "order", 400, 8));
     let served = ends.iter().filter(|end| **end == End::Served).count();
     let seen = stage.seen();
     let lines: std::collections::HashSet<_> = seen.iter().map(|a| a.line.clone()).collect();
-    assert_eq!(lines.len(), seen.len(), "an effect twice");
+    assert_eq!(lines.len(), seen.len(), "an order ran twice");
     for (i, end) in ends.iter().enumerate() {
         let ran = lines.contains(&format!("POST /order/{i}"));
-        assert!(!ran || *end != End::NeverRan, "order {i} ran, and is said not to have");
+        assert!(!ran || *end != End::NeverRan, "order {i} ran, but is reported as never run");
     }
     assert_eq!(served, seen.len());
     assert!(served > 300, "{served} of 400 served");
 }
 
-/// Each server closes after one answer, and does not say so.
+/// Each server closes the connection after one answer without announcing it.
 #[test]
 fn a_fleet_whose_servers_close_after_each_answer() {
     let (list, log, _) = servers(3, |mut conn, seen| {
@@ -74,16 +75,16 @@
     let fleet = fleet(&list);
     let ends = runtime().block_on(orders(&fleet, "order", 300, 8));
     let served = ends.iter().filter(|end| **end == End::Served).count();
-    // Who closes late, on a busy machine, may close on the next order: that one has failed, and did not
-    // run. Each that ran is served.
+    // On a busy machine, a late close may hit the next order, which then fails without having run. Each
+    // order that ran is served.
     assert_eq!(served, log.count());
     assert!(served > 200, "{served} of 300 served");
 }
 
-/// A server behind a line that drops everything: handshakes never come up. Another server gets the
-/// order after half of its aim, long before the connect timeout.
+/// One server is behind a link that drops all packets, so handshakes never complete. Another server gets
+/// the order after half of its aim, long before the connect timeout.
 #[test]
-fn a_handshake_that_never_comes_up_costs_a_share_of_the_aim() {
+fn a_handshake_that_never_completes_costs_a_share_of_the_aim() {
     let silent = Silent::start();
     let begun = Begun::default();
     let good = early(&begun, Early::First(""));
@@ -91,24 +92,24 @@
         .server("silent", silent.address)
         .connect_timeout(Duration::from_secs(60))
         .build()
-        .expect("sound");
+        .expect("valid");
     let fleet = Fleet::open(config).expect("open");
-    // Their deadline is 12 s, so an order that waited for the timeout would have failed.
+    // The orders' deadline is 12 s, so an order that waited for the connect timeout would have failed.
     let ends = runtime().block_on(orders(&fleet, "order", 20, 4));
     check(&begun, "order", &ends);
     let served = ends.iter().filter(|end| **end == End::Served).count();
     assert!(served >= 16, "{ends:?}");
 }
 
-/// A server that accepts and never answers. What may be sent again gets another attempt at its aim; what must
-/// not run twice fails when its time is up, and is never sent again.
+/// One server accepts and never answers. Safe and keyed requests get another attempt at their aim; unsafe
+/// requests fail at their timeout and are never sent again.
 #[test]
-fn a_server_that_accepts_and_never_answers_costs_an_aim() {
+fn a_server_that_accepts_and_never_answers_delays_by_the_aim() {
     let stage = Stage::new(3, |attempt| match attempt.server {
         0 => Fault::Stall,
         _ => Fault::Serve(path(&attempt.message.first)),
     });
-    // Their deadline is as good as never: what is served by then was not served by waiting for it.
+    // The deadline is far beyond the test's time limit, so no request is served by waiting for it.
     let (aim, never) = (Duration::from_millis(100), Duration::from_secs(60));
     let mut config = FleetConfig::builder(&name())
         .class(ClassConfig::safe("look", aim, never))
@@ -117,10 +118,10 @@
     for (i, server) in stage.servers.iter().enumerate() {
         config = config.server(&format!("s-{i}"), server.address);
     }
-    let fleet = Fleet::open(config.build().expect("sound")).expect("open");
+    let fleet = Fleet::open(config.build().expect("valid")).expect("open");
     runtime().block_on(async {
         for class in ["look", "keep"] {
-            // What is late by one server of three may be shed for a moment: then its caller comes again.
+            // With one slow server of three, requests may be shed for a short time; the caller retries.
             let (mut served, bound) = (0, std::time::Instant::now() + BOUND);
             while served < 30 {
                 assert!(std::time::Instant::now() < bound, "{served} of 30 served");
@@ -140,7 +141,7 @@
         }
     });
     let seen = stage.seen();
-    assert!(seen.iter().any(|a| a.server == 0), "the silent one was met");
+    assert!(seen.iter().any(|a| a.server == 0), "the silent server got no request");
     let orders = seen.iter().filter(|a| a.line.starts_with("POST /order")).count();
     assert!(orders <= 6, "an order ran twice: {orders} attempts of 6");
 }
--- a/crates/millethook/tests/library/any_server/twice.rs
+++ b/crates/millethook/tests/library/any_server/duplicate_answers.rs
@@ -1,11 +1,11 @@
-//! Answers that come twice, or with noise behind them, on connections that are wanted again at once.
+//! Answers that are sent twice or followed by other bytes, on connections that are reused immediately.
 
 use millethook_testkit::*;
 
 use super::early::{End, check, orders};
 use crate::common::*;
 
-/// `orders` panics if a body is not its own request's.
+/// `orders` panics if a request gets another one's body.
 #[test]
 fn no_stray_bytes_are_served_as_another_requests_answer() {
     for how in [Twice::AtOnce, Twice::Noise, Twice::RightBehind] {
--- a/crates/millethook/tests/library/any_server/early.rs
+++ b/crates/millethook/tests/library/any_server/early.rs
@@ -1,4 +1,4 @@
-//! Answers that come before a request is whole.
+//! Answers that are sent before the request is complete.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -25,20 +25,20 @@
     MayHaveRun,
 }
 
-/// Sends an order with its own path, and checks that what is served is its own answer.
-pub async fn order(fleet: &Fleet, class: &str, n: usize, body: Vec<u8>) -> End {
+/// Sends an order with a path of its own and checks that a served answer belongs to it.
+pub async fn send_order(fleet: &Fleet, class: &str, n: usize, body: Vec<u8>) -> End {
     let path = format!("/{class}/{n}");
     let mut meta = RequestMeta::new().timeout(Duration::from_secs(12));
     if class == "keep" {
         meta = meta.idempotency_key(format!("k{n}"));
     }
     let mut request =
-        Request::post(&path).body(Full::new(Bytes::from(body))).expect("a sound request");
+        Request::post(&path).body(Full::new(Bytes::from(body))).expect("a valid request");
     request.extensions_mut().insert(meta);
     match fleet.call(request).await {
         Ok(answer) => {
             let body = answer.into_body().collect().await.expect("a whole answer").to_bytes();
-            assert_eq!(body, path.as_bytes(), "an answer made for another request");
+            assert_eq!(body, path.as_bytes(), "got another request's answer");
             End::Served
         }
         Err(e @ (Error::Refused { .. } | Error::Failed { .. })) => match e.execution() {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sends so many orders by `callers` at once; how each ended.
+/// Sends `n` orders by `callers` concurrent callers; returns the outcome of each.
 pub async fn orders(fleet: &Fleet, class: &'static str, n: usize, callers: usize) -> Vec<End> {
     let next = Arc::new(AtomicUsize::new(0));
     let mut tasks = tokio::task::JoinSet::new();
@@ -62,7 +62,7 @@
                 if i >= n {
                     return ends;
                 }
-                ends.push((i, order(&fleet, class, i, b"body".to_vec()).await));
+                ends.push((i, send_order(&fleet, class, i, b"body".to_vec()).await));
             }
         });
     }
@@ -75,12 +75,15 @@
     ends
 }
 
-/// Nothing ran twice, and nothing that ran is called `NeverRan`.
+/// Checks that no order ran twice, and that no order that ran is reported as `NeverRan`.
 pub fn check(begun: &Begun, class: &str, ends: &[End]) {
-    assert_eq!(begun.twice(), Vec::<String>::new(), "an effect twice");
+    assert_eq!(begun.twice(), Vec::<String>::new(), "orders that ran twice");
     for (i, end) in ends.iter().enumerate() {
         let times = begun.times(&format!("/{class}/{i}"));
-        assert!(times == 0 || *end != End::NeverRan, "/{class}/{i} ran, and is said not to have");
+        assert!(
+            times == 0 || *end != End::NeverRan,
+            "/{class}/{i} ran, but is reported as never run"
+        );
     }
 }
 
@@ -92,7 +95,7 @@
     errors: Arc<AtomicUsize>,
 }
 
-/// Never reads its body, as one that only checks the key or the right to ask.
+/// A handler that never reads its body, such as one that only checks a key or a permission.
 async fn handle(
     State(handler): State<Handler>,
     Path((class, n)): Path<(String, String)>,
@@ -113,8 +116,8 @@
     (StatusCode::OK, path)
 }
 
-/// Refuses what holds a field twice, and fails the test, as the testkit's own servers do.
-async fn once_only(
+/// Refuses a request with a repeated header and fails the test, as the testkit's servers do.
+async fn reject_repeated_headers(
     request: axum::extract::Request,
     next: axum::middleware::Next,
 ) -> axum::response::Response {
@@ -125,8 +128,8 @@
     next.run(request).await
 }
 
-/// Five axum servers: three good ones, one that answers 500 to each third request, one that waits
-/// 300 ms on each second.
+/// Five axum servers: three good ones, one that answers 500 to every third request, and one that delays
+/// every second request by 300 ms.
 async fn axum_servers(begun: &Begun, errors: &Arc<AtomicUsize>) -> FleetBuilder {
     let (aim, deadline) = (Duration::from_millis(300), Duration::from_secs(15));
     let mut builder = FleetConfig::builder(&name())
@@ -137,7 +140,7 @@
         let (nth, errors) = (Arc::default(), errors.clone());
         let handler = Handler { begun: begun.clone(), nth, kind, errors };
         let app = Router::new().route("/{class}/{n}", post(handle)).with_state(handler);
-        let app = app.layer(axum::middleware::from_fn(once_only));
+        let app = app.layer(axum::middleware::from_fn(reject_repeated_headers));
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         builder = builder.server(&format!("s{kind}"), listener.local_addr().expect("bound"));
         tokio::spawn(async move { axum::serve(listener, app).await });
@@ -145,19 +148,19 @@
     builder
 }
 
-/// A handler that ignores its body answers while a client may still hold the last byte back.
-/// Taken for a stray, its answer was dropped, and the order sent again.
+/// A handler that ignores its body may answer while the client still holds the last byte back. Guards
+/// against dropping such an answer as unexpected bytes and sending the order again.
 #[test]
 fn axum_handlers_that_ignore_their_body_run_no_order_twice() {
     let runtime = runtime();
     runtime.block_on(async {
         let (begun, errors) = (Begun::default(), Arc::new(AtomicUsize::new(0)));
-        let config = axum_servers(&begun, &errors).await.build().expect("sound");
+        let config = axum_servers(&begun, &errors).await.build().expect("valid");
         let fleet = Fleet::open(config).expect("open");
         let ends = orders(&fleet, "order", 1000, 16).await;
         check(&begun, "order", &ends);
         let count = |of: End| ends.iter().filter(|end| **end == of).count();
-        // No order is called off, so each 200 is somebody's answer, and each 500 somebody's failure.
+        // No order is cancelled, so each 200 is one caller's answer and each 500 one caller's failure.
         assert_eq!(count(End::Served), begun.answered());
         assert_eq!(count(End::MayHaveRun), errors.load(Ordering::SeqCst));
         assert!(count(End::Served) > 800, "{} of 1000 served", count(End::Served));
@@ -169,19 +172,19 @@
     let runtime = runtime();
     runtime.block_on(async {
         let (begun, errors) = (Begun::default(), Arc::default());
-        let config = axum_servers(&begun, &errors).await.build().expect("sound");
+        let config = axum_servers(&begun, &errors).await.build().expect("valid");
         let fleet = Fleet::open(config).expect("open");
         let ends = orders(&fleet, "keep", 1000, 16).await;
         for (i, end) in ends.iter().enumerate() {
             let ran = begun.times(&format!("/keep/{i}")) > 0;
-            assert!(!ran || *end != End::NeverRan, "/keep/{i} ran, and is said not to have");
+            assert!(!ran || *end != End::NeverRan, "/keep/{i} ran, but is reported as never run");
         }
         let served = ends.iter().filter(|end| **end == End::Served).count();
         assert!(served > 930, "{served} of 1000 served");
     });
 }
 
-/// Bodies of every size, and servers that do what they like with them.
+/// Bodies of several sizes, and servers that answer before they read them, close or reset.
 #[test]
 fn early_answers_are_served_once_whatever_becomes_of_the_body() {
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
@@ -193,9 +196,9 @@
         runtime().block_on(async {
             let mut served = 0;
             for (n, size) in [0, 1, 2, 5, 64 << 10].into_iter().cycle().take(40).enumerate() {
-                let end = order(&fleet, "order", n, vec![b'x'; size]).await;
+                let end = send_order(&fleet, "order", n, vec![b'x'; size]).await;
                 let times = begun.times(&format!("/order/{n}"));
-                // Who closes late, on a busy machine, may close on the next order.
+                // On a busy machine, a late close may hit the next order.
                 let lost = times == 0 && end == End::MayHaveRun;
                 let well = times == 1 && end == End::Served;
                 assert!(well || lost, "{what:?}, {size} bytes: {end:?}, begun {times} times");
@@ -206,10 +209,10 @@
     }
 }
 
-/// Taken for a failed attempt, a 201 would have been an order that "may have run", and a 404 have
-/// been asked for again and again.
+/// Guards against treating a status other than 200 as a failed attempt: an order answered with 201 would
+/// be reported as "may have run", and one answered with 404 would be retried repeatedly.
 #[test]
-fn any_servers_answer_is_the_answer_whatever_its_status() {
+fn answers_are_classified_by_status_and_run_once() {
     let cases = [
         ("201 Created", Some(201)),
         ("404 Not Found", Some(404)),
--- a/crates/millethook/tests/library/any_server/fleets.rs
+++ b/crates/millethook/tests/library/any_server/fleets.rs
@@ -11,7 +11,7 @@
 use super::early::{End, check, orders};
 use crate::common::*;
 
-/// A server that counts the connections of all servers of its test.
+/// A server that counts open connections over all servers of its test.
 fn counted(begun: &Begun, open: &Arc<AtomicUsize>, most: &Arc<AtomicUsize>) -> Server {
     let (begun, open, most) = (begun.clone(), open.clone(), most.clone());
     Server::start(move |mut conn| {
@@ -31,15 +31,15 @@
     let begun = Begun::default();
     let (open, most) = (Arc::default(), Arc::default());
     let servers: Vec<Server> = (0..66).map(|_| counted(&begun, &open, &most)).collect();
-    let fleet = Fleet::open(builder(&name(), &servers).sockets(8).build().expect("sound"));
+    let fleet = Fleet::open(builder(&name(), &servers).sockets(8).build().expect("valid"));
     let fleet = fleet.expect("open");
     let ends = runtime().block_on(orders(&fleet, "order", 600, 6));
     check(&begun, "order", &ends);
     let served = ends.iter().filter(|end| **end == End::Served).count();
     assert!(served > 570, "{served} of 600 served");
-    // A server may hear of a connection's end a little after its socket is used anew.
+    // A server may see a connection's end a little after its socket is in use again.
     runtime().block_on(async {
-        nothing_held(&fleet).await;
+        wait_until_idle(&fleet).await;
         assert!(fleet.usage().await.expect("alive").sockets <= 8);
     });
     within("closed", || open.load(Ordering::SeqCst) <= 8);
@@ -61,7 +61,7 @@
         .discovery(agent.address)
         .class(ClassConfig::at_most_once("order", aim, deadline))
         .build();
-    let fleet = Fleet::open(config.expect("sound")).expect("open");
+    let fleet = Fleet::open(config.expect("valid")).expect("open");
     let runtime = runtime();
     assert!(runtime.block_on(fleet.ready()));
     let (asking, per_round) = (fleet.clone(), 1500);
@@ -72,7 +72,7 @@
         all.lock().expect("no panic").extend(ended.into_iter().enumerate());
     });
     for third in 0..3 {
-        // Each step waits for work done, not for time.
+        // Each step waits for completed orders rather than for a time.
         within("orders run", || begun.answered() > (third + 1) * per_round);
         for (n, entry) in list.iter_mut().enumerate().skip(third * 22).take(22) {
             *entry = (format!("new-{n}"), start(n));
@@ -86,8 +86,8 @@
     let served = ends.iter().filter(|end| **end == End::Served).count();
     assert_eq!(served, begun.answered());
     assert!(served * 100 > ends.len() * 97, "{served} of {} served", ends.len());
-    // Connections to servers that have gone are closed: as many are open as the fleet says.
-    runtime.block_on(nothing_held(&fleet));
+    // Connections to removed servers are closed: the servers and the fleet count the same connections.
+    runtime.block_on(wait_until_idle(&fleet));
     within("old connections are closed", || {
         let held = runtime.block_on(fleet.usage()).expect("alive").sockets;
         open.load(Ordering::SeqCst) == held
--- a/crates/millethook/tests/library/any_server/mod.rs
+++ b/crates/millethook/tests/library/any_server/mod.rs
@@ -1,7 +1,7 @@
-//! Servers that promise nothing: they begin with a request at the end of its head, close and reset
-//! connections when they like, and answer twice.
+//! Servers without any guarantees: they begin to process a request at the end of its head, close and
+//! reset connections at any time, and answer twice.
 
 mod closing;
+mod duplicate_answers;
 mod early;
 mod fleets;
-mod twice;
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -1,4 +1,4 @@
-//! The host drops its future, at every stage.
+//! Cancellation: the host drops the future of a call at every stage.
 
 use std::pin::Pin;
 use std::sync::mpsc::channel;
@@ -28,28 +28,28 @@
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
-        let mut request = Request::post("/order").body(Polled(|| Poll::Pending)).expect("sound");
+        let mut request = Request::post("/order").body(Polled(|| Poll::Pending)).expect("valid");
         request.extensions_mut().insert(RequestMeta::new().timeout(Duration::from_secs(5)));
         let waiting = poll_once(Box::pin(fleet.call(request))).await;
         let usage = fleet.usage().await.expect("alive");
         assert_eq!((usage.open, usage.requests), (1, 0));
         assert!(usage.body_bytes > 0);
         drop(waiting);
-        nothing_held(&fleet).await;
+        wait_until_idle(&fleet).await;
     });
     assert_eq!(stage.count(), 0);
 }
 
-/// What was handed to the engine and dropped before its turn is sent to nobody, or called off.
+/// A call that is dropped before the engine handles it is not sent, or its attempt is cancelled.
 #[test]
-fn in_the_instant_of_the_call() {
+fn right_after_the_call() {
     let stage = Stage::new(1, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         for _ in 0..200 {
             drop(poll_once(Box::pin(fleet.call(request("order")))).await);
         }
-        nothing_held(&fleet).await;
+        wait_until_idle(&fleet).await;
     });
     let seen = stage.seen();
     let mut ids: Vec<_> = seen.iter().map(|a| &a.id).collect();
@@ -66,7 +66,7 @@
         .server("s-0", silent.address)
         .connect_timeout(Duration::from_secs(10))
         .build()
-        .expect("sound");
+        .expect("valid");
     let fleet = millethook::Fleet::open(config).expect("open");
     runtime().block_on(async {
         let waiting = poll_once(Box::pin(fleet.call(request("order")))).await;
@@ -78,21 +78,21 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         drop(waiting);
-        nothing_held(&fleet).await;
+        wait_until_idle(&fleet).await;
         assert_eq!(fleet.usage().await.expect("alive").sockets, 0);
     });
 }
 
-/// The server tells when it has all but the last byte; the future is dropped then.
+/// The future is dropped when the server has all but the last byte of the request.
 #[test]
 fn with_the_last_byte_held_back() {
-    let (tell, told) = channel();
-    let tell = Mutex::new(tell);
+    let (arrival_sender, arrivals) = channel();
+    let arrival_sender = Mutex::new(arrival_sender);
     let ended = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let ends = ended.clone();
     let server = Server::start(move |mut conn| {
         if conn.socket.peek(&mut [0]).is_ok_and(|n| n == 1) {
-            let _ = tell.lock().expect("no panic").send(());
+            let _ = arrival_sender.lock().expect("no panic").send(());
             let whole = conn.message().is_some_and(|m| m.whole);
             if whole {
                 conn.ended();
@@ -104,16 +104,16 @@
     runtime().block_on(async {
         for n in 1..=20 {
             let waiting = poll_once(Box::pin(fleet.call(request("order")))).await;
-            tokio::task::block_in_place(|| next(&told));
+            tokio::task::block_in_place(|| next(&arrivals));
             drop(waiting);
-            nothing_held(&fleet).await;
-            // The attempt is over at the server, and no second one came.
+            wait_until_idle(&fleet).await;
+            // The attempt has ended at the server, and there was no second one.
             tokio::task::block_in_place(|| {
                 within("the end", || ended.load(std::sync::atomic::Ordering::SeqCst) == n)
             });
         }
     });
-    assert!(told.try_recv().is_err(), "nothing was sent again");
+    assert!(arrivals.try_recv().is_err(), "nothing was sent again");
 }
 
 #[test]
@@ -125,9 +125,9 @@
         let calling = fleet.clone();
         let class = *class;
         let task = runtime.spawn(async move { calling.call(request(class)).await.is_ok() });
-        within("it is with a server", || stage.count() == n + 1);
+        within("a server has the request", || stage.count() == n + 1);
         task.abort();
-        runtime.block_on(nothing_held(&fleet));
+        runtime.block_on(wait_until_idle(&fleet));
         assert_eq!(stage.count(), n + 1, "{class}: nothing was sent again");
     }
 }
@@ -152,19 +152,19 @@
             assert!(!body.is_end_stream());
             drop(body);
             tokio::task::block_in_place(|| next(&ended));
-            nothing_held(&fleet).await;
+            wait_until_idle(&fleet).await;
         }
     });
 }
 
-/// Thousands of calls that end anywhere, at servers with every fault: all counts return to zero, and
-/// no unsafe request that may have run is seen again.
+/// Thousands of calls dropped at random times, with servers that show every fault: all counts return to
+/// zero, and no unsafe request that may have run is sent again.
 #[test]
-fn anywhere_thousands_of_times() {
+fn at_random_times() {
     const CALLS: u64 = 3_000;
-    let turned = |a: &Attempt| Random::new(a.nth as u64 ^ 0xfa).below(10) == 0;
+    let turned_away = |a: &Attempt| Random::new(a.nth as u64 ^ 0xfa).below(10) == 0;
     let stage = Stage::new(4, move |a| {
-        if turned(a) {
+        if turned_away(a) {
             return Fault::TurnAway;
         }
         match Random::new(a.nth as u64).below(10) {
@@ -191,10 +191,10 @@
                     let answer = fleet.call(request(class)).await?;
                     answer.into_body().collect().await.map_err(Error::Body)
                 };
-                // Most are dropped on the way, some run to their end.
-                let patience = Duration::from_micros(random.below(12_000));
-                let patience = if n % 10 == 0 { Duration::from_millis(100) } else { patience };
-                let _ = tokio::time::timeout(patience, whole).await;
+                // Most calls are dropped before their end.
+                let drop_after = Duration::from_micros(random.below(12_000));
+                let drop_after = if n % 10 == 0 { Duration::from_millis(100) } else { drop_after };
+                let _ = tokio::time::timeout(drop_after, whole).await;
             });
             if n % 60 == 59 {
                 while tasks.join_next().await.is_some_and(|t| t.is_ok()) {}
@@ -203,14 +203,14 @@
         while let Some(task) = tasks.join_next().await {
             task.expect("no task panics");
         }
-        nothing_held(&fleet).await;
+        wait_until_idle(&fleet).await;
     });
     let seen = stage.seen();
-    assert!(seen.len() > 500, "{} reached a server", seen.len());
+    assert!(seen.len() > 500, "{} attempts reached a server", seen.len());
     let mut ran = std::collections::HashSet::new();
     for attempt in seen.iter().filter(|a| a.line.starts_with("POST /order")) {
         assert!(!ran.contains(&attempt.id), "again: {attempt:?}");
-        if !turned(attempt) {
+        if !turned_away(attempt) {
             ran.insert(attempt.id.clone());
         }
     }
--- a/crates/millethook/tests/library/common.rs
+++ b/crates/millethook/tests/library/common.rs
@@ -1,4 +1,4 @@
-//! Fleets of a stage's servers, and looks at what they hold.
+//! Helpers that open fleets of test servers, make requests and check what a fleet holds.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 use millethook::{ClassConfig, Fleet, FleetBuilder, FleetConfig, RequestMeta};
 use millethook_testkit::*;
 
-/// A body that comes as a function says.
+/// A request body whose frames come from a function.
 pub struct Polled<F>(pub F);
 
 impl<F> http_body::Body for Polled<F>
@@ -32,12 +32,12 @@
 
 static NAMES: AtomicUsize = AtomicUsize::new(0);
 
-/// A name that no other test has.
+/// A fleet name that is unique within the test process.
 pub fn name() -> String {
     format!("t{}", NAMES.fetch_add(1, Ordering::SeqCst))
 }
 
-/// A fleet of these servers, with a class of each kind. `look` may stream.
+/// The configuration of a fleet of these servers, with one class of each kind. `look` may stream.
 pub fn builder(name: &str, servers: &[Server]) -> FleetBuilder {
     let (aim, deadline) = (Duration::from_millis(300), Duration::from_secs(15));
     let mut builder = FleetConfig::builder(name)
@@ -51,20 +51,23 @@
     builder
 }
 
+/// Opens a fleet of these servers.
 pub fn fleet(servers: &[Server]) -> Fleet {
-    Fleet::open(builder(&name(), servers).build().expect("sound")).expect("open")
+    Fleet::open(builder(&name(), servers).build().expect("valid")).expect("open")
 }
 
+/// A host's runtime with two threads.
 pub fn runtime() -> tokio::runtime::Runtime {
     let builder = &mut tokio::runtime::Builder::new_multi_thread();
     builder.worker_threads(2).enable_all().build().expect("a runtime")
 }
 
-/// A request of a class, with time enough.
+/// A request of a class with a timeout of 12 s.
 pub fn request(class: &str) -> Request<Full<Bytes>> {
     timed(class, Duration::from_secs(12))
 }
 
+/// A request of a class with this timeout.
 pub fn timed(class: &str, left: Duration) -> Request<Full<Bytes>> {
     let mut meta = RequestMeta::new().timeout(left);
     let method = if class == "look" { "GET" } else { "POST" };
@@ -76,16 +79,16 @@
         .method(method)
         .uri(format!("/{class}/1"))
         .body(Full::new(Bytes::from(body)))
-        .expect("a sound request");
+        .expect("a valid request");
     request.extensions_mut().insert(meta);
     request
 }
 
-/// Waits until the fleet holds nothing but connections at rest.
-pub async fn nothing_held(fleet: &Fleet) {
+/// Waits until the fleet has no request in progress and holds only idle connections.
+pub async fn wait_until_idle(fleet: &Fleet) {
     let end = std::time::Instant::now() + BOUND;
     loop {
-        let usage = fleet.usage().await.expect("the fleet lives");
+        let usage = fleet.usage().await.expect("the fleet is open");
         if usage.is_idle() {
             return;
         }
--- a/crates/millethook/tests/library/interleavings.rs
+++ b/crates/millethook/tests/library/interleavings.rs
@@ -1,5 +1,5 @@
-//! Random interleavings of requests, cancellations, answers, time-outs and changes of the list, from
-//! seeds, against a checker that keeps its own books of what servers saw.
+//! Random interleavings of requests, cancellations, answers, timeouts and changes of the list, from seeds.
+//! The four rules are checked against what the servers saw.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -13,10 +13,10 @@
 
 const SERVERS: usize = 4;
 const STEPS: usize = 120;
-/// The server that has just started, with a twentieth of its later speed.
+/// Index of the server that has just started, with a twentieth of its later speed.
 const COLD: usize = SERVERS - 1;
 
-/// What servers do with the nth request; only being turned away proves that it never ran.
+/// How servers treat the nth request. Only `TurnAway` proves that it never ran.
 fn fault(seed: u64, nth: usize) -> Fault {
     let mut random = Random::new(seed ^ (nth as u64) << 8);
     match random.below(12) {
@@ -35,23 +35,23 @@
 
 /// How one request ended for its caller.
 #[derive(Debug)]
-enum Ending {
+enum Outcome {
     Served,
     Refused { never_ran: bool },
     Failed,
     Dropped,
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let stage = Stage::new(SERVERS, move |a| fault(seed, a.nth));
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    // Two zones of two: keyed repeats are dropped within one.
+    // Two zones with two servers each. Servers of one zone drop each other's keyed repeats.
     let listed = |states: &[&str; SERVERS]| {
         let mut hosts = stage.hosts();
         for (i, host) in hosts.iter_mut().enumerate() {
             host["site"] = json!(if i < 2 { "a" } else { "b" });
             host["health"] = json!(states[i]);
-            // The last one has just started, and stays cold for as long as the test runs.
+            // The last server has just started and stays cold during the whole test.
             host["born_ms"] = json!(if i == COLD { born } else { 0 });
         }
         hosts
@@ -62,17 +62,18 @@
     config["settings"]["limits"]["cancel"] = json!(true);
     config["settings"]["rules"]["cold"] = json!(3_600_000_000u64);
     config["settings"]["rules"]["coldShare"] = json!(0.05);
-    let config = millethook::FleetConfig::from_json(&config.to_string()).expect("sound");
+    let config = millethook::FleetConfig::from_json(&config.to_string()).expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let runtime = runtime();
-    let endings = Arc::new(Mutex::new(HashMap::new()));
+    let outcomes = Arc::new(Mutex::new(HashMap::new()));
     let mut random = Random::new(seed);
     runtime.block_on(async {
         assert!(fleet.ready().await);
         let mut tasks = tokio::task::JoinSet::new();
         for step in 0..STEPS {
             if random.below(8) == 0 {
-                // Without this, no server may be left, everything is refused, and nothing is tested.
+                // At least two servers stay active. Without any, every request would be refused and
+                // nothing would be tested.
                 let one = random.below(SERVERS as u64) as usize;
                 states[one] = if states[one] == "active" { "leaving" } else { "active" };
                 if states.iter().filter(|s| **s == "active").count() >= 2 {
@@ -84,7 +85,7 @@
             let class = ["look", "keep", "order"][random.below(3) as usize];
             let left = Duration::from_millis(20 + random.below(150));
             let dropped = (random.below(4) == 0).then(|| Duration::from_micros(random.below(9000)));
-            let (fleet, endings) = (fleet.clone(), endings.clone());
+            let (fleet, outcomes) = (fleet.clone(), outcomes.clone());
             let id = format!("i{seed}-{step}");
             tasks.spawn(async move {
                 let mut request = timed(class, left);
@@ -94,21 +95,21 @@
                 let began = Instant::now();
                 let call = fleet.call(request);
                 let end = match dropped {
-                    Some(patience) => tokio::time::timeout(patience, call).await.ok(),
+                    Some(after) => tokio::time::timeout(after, call).await.ok(),
                     None => Some(call.await),
                 };
-                let ending = match end {
-                    None => Ending::Dropped,
-                    Some(Ok(_)) => Ending::Served,
+                let outcome = match end {
+                    None => Outcome::Dropped,
+                    Some(Ok(_)) => Outcome::Served,
                     Some(Err(Error::Refused { execution, .. })) => {
-                        Ending::Refused { never_ran: execution == millethook::Execution::NeverRan }
+                        Outcome::Refused { never_ran: execution == millethook::Execution::NeverRan }
                     }
-                    Some(Err(Error::Failed { .. })) => Ending::Failed,
+                    Some(Err(Error::Failed { .. })) => Outcome::Failed,
                     Some(Err(other)) => panic!("{other:?}"),
                 };
-                // Rule 1, with what a busy machine may take beyond it.
+                // Rule 1, with a margin for a busy machine.
                 assert!(began.elapsed() < left + Duration::from_secs(2), "{:?}", began.elapsed());
-                endings.lock().expect("no panic").insert(id, (class, ending));
+                outcomes.lock().expect("no panic").insert(id, (class, outcome));
             });
             if random.below(3) == 0 {
                 tokio::time::sleep(Duration::from_micros(random.below(6000))).await;
@@ -117,15 +118,15 @@
         while let Some(task) = tasks.join_next().await {
             task.expect("no task panics");
         }
-        nothing_held(&fleet).await;
-        // Rule 3: once a drain is told, the server gets nothing new. It is told when the agent has
-        // answered a call that came after the change, and the next one has come.
+        wait_until_idle(&fleet).await;
+        // Rule 3: after a drain is known, the server gets nothing new. It is known when the agent has
+        // answered a call that arrived after the change, and the next call has arrived.
         let leaving = states.iter().position(|s| *s == "active").expect("two are active");
         states[leaving] = "leaving";
         agent.change(listed(&states));
         let (calls, count) =
             (agent.calls(), || stage.seen().iter().filter(|a| a.server == leaving).count());
-        tokio::task::block_in_place(|| within("the drain is told", || agent.calls() >= calls + 2));
+        tokio::task::block_in_place(|| within("the drain is known", || agent.calls() >= calls + 2));
         let before = count();
         for n in 0..30 {
             let class = ["look", "keep", "order"][n % 3];
@@ -133,24 +134,24 @@
             request.headers_mut().insert("x-account", "acme".parse().expect("a value"));
             let _ = fleet.call(request).await;
         }
-        assert_eq!(count(), before, "seed {seed}: server {leaving} leaves, and gets more");
+        assert_eq!(count(), before, "seed {seed}: draining server {leaving} got new requests");
     });
-    check(seed, &stage.seen(), &endings.lock().expect("no panic"));
+    check_rules(seed, &stage.seen(), &outcomes.lock().expect("no panic"));
 }
 
-fn check(seed: u64, seen: &[Attempt], endings: &HashMap<String, (&'static str, Ending)>) {
-    assert_eq!(endings.len(), STEPS, "seed {seed}: each request has one end");
+fn check_rules(seed: u64, seen: &[Attempt], outcomes: &HashMap<String, (&'static str, Outcome)>) {
+    assert_eq!(outcomes.len(), STEPS, "seed {seed}: each request has one outcome");
     let turned_away = |a: &Attempt| matches!(fault(seed, a.nth), Fault::TurnAway);
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     seen.iter().for_each(|a| by_id.entry(&a.id).or_default().push(a));
-    // Rule 4: whatever becomes of the others, a cold server gets about its share, a twentieth.
+    // Rule 4: a cold server gets about its share, a twentieth, whatever happens at the others.
     let cold = seen.iter().filter(|a| a.server == COLD).count();
     assert!(cold <= seen.len() / 4, "seed {seed}: {cold} of {} at a cold server", seen.len());
     for (id, attempts) in by_id {
-        // Those of the drain at the end are not in the books.
-        let Some((class, ending)) = endings.get(id) else { continue };
+        // Requests sent after the drain at the end are not recorded.
+        let Some((class, outcome)) = outcomes.get(id) else { continue };
         let ran: Vec<_> = attempts.iter().filter(|a| !turned_away(a)).collect();
-        // Rule 2: what may have run is not repeated where it is unsafe, and keyed only in its zone.
+        // Rule 2: an unsafe request that may have run is not repeated, and a keyed one only in its zone.
         match *class {
             "order" => assert!(ran.len() <= 1, "seed {seed}: twice: {ran:?}"),
             "keep" => {
@@ -160,32 +161,35 @@
             }
             _ => {}
         }
-        // Rule 2 again: a refusal says that nothing ran, or that it does no harm.
-        if let Ending::Refused { never_ran } = ending {
-            assert!(!never_ran || ran.is_empty(), "seed {seed}: ran, and never ran: {ran:?}");
+        // Rule 2: a request is refused only if it did not run, or if it is safe.
+        if let Outcome::Refused { never_ran } = outcome {
+            assert!(
+                !never_ran || ran.is_empty(),
+                "seed {seed}: ran, but reported as never run: {ran:?}"
+            );
             assert!(*class == "look" || ran.is_empty(), "seed {seed}: refused, but ran: {ran:?}");
         }
-        // Rule 1: nobody is served what no server made for it.
-        if matches!(ending, Ending::Served) {
-            let well =
+        // Rule 1: a served request was answered by a server.
+        if matches!(outcome, Outcome::Served) {
+            let answered =
                 |a: &&&Attempt| matches!(fault(seed, a.nth), Fault::Serve(_) | Fault::Late(..));
-            assert!(ran.iter().any(well), "seed {seed}: served by nobody: {ran:?}");
+            assert!(ran.iter().any(answered), "seed {seed}: served by no server: {ran:?}");
         }
     }
 }
 
 #[test]
-fn the_rules_hold_in_any_order_of_things() {
+fn the_rules_hold_in_random_interleavings() {
     for seed in 1..=6 {
-        play(seed);
+        run_seed(seed);
     }
 }
 
 /// The same with a thousand seeds: `cargo test -p millethook --release -- --ignored soak`.
 #[test]
 #[ignore = "takes minutes"]
-fn soak_the_rules_hold_in_any_order_of_things() {
+fn soak_the_rules_hold_in_random_interleavings() {
     for seed in 1_000..2_000 {
-        play(seed);
+        run_seed(seed);
     }
 }
--- a/crates/millethook/tests/library/main.rs
+++ b/crates/millethook/tests/library/main.rs
@@ -1,4 +1,4 @@
-//! The library inside a host: cancellation, sharing, the host's runtime, middleware.
+//! Tests of the library inside a host program: cancellation, sharing, the host's runtime, middleware.
 
 mod any_server;
 mod cancel;
--- a/crates/millethook/tests/library/members.rs
+++ b/crates/millethook/tests/library/members.rs
@@ -1,4 +1,4 @@
-//! Servers that come and go by the application's own code, and the product's file.
+//! Servers added and removed by the application, and the product's file.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Commands are carried out in order, so a call sees the list that was told before it.
+/// The engine handles commands in order, so a call sees the list that was sent before it.
 #[test]
 fn members_come_and_go_while_the_fleet_is_open() {
     let (a, b) = (Server::named("a"), Server::named("b"));
@@ -37,7 +37,7 @@
             assert_eq!(served_by(&fleet).await.as_deref(), Some("a"));
         }
         fleet.remove("s-0").expect("open");
-        assert_eq!(served_by(&fleet).await, None, "nobody is left: refused at once");
+        assert_eq!(served_by(&fleet).await, None, "no server is left, so the request is refused");
         fleet.update([Member::new("s-b", b_at)]).expect("open");
         assert_eq!(served_by(&fleet).await.as_deref(), Some("b"));
         fleet.drain(Duration::from_secs(5)).await;
@@ -45,7 +45,8 @@
     });
 }
 
-/// The product's file holds for the library, too: what the fleet knew at its end it knows at its next start.
+/// The product's file applies to the library, too: the list of servers is saved at the end and loaded at the
+/// next start.
 #[test]
 fn a_library_keeps_its_list_over_restarts() {
     let folder = std::env::temp_dir().join(format!("millethook-library-{}", std::process::id()));
@@ -55,8 +56,8 @@
     let (server, agent) = (Server::named("a"), Agent::start(Vec::new()));
     agent.change(vec![host("s-a", server.address)]);
     let open = |name: &str, discovery| {
-        let config = builder(name, &[]).discovery(discovery).build().expect("sound");
-        Fleet::open(config.with_product(&file).expect("sound")).expect("open")
+        let config = builder(name, &[]).discovery(discovery).build().expect("valid");
+        Fleet::open(config.with_product(&file).expect("valid")).expect("open")
     };
     let name = name();
     runtime().block_on(async {
@@ -69,8 +70,8 @@
         second.drain(Duration::from_secs(5)).await;
     });
     std::fs::write(&file, "[membership]\nsnapsot = 1\n").expect("written");
-    let config = builder("wrong", &[server]).build().expect("sound");
-    let error = config.with_product(&file).expect_err("unsound").to_string();
+    let config = builder("wrong", &[server]).build().expect("valid");
+    let error = config.with_product(&file).expect_err("invalid").to_string();
     assert!(error.contains("line 2: membership.snapsot: no such key"), "{error}");
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/millethook/tests/library/meta.rs
+++ b/crates/millethook/tests/library/meta.rs
@@ -1,4 +1,4 @@
-//! What a call says of itself, in types and in headers.
+//! Attributes of a call, set in `RequestMeta` and in headers.
 
 use std::time::Duration;
 
@@ -19,19 +19,19 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let mut request = request.body(Full::new(bytes::Bytes::from("x"))).expect("sound");
+    let mut request = request.body(Full::new(bytes::Bytes::from("x"))).expect("valid");
     request.extensions_mut().insert(meta);
     runtime().block_on(fleet.call(request)).map(drop)
 }
 
 fn open(stage: &Stage) -> Fleet {
     let config = builder(&name(), &stage.servers).tenant("acme").tenant("other").build();
-    Fleet::open(config.expect("sound")).expect("open")
+    Fleet::open(config.expect("valid")).expect("open")
 }
 
-/// Otherwise what a type says and what a server reads in a header would be two requests.
+/// If they could differ, the fleet and the server would treat the same request differently.
 #[test]
-fn types_and_headers_have_to_agree() {
+fn attributes_and_headers_must_agree() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let meta = || RequestMeta::new().timeout(Duration::from_millis(900)).tenant("acme");
@@ -53,14 +53,14 @@
     assert_eq!(stage.count(), 0);
     let same = [("x-account", "acme"), ("x-time-left-ms", "900"), ("cookie", "k=7")];
     assert!(call(&fleet, meta().key(7).class("order"), "/order/1", &same).is_ok());
-    // A path that is no class at all is the host's own; its class is what the type says.
+    // A path that does not start with a class belongs to the host; the attribute gives the class.
     assert!(call(&fleet, meta().class("order"), "/v2/orders", &[]).is_ok());
     assert_eq!(stage.count(), 2);
 }
 
-/// Nothing is guessed: what is missing is named.
+/// Missing and invalid attributes are errors that name the attribute; no value is guessed.
 #[test]
-fn what_is_missing_is_named() {
+fn errors_name_the_missing_or_invalid_attribute() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let wrong = |meta: RequestMeta, path: &str| match call(&fleet, meta, path, &[]) {
@@ -81,9 +81,9 @@
     assert_eq!(stage.count(), 0);
 }
 
-/// Servers are told in headers what was said in types.
+/// Attributes set in code reach the servers as headers.
 #[test]
-fn servers_are_told_what_types_say() {
+fn attributes_are_sent_as_headers() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let meta = RequestMeta::new()
--- a/crates/millethook/tests/library/middleware.rs
+++ b/crates/millethook/tests/library/middleware.rs
@@ -1,4 +1,4 @@
-//! What handlers inherit, and routes that go to the fleet.
+//! Inheritance of request attributes by handlers' calls, and routes that go to the fleet.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -21,23 +21,23 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    request.body(AxumBody::empty()).expect("sound")
+    request.body(AxumBody::empty()).expect("valid")
 }
 
-/// A handler that makes two calls: one that would wait for long, and one that says nothing at all.
+/// A handler that makes two calls: one with a long timeout and one without any attributes.
 async fn two_calls(State(fleet): State<Fleet>) -> Result<String, Error> {
-    let plain = || Request::get("/look/1").body(Full::<Bytes>::default()).expect("sound");
-    let mut patient = plain();
-    patient.extensions_mut().insert(RequestMeta::new().timeout(Duration::from_secs(10)));
-    fleet.call(patient).await?;
+    let plain = || Request::get("/look/1").body(Full::<Bytes>::default()).expect("valid");
+    let mut with_timeout = plain();
+    with_timeout.extensions_mut().insert(RequestMeta::new().timeout(Duration::from_secs(10)));
+    fleet.call(with_timeout).await?;
     fleet.call(plain()).await?;
     Ok("both".into())
 }
 
 #[test]
-fn calls_made_in_a_handler_inherit_and_never_exceed() {
+fn calls_in_a_handler_inherit_and_never_exceed_its_timeout() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
-    let config = builder(&name(), &stage.servers).tenant("acme").build().expect("sound");
+    let config = builder(&name(), &stage.servers).tenant("acme").build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let app =
         Router::new().route("/work", get(two_calls)).with_state(fleet).layer(InheritLayer::new());
@@ -53,9 +53,9 @@
     }
 }
 
-/// What has no time left calls nobody, whatever the handler asks for.
+/// A handler of a request without time left sends nothing, whatever timeout it asks for.
 #[test]
-fn a_handler_out_of_time_calls_nobody() {
+fn a_handler_without_time_left_sends_nothing() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let app =
@@ -66,20 +66,20 @@
 }
 
 #[test]
-fn without_the_layer_nothing_is_guessed() {
+fn without_the_layer_nothing_is_inherited() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let app = Router::new().route("/work", get(two_calls)).with_state(fleet(&stage.servers));
     let response = runtime().block_on(app.oneshot(incoming("/work", &[("x-time-left-ms", "700")])));
-    // The first call says how long it waits, the second one does not.
+    // The first call has a timeout, the second one has none.
     assert_eq!(response.expect("infallible").status(), StatusCode::BAD_REQUEST);
     assert_eq!(stage.count(), 1);
 }
 
 #[test]
-fn a_task_of_its_own_inherits_in_a_scope_only() {
+fn a_spawned_task_inherits_only_within_scope() {
     runtime().block_on(async {
         let headers = incoming("/", &[("x-account", "acme"), ("x-correlation-id", "c1")]);
-        let inherited = Inherited::from_headers(headers.headers()).expect("sound");
+        let inherited = Inherited::from_headers(headers.headers()).expect("valid");
         let (with, without) = inherited
             .clone()
             .scope(async move {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_head_that_cannot_be_inherited_from_is_not_handled() {
+fn a_request_with_invalid_inherited_headers_is_not_handled() {
     let app = Router::new().route("/work", get(|| async { "handled" })).layer(InheritLayer::new());
     let cases: [&[(&str, &str)]; 4] = [
         &[("x-account", "a"), ("x-account", "b")],
@@ -119,10 +119,10 @@
 fn get_from(app: Router, path: &str, headers: &[(&str, &str)]) -> (StatusCode, bool, String) {
     runtime().block_on(async {
         let response = app.oneshot(incoming(path, headers)).await.expect("infallible");
-        let told = response.headers().contains_key("retry-after");
+        let has_retry_after = response.headers().contains_key("retry-after");
         let status = response.status();
         let body = response.into_body().collect().await.expect("whole").to_bytes();
-        (status, told, String::from_utf8_lossy(&body).into_owned())
+        (status, has_retry_after, String::from_utf8_lossy(&body).into_owned())
     })
 }
 
@@ -141,17 +141,17 @@
 }
 
 #[test]
-fn refusals_and_failures_keep_their_meaning() {
+fn refusals_and_failures_map_to_http_statuses() {
     let full = Stage::new(2, |_| Fault::TurnAway);
-    let (status, told, _) = get_from(routed(&full, &[]), "/look/1", &HEAD);
-    assert_eq!((status, told), (StatusCode::SERVICE_UNAVAILABLE, true));
+    let (status, has_retry_after, _) = get_from(routed(&full, &[]), "/look/1", &HEAD);
+    assert_eq!((status, has_retry_after), (StatusCode::SERVICE_UNAVAILABLE, true));
     let unsafe_order = |fault: Fault, left: &str| {
         let stage = Stage::new(1, move |_| fault.clone());
         let request = Request::post("/order/1")
             .header("x-time-left-ms", left)
             .header("x-correlation-id", "r2")
             .body(AxumBody::from("x"))
-            .expect("sound");
+            .expect("valid");
         let response = runtime().block_on(routed(&stage, &[]).oneshot(request));
         response.expect("infallible").status()
     };
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_panic_in_a_handler_harms_no_other_request() {
+fn a_panic_in_a_handler_affects_no_other_request() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let handler = |State(fleet): State<Fleet>| async move {
@@ -178,11 +178,11 @@
             assert!(handled.await.is_err_and(|e| e.is_panic()));
             assert!(fleet.call(request("look")).await.is_ok());
         }
-        nothing_held(&fleet).await;
+        wait_until_idle(&fleet).await;
     });
 }
 
-/// Plain tower, without any framework.
+/// Uses the fleet with tower alone, without a web framework.
 #[test]
 fn a_fleet_is_a_service() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
--- a/crates/millethook/tests/library/new_connections.rs
+++ b/crates/millethook/tests/library/new_connections.rs
@@ -1,4 +1,4 @@
-//! Requests that need a new connection beside requests for which a used one will do.
+//! Requests that need a new connection, together with requests that can reuse one.
 
 use std::collections::BTreeMap;
 use std::future::{Future, poll_fn};
@@ -17,85 +17,88 @@
 use crate::common::*;
 
 /// A server whose answers to `look` differ, and whose answers to `order` are equal.
-struct TwoKinds {
+struct MixedServer {
     listener: TcpListener,
     address: SocketAddr,
     accepting: JoinHandle<()>,
-    is_over: Arc<AtomicBool>,
-    held: Arc<Mutex<Option<Held>>>,
+    stopped: Arc<AtomicBool>,
+    held: Arc<Mutex<Option<HeldRequest>>>,
 }
 
-/// Where a server tells of a request, and where it waits for leave to answer.
-struct Held {
+/// Channels on which a server reports a request and waits until it may answer.
+struct HeldRequest {
     seen: Sender<()>,
-    leave: Receiver<()>,
+    released: Receiver<()>,
 }
 
-impl TwoKinds {
-    fn start() -> TwoKinds {
+impl MixedServer {
+    fn start() -> MixedServer {
         let listener = short_queue();
         let address = listener.local_addr().expect("a bound address");
-        let (is_over, held) = (Arc::new(AtomicBool::new(false)), Arc::default());
-        let (taking, over) = (listener.try_clone().expect("a descriptor"), is_over.clone());
-        let holding: Arc<Mutex<Option<Held>>> = Arc::clone(&held);
+        let (stopped, held) = (Arc::new(AtomicBool::new(false)), Arc::default());
+        let (acceptor, stop) = (listener.try_clone().expect("a descriptor"), stopped.clone());
+        let held_by_server: Arc<Mutex<Option<HeldRequest>>> = Arc::clone(&held);
         let accepting = thread::spawn(move || {
-            for socket in taking.incoming().flatten() {
-                if over.load(Ordering::SeqCst) {
+            for socket in acceptor.incoming().flatten() {
+                if stop.load(Ordering::SeqCst) {
                     return;
                 }
-                let holding = holding.clone();
-                thread::spawn(move || answer_all(Conn::new(socket), &holding));
+                let held_by_server = held_by_server.clone();
+                thread::spawn(move || answer_all(Conn::new(socket), &held_by_server));
             }
         });
-        TwoKinds { listener, address, accepting, is_over, held }
+        MixedServer { listener, address, accepting, stopped, held }
     }
 
-    /// Holds the next request: where it is told of, and where leave is given to answer it.
+    /// Holds the next request. Returns a channel that reports it and one that releases it.
     fn hold_next(&self) -> (Receiver<()>, Sender<()>) {
         let (seen, is_seen) = channel();
-        let (give, leave) = channel();
-        *self.held.lock().expect("no panic") = Some(Held { seen, leave });
-        (is_seen, give)
+        let (release, released) = channel();
+        *self.held.lock().expect("no panic") = Some(HeldRequest { seen, released });
+        (is_seen, release)
     }
 
-    /// From now on no connection comes up, as long as what is returned lives.
-    fn accept_no_more(self) -> (TcpListener, FullQueue) {
-        self.is_over.store(true, Ordering::SeqCst);
-        let last = TcpStream::connect(self.address).expect("the last one that is taken");
+    /// Makes all further handshakes hang until the returned values are dropped.
+    fn stop_accepting(self) -> (TcpListener, FullQueue) {
+        self.stopped.store(true, Ordering::SeqCst);
+        let last = TcpStream::connect(self.address).expect("the last accepted connection");
         self.accepting.join().expect("no panic");
         drop(last);
         (self.listener, FullQueue::of(self.address))
     }
 }
 
-fn answer_all(mut conn: Conn, held: &Mutex<Option<Held>>) {
+fn answer_all(mut conn: Conn, held: &Mutex<Option<HeldRequest>>) {
     while let Some(message) = conn.message().filter(|message| message.whole) {
         let held = held.lock().expect("no panic").take();
         if let Some(held) = held {
             held.seen.send(()).expect("the test waits");
-            let _ = held.leave.recv();
+            let _ = held.released.recv();
         }
         let id = message.header("x-correlation-id").expect("an id");
         conn.send(ok(if message.first.contains("look") { id } else { "done" }));
     }
 }
 
-/// Opens a fleet of one such server, and lets it learn which answers differ.
-async fn learnt(server: &TwoKinds, with: impl FnOnce(FleetBuilder) -> FleetBuilder) -> Fleet {
+/// Opens a fleet of one such server and sends requests until it has learnt which answers differ.
+async fn trained_fleet(
+    server: &MixedServer,
+    with: impl FnOnce(FleetBuilder) -> FleetBuilder,
+) -> Fleet {
     let config = builder(&name(), &[]).server("s-0", server.address).reuse(Reuse::Compared);
-    let fleet = Fleet::open(with(config).build().expect("sound")).expect("open");
+    let fleet = Fleet::open(with(config).build().expect("valid")).expect("open");
     for class in ["look", "order"].repeat(8) {
-        ask(&fleet, class).await.expect("no panic").expect("served");
+        spawn_call(&fleet, class).await.expect("no panic").expect("served");
     }
     fleet
 }
 
-fn ask(fleet: &Fleet, class: &'static str) -> Task<Result<(), millethook::Error>> {
+fn spawn_call(fleet: &Fleet, class: &'static str) -> Task<Result<(), millethook::Error>> {
     let fleet = fleet.clone();
     tokio::spawn(async move { fleet.call(request(class)).await.map(drop) })
 }
 
-async fn until(fleet: &Fleet, what: &str, holds: impl Fn(Usage) -> bool) {
+async fn wait_for(fleet: &Fleet, what: &str, holds: impl Fn(Usage) -> bool) {
     let end = Instant::now() + BOUND;
     while !holds(fleet.usage().await.expect("the fleet lives")) {
         assert!(Instant::now() < end, "{what}");
@@ -103,63 +106,65 @@
     }
 }
 
-/// Two connections, and one handshake at once. One connection is in use, and the handshake hangs. A request that needs a
-/// new connection waits for the handshake's place, and behind it one for which a used connection will do. Guards against a
-/// connection at rest that nobody takes, as its news went to the one that has no use for it.
+/// Limits: two connections, one concurrent handshake. One connection is in use, and a handshake hangs. A
+/// request that needs a new connection waits for the handshake, and behind it waits a request that could
+/// reuse a connection. Guards against an idle connection that stays unused because the wake-up went to
+/// the request that cannot use it.
 #[test]
-fn a_connection_at_rest_goes_to_a_request_that_can_use_it() {
+fn an_idle_connection_goes_to_a_request_that_can_use_it() {
     runtime().block_on(async {
-        let server = TwoKinds::start();
+        let server = MixedServer::start();
         let limits =
             |config: FleetBuilder| config.connections_per_server(2).handshakes_per_server(1);
-        let fleet = learnt(&server, limits).await;
-        let (seen, give_leave) = server.hold_next();
-        let _no_room = server.accept_no_more();
-        let first = ask(&fleet, "look");
+        let fleet = trained_fleet(&server, limits).await;
+        let (seen, release) = server.hold_next();
+        let _hanging = server.stop_accepting();
+        let first = spawn_call(&fleet, "look");
         seen.recv().expect("the server lives");
-        let _hangs = ask(&fleet, "order");
-        until(&fleet, "a handshake hangs", |usage| usage.opening == 1).await;
-        let _needs_new = ask(&fleet, "order");
-        until(&fleet, "three are out", |usage| usage.attempts == 3).await;
-        let second = ask(&fleet, "look");
-        until(&fleet, "four are out", |usage| usage.attempts == 4).await;
-        give_leave.send(()).expect("the server lives");
+        let _hangs = spawn_call(&fleet, "order");
+        wait_for(&fleet, "a handshake hangs", |usage| usage.opening == 1).await;
+        let _needs_new = spawn_call(&fleet, "order");
+        wait_for(&fleet, "three attempts", |usage| usage.attempts == 3).await;
+        let second = spawn_call(&fleet, "look");
+        wait_for(&fleet, "four attempts", |usage| usage.attempts == 4).await;
+        release.send(()).expect("the server lives");
         first.await.expect("no panic").expect("served");
         second.await.expect("no panic").expect("served on the same connection");
     });
 }
 
-/// One connection, and it is in use. Guards against a request that needs a new one and does not hear that this one rests, and
-/// may be closed.
+/// Limit: one connection, and it is in use. Guards against a request that needs a new connection and is
+/// not woken when this one becomes idle and may be closed.
 #[test]
-fn a_connection_at_rest_makes_room_for_a_new_one() {
+fn an_idle_connection_is_closed_to_make_room_for_a_new_one() {
     runtime().block_on(async {
-        let server = TwoKinds::start();
-        let fleet = learnt(&server, |config| config.connections_per_server(1)).await;
-        let (seen, give_leave) = server.hold_next();
-        let first = ask(&fleet, "look");
+        let server = MixedServer::start();
+        let fleet = trained_fleet(&server, |config| config.connections_per_server(1)).await;
+        let (seen, release) = server.hold_next();
+        let first = spawn_call(&fleet, "look");
         seen.recv().expect("the server lives");
-        let needs_new = ask(&fleet, "order");
-        until(&fleet, "two are out", |usage| usage.attempts == 2).await;
-        give_leave.send(()).expect("the server lives");
+        let needs_new = spawn_call(&fleet, "order");
+        wait_for(&fleet, "two attempts", |usage| usage.attempts == 2).await;
+        release.send(()).expect("the server lives");
         first.await.expect("no panic").expect("served");
         needs_new.await.expect("no panic").expect("served on a new connection");
     });
 }
 
-/// A server whose answers are all equal: for each of its connections, in order, the first line of the request on it.
-fn first_lines() -> (SocketAddr, Arc<Mutex<BTreeMap<usize, String>>>) {
+/// A server whose answers are all equal. It records the first line of the request on each connection, in
+/// the order of connections.
+fn recording_server() -> (SocketAddr, Arc<Mutex<BTreeMap<usize, String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     let lines = Arc::<Mutex<BTreeMap<_, _>>>::default();
-    let noted = lines.clone();
+    let recorded = lines.clone();
     thread::spawn(move || {
         for (nth, socket) in listener.incoming().flatten().enumerate() {
-            let noted = noted.clone();
+            let recorded = recorded.clone();
             thread::spawn(move || {
                 let mut conn = Conn::new(socket);
                 let Some(message) = conn.message().filter(|message| message.whole) else { return };
-                noted.lock().expect("no panic").insert(nth, message.first.clone());
+                recorded.lock().expect("no panic").insert(nth, message.first.clone());
                 conn.send(ok("done"));
             });
         }
@@ -167,25 +172,25 @@
     (address, lines)
 }
 
-/// Guards against callers who wait for a new connection in vain, as those that come later pass them.
+/// Guards against requests that starve because later requests get the new connections first.
 #[test]
 fn new_connections_are_opened_in_the_order_of_their_requests() {
     const REQUESTS: usize = 300;
-    let (address, lines) = first_lines();
+    let (address, lines) = recording_server();
     let config = builder(&name(), &[]).server("s-0", address).reuse(Reuse::Compared);
-    let config = config.handshakes_per_server(1).build().expect("sound");
+    let config = config.handshakes_per_server(1).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     runtime().block_on(async {
         let mut waiting = Vec::new();
         for n in 0..REQUESTS {
             let mut request = request("order");
-            *request.uri_mut() = format!("/order/{n}").parse().expect("sound");
+            *request.uri_mut() = format!("/order/{n}").parse().expect("valid");
             let mut call = Box::pin(fleet.call(request));
             let begun = poll_fn(|cx| Poll::Ready(call.as_mut().poll(cx))).await;
             if begun.is_pending() {
                 waiting.push(call);
             }
-            // The engine may take what comes at once in any order.
+            // A round trip to the engine: it may otherwise take queued calls in any order.
             fleet.usage().await.expect("the fleet lives");
         }
         for call in waiting {
@@ -195,6 +200,6 @@
     let lines = lines.lock().expect("no panic");
     let number = |line: &String| line.split(['/', ' ']).nth(3)?.parse::<usize>().ok();
     let order: Vec<usize> = lines.values().map(|line| number(line).expect("a number")).collect();
-    assert!(order.len() > REQUESTS / 10, "{} went out", order.len());
+    assert!(order.len() > REQUESTS / 10, "{} requests were sent", order.len());
     assert!(order.is_sorted(), "{order:?}");
 }
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -1,4 +1,4 @@
-//! The host's runtime is blocked, ends, or sees a panic; and the planned end.
+//! Calls while the host's runtime is blocked, shut down or sees a panic, and drains.
 
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
@@ -13,8 +13,8 @@
 
 use crate::common::*;
 
-/// The host's only thread stands still from the first poll on, until the server has seen its attempt
-/// end. That happens at the deadline only if somebody else than the host keeps it.
+/// The host's only thread is blocked from the first poll until the server has seen its attempt end. That
+/// happens at the deadline only if the timer does not run on the host's thread.
 #[test]
 fn deadlines_hold_while_the_host_is_blocked() {
     let (tell, ended) = channel();
@@ -31,14 +31,14 @@
             async move { fleet.call(timed("order", Duration::from_millis(200))).await }
         });
         tokio::task::yield_now().await;
-        assert!(next(&ended), "the attempt was ended while the host stood still");
-        let end = calling.await.expect("no panic").expect_err("nobody has answered");
+        assert!(next(&ended), "the attempt was ended while the host was blocked");
+        let end = calling.await.expect("no panic").expect_err("no server has answered");
         assert!(matches!(end, Error::Failed { timed_out: true }), "{end:?}");
         assert_eq!(end.execution(), Execution::MayHaveRun);
     });
 }
 
-/// An answer that came while the host stood still is there when it goes on.
+/// An answer that arrives while the host is blocked is delivered afterwards.
 #[test]
 fn an_answer_waits_for_a_host_that_is_blocked() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
@@ -56,25 +56,25 @@
 }
 
 #[test]
-fn a_runtime_that_ends_with_requests_open_leaves_nothing() {
-    let (tell, ended) = channel();
-    let tell = Mutex::new(tell);
-    let stage = Arc::new(Mutex::new(0));
-    let came = stage.clone();
+fn a_runtime_shutdown_with_open_requests_ends_attempts_and_thread() {
+    let (ended_sender, ended) = channel();
+    let ended_sender = Mutex::new(ended_sender);
+    let received = Arc::new(Mutex::new(0));
+    let count = received.clone();
     let server = Server::start(move |mut conn| {
         if conn.message().is_some_and(|m| m.whole) {
-            *came.lock().expect("no panic") += 1;
-            let _ = tell.lock().expect("no panic").send(conn.ended());
+            *count.lock().expect("no panic") += 1;
+            let _ = ended_sender.lock().expect("no panic").send(conn.ended());
         }
     });
     let name = name();
-    let fleet = Fleet::open(builder(&name, &[server]).build().expect("sound")).expect("open");
+    let fleet = Fleet::open(builder(&name, &[server]).build().expect("valid")).expect("open");
     let runtime = runtime();
     for _ in 0..30 {
         let fleet = fleet.clone();
         runtime.spawn(async move { fleet.call(request("order")).await.is_ok() });
     }
-    within("all are with the server", || *stage.lock().expect("no panic") == 30);
+    within("the server has all requests", || *received.lock().expect("no panic") == 30);
     drop(fleet);
     runtime.shutdown_timeout(BOUND);
     for _ in 0..30 {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_panic_in_a_hosts_body_harms_nobody_else() {
+fn a_panic_in_a_request_body_affects_no_other_request() {
     let stage =
         Stage::new(2, |_| Fault::Late(Delay::Fixed(Duration::from_millis(5)), "fine".into()));
     let fleet = fleet(&stage.servers);
@@ -96,7 +96,7 @@
                 if n % 4 == 0 {
                     let mut request = Request::post("/order")
                         .body(Polled(|| panic!("a host's body")))
-                        .expect("sound");
+                        .expect("valid");
                     let meta = RequestMeta::new().timeout(Duration::from_secs(5));
                     request.extensions_mut().insert(meta);
                     return fleet.call(request).await.is_ok();
@@ -108,24 +108,24 @@
         while let Some(end) = tasks.join_next().await {
             match end {
                 Ok(true) => served += 1,
-                Ok(false) => panic!("one that did no harm has failed"),
+                Ok(false) => panic!("a request without a panic has failed"),
                 Err(e) => panicked += usize::from(e.is_panic()),
             }
         }
         assert_eq!((served, panicked), (30, 10));
-        nothing_held(&fleet).await;
+        wait_until_idle(&fleet).await;
     });
     assert_eq!(stage.count(), 30);
 }
 
 #[test]
-fn a_body_that_breaks_off_is_sent_nowhere() {
+fn a_request_whose_body_fails_is_not_sent() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let mut half = Some(Frame::data(Bytes::from_static(b"half")));
     let body =
         Polled(move || Poll::Ready(Some(half.take().ok_or_else(|| std::io::Error::other("gone")))));
-    let mut request = Request::post("/order").body(body).expect("sound");
+    let mut request = Request::post("/order").body(body).expect("valid");
     request.extensions_mut().insert(RequestMeta::new().timeout(Duration::from_secs(5)));
     let end = runtime().block_on(fleet.call(request)).expect_err("half a body");
     assert!(matches!(end, Error::Body(_)), "{end:?}");
@@ -133,46 +133,46 @@
 }
 
 #[test]
-fn a_drain_waits_for_what_was_taken_and_ends_the_engine() {
-    let (came, coming) = channel();
-    let came = Mutex::new(came);
+fn a_drain_waits_for_open_requests_and_ends_the_engine() {
+    let (arrival_sender, arrivals) = channel();
+    let arrival_sender = Mutex::new(arrival_sender);
     let stage = Stage::new(1, move |_| {
-        let (go, going) = channel::<()>();
-        let _ = came.lock().expect("no panic").send(go);
-        let _ = going.recv_timeout(BOUND);
+        let (release, released) = channel::<()>();
+        let _ = arrival_sender.lock().expect("no panic").send(release);
+        let _ = released.recv_timeout(BOUND);
         Fault::Serve("late".into())
     });
     let name = name();
-    let config = builder(&name, &stage.servers).build().expect("sound");
+    let config = builder(&name, &stage.servers).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let runtime = runtime();
     let calling = fleet.clone();
-    let taken = runtime.spawn(async move { calling.call(request("order")).await.is_ok() });
-    let go = next(&coming);
+    let call = runtime.spawn(async move { calling.call(request("order")).await.is_ok() });
+    let release = next(&arrivals);
     let draining = fleet.clone();
     let drained = runtime.spawn(async move { draining.drain(BOUND).await });
-    // New calls are turned away as soon as the drain has begun.
+    // New calls fail as soon as the drain has begun.
     within("closed", || {
         let end = runtime.block_on(fleet.call(timed("look", Duration::from_millis(1))));
         matches!(end, Err(Error::Closed))
     });
-    go.send(()).expect("the server waits");
-    assert!(runtime.block_on(taken).expect("no panic"));
+    release.send(()).expect("the server waits");
+    assert!(runtime.block_on(call).expect("no panic"));
     assert_eq!(runtime.block_on(drained).expect("no panic").unanswered, 0);
     within("the thread's end", || !has_thread(&format!("mh-{name}")));
     assert!(runtime.block_on(fleet.usage()).is_none());
 }
 
 #[test]
-fn a_drain_that_runs_out_of_time_says_what_is_left() {
+fn a_drain_that_times_out_reports_unanswered_requests() {
     let stage = Stage::new(1, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     let runtime = runtime();
     let calling = fleet.clone();
     let open = runtime.spawn(async move { calling.call(request("order")).await });
-    within("it is with the server", || stage.count() == 1);
+    within("the server has the request", || stage.count() == 1);
     let drained = runtime.block_on(fleet.drain(Duration::from_millis(50)));
     assert_eq!(drained.unanswered, 1);
-    let end = runtime.block_on(open).expect("no panic").expect_err("nobody has answered");
+    let end = runtime.block_on(open).expect("no panic").expect_err("no server has answered");
     assert!(matches!(end, Error::Failed { timed_out: false }), "{end:?}");
 }
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -9,13 +9,13 @@
 
 use crate::common::*;
 
-/// A fleet whose connections rest after an answer, whatever its servers announce.
-fn keeping(servers: &[Server]) -> FleetBuilder {
+/// The configuration of a fleet that keeps connections idle after an answer, for reuse without limit.
+fn reusing(servers: &[Server]) -> FleetBuilder {
     builder(&name(), servers).reuse(Reuse::Unlimited)
 }
 
-/// Asks `n` times in turn at each of the handles.
-fn ask_in_turn(handles: &[Fleet], n: usize, class: &str) -> usize {
+/// Sends `n` requests, alternating between the handles; returns how many were served.
+fn send_in_turn(handles: &[Fleet], n: usize, class: &str) -> usize {
     runtime().block_on(async {
         let mut served = 0;
         for i in 0..n {
@@ -26,19 +26,19 @@
 }
 
 #[test]
-fn two_openings_are_one_engine_whatever_the_order() {
+fn two_openings_share_one_engine_whichever_closes_first() {
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let name = name();
     let config = || builder(&name, &stage.servers).reuse(Reuse::Unlimited);
-    let open = || Fleet::open(config().build().expect("sound"));
+    let open = || Fleet::open(config().build().expect("valid"));
     let thread = format!("mh-{name}");
     let first = open().expect("open");
     let second = open().expect("open");
-    assert_eq!(ask_in_turn(&[first.clone(), second.clone()], 10, "look"), 10);
+    assert_eq!(send_in_turn(&[first.clone(), second.clone()], 10, "look"), 10);
     let usage = runtime().block_on(first.usage()).expect("alive");
     assert!(usage.sockets > 0);
     assert_eq!(Some(usage), runtime().block_on(second.usage()), "one engine for both");
-    // Who came first may go first.
+    // The first opening may close first.
     runtime().block_on(first.drain(Duration::from_secs(5)));
     assert!(
         runtime()
@@ -46,15 +46,15 @@
     );
     drop(first);
     assert!(has_thread(&thread));
-    assert_eq!(ask_in_turn(std::slice::from_ref(&second), 5, "look"), 5);
+    assert_eq!(send_in_turn(std::slice::from_ref(&second), 5, "look"), 5);
     let third = open().expect("open");
     drop(second);
-    assert_eq!(ask_in_turn(std::slice::from_ref(&third), 5, "look"), 5);
+    assert_eq!(send_in_turn(std::slice::from_ref(&third), 5, "look"), 5);
     drop(third);
     within("the thread's end", || !has_thread(&thread));
-    // And again from the beginning.
+    // The fleet can be opened again after its end.
     let again = open().expect("open");
-    assert_eq!(ask_in_turn(&[again], 5, "look"), 5);
+    assert_eq!(send_in_turn(&[again], 5, "look"), 5);
 }
 
 #[test]
@@ -62,8 +62,8 @@
     let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
     let name = name();
     let config = || builder(&name, &stage.servers);
-    let fleet = Fleet::open(config().build().expect("sound")).expect("open");
-    match Fleet::open(config().attempts(2).build().expect("sound")) {
+    let fleet = Fleet::open(config().build().expect("valid")).expect("open");
+    match Fleet::open(config().attempts(2).build().expect("valid")) {
         Err(OpenError::Conflict { fleet, key, open, here }) => {
             assert_eq!((fleet, key.as_str()), (name.clone(), "settings.limits.maxAttempts"));
             assert_eq!((open.as_str(), here.as_str()), ("4", "2"));
@@ -72,34 +72,34 @@
     }
     // Once it is closed, the name is free.
     drop(fleet);
-    let other = Fleet::open(config().attempts(2).build().expect("sound")).expect("open");
-    assert_eq!(ask_in_turn(&[other], 3, "look"), 3);
+    let other = Fleet::open(config().attempts(2).build().expect("valid")).expect("open");
+    assert_eq!(send_in_turn(&[other], 3, "look"), 3);
 }
 
-/// One retry budget: with every answer an error, two handles send as often as one does, and two
-/// fleets, each with a budget of its own, send more.
+/// If every answer is an error, two handles of a fleet make as many attempts as one handle does. Two
+/// fleets, each with its own retry budget, make more.
 #[test]
 fn two_handles_have_one_retry_budget() {
     let errors = || Stage::new(3, |_| Fault::Error);
     let attempts = |stage: &Stage, handles: &[Fleet]| {
-        assert_eq!(ask_in_turn(handles, 48, "look"), 0);
+        assert_eq!(send_in_turn(handles, 48, "look"), 0);
         stage.count()
     };
     let stage = errors();
     let one = attempts(&stage, &[fleet(&stage.servers)]);
     let stage = errors();
-    let config = builder(&name(), &stage.servers).build().expect("sound");
+    let config = builder(&name(), &stage.servers).build().expect("valid");
     let both = [Fleet::open(config.clone()).expect("open"), Fleet::open(config).expect("open")];
     let two = attempts(&stage, &both);
     let stage = errors();
     let apart = attempts(&stage, &[fleet(&stage.servers), fleet(&stage.servers)]);
-    // One to begin with, and one for each ten requests.
+    // The budget starts with one retry and grows by one for each ten requests.
     assert_eq!((one, two), (48 + 5, 48 + 5), "by one handle, by two");
     assert!(apart > one, "{apart} by two fleets, {one} by one");
 }
 
-/// A server that counts its connections, and keeps each until it is told.
-fn counting() -> (Server, Arc<AtomicUsize>, Arc<AtomicUsize>) {
+/// A server that counts its open connections and their maximum, and keeps connections open.
+fn counting_server() -> (Server, Arc<AtomicUsize>, Arc<AtomicUsize>) {
     let (open, most) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (now, peak) = (open.clone(), most.clone());
     let server = Server::start(move |mut conn| {
@@ -114,12 +114,12 @@
     (server, open, most)
 }
 
-/// Eighty callers of two handles, and eight sockets: the server sees eight connections at most, and
-/// attempts as one handle would make them.
+/// Eighty callers on two handles, and a limit of eight sockets: the server sees at most eight connections,
+/// as it would with one handle.
 #[test]
-fn two_handles_under_overload_hold_what_one_may() {
-    let (server, _, most) = counting();
-    let config = keeping(&[server]).sockets(8).build().expect("sound");
+fn two_handles_under_overload_keep_to_one_connection_limit() {
+    let (server, _, most) = counting_server();
+    let config = reusing(&[server]).sockets(8).build().expect("valid");
     let handles = [Fleet::open(config.clone()).expect("open"), Fleet::open(config).expect("open")];
     let (served, ended) = runtime().block_on(async {
         let mut tasks = tokio::task::JoinSet::new();
@@ -138,7 +138,7 @@
                 Err(other) => panic!("{other:?}"),
             }
         }
-        nothing_held(&handles[0]).await;
+        wait_until_idle(&handles[0]).await;
         (served, ended)
     });
     assert!(served >= 40 && served + ended == 80, "{served} served, {ended} refused");
@@ -146,8 +146,8 @@
     assert!(most <= 8, "{most} connections");
 }
 
-/// A call for room is for other fleets of a budget: a fleet that heard its own would close connections which its own
-/// callers need, and open others in their place.
+/// A fleet that needs a socket asks the other fleets of its budget to close connections. If it handled its
+/// own request, it would close connections that its own callers need and open others instead.
 #[test]
 fn callers_of_one_fleet_close_none_of_each_others_connections() {
     let opened = Arc::new(AtomicUsize::new(0));
@@ -159,7 +159,7 @@
             conn.send(ok("fine"));
         }
     });
-    let fleet = Fleet::open(keeping(&[server]).sockets(8).build().expect("sound")).expect("open");
+    let fleet = Fleet::open(reusing(&[server]).sockets(8).build().expect("valid")).expect("open");
     runtime().block_on(async {
         for _ in 0..40 {
             let mut tasks = tokio::task::JoinSet::new();
@@ -168,24 +168,24 @@
                 tasks.spawn(async move { fleet.call(request("look")).await });
             }
             tasks.join_all().await;
-            nothing_held(&fleet).await;
+            wait_until_idle(&fleet).await;
         }
     });
     assert_eq!(opened.load(Ordering::SeqCst), 8);
 }
 
-/// Without this, idle connections of one fleet keep another fleet out for good.
+/// Guards against idle connections of one fleet that block another fleet of the same budget for good.
 #[test]
 fn fleets_of_one_budget_make_room_for_each_other() {
-    let (a, open_a, most_a) = counting();
-    let (b, open_b, most_b) = counting();
+    let (a, open_a, most_a) = counting_server();
+    let (b, open_b, most_b) = counting_server();
     let budget = Budget::new(4, 2 << 20);
-    let within_it = |server: Server| {
-        let config = keeping(&[server]).build().expect("sound").with_budget(&budget);
+    let open_with_budget = |server: Server| {
+        let config = reusing(&[server]).build().expect("valid").with_budget(&budget);
         Fleet::open(config).expect("open")
     };
-    let (first, second) = (within_it(a), within_it(b));
-    let crowd = |fleet: &Fleet| {
+    let (first, second) = (open_with_budget(a), open_with_budget(b));
+    let send_burst = |fleet: &Fleet| {
         let fleet = fleet.clone();
         async move {
             let mut tasks = tokio::task::JoinSet::new();
@@ -201,39 +201,40 @@
         }
     };
     runtime().block_on(async {
-        assert!(crowd(&first).await > 0);
-        // The first has filled the budget, and rests.
+        assert!(send_burst(&first).await > 0);
+        // The first fleet now holds idle connections of the budget.
         assert!(budget.sockets() >= 1);
         for _ in 0..4 {
-            assert!(crowd(&second).await > 0);
-            assert!(crowd(&first).await > 0);
+            assert!(send_burst(&second).await > 0);
+            assert!(send_burst(&first).await > 0);
         }
         assert!(budget.sockets() <= 4);
-        nothing_held_but(&first, &second, &budget).await;
+        wait_until_all_idle(&first, &second, &budget).await;
     });
     assert!(most_a.load(Ordering::SeqCst) <= 4 && most_b.load(Ordering::SeqCst) <= 4);
     assert!(open_a.load(Ordering::SeqCst) + open_b.load(Ordering::SeqCst) <= 4);
     drop((first, second));
-    within("all is given back", || budget.sockets() == 0 && budget.bytes() == 0);
+    within("all sockets and bytes are released", || budget.sockets() == 0 && budget.bytes() == 0);
 }
 
-async fn nothing_held_but(a: &Fleet, b: &Fleet, budget: &Budget) {
+/// Waits until all sockets of the budget are idle connections of the two fleets.
+async fn wait_until_all_idle(a: &Fleet, b: &Fleet, budget: &Budget) {
     let end = std::time::Instant::now() + BOUND;
     loop {
         let idle = a.usage().await.expect("alive").idle + b.usage().await.expect("alive").idle;
         if idle == budget.sockets() {
             return;
         }
-        assert!(std::time::Instant::now() < end, "{idle} at rest of {}", budget.sockets());
+        assert!(std::time::Instant::now() < end, "{idle} idle of {}", budget.sockets());
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Two sockets and three servers: a call that needs a socket closes one connection at rest, not both.
+/// Two sockets and three servers: a call that needs a socket closes one idle connection, not both.
 #[test]
 fn a_call_that_needs_a_socket_closes_one_connection() {
     let stage = Stage::new(3, |_| Fault::Serve("fine".into()));
-    let config = keeping(&stage.servers).sockets(2).build().expect("sound");
+    let config = reusing(&stage.servers).sockets(2).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     runtime().block_on(async {
         let mut most = 0;
@@ -249,11 +250,11 @@
     assert_eq!(used.len(), 3);
 }
 
-/// More open requests than the configuration allows are refused at once, having gone nowhere.
+/// Requests beyond the limit on open requests are refused immediately and not sent.
 #[test]
 fn too_many_open_requests_are_refused_at_once() {
     let stage = Stage::new(1, |_| Fault::Stall);
-    let config = builder(&name(), &stage.servers).open(3).build().expect("sound");
+    let config = builder(&name(), &stage.servers).open(3).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let runtime = runtime();
     let waiting: Vec<_> = (0..3)
@@ -262,10 +263,10 @@
             runtime.spawn(async move { fleet.call(request("order")).await.is_ok() })
         })
         .collect();
-    within("three are with the server", || stage.count() == 3);
-    let refused = runtime.block_on(fleet.call(request("order"))).expect_err("no place");
+    within("the server has three requests", || stage.count() == 3);
+    let refused = runtime.block_on(fleet.call(request("order"))).expect_err("refused");
     assert_eq!((refused.execution(), refused.status().as_u16()), (Execution::NeverRan, 503));
     waiting.iter().for_each(|task| task.abort());
-    runtime.block_on(nothing_held(&fleet));
+    runtime.block_on(wait_until_idle(&fleet));
     assert_eq!(stage.count(), 3);
 }
--- a/crates/millethook/tests/library/view.rs
+++ b/crates/millethook/tests/library/view.rs
@@ -1,4 +1,4 @@
-//! Instances of the library that keep a view of one another.
+//! Instances of the library that keep a view of each other.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::common::*;
 
-/// Addresses that were free a moment ago.
+/// Free local addresses.
 fn addresses<const N: usize>() -> [SocketAddr; N] {
     let sockets: [UdpSocket; N] =
         std::array::from_fn(|_| UdpSocket::bind("127.0.0.1:0").expect("one"));
@@ -25,8 +25,8 @@
     let peers = addresses::<3>();
     let open = |me: usize, product: bool| {
         let config = builder(&name(), std::slice::from_ref(&server));
-        let config = config.peers(peers[me], me as u32, &peers).build().expect("sound");
-        let config = if product { config.with_product(&file).expect("sound") } else { config };
+        let config = config.peers(peers[me], me as u32, &peers).build().expect("valid");
+        let config = if product { config.with_product(&file).expect("valid") } else { config };
         Fleet::open(config).expect("open")
     };
     runtime().block_on(async {
@@ -48,11 +48,7 @@
         fleets[2].drain(Duration::from_secs(5)).await;
         views(|v| v.alive == 2 && v.left == 1).await;
         assert_eq!(fleets[2].view().await, None, "it has ended");
-        assert_eq!(
-            open(2, false).view().await,
-            None,
-            "nothing is said where nothing is configured"
-        );
+        assert_eq!(open(2, false).view().await, None, "without [fleet] there is no view");
     });
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/millethook/tests/unit/config.rs
+++ b/crates/millethook/tests/unit/config.rs
@@ -1,4 +1,4 @@
-//! Configurations: what is sound, what is named as wrong, and how two are told apart.
+//! Tests of configurations: valid ones, errors, and the comparison of two.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 }
 
 #[test]
-fn a_sound_configuration_builds() {
-    let config = builder().zone("east").tenant("acme").build().expect("sound");
+fn a_valid_configuration_builds() {
+    let config = builder().zone("east").tenant("acme").build().expect("valid");
     assert_eq!((config.name(), config.sockets, config.settings.zone), ("f", DEFAULT_SOCKETS, 1));
     assert!(config.names.tenants.contains_key("acme"));
 }
 
 #[test]
-fn what_is_wrong_is_named() {
-    let at = |b: FleetBuilder| b.build().expect_err("unsound").to_string();
+fn errors_name_the_key() {
+    let at = |b: FleetBuilder| b.build().expect_err("invalid").to_string();
     assert!(at(FleetConfig::builder("f")).contains("discovery"));
     assert!(at(builder().sockets(0)).contains("limits.sockets"));
     assert!(at(builder().open(0)).contains("limits.open"));
@@ -36,13 +36,13 @@
 
 #[test]
 fn the_first_difference_is_named() {
-    let same = || builder().build().expect("sound");
+    let same = || builder().build().expect("valid");
     assert_eq!(same().difference(&same()), None);
-    let other = builder().attempts(2).build().expect("sound");
+    let other = builder().attempts(2).build().expect("valid");
     let (key, a, b) = same().difference(&other).expect("one");
     assert_eq!((key.as_str(), &*a, &*b), ("settings.limits.maxAttempts", "4", "2"));
     let more = builder().server("b", "127.0.0.1:2".parse().expect("an address"));
-    let (key, ..) = same().difference(&more.build().expect("sound")).expect("one");
+    let (key, ..) = same().difference(&more.build().expect("valid")).expect("one");
     assert_eq!(key, "known.hosts");
     let budget = Budget::new(4, 1 << 20);
     let (key, ..) = same().difference(&same().with_budget(&budget)).expect("one");
