--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -73,7 +73,7 @@
                 last_try = Instant::now();
                 try_number = try_number.wrapping_add(1);
                 let (driver, try_number) = (self.driver.clone(), try_number);
-                spawn_local(async move { driver.try_any(try_number).await });
+                spawn_local(async move { driver.try_connect(try_number).await });
             }
             let stores: Vec<Rc<Store>> = self.replays.borrow().values().cloned().collect();
             // Stores with writes in flight may be as many as there are sidecars; their actual number is not
@@ -129,7 +129,7 @@
         // A process holds its intake locked for as long as it lives, and a process that stalls is
         // considered dead by the other members, so both are checked.
         let path = StoreFile::Intake.path(&self.settings.folder, edge);
-        super::lock::is_free(&path) || !self.fleet.is_there(edge.number())
+        super::lock::is_free(&path) || !self.fleet.is_alive(edge.number())
     }
 
     /// Takes a store over or gives it up, as its lease demands.
@@ -376,7 +376,7 @@
             failed: failed.map(back),
             left: left.min(usize::from(u16::MAX)) as u16,
         };
-        if is_due && self.fleet.say_edge(store.edge.0, value) {
+        if is_due && self.fleet.publish_edge(store.edge.0, value) {
             store.last_announced.set(Some((Instant::now(), mark)));
         }
         let is_foreign = store.edge != self.own_store;
--- a/crates/millethook-http/src/ingress/mod.rs
+++ b/crates/millethook-http/src/ingress/mod.rs
@@ -42,7 +42,7 @@
     driver: Rc<Driver>,
     names: RefCell<Arc<Names>>,
     sockets: Rc<Sockets>,
-    bytes: Arc<budget::Bytes>,
+    bytes: Arc<budget::ByteBudget>,
     ids: Rc<RequestIdRegistry>,
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     accepted: Cell<(u64, Instant)>,
@@ -79,7 +79,7 @@
         driver: Rc<Driver>,
         names: Arc<Names>,
         sockets: Rc<Sockets>,
-        bytes: Arc<budget::Bytes>,
+        bytes: Arc<budget::ByteBudget>,
         ids: Rc<RequestIdRegistry>,
     ) -> Rc<Ingress> {
         Rc::new(Ingress {
@@ -113,7 +113,7 @@
 
     /// Whether requests can be served: discovery was tried, and there is a list of servers.
     pub fn is_ready(&self) -> bool {
-        self.discovery_tried.get() && self.driver.listed()
+        self.discovery_tried.get() && self.driver.has_listed_servers()
     }
 
     /// Number of connected clients.
--- a/crates/millethook-http/src/ingress/serve.rs
+++ b/crates/millethook-http/src/ingress/serve.rs
@@ -11,7 +11,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode, Version};
 use millethook_engine::driver::{Reply, RequestHead};
-use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
+use millethook_engine::upload::{MAX_UPLOAD_BYTES, Upload, UploadError};
 
 use super::Ingress;
 use super::client::{Client, Phase};
@@ -106,9 +106,9 @@
         }
         client.enter_phase(Phase::ReadingBody);
         let (mut body, mut stall_budget) = (body, StallBudget::new());
-        let mut account = self.bytes.account();
+        let mut account = self.bytes.reservation();
         let buffered =
-            match buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut stall_budget).await {
+            match buffer_body(&mut body, MAX_UPLOAD_BYTES, &mut account, &mut stall_budget).await {
                 Ok(buffered) => buffered,
                 Err(e) => return read_error_status(e).map(Err),
             };
@@ -119,7 +119,7 @@
         client.enter_phase(Phase::AwaitingAnswer);
         reservation.commit();
         let accepted_at = Instant::now();
-        self.driver.current_list().await;
+        self.driver.wait_for_current_list().await;
         let left = request_head.left.saturating_sub(accepted_at.elapsed());
         let request_head = RequestHead { left, ..request_head };
         let pieces = match buffered {
@@ -187,7 +187,7 @@
         drop(names);
         let forwarded = {
             let forwarding =
-                pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut stall_budget, rest));
+                pin!(forward_rest(&mut body, length, MAX_UPLOAD_BYTES, &mut stall_budget, rest));
             tokio::select! {
                 biased;
                 // The request was refused, or a server answered without reading the rest.
@@ -197,11 +197,11 @@
         };
         match forwarded {
             Err(ForwardError::Read(e)) => read_error_status(e).map(Err),
-            Err(ForwardError::NotTaken(NotTaken::Stalled)) => {
+            Err(ForwardError::NotTaken(UploadError::Stalled)) => {
                 Ok(Ok(Answered::Reply(Reply::Failed)))
             }
             // The reply tells why the server no longer takes the body.
-            Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
+            Ok(()) | Err(ForwardError::NotTaken(UploadError::Closed)) => {
                 Ok(Ok(Answered::Reply(ticket.reply().await)))
             }
         }
--- a/crates/millethook/src/budget.rs
+++ b/crates/millethook/src/budget.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use millethook_engine::budget::{Bytes, ConnectionPermits};
+use millethook_engine::budget::{ByteBudget, ConnectionPermits};
 
 /// Sockets and bytes that several fleets of one process share. A clone is the same budget.
 ///
@@ -11,24 +11,24 @@
 #[derive(Clone)]
 pub struct Budget {
     pub(crate) sockets: Arc<ConnectionPermits>,
-    pub(crate) bytes: Arc<Bytes>,
+    pub(crate) bytes: Arc<ByteBudget>,
 }
 
 impl Budget {
     /// A budget of `sockets` connections to servers and `bytes` bytes for bodies of open requests (at
     /// least 1 MiB plus one body of 64 KiB).
     pub fn new(sockets: usize, bytes: usize) -> Budget {
-        Budget { sockets: ConnectionPermits::new(sockets.max(1)), bytes: Bytes::new(bytes) }
+        Budget { sockets: ConnectionPermits::new(sockets.max(1)), bytes: ByteBudget::new(bytes) }
     }
 
     /// Current number of connections to servers.
     pub fn sockets(&self) -> usize {
-        self.sockets.taken()
+        self.sockets.in_use()
     }
 
     /// Current number of bytes in request bodies.
     pub fn bytes(&self) -> usize {
-        self.bytes.taken()
+        self.bytes.in_use()
     }
 
     /// Whether both are clones of the same budget.
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -10,7 +10,7 @@
 
 use http::{Request, Response};
 use millethook_engine::driver::Reply;
-use millethook_engine::upload::{LONGEST_UPLOAD, NotTaken, Upload};
+use millethook_engine::upload::{MAX_UPLOAD_BYTES, Upload, UploadError};
 use millethook_http::answer;
 use millethook_http::body::{
     BufferedBody, ForwardError, ReadError, StallBudget, buffer_body, forward_rest, framing,
@@ -108,10 +108,10 @@
             return Err(refused_unsent());
         };
         let until = began + request_head.left;
-        let mut account = shared.bytes.account();
+        let mut account = shared.bytes.reservation();
         // The host's body may stall; only the request's timeout bounds the read.
         let (mut body, mut stalls) = (Box::pin(body), StallBudget::unbounded());
-        let buffering = buffer_body(&mut body, LONGEST_UPLOAD, &mut account, &mut stalls);
+        let buffering = buffer_body(&mut body, MAX_UPLOAD_BYTES, &mut account, &mut stalls);
         let buffered = match timeout_at(until.into(), buffering).await {
             Ok(Ok(buffered)) => buffered,
             Ok(Err(ReadError::TooLong)) => return Err(too_large()),
@@ -135,14 +135,14 @@
         let (mut until, mut early) = (until, None);
         if let Some(rest) = rest {
             let forwarding =
-                pin!(forward_rest(&mut body, length, LONGEST_UPLOAD, &mut stalls, rest));
+                pin!(forward_rest(&mut body, length, MAX_UPLOAD_BYTES, &mut stalls, rest));
             tokio::select! {
                 biased;
                 // The request was refused, or a server answered without reading the rest.
                 reply = &mut answer => early = Some(reply),
                 forwarded = forwarding => match forwarded {
                     // The timeout runs from the last byte of the body.
-                    Ok(()) | Err(ForwardError::NotTaken(NotTaken::Closed)) => {
+                    Ok(()) | Err(ForwardError::NotTaken(UploadError::Closed)) => {
                         until = Instant::now() + left;
                     }
                     Err(ForwardError::Read(ReadError::TooLong)) => return Err(too_large()),
@@ -220,11 +220,11 @@
             requests: engine.requests,
             attempts: engine.attempts,
             undecided: engine.undecided,
-            sockets: shared.sockets.taken(),
+            sockets: shared.sockets.in_use(),
             opening: engine.connections.opening,
             idle: engine.connections.idle,
             ended: engine.ended,
-            body_bytes: shared.bytes.taken(),
+            body_bytes: shared.bytes.in_use(),
         })
     }
 
@@ -273,5 +273,5 @@
 }
 
 fn too_large() -> Error {
-    Error::TooLarge { limit: LONGEST_UPLOAD as usize }
+    Error::TooLarge { limit: MAX_UPLOAD_BYTES as usize }
 }
--- a/crates/millethook/src/shared.rs
+++ b/crates/millethook/src/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-use millethook_engine::budget::{Bytes, ConnectionPermits};
+use millethook_engine::budget::{ByteBudget, ConnectionPermits};
 use tokio::sync::{Semaphore, mpsc, watch};
 
 use crate::config::{FleetConfig, random};
@@ -20,7 +20,7 @@
     /// One permit for each request that may be open.
     pub(crate) permits: Arc<Semaphore>,
     pub(crate) sockets: Arc<ConnectionPermits>,
-    pub(crate) bytes: Arc<Bytes>,
+    pub(crate) bytes: Arc<ByteBudget>,
     /// A random start and a counter, from which request ids are made.
     ids: (u64, AtomicU64),
     /// Number of openings that have been neither dropped nor drained; None once the last one has been.
@@ -35,7 +35,7 @@
     ) -> Result<(Arc<Shared>, JoinHandle<()>), OpenError> {
         let (sockets, bytes) = match &config.budget {
             Some(budget) => (budget.sockets.clone(), budget.bytes.clone()),
-            None => (ConnectionPermits::new(config.sockets), Bytes::new(config.body_bytes)),
+            None => (ConnectionPermits::new(config.sockets), ByteBudget::new(config.body_bytes)),
         };
         let EngineThread { commands, state, thread } =
             start(&config, sockets.clone()).map_err(OpenError::System)?;
--- a/crates/plankvale/src/cli.rs
+++ b/crates/plankvale/src/cli.rs
@@ -103,7 +103,7 @@
     let wrong = |e| format!("{}: log.filter: {e}", file.display());
     filter.parse::<tracing_subscriber::EnvFilter>().map_err(wrong)?;
     let name = |e| format!("{}: {e}", file.display());
-    millethook_engine::product::keeper(&product, "").map_err(name)?;
+    millethook_engine::product::membership_store_config(&product, "").map_err(name)?;
     if let Some(section) = &product.distribution {
         millethook_engine::distribution::distinct_names(section).map_err(name)?;
     }
--- a/crates/plankvale/src/distribution/mod.rs
+++ b/crates/plankvale/src/distribution/mod.rs
@@ -16,7 +16,7 @@
 use millethook_engine::distribution::{
     Distribution, DistributionSettings, Document, DocumentKind, settings,
 };
-use millethook_engine::fleet::obstacle;
+use millethook_engine::fleet::unavailable_reason;
 
 pub use figures::{write as write_figures, write_list as write_list_figures};
 pub use spool::Spool;
@@ -63,19 +63,19 @@
     if config.product.distribution.is_none() {
         return Ok(None);
     }
-    if let Some(obstacle) = obstacle(&config.settings, members) {
-        tracing::warn!(event = "distribution_off", "documents are not accepted: {obstacle}");
+    if let Some(reason) = unavailable_reason(&config.settings, members) {
+        tracing::warn!(event = "distribution_off", "documents are not accepted: {reason}");
         return Ok(None);
     }
     let mut distribution_settings =
         settings(&config.product, (config.settings.me, members), config.seed)?;
     let pushed = config.settings.discovery == How::Pushed;
-    if let Some(own) = distribution_settings.as_mut().filter(|own| pushed && own.takes_list()) {
+    if let Some(own) = distribution_settings.as_mut().filter(|own| pushed && own.subscribes_to_list()) {
         tracing::warn!(
             event = "distribution_list_off",
             "distribution.list: lists are not accepted: settings.discovery is \"pushed\", \"on_request\" expected"
         );
-        own.take_no_list();
+        own.disable_list();
     }
     Ok(distribution_settings)
 }
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use millethook_connect::pool::Limits;
-use millethook_engine::budget::{Bytes, Sockets};
+use millethook_engine::budget::{ByteBudget, Sockets};
 use millethook_engine::distribution::Distribution;
 use millethook_engine::product;
 use millethook_engine::{Engine, EngineConfig, PeerConfig};
@@ -94,8 +94,8 @@
     let process_turn = config.inherited.and_then(|_| handover::ProcessTurn::acquire(&config.name));
     let seat = process_turn.as_ref().map(|turn| turn.seat.clone());
     let Config { peers, peers_all: all, .. } = config;
-    let keeper = product::keeper(&config.product, &config.name)?;
-    let connections = product::connections(&config.product, Limits::default());
+    let membership_store = product::membership_store_config(&config.product, &config.name)?;
+    let connections = product::connection_limits(&config.product, Limits::default());
     let peers = config.peer_listen.map(|listen| PeerConfig { listen, peers, all });
     let sockets = Rc::new(Sockets::new(config.sockets));
     let engine = EngineConfig {
@@ -103,17 +103,17 @@
         names: Arc::new(effective.names),
         seed: config.seed,
         discovery: Some(config.discovery),
-        known: config.known,
+        initial_list: config.known,
         begins: config.begins,
         connections,
-        reuse: product::reuse(&config.product),
-        keeper: keeper.map(|keeper| (config.name.clone(), keeper)),
+        reuse: product::configured_reuse(&config.product),
+        membership_store: membership_store.map(|settings| (config.name.clone(), settings)),
         peers,
-        fleet: product::fleet(&config.product),
+        fleet: product::fleet_settings(&config.product),
         distribution,
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
-    let bytes = Bytes::new((config.memory as f64 * BODY_MEMORY_SHARE) as usize);
+    let bytes = ByteBudget::new((config.memory as f64 * BODY_MEMORY_SHARE) as usize);
     let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ingress = Ingress::new(
         engine.driver.clone(),
@@ -153,7 +153,7 @@
         // The other process serves until this one has servers, and then until it hands over: neither
         // process knows which requests the other one has open.
         if shares_listener {
-            let _ = timeout(SERVER_LIST_TIMEOUT, driver.first_listed()).await;
+            let _ = timeout(SERVER_LIST_TIMEOUT, driver.wait_for_first_list()).await;
         }
         if let Some(turn_reached) = turn_reached {
             turn_reached.await;
@@ -171,8 +171,8 @@
         fleet.leave();
     }
     // The list of servers is saved even if the shutdown does not complete.
-    if let Some(keeper) = engine.keeper.clone() {
-        spawn_local(async move { keeper.save().await });
+    if let Some(membership_store) = engine.membership_store.clone() {
+        spawn_local(async move { membership_store.save().await });
     }
     if let Some(successor) = seat.and_then(|seat| seat.successor()) {
         tracing::info!(
@@ -192,8 +192,8 @@
         () = accepting => {}
         () = shutdown::drain(ingress, engine.longest_deadline()) => {}
     }
-    if let Some(keeper) = &engine.keeper {
-        let _ = timeout(FINAL_WRITE_TIMEOUT, keeper.save()).await;
+    if let Some(membership_store) = &engine.membership_store {
+        let _ = timeout(FINAL_WRITE_TIMEOUT, membership_store.save()).await;
     }
     if let Some(distribution) = distribution {
         let _ = timeout(FINAL_WRITE_TIMEOUT, distribution.save()).await;
@@ -248,7 +248,7 @@
 
 /// Marks the ingress ready after the first attempt at discovery; never completes.
 async fn mark_ready(ingress: &Ingress, engine: &Engine) {
-    engine.discovery_tried().await;
+    engine.wait_for_discovery().await;
     ingress.mark_discovery_tried();
     std::future::pending().await
 }
--- a/crates/plankvale/src/reloader.rs
+++ b/crates/plankvale/src/reloader.rs
@@ -85,7 +85,7 @@
         loop {
             let offered = async {
                 match &distribution {
-                    Some(distribution) => distribution.news().await,
+                    Some(distribution) => distribution.wait_for_events().await,
                     None => std::future::pending().await,
                 }
             };
@@ -127,7 +127,7 @@
             "new configuration applied, discovery at {}",
             config.discovery
         );
-        self.engine.moved(config.discovery, config.peers, config.peers_all);
+        self.engine.update_addresses(config.discovery, config.peers, config.peers_all);
         self.raw = config.raw;
         self.source = config.source;
         Ok(())
@@ -135,7 +135,7 @@
 
     /// Puts settings into force, completely or not at all.
     fn apply_settings(&self, tuned: EffectiveSettings) -> Result<(), String> {
-        let names = self.engine.retune(tuned.settings, &tuned.raw)?;
+        let names = self.engine.apply_settings(tuned.settings, &tuned.raw)?;
         if let Some(edge) = &self.edge {
             edge.set_names(names.clone());
         }
