--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -66,14 +66,14 @@
     stop: impl Future<Output = ()>,
     reloads: mpsc::Receiver<Reload>,
 ) -> Result<(), String> {
-    run_on(FileSystem, config, stop, reloads).await
+    run_with_storage(FileSystem, config, stop, reloads).await
 }
 
 /// Like [`run`], with the caller's storage for kept writes.
 ///
 /// # Errors
 /// As [`run`].
-pub async fn run_on(
+pub async fn run_with_storage(
     storage: impl Storage,
     config: Config,
     stop: impl Future<Output = ()>,
