--- a/crates/millethook/src/config.rs
+++ b/crates/millethook/src/config.rs
@@ -80,9 +80,10 @@
     /// Names the file, the key and the expected value.
     pub fn from_file(path: impl AsRef<Path>) -> Result<FleetConfig, OpenError> {
         let path = path.as_ref();
-        let at = |e: &dyn std::fmt::Display| OpenError::Config(format!("{}: {e}", path.display()));
-        let text = std::fs::read_to_string(path).map_err(|e| at(&e))?;
-        FleetConfig::from_json(&text).map_err(|e| at(&e))
+        let with_path =
+            |e: &dyn std::fmt::Display| OpenError::Config(format!("{}: {e}", path.display()));
+        let text = std::fs::read_to_string(path).map_err(|e| with_path(&e))?;
+        FleetConfig::from_json(&text).map_err(|e| with_path(&e))
     }
 
     /// Reads text in the daemon's format.
@@ -95,37 +96,38 @@
     }
 
     fn from_value(given: Value) -> Result<FleetConfig, OpenError> {
-        let wrong = |text: String| OpenError::Config(text);
-        let file: File = serde_json::from_value(given.clone()).map_err(|e| wrong(e.to_string()))?;
+        let config_error = |text: String| OpenError::Config(text);
+        let file: File =
+            serde_json::from_value(given.clone()).map_err(|e| config_error(e.to_string()))?;
         if file.name.is_empty() {
-            return Err(wrong("name: a name that is not empty expected".into()));
+            return Err(config_error("name: a name that is not empty expected".into()));
         }
         let address = |text: String| {
             let parsed = text.parse();
             parsed.map_err(|_| {
-                wrong(format!("discovery: an address and a port expected, not {text:?}"))
+                config_error(format!("discovery: an address and a port expected, not {text:?}"))
             })
         };
         let discovery = file.discovery.map(address).transpose()?;
         let seed = match &file.seed {
             Some(text) => u64::from_str_radix(text, 16).map_err(|_| {
-                wrong(format!("seed: 16 hexadecimal digits expected, not {text:?}"))
+                config_error(format!("seed: 16 hexadecimal digits expected, not {text:?}"))
             })?,
             None => random(),
         };
         if discovery.is_none() && file.known.as_ref().is_none_or(|list| list.hosts.is_empty()) {
-            return Err(wrong("discovery: an address expected, or servers instead".into()));
+            return Err(config_error("discovery: an address expected, or servers instead".into()));
         }
         let limits = file.limits;
         let at_least = |key: &str, value: usize, least: usize| {
             let text = format!("limits.{key}: {least} or more expected");
-            if value < least { Err(wrong(text)) } else { Ok(value) }
+            if value < least { Err(config_error(text)) } else { Ok(value) }
         };
         let begins = file.begins.map_or(Ok(Begins::Head), |text| text.parse());
-        let begins = begins.map_err(|e| wrong(format!("begins: {e}")))?;
+        let begins = begins.map_err(|e| config_error(format!("begins: {e}")))?;
         let (given_limits, defaults) = (file.connections, Limits::default());
         let at_least_one = |key: &str, value: Option<usize>, default: usize| match value {
-            Some(0) => Err(wrong(format!("connections.{key}: 1 or more expected"))),
+            Some(0) => Err(config_error(format!("connections.{key}: 1 or more expected"))),
             other => Ok(other.unwrap_or(default)),
         };
         let connections = Limits {
@@ -135,9 +137,10 @@
             ..defaults
         };
         let reuse = given_limits.reuse.map(|text| text.parse()).transpose();
-        let reuse = reuse.map_err(|e| wrong(format!("connections.reuse: {e}")))?;
-        let settings = Settings::from_json(file.settings.to_string().as_bytes()).map_err(wrong)?;
-        let names = Names::new(&settings, &file.settings).map_err(wrong)?;
+        let reuse = reuse.map_err(|e| config_error(format!("connections.reuse: {e}")))?;
+        let settings =
+            Settings::from_json(file.settings.to_string().as_bytes()).map_err(config_error)?;
+        let names = Names::new(&settings, &file.settings).map_err(config_error)?;
         // A file of the daemon gives a memory limit; two fifths of it are for request bodies, as there.
         let from_memory = limits.memory_mb.map(|mb| (mb << 20) / 5 * 2);
         let body_bytes = limits.body_bytes.or(from_memory).unwrap_or(DEFAULT_BODY_BYTES);
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -108,10 +108,10 @@
             return Err(refused_unsent());
         };
         let until = began + request_head.left;
-        let mut account = shared.bytes.reservation();
+        let mut body_bytes = shared.bytes.reservation();
         // The host's body may stall; only the request's timeout bounds the read.
         let (mut body, mut stalls) = (Box::pin(body), StallBudget::unbounded());
-        let buffering = buffer_body(&mut body, MAX_UPLOAD_BYTES, &mut account, &mut stalls);
+        let buffering = buffer_body(&mut body, MAX_UPLOAD_BYTES, &mut body_bytes, &mut stalls);
         let buffered = match timeout_at(until.into(), buffering).await {
             Ok(Ok(buffered)) => buffered,
             Ok(Err(ReadError::TooLong)) => return Err(too_large()),
@@ -127,7 +127,8 @@
         let length: u64 = pieces.iter().map(|piece| piece.len() as u64).sum();
         let (upload, rest) = rest.unzip();
         let upload = upload.map(|upload| (upload, framing(&body, length)));
-        let attempt_request = answer::attempt_request(head, &request_head, pieces, account, upload);
+        let attempt_request =
+            answer::attempt_request(head, &request_head, pieces, body_bytes, upload);
         let (reply, mut answer) = oneshot::channel();
         let call = Call { request_head, id, attempt_request, until, reply, permit };
         let sent = shared.commands.send(Command::Call(Box::new(call)));
--- a/crates/plankvale/src/cli.rs
+++ b/crates/plankvale/src/cli.rs
@@ -100,12 +100,12 @@
 fn check_file(file: &Path) -> Result<String, String> {
     let product = Product::from_file(file).map_err(|e| e.to_string())?;
     let filter = product.log.filter.as_deref().unwrap_or("info");
-    let wrong = |e| format!("{}: log.filter: {e}", file.display());
-    filter.parse::<tracing_subscriber::EnvFilter>().map_err(wrong)?;
-    let name = |e| format!("{}: {e}", file.display());
-    millethook_engine::product::membership_store_config(&product, "").map_err(name)?;
+    let add_context = |e| format!("{}: log.filter: {e}", file.display());
+    filter.parse::<tracing_subscriber::EnvFilter>().map_err(add_context)?;
+    let with_path = |e| format!("{}: {e}", file.display());
+    millethook_engine::product::membership_store_config(&product, "").map_err(with_path)?;
     if let Some(section) = &product.distribution {
-        millethook_engine::distribution::distinct_names(section).map_err(name)?;
+        millethook_engine::distribution::distinct_names(section).map_err(with_path)?;
     }
     Ok(format!("{}: sound", file.display()))
 }
--- a/crates/plankvale/src/distribution/command.rs
+++ b/crates/plankvale/src/distribution/command.rs
@@ -91,11 +91,11 @@
 
 /// Reads a document's file and checks its content.
 fn document(path: &Path) -> Result<String, String> {
-    let wrong = |e: String| format!("{}: {e}", path.display());
-    let bytes = whole_file::read(path, MOST_CONTENT).map_err(|e| wrong(e.to_string()))?;
-    let bytes = bytes.ok_or_else(|| wrong("no such file".into()))?;
-    Patch::parse(&bytes).map_err(|e| wrong(e.to_string()))?;
-    String::from_utf8(bytes).map_err(|e| wrong(e.to_string()))
+    let add_context = |e: String| format!("{}: {e}", path.display());
+    let bytes = whole_file::read(path, MOST_CONTENT).map_err(|e| add_context(e.to_string()))?;
+    let bytes = bytes.ok_or_else(|| add_context("no such file".into()))?;
+    Patch::parse(&bytes).map_err(|e| add_context(e.to_string()))?;
+    String::from_utf8(bytes).map_err(|e| add_context(e.to_string()))
 }
 
 fn wait_for(folder: &Path, name: &str, wait: Duration) -> Result<ExitCode, String> {
@@ -116,13 +116,13 @@
 }
 
 fn show(folder: &Path) -> Result<ExitCode, String> {
-    let wrong = |e: std::io::Error| format!("{}: {e}", folder.display());
-    for name in files::names(&status_folder(folder)).map_err(wrong)? {
+    let add_context = |e: std::io::Error| format!("{}: {e}", folder.display());
+    for name in files::names(&status_folder(folder)).map_err(add_context)? {
         if let Some(status) = files::read_status(folder, &name)? {
             println!("{name}  {}", status.describe());
         }
     }
-    for name in files::names(folder).map_err(wrong)? {
+    for name in files::names(folder).map_err(add_context)? {
         println!("{name}  waits for the writer");
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/plankvale/src/distribution/files.rs
+++ b/crates/plankvale/src/distribution/files.rs
@@ -97,11 +97,11 @@
 /// Reads a status; None if there is none (yet).
 pub fn read_status(folder: &Path, name: &str) -> Result<Option<Status>, String> {
     let path = status::path(folder, name);
-    let wrong = |e: String| format!("{}: {e}", path.display());
+    let add_context = |e: String| format!("{}: {e}", path.display());
     let Some(bytes) =
-        whole_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| wrong(e.to_string()))?
+        whole_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| add_context(e.to_string()))?
     else {
         return Ok(None);
     };
-    serde_json::from_slice(&bytes).map(Some).map_err(|e| wrong(e.to_string()))
+    serde_json::from_slice(&bytes).map(Some).map_err(|e| add_context(e.to_string()))
 }
--- a/crates/plankvale/src/distribution/mod.rs
+++ b/crates/plankvale/src/distribution/mod.rs
@@ -70,7 +70,9 @@
     let mut distribution_settings =
         settings(&config.product, (config.settings.me, members), config.seed)?;
     let pushed = config.settings.discovery == How::Pushed;
-    if let Some(own) = distribution_settings.as_mut().filter(|own| pushed && own.subscribes_to_list()) {
+    if let Some(own) =
+        distribution_settings.as_mut().filter(|own| pushed && own.subscribes_to_list())
+    {
         tracing::warn!(
             event = "distribution_list_off",
             "distribution.list: lists are not accepted: settings.discovery is \"pushed\", \"on_request\" expected"
--- a/crates/plankvale/src/distribution/request.rs
+++ b/crates/plankvale/src/distribution/request.rs
@@ -46,7 +46,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<NamedScope, String> {
-        let wrong = || {
+        let invalid = || {
             let text: String = text.chars().take(MAX_NAME_BYTES).collect();
             format!(
                 "all, region:NAME, zone:NAME, service:NAME or sidecar:NUMBER expected, not {text:?}"
@@ -54,15 +54,15 @@
         };
         let name = |name: &str| {
             let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-            fits.then(|| name.to_owned()).ok_or_else(wrong)
+            fits.then(|| name.to_owned()).ok_or_else(invalid)
         };
         match text.split_once(':') {
             None if text == "all" => Ok(NamedScope::All),
             Some(("region", of)) => name(of).map(NamedScope::Region),
             Some(("zone", of)) => name(of).map(NamedScope::Zone),
             Some(("service", of)) => name(of).map(NamedScope::Service),
-            Some(("sidecar", of)) => of.parse().map(NamedScope::Sidecar).map_err(|_| wrong()),
-            _ => Err(wrong()),
+            Some(("sidecar", of)) => of.parse().map(NamedScope::Sidecar).map_err(|_| invalid()),
+            _ => Err(invalid()),
         }
     }
 }
--- a/crates/plankvale/src/edge.rs
+++ b/crates/plankvale/src/edge.rs
@@ -73,11 +73,11 @@
     folder: &Path,
     print: fn(&Path, &Book, &mut Vec<String>) -> io::Result<()>,
 ) -> Result<String, String> {
-    let wrong = |e: io::Error| format!("{}: {e}", folder.display());
+    let add_context = |e: io::Error| format!("{}: {e}", folder.display());
     let mut lines = Vec::new();
-    for edge in folder::list_stores(folder).map_err(wrong)? {
-        let (book, _) = folder::load(folder, edge).map_err(wrong)?;
-        print(folder, &book, &mut lines).map_err(wrong)?;
+    for edge in folder::list_stores(folder).map_err(add_context)? {
+        let (book, _) = folder::load(folder, edge).map_err(add_context)?;
+        print(folder, &book, &mut lines).map_err(add_context)?;
     }
     if lines.is_empty() {
         lines.push("no stores".into());
@@ -146,8 +146,8 @@
 
 /// Appends an operator's record to the log that the sidecar that replays the store reads.
 fn append_record(folder: &Path, write: WriteId, record: &Record) -> Result<String, String> {
-    let wrong = |e: io::Error| format!("{}: {e}", folder.display());
-    let (book, _) = folder::load(folder, write.edge).map_err(wrong)?;
+    let add_context = |e: io::Error| format!("{}: {e}", folder.display());
+    let (book, _) = folder::load(folder, write.edge).map_err(add_context)?;
     let entry = book.entry(write.seq).ok_or_else(|| format!("{write}: no such write"))?;
     let fits = match (record, entry.state) {
         (_, State::Ended(_)) => false,
@@ -168,6 +168,6 @@
         file.write_all(&bytes)?;
         file.sync_all()
     };
-    append().map_err(wrong)?;
+    append().map_err(add_context)?;
     Ok(format!("{write}: recorded; the sidecar that replays it reads it within a second"))
 }
--- a/crates/plankvale/src/fleet.rs
+++ b/crates/plankvale/src/fleet.rs
@@ -83,9 +83,9 @@
     }
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     let read = lines.map(|(n, line)| {
-        let wrong =
+        let add_context =
             |_| format!("{target}: line {}: an address and a port expected, not {line:?}", n + 1);
-        line.trim().parse().map_err(wrong)
+        line.trim().parse().map_err(add_context)
     });
     let read: Vec<SocketAddr> = read.collect::<Result<_, _>>()?;
     if read.is_empty() { Err(format!("{target}: one address per line expected")) } else { Ok(read) }
--- a/crates/plankvale/src/main.rs
+++ b/crates/plankvale/src/main.rs
@@ -36,12 +36,12 @@
         .build()
         .map_err(|e| format!("cannot start the async runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
-        let mut told = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
-        let changed = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-        let (to_sidecar, reloads) = mpsc::channel(1);
-        spawn_local(reload(product, changed, to_sidecar));
+        let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
+        let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
+        let (reload_sender, reloads) = mpsc::channel(1);
+        spawn_local(reload(product, hangup, reload_sender));
         let stop = async move {
-            told.recv().await;
+            terminate.recv().await;
         };
         plankvale::run(config, stop, reloads).await
     })
@@ -61,10 +61,10 @@
 }
 
 /// Reads the configuration again at each SIGHUP. An invalid one leaves the old one in force.
-async fn reload(product: Option<PathBuf>, mut changed: Signal, to_sidecar: mpsc::Sender<Reload>) {
-    while changed.recv().await.is_some() {
+async fn reload(product: Option<PathBuf>, mut hangup: Signal, reload_sender: mpsc::Sender<Reload>) {
+    while hangup.recv().await.is_some() {
         let config = Config::from_env(product.as_deref()).map(Box::new);
-        if to_sidecar.send(config).await.is_err() {
+        if reload_sender.send(config).await.is_err() {
             return;
         }
     }
--- a/crates/plankvale/src/reloader.rs
+++ b/crates/plankvale/src/reloader.rs
@@ -119,9 +119,9 @@
             tracing::warn!(event = "reload_in_part", keys = %unchanged, "changes of these keys take effect at the next start only");
         }
         let in_force = self.distribution.as_ref().map_or(Vec::new(), |d| d.in_force());
-        let tuned = patches(&in_force).and_then(|patches| config.source.effective(&patches));
-        let with = if in_force.is_empty() { "" } else { " with the documents in force" };
-        self.apply_settings(tuned.map_err(|e| format!("LB_CONFIG{with}: {e}"))?)?;
+        let effective = patches(&in_force).and_then(|patches| config.source.effective(&patches));
+        let context = if in_force.is_empty() { "" } else { " with the documents in force" };
+        self.apply_settings(effective.map_err(|e| format!("LB_CONFIG{context}: {e}"))?)?;
         tracing::info!(
             event = "reload_applied",
             "new configuration applied, discovery at {}",
@@ -134,8 +134,8 @@
     }
 
     /// Puts settings into force, completely or not at all.
-    fn apply_settings(&self, tuned: EffectiveSettings) -> Result<(), String> {
-        let names = self.engine.apply_settings(tuned.settings, &tuned.raw)?;
+    fn apply_settings(&self, effective: EffectiveSettings) -> Result<(), String> {
+        let names = self.engine.apply_settings(effective.settings, &effective.raw)?;
         if let Some(edge) = &self.edge {
             edge.set_names(names.clone());
         }
@@ -155,29 +155,30 @@
         // At least one document is invalid. The others are accepted without it.
         for document in offered {
             let alone = std::slice::from_ref(&document);
-            let with = merged(&distribution.in_force(), alone);
+            let candidate = merged(&distribution.in_force(), alone);
             let result = Patch::from_document(&document).and_then(|_| {
-                self.put_into_force(&with).map_err(|e| refusal(RefusalCode::InvalidSettings, &e))
+                self.put_into_force(&candidate)
+                    .map_err(|e| refusal(RefusalCode::InvalidSettings, &e))
             });
             match result {
                 Ok(()) => self.accept(distribution, alone),
-                Err(why) => {
+                Err(cause) => {
                     tracing::warn!(
                         event = "distribution_refused",
                         version = %document.version,
                         "{}: document refused, the previous one stays in force: {}",
                         document.key,
-                        why.reason
+                        cause.reason
                     );
-                    distribution.refuse(document.version, why);
+                    distribution.refuse(document.version, cause);
                 }
             }
         }
     }
 
     fn put_into_force(&self, documents: &[Arc<Document>]) -> Result<(), String> {
-        let tuned = patches(documents).and_then(|patches| self.source.effective(&patches))?;
-        self.apply_settings(tuned)
+        let effective = patches(documents).and_then(|patches| self.source.effective(&patches))?;
+        self.apply_settings(effective)
     }
 
     fn accept(&self, distribution: &Distribution, documents: &[Arc<Document>]) {
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -278,7 +278,8 @@
     let config = Config::from_json(config.as_bytes(), [const { None }; 3], product);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let (_reload, reloads) = mpsc::channel(1);
-    let running = plankvale::run_with_storage(storage, config.expect("a configuration"), stop, reloads);
+    let running =
+        plankvale::run_with_storage(storage, config.expect("a configuration"), stop, reloads);
     LocalSet::new().block_on(&runtime.expect("a runtime"), running).expect("it runs");
 }
 
