--- a/crates/plankvale/src/distribution/command.rs
+++ b/crates/plankvale/src/distribution/command.rs
@@ -92,7 +92,8 @@
 /// Reads a document's file and checks its content.
 fn document(path: &Path) -> Result<String, String> {
     let add_context = |e: String| format!("{}: {e}", path.display());
-    let bytes = whole_file::read(path, MAX_CONTENT_BYTES).map_err(|e| add_context(e.to_string()))?;
+    let bytes =
+        whole_file::read(path, MAX_CONTENT_BYTES).map_err(|e| add_context(e.to_string()))?;
     let bytes = bytes.ok_or_else(|| add_context("no such file".into()))?;
     Patch::parse(&bytes).map_err(|e| add_context(e.to_string()))?;
     String::from_utf8(bytes).map_err(|e| add_context(e.to_string()))
