--- a/crates/millethook-distribution/src/rendezvous.rs
+++ b/crates/millethook-distribution/src/rendezvous.rs
@@ -1,26 +1,26 @@
-//! Which control nodes a sidecar prefers.
+//! The order in which a sidecar prefers control nodes.
 
 use millethook_machine::hash::{mix, weight};
 
 use crate::{ControlMember, Identity};
 
-/// All control nodes but the sidecar's own process, the most preferred first, by rendezvous hashing: one of its own
+/// All control nodes except the sidecar's own process, the most preferred first, by rendezvous hashing: one of its own
 /// zone, then one of another zone of its region, then all others, those of its zone before those of its region before
-/// any.
+/// the rest.
 ///
-/// The second is of another zone on purpose: when all control nodes of a zone are gone at once, each sidecar there still
-/// has one that knows it.
-pub(crate) fn order(who: &Identity, control_nodes: &[ControlMember]) -> Vec<u16> {
+/// The second one is of another zone, so that each sidecar still has a control node that knows it when all control
+/// nodes of a zone fail at once.
+pub(crate) fn preference_order(sidecar: &Identity, control_nodes: &[ControlMember]) -> Vec<u16> {
     let distance = |node: &ControlMember| match node {
-        node if node.zone == who.zone && node.region == who.region => 0u8,
-        node if node.region == who.region => 1,
+        node if node.zone == sidecar.zone && node.region == sidecar.region => 0u8,
+        node if node.region == sidecar.region => 1,
         _ => 2,
     };
-    let subject = mix(u64::from(who.number).wrapping_add(0x5851_f42d_4c95_7f2d));
+    let subject = mix(u64::from(sidecar.number).wrapping_add(0x5851_f42d_4c95_7f2d));
     let mut nodes: Vec<&ControlMember> =
-        control_nodes.iter().filter(|node| node.number != who.number).collect();
-    let by_weight = |node: &ControlMember| std::cmp::Reverse(weight(subject, node.number.into()));
-    nodes.sort_by_key(|node| (distance(node), by_weight(node)));
+        control_nodes.iter().filter(|node| node.number != sidecar.number).collect();
+    let weight_of = |node: &ControlMember| std::cmp::Reverse(weight(subject, node.number.into()));
+    nodes.sort_by_key(|node| (distance(node), weight_of(node)));
     if let Some(first) = nodes.first().copied() {
         let other = nodes.iter().position(|node| node.zone != first.zone);
         if let Some(other) = other.filter(|other| distance(nodes[*other]) <= 1) {
--- a/crates/plankvale/src/distribution/patch.rs
+++ b/crates/plankvale/src/distribution/patch.rs
@@ -1,7 +1,7 @@
 //! The content of a configuration document: `{"settings": {...}}`, a JSON merge patch (RFC 7396) for
 //! the `settings` of `LB_CONFIG`.
 
-use millethook_engine::distribution::{Document, MOST_CONTENT, Refusal};
+use millethook_engine::distribution::{Document, MAX_CONTENT_BYTES, Refusal};
 use serde_json::Value;
 
 /// The only key of a document.
@@ -14,7 +14,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
     /// The document is too long.
-    #[error("{0} bytes: {MOST_CONTENT} at most expected")]
+    #[error("{0} bytes: {MAX_CONTENT_BYTES} at most expected")]
     TooLong(usize),
     /// The document is not JSON.
     #[error("no JSON: {0}")]
@@ -57,7 +57,7 @@
     /// # Errors
     /// Says what is wrong, where, and what is expected.
     pub fn parse(content: &[u8]) -> Result<Patch, DocumentError> {
-        if content.len() > MOST_CONTENT {
+        if content.len() > MAX_CONTENT_BYTES {
             return Err(DocumentError::TooLong(content.len()));
         }
         let Value::Object(mut document) = serde_json::from_slice(content)? else {
