--- a/crates/millethook-lab/src/figures.rs
+++ b/crates/millethook-lab/src/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run, computed from its ledger and samples. No clock and no I/O.
+//! The figures of a run, computed from its ledger and samples. The module reads no clock and does no I/O.
 
 mod classes;
 pub mod distribution;
@@ -51,77 +51,78 @@
     pub sidecars: usize,
     /// The number of servers at the same time.
     pub servers: usize,
-    /// The share of the worth of all operations that was served within its aim.
+    /// The share of all operations, weighted by worth, that was served within the aim of their class.
     pub served: f64,
     /// Figures of each class, by name.
     pub classes: BTreeMap<String, ClassFigures>,
-    /// Attempts at servers for each operation.
+    /// Attempts sent to servers per operation.
     pub attempts: f64,
-    /// Writes that were kept while no server could take them.
+    /// Writes that the sidecars stored while no server could take them.
     #[serde(default)]
     pub kept: u64,
-    /// Kept writes that had not been done by the end.
+    /// Stored writes that had not been replayed by the end of the run.
     #[serde(default)]
     pub kept_open: u64,
-    /// Seconds from the end of the last event until the last kept write was done.
+    /// Seconds from the end of the last event until the last stored write was replayed.
     #[serde(default)]
     pub replayed_s: f64,
     /// Attempts that no server answered.
     #[serde(default)]
     pub unanswered: u64,
-    /// New connections to servers for each operation.
+    /// New connections to servers per operation.
     pub handshakes: f64,
-    /// The highest mean load of a server over the mean load of all.
+    /// The highest mean load of a server, divided by the mean load of all servers.
     pub imbalance: f64,
-    /// The coefficient of variation of arrivals over the servers in windows of 1 s, in the mean.
+    /// The coefficient of variation of arrivals across the servers in windows of 1 s, averaged over the windows.
     pub cv: f64,
-    /// The same for a choice at random.
+    /// The same if servers were chosen at random.
     pub cv_random: f64,
-    /// The most work that a cold server was sent in a window, over what it can bear; above 1 it is overloaded.
+    /// The most work that a cold server was sent in a window, divided by its capacity; above 1 it is overloaded.
     #[serde(default)]
     pub cold_peak: f64,
-    /// Seconds of servers without work while other servers had requests waiting.
+    /// Server-seconds without work while another server had requests queued.
     pub idle_while_queued_s: f64,
-    /// Datagrams between sidecars.
+    /// Datagrams that the sidecars sent to one another.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The bytes of these datagrams.
     pub datagram_bytes: u64,
-    /// The most bytes of one sidecar.
+    /// The most datagram bytes that one sidecar sent.
     pub most_bytes: u64,
-    /// Datagrams that were lost by chance, lost to cuts, sent by strangers, and too many.
+    /// Datagrams that the relay dropped: by random loss or a rate cap, by cuts and partitions, from unknown senders or
+    /// oversized, and because too many were in flight.
     pub relay: [u64; 4],
-    /// 99 of 100 requests were sent no later than this after they were due, in milliseconds.
+    /// The 99th percentile of the delay between a request's due time and its sending, in milliseconds.
     pub late_p99_ms: f64,
     /// Milliseconds in which the lab itself did not run.
     pub stalls_ms: f64,
-    /// Requests that were not sent because their client was being restarted.
+    /// Requests that were not sent because the sidecar of their client was restarting.
     pub not_offered: u64,
-    /// What followed each event.
+    /// The effects of each event.
     pub events: Vec<EventFigures>,
     /// Windows of 1 s.
     pub windows: Vec<Window>,
-    /// Samples in which a sidecar believed more members dead than were away.
+    /// Samples in which a sidecar listed more members as dead than were not running.
     #[serde(default)]
     pub views_too_dead: u64,
-    /// Times at which a job of the fleet had two owners.
+    /// How often a job of the fleet had two owners at the same time.
     #[serde(default)]
     pub two_owners: u64,
     /// Jobs with an owner at the end.
     #[serde(default)]
     pub owned_at_end: usize,
-    /// Attempts at silent servers by sidecars that did not own the trial, though another one did.
+    /// Attempts sent to unresponsive servers by sidecars that did not own the trial while another sidecar did.
     #[serde(default)]
     pub trials_by_others: u64,
-    /// The share of samples in which a sidecar doubted some server.
+    /// The share of samples in which a sidecar suspected some server.
     pub doubting: f64,
-    /// Documents, where they are distributed.
+    /// Figures of the distribution of documents; `None` if the timeline distributes none.
     #[serde(default)]
     pub distribution: Option<DistributionFigures>,
-    /// Use of processor and memory.
+    /// Processor time and memory of the daemons and the lab.
     pub processes: ProcessFigures,
-    /// Broken rules, findings, and expectations that were missed, in words.
+    /// Broken rules, findings and missed expectations, as text.
     pub faults: Vec<String>,
-    /// Why the run does not count; None: it does.
+    /// Why the run does not count; `None` if it counts.
     pub void: Option<String>,
 }
 
@@ -172,7 +173,7 @@
         not_offered: outcome.book.not_offered,
         events: events(timeline, plan, outcome, &operations),
         windows,
-        views_too_dead: views::too_dead(outcome, plan.sidecars.len()),
+        views_too_dead: views::samples_with_excess_dead(outcome, plan.sidecars.len()),
         two_owners: views::two_owners(outcome),
         owned_at_end: views::owned_at_end(outcome),
         trials_by_others: trials::trials_by_others(timeline, outcome),
--- a/crates/millethook-lab/src/figures/distribution.rs
+++ b/crates/millethook-lab/src/figures/distribution.rs
@@ -1,4 +1,4 @@
-//! How documents came into force: how long it took, and that no version ever went back.
+//! Figures of the distribution of documents: how long they took to come into force, and whether a version went back.
 
 use std::collections::BTreeMap;
 
@@ -10,40 +10,41 @@
 use crate::world::documents::{DocumentEvent, DocumentEventKind as Kind, DocumentVersion};
 use crate::world::publisher::Publication;
 
-/// Documents of a run.
+/// Figures of the documents that were published in a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DistributionFigures {
-    /// Requests that were left with a writer.
+    /// Publish requests that were handed to a writer.
     pub requested: usize,
-    /// Those that got a version.
+    /// Requests that were given a version.
     pub published: usize,
-    /// Those that a majority of the control nodes accepted.
+    /// Versions that a majority of the control nodes accepted.
     pub committed: usize,
-    /// Those that were stopped, and what was before was put back.
+    /// Rollouts that were stopped and rolled back to the earlier version.
     pub stopped: usize,
-    /// Refusals by sidecars.
+    /// Documents that sidecars refused.
     pub refused: usize,
-    /// From the request to being in force, in seconds, over changes for all and sidecars: of 50 in 100,
+    /// The median time from a request to the document's being in force at a sidecar, in seconds, over all pairs of a
+    /// fleet-wide change and a sidecar. Time in which a sidecar was down or cut off does not count.
     pub in_force_p50_s: f64,
-    /// of 99,
+    /// The 99th percentile of the same time.
     pub in_force_p99_s: f64,
-    /// and of all. Time in which a sidecar was not there or cut off does not count.
+    /// The longest of these times.
     pub in_force_all_s: f64,
-    /// Pairs of a change and a sidecar where it never came into force.
+    /// Pairs of a change and a sidecar at which it never came into force.
     pub never: usize,
-    /// Times that a version at a sidecar went back.
+    /// How often a sidecar replaced a version by an earlier one.
     pub went_back: usize,
-    /// Sidecars that ended the run with another version than most.
+    /// Sidecars whose version at the end of the run differed from the most common one.
     pub different_at_end: usize,
-    /// Bytes a second that a sidecar sent to others, all kinds together: the mean of those that are no control nodes,
+    /// Bytes per second of all messages to other sidecars: the mean over sidecars that are not control nodes.
     pub sidecar_bytes_per_s: f64,
-    /// and the most.
+    /// The maximum of the same over sidecars that are not control nodes.
     pub most_sidecar_bytes_per_s: f64,
-    /// The same of control nodes, the most.
+    /// The maximum of the same over control nodes.
     pub most_control_bytes_per_s: f64,
 }
 
-/// The figures; None: nothing is distributed.
+/// Computes the figures; `None` if the timeline has no control nodes.
 pub fn distribution(timeline: &Timeline, outcome: &Outcome) -> Option<DistributionFigures> {
     let control_nodes = timeline.distribution.control_nodes;
     if control_nodes == 0 {
@@ -68,7 +69,7 @@
             let of = |e: &&DocumentEvent| e.kind == *kind && e.version == published.version;
             events.iter().any(|event| of(&event))
         };
-        // What was stopped is in force nowhere; what was merged away is in force as its successor.
+        // A stopped version is in force nowhere. A version that a later one merged with comes into force as that later one.
         if is(&Kind::Stopped) || publication.scope != "all" {
             continue;
         }
@@ -79,10 +80,10 @@
             continue;
         }
         for sidecar in 0..timeline.sidecars.count {
-            match took(timeline, outcome, published, publication.at, sidecar) {
-                Took::Within(time) => times.push(time as f64 / 1e6),
-                Took::Never => figures.never += 1,
-                Took::Excused => {}
+            match apply_outcome(timeline, outcome, published, publication.at, sidecar) {
+                ApplyOutcome::Within(time) => times.push(time as f64 / 1e6),
+                ApplyOutcome::Never => figures.never += 1,
+                ApplyOutcome::Unavailable => {}
             }
         }
     }
@@ -116,26 +117,26 @@
     events.iter().find(|event| event.kind == of)
 }
 
-/// Whether a document is for all. Requests are told by the names of their scopes, documents by their keys.
+/// Whether a document applies to the whole fleet. A request is recognised by its scope's name, a document by its key.
 fn is_for_all(event: &DocumentEvent) -> bool {
     event.key.ends_with("All")
 }
 
-/// How long a change took at a sidecar.
-enum Took {
+/// How long a change took to come into force at a sidecar.
+enum ApplyOutcome {
     Within(Micros),
     Never,
-    /// The sidecar was away or cut off to the end.
-    Excused,
+    /// The sidecar was down or cut off until the end of the run.
+    Unavailable,
 }
 
-fn took(
+fn apply_outcome(
     timeline: &Timeline,
     outcome: &Outcome,
     published: &DocumentEvent,
     from: Micros,
     sidecar: usize,
-) -> Took {
+) -> ApplyOutcome {
     let applied = outcome.documents.iter().find(|event| {
         event.sidecar == sidecar
             && event.kind == Kind::Applied
@@ -144,34 +145,36 @@
     });
     let end = ((timeline.run.warm_up_s + timeline.run.duration_s) * 1e6) as Micros;
     let at = applied.map_or(Micros::MAX, |event| event.at);
-    let (away, cut) = (away(outcome, sidecar), cuts(timeline));
-    let meant = |spans: &[Span]| -> Vec<Micros> {
+    let (away, cut) = (absence_spans(outcome, sidecar), partition_spans(timeline));
+    let overlapping_ends = |spans: &[Span]| -> Vec<Micros> {
         spans.iter().filter(|s| s.0 < at && s.1 > from).map(|s| s.1).collect()
     };
-    // A process that comes back takes documents before the lab has noticed that it is ready; a cut one may be cut off
-    // from some only, and takes them in time.
-    let returns = meant(&away).into_iter().map(|over| over.min(at));
-    let healed = meant(&cut).into_iter().filter(|over| *over <= at);
+    // A restarted process applies documents before the lab has noticed that it is ready. A partitioned sidecar may be cut
+    // off from only some members and apply documents before the partition ends.
+    let returns = overlapping_ends(&away).into_iter().map(|span_end| span_end.min(at));
+    let healed = overlapping_ends(&cut).into_iter().filter(|span_end| *span_end <= at);
     let from = returns.chain(healed).fold(from, Micros::max);
     match applied {
-        Some(event) => Took::Within(event.at.saturating_sub(from)),
-        None if away.iter().chain(&cut).any(|(_, over)| *over >= end) => Took::Excused,
-        None => Took::Never,
+        Some(event) => ApplyOutcome::Within(event.at.saturating_sub(from)),
+        None if away.iter().chain(&cut).any(|(_, span_end)| *span_end >= end) => {
+            ApplyOutcome::Unavailable
+        }
+        None => ApplyOutcome::Never,
     }
 }
 
-/// From when until when.
+/// The start and the end of a span of time.
 type Span = (Micros, Micros);
 
-/// When a sidecar was not there, or stood still.
-fn away(outcome: &Outcome, sidecar: usize) -> Vec<Span> {
-    let away = outcome.book.absences.iter().filter(|absence| absence.sidecar == sidecar);
-    away.map(|absence| (absence.from, absence.to)).collect()
+/// The spans in which a sidecar was down or paused.
+fn absence_spans(outcome: &Outcome, sidecar: usize) -> Vec<Span> {
+    let absences = outcome.book.absences.iter().filter(|absence| absence.sidecar == sidecar);
+    absences.map(|absence| (absence.from, absence.to)).collect()
 }
 
-/// When some were cut off from others.
-fn cuts(timeline: &Timeline) -> Vec<Span> {
-    let cuts = timeline
+/// The spans in which some sidecars were partitioned from others.
+fn partition_spans(timeline: &Timeline) -> Vec<Span> {
+    let partitions = timeline
         .events
         .iter()
         .filter(|event| matches!(event.kind, EventKind::Partition | EventKind::CutOneWay));
@@ -180,10 +183,10 @@
         let length = (event.for_s * 1e6) as Micros;
         (begin, if length == 0 { Micros::MAX } else { begin + length })
     };
-    cuts.map(span).collect()
+    partitions.map(span).collect()
 }
 
-/// Times that a sidecar put an earlier version of a key into force after a later one, over restarts too.
+/// Counts how often a sidecar applied an earlier version of a key after a later one, restarts included.
 fn went_back(events: &[DocumentEvent]) -> usize {
     let mut latest: BTreeMap<(usize, &str), &DocumentVersion> = BTreeMap::new();
     let mut count = 0;
@@ -195,7 +198,7 @@
     count
 }
 
-/// Sidecars whose last version of what is for all is another one than that of most.
+/// Counts sidecars whose last version of the fleet-wide document differs from the most common one.
 fn different_at_end(sidecars: usize, events: &[DocumentEvent]) -> usize {
     let mut last: BTreeMap<usize, &DocumentVersion> = BTreeMap::new();
     let applied = events.iter().filter(|e| e.kind == Kind::Applied && is_for_all(e));
@@ -206,7 +209,7 @@
     if most == 0 { 0 } else { sidecars - most }
 }
 
-/// What the file expects of documents and the run does not show, in words.
+/// Lists the timeline's expectations of documents that the figures do not meet, as text.
 pub fn missed(timeline: &Timeline, figures: &DistributionFigures) -> Vec<String> {
     let mut missed = Vec::new();
     let expect = &timeline.expect;
--- a/crates/millethook-lab/src/figures/expectations.rs
+++ b/crates/millethook-lab/src/figures/expectations.rs
@@ -1,9 +1,9 @@
-//! The expectations of a timeline, compared with the figures of a run.
+//! Compares the expectations of a timeline with the figures of a run.
 
 use super::{EventFigures, Figures, distribution};
 use crate::timeline::{Expect, Timeline};
 
-/// Expectations of the timeline that the figures do not meet, in words.
+/// Lists the expectations of the timeline that the figures do not meet, as text.
 pub fn missed(timeline: &Timeline, figures: &Figures) -> Vec<String> {
     let expect = &timeline.expect;
     let mut missed: Vec<String> =
@@ -30,13 +30,13 @@
 /// The seconds from the end of an event until the sidecars agreed.
 type Agreement = fn(&EventFigures) -> Option<f64>;
 
-/// What a bound bounds.
+/// Whether a limit is a lower or an upper bound.
 enum Bound {
     AtLeast,
     AtMost,
 }
 
-/// A figure and its bound; None: the timeline has no bound for it.
+/// A figure and its bound; `limit` is `None` if the timeline has no bound for it.
 struct Limit {
     name: &'static str,
     bound: Bound,
@@ -66,14 +66,15 @@
         at_least("kept", expect.kept, figures.kept as f64),
         at_most("kept_open", expect.kept_open, figures.kept_open as f64),
         at_most("unanswered", expect.unanswered, figures.unanswered as f64),
-        // This holds for every timeline.
+        // Applies to every timeline: a job must never have two owners.
         at_most("two owners of a job", Some(0.0), figures.two_owners as f64),
         at_least("owned_at_end", expect.owned_at_end, figures.owned_at_end as f64),
         at_most("trials_by_others", expect.trials_by_others, figures.trials_by_others as f64),
     ]
 }
 
-/// Events after which the sidecars agreed later than `limit` seconds, unless the next event came sooner.
+/// Lists events after which the sidecars took longer than `limit` seconds to agree. Events that were followed by another
+/// event within the limit are skipped.
 fn late_agreements(figures: &Figures, name: &str, limit: f64, agreement: Agreement) -> Vec<String> {
     let next = figures.events.iter().skip(1).map(|e| e.at_s).chain([f64::INFINITY]);
     let late = (figures.events.iter().zip(next))
@@ -89,7 +90,7 @@
     late.map(line).collect()
 }
 
-/// Events after which the sidecars had a list later than `factor` times what discovery needs at least.
+/// Lists events after which the sidecars got their lists later than `factor` times the least time that discovery needs.
 fn late_lists(figures: &Figures, factor: f64) -> Vec<String> {
     let mut missed = Vec::new();
     for event in &figures.events {
@@ -107,7 +108,7 @@
     missed
 }
 
-/// Events after which service was back later than `limit` seconds after their end.
+/// Lists events after which service took longer than `limit` seconds from their end to recover.
 fn late_recoveries(figures: &Figures, limit: f64) -> Vec<String> {
     let mut missed = Vec::new();
     for event in &figures.events {
--- a/crates/millethook-lab/src/figures/kept.rs
+++ b/crates/millethook-lab/src/figures/kept.rs
@@ -1,4 +1,4 @@
-//! Writes that were kept while no server could take them, and when they were done.
+//! Writes that sidecars stored while no server could take them, and when they were replayed.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use crate::plan::Plan;
 use crate::timeline::Timeline;
 
-/// For each kept write, when it first had its effect; None: it had none.
+/// For each stored write, when it first took effect; `None` if it never did.
 pub(super) fn kept(book: &Book) -> Vec<Option<Micros>> {
     let mut ran: HashMap<crate::ledger::RequestId, Micros> = HashMap::new();
     for attempt in &book.attempts {
@@ -19,7 +19,7 @@
     kept.map(|r| ran.get(&r.id).copied()).collect()
 }
 
-/// Seconds from the end of the last event of the timeline to the last effect of a kept write.
+/// Seconds from the end of the last event of the timeline until the last stored write took effect.
 pub(super) fn replayed_s(timeline: &Timeline, plan: &Plan, kept: &[Option<Micros>]) -> f64 {
     let ends = timeline.events.iter().map(|e| e.at_s + e.for_s.max(e.over_s));
     let end = plan.warm_up.as_secs_f64() + ends.fold(0.0, f64::max);
--- a/crates/millethook-lab/src/figures/lists.rs
+++ b/crates/millethook-lab/src/figures/lists.rs
@@ -1,4 +1,4 @@
-//! How long sidecars take to have a list again, where discovery is asked: by themselves, or by control nodes.
+//! How long sidecars take to get a server list after an event, from discovery or from control nodes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,24 +7,24 @@
 use crate::world::Outcome;
 use crate::world::documents::DocumentEventKind;
 
-/// What became of calls of discovery after an event.
+/// Requests to discovery and lists received after an event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListFigures {
-    /// All sidecars are to get a list anew after this event.
+    /// Whether all sidecars have to get a new list after this event.
     pub due: bool,
-    /// From its end until all sidecars had got a list, in seconds; None: not before the next event.
+    /// Seconds from its end until all sidecars had got a list; `None` if they had not before the next event.
     pub all_s: Option<f64>,
-    /// All sidecars' calls times the work of one, in seconds: no discovery is quicker.
+    /// The number of sidecars times discovery's work per request, in seconds: the least time that discovery needs.
     pub bound_s: f64,
-    /// Calls from its begin to the next event, held watches aside.
+    /// Requests from its beginning to the next event, without watches that are held open.
     pub calls: u64,
-    /// Those of them that were refused,
+    /// Requests that discovery refused.
     pub refused: u64,
-    /// and those that were hung up on while they waited in line.
+    /// Requests whose connection was closed while they waited in the queue.
     pub hung_up: u64,
 }
 
-/// The figures after one event that began and ended then, of which the next one begins at `next`.
+/// Computes the figures of an event that lasted from `begin` to `end`; the next event begins at `next`.
 pub fn after(
     outcome: &Outcome,
     event: &Event,
@@ -38,7 +38,7 @@
     let mut first: Vec<Option<Micros>> = vec![None; sidecars];
     let answered = outcome.book.calls.iter().filter(|c| c.fate == CallFate::Answered);
     let answered = answered.map(|call| (call.sidecar, call.ended));
-    // Of a sidecar that takes lists from the control nodes its log tells it.
+    // A sidecar that takes lists from control nodes records this in its log.
     let taken = outcome.documents.iter().filter(|d| d.kind == DocumentEventKind::ListTaken);
     let taken = taken.map(|document| (document.sidecar, document.at));
     for (sidecar, at) in answered.chain(taken).filter(|(_, at)| (end..next).contains(at)) {
--- a/crates/millethook-lab/src/figures/load.rs
+++ b/crates/millethook-lab/src/figures/load.rs
@@ -1,9 +1,9 @@
-//! How the work of a whole run was spread over the servers.
+//! How the work of a whole run was distributed over the servers.
 
 use crate::ledger::Micros;
 use crate::world::Outcome;
 
-/// The highest mean load of a server over the mean of all.
+/// The highest mean load of a server, divided by the mean of all servers.
 pub(super) fn imbalance(outcome: &Outcome, warm_up: Micros) -> f64 {
     let mut sums: Vec<f64> = Vec::new();
     for sample in outcome.servers.iter().filter(|s| s.at >= warm_up) {
@@ -15,14 +15,14 @@
     max_over_mean(&sums)
 }
 
-/// The greatest number over the mean; 0 if all are 0.
-pub(super) fn max_over_mean(of: &[f64]) -> f64 {
-    let sum: f64 = of.iter().sum();
-    let most = of.iter().copied().fold(0.0, f64::max);
-    if sum > 0.0 { most * of.len() as f64 / sum } else { 0.0 }
+/// The maximum divided by the mean; 0 if all numbers are 0.
+pub(super) fn max_over_mean(numbers: &[f64]) -> f64 {
+    let sum: f64 = numbers.iter().sum();
+    let most = numbers.iter().copied().fold(0.0, f64::max);
+    if sum > 0.0 { most * numbers.len() as f64 / sum } else { 0.0 }
 }
 
-/// Seconds of servers without work while another one had requests waiting.
+/// Server-seconds without work while another server had requests queued.
 pub(super) fn idle_while_queued(outcome: &Outcome, warm_up: Micros) -> f64 {
     let mut idle = 0.0;
     for pair in outcome.servers.windows(2).filter(|p| p[0].at >= warm_up) {
--- a/crates/millethook-lab/src/figures/operations.rs
+++ b/crates/millethook-lab/src/figures/operations.rs
@@ -1,26 +1,26 @@
-//! Operations of clients: a request with its retries counts once.
+//! Operations of clients: a request and its retries count once.
 
 use std::collections::HashMap;
 
 use crate::ledger::{Book, End, Micros};
 use crate::timeline::Timeline;
 
-/// A request and how it ended after its last retry.
+/// A request and the outcome of its last retry.
 pub(super) struct Operation {
-    /// The place of its class in the timeline.
+    /// The index of its class in the timeline.
     pub class: usize,
     /// When it was due, in microseconds of the run.
     pub due: Micros,
     /// How its last retry ended.
     pub end: End,
-    /// Microseconds from when it was due to its answer; None: it was not served.
+    /// Microseconds from its due time to its answer; `None` if it was not served.
     pub took: Option<Micros>,
 }
 
-/// Operations that were due after the warm-up, by time.
+/// Operations that were due after the warm-up, ordered by their due time.
 pub(super) fn operations(book: &Book, warm_up: Micros) -> Vec<Operation> {
     let mut by_id: HashMap<u64, Operation> = HashMap::new();
-    // Retries stand in the order in which they were made, so that the last one remains.
+    // Retries are recorded in the order in which they were sent, so the last one overwrites the earlier ones.
     for r in book.requests.iter().filter(|r| r.due >= warm_up) {
         let took =
             (matches!(r.end, End::Served | End::Kept)).then(|| r.ended.saturating_sub(r.due));
@@ -38,7 +38,7 @@
     operation.took.is_some_and(|took| took <= aim)
 }
 
-/// The share of worth served within its aim, of what was due in `from..to`; None: nothing was due.
+/// The share of worth served within its aim, of the operations due in `from..to`; `None` if none was due.
 pub(super) fn served(
     timeline: &Timeline,
     operations: &[Operation],
--- a/crates/millethook-lab/src/figures/trials.rs
+++ b/crates/millethook-lab/src/figures/trials.rs
@@ -1,4 +1,4 @@
-//! Who sent requests to a silent server while one sidecar owned its trial.
+//! Counts requests to an unresponsive server by sidecars that did not own its trial.
 
 use std::collections::BTreeMap;
 
@@ -6,27 +6,27 @@
 use crate::timeline::Timeline;
 use crate::world::Outcome;
 
-/// Seconds that the sidecars may need to agree on an owner, beside the longest lease.
-const BEYOND_LEASE_S: f64 = 2.0;
-/// The longest lease where the product's file does not tell.
-const USUAL_LEASE_S: f64 = 6.0;
+/// Time that the sidecars may need to agree on an owner, in addition to the longest lease.
+const AGREEMENT_MARGIN_S: f64 = 2.0;
+/// The longest lease if the product's settings do not set it.
+const DEFAULT_LEASE_S: f64 = 6.0;
 
 /// The longest lease of the daemons, in seconds.
 fn longest_lease_s(timeline: &Timeline) -> f64 {
     let product: Option<toml::Table> = toml::from_str(&timeline.sidecars.product).ok();
     let longest = product.as_ref().and_then(|p| p.get("lease")?.get("longest_s"));
     let seconds = longest.and_then(|s| s.as_float().or(s.as_integer().map(|n| n as f64)));
-    seconds.unwrap_or(USUAL_LEASE_S)
+    seconds.unwrap_or(DEFAULT_LEASE_S)
 }
 
-/// One sidecar named one token of a job from the first to the last time.
+/// The span from the first to the last sample in which a sidecar reported one token of a job.
 struct Ownership {
     sidecar: usize,
     first: Micros,
     last: Micros,
 }
 
-/// Spans in which a sidecar owned a job, by its own word.
+/// Spans in which a sidecar reported that it owned a job.
 fn ownerships(outcome: &Outcome) -> Vec<Ownership> {
     let mut spans: BTreeMap<(u64, &str, usize), Ownership> = BTreeMap::new();
     for sample in &outcome.views {
@@ -40,12 +40,12 @@
     spans.into_values().collect()
 }
 
-/// Attempts that a server never answered, by sidecars that did not own its trial although another one had owned it for a
-/// lease and 2 s. In that time no event may have begun or ended: on the small side of a partition, for example, each
-/// sidecar tries by itself. Jobs of different servers are not told apart, so this is for timelines with one silent server
-/// and one zone.
+/// Counts attempts that a server never answered, by sidecars that did not own its trial although another sidecar had owned
+/// it for at least a lease and 2 s. Attempts within that time of the beginning or end of an event do not count: in the
+/// minority side of a partition, for example, each sidecar tries by itself. Jobs of different servers are not
+/// distinguished, so the figure is meant for timelines with one unresponsive server and one zone.
 pub(super) fn trials_by_others(timeline: &Timeline, outcome: &Outcome) -> u64 {
-    let settled = ((longest_lease_s(timeline) + BEYOND_LEASE_S) * 1e6) as Micros;
+    let settled = ((longest_lease_s(timeline) + AGREEMENT_MARGIN_S) * 1e6) as Micros;
     let ownerships = ownerships(outcome);
     let calm =
         |at: Micros| outcome.marks.iter().all(|(mark, ..)| !(*mark..mark + settled).contains(&at));
--- a/crates/millethook-lab/src/figures/windows.rs
+++ b/crates/millethook-lab/src/figures/windows.rs
@@ -1,4 +1,4 @@
-//! The run second by second: service, and how arrivals and load were spread over the servers.
+//! The run second by second: service, and how arrivals and load were distributed over the servers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
@@ -12,23 +12,23 @@
 use crate::timeline::{Class, Timeline};
 use crate::world::Outcome;
 
-/// Microseconds of a window.
-pub(super) const WINDOW: Micros = 1_000_000;
+/// Length of a window.
+pub(super) const WINDOW_US: Micros = 1_000_000;
 
 /// One second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Window {
     /// When it began, in seconds of the run.
     pub at_s: f64,
-    /// The share of operations served within the aim, for each class that had any.
+    /// The share of operations served within the aim, for each class that had operations.
     pub in_aim: BTreeMap<String, f64>,
-    /// The highest load of a server over the mean.
+    /// The highest load of a server, divided by the mean.
     pub imbalance: f64,
-    /// The coefficient of variation of arrivals over the servers.
+    /// The coefficient of variation of arrivals across the servers.
     pub cv: f64,
-    /// The same for as many arrivals at random.
+    /// The same for as many arrivals at randomly chosen servers.
     pub cv_random: f64,
-    /// The mean load of a server: requests in work and waiting.
+    /// The mean load of a server: requests in progress and queued.
     pub load: f64,
     /// Attempts that arrived at servers.
     pub attempts: u64,
@@ -41,14 +41,14 @@
     outcome: &Outcome,
     operations: &[Operation],
 ) -> Vec<Window> {
-    let count = plan.length.as_micros() as Micros / WINDOW;
-    let first = plan.warm_up.as_micros() as Micros / WINDOW;
+    let count = plan.length.as_micros() as Micros / WINDOW_US;
+    let first = plan.warm_up.as_micros() as Micros / WINDOW_US;
     let arrivals = arrivals_by_window(outcome, count as usize);
     let servers = plan.server_zones.len();
     let window = |n: Micros| {
-        let span = n * WINDOW..(n + 1) * WINDOW;
+        let span = n * WINDOW_US..(n + 1) * WINDOW_US;
         let (loads, samples) = summed_loads(outcome, servers, &span);
-        let (cv, cv_random) = spread(&arrivals[n as usize], servers);
+        let (cv, cv_random) = arrival_variation(&arrivals[n as usize], servers);
         Window {
             at_s: span.start as f64 / 1e6,
             in_aim: in_aim_by_class(timeline, operations, &span),
@@ -66,7 +66,7 @@
 fn arrivals_by_window(outcome: &Outcome, count: usize) -> Vec<HashMap<usize, u64>> {
     let mut arrivals: Vec<HashMap<usize, u64>> = vec![HashMap::new(); count];
     for attempt in &outcome.book.attempts {
-        if let Some(window) = arrivals.get_mut((attempt.arrived / WINDOW) as usize) {
+        if let Some(window) = arrivals.get_mut((attempt.arrived / WINDOW_US) as usize) {
             *window.entry(attempt.server).or_default() += 1;
         }
     }
@@ -100,15 +100,15 @@
     (loads, samples)
 }
 
-/// The coefficient of variation of arrivals over the servers, and that of as many arrivals at random.
-fn spread(by_server: &HashMap<usize, u64>, servers: usize) -> (f64, f64) {
+/// The coefficient of variation of arrivals across the servers, and that of as many arrivals at random.
+fn arrival_variation(by_server: &HashMap<usize, u64>, servers: usize) -> (f64, f64) {
     let attempts: u64 = by_server.values().sum();
     let servers = servers.max(by_server.len());
     let mean = attempts as f64 / servers as f64;
     let squares: f64 = by_server.values().map(|n| (*n as f64 - mean).powi(2)).sum();
     let squares = squares + (servers - by_server.len()) as f64 * mean * mean;
     let cv = if mean > 0.0 { (squares / servers as f64).sqrt() / mean } else { 0.0 };
-    // Of n arrivals at random over S servers each server has a binomial number.
+    // With n arrivals at random over S servers, the count of each server is binomially distributed.
     let cv_random = match attempts {
         0 => 0.0,
         n => ((servers as f64 - 1.0) / n as f64).sqrt(),
