--- a/crates/millethook-lab/src/bin/millethook-scale.rs
+++ b/crates/millethook-lab/src/bin/millethook-scale.rs
@@ -1,4 +1,4 @@
-//! `millethook-scale`: measures what sidecars, servers and discovery cost as the fleet grows.
+//! `millethook-scale`: measures the resource use of sidecars, servers and discovery as the fleet grows.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/millethook-lab/src/cli.rs
+++ b/crates/millethook-lab/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `millethook-lab`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -13,13 +13,13 @@
 use crate::timeline::Timeline;
 use crate::world::daemon::guard;
 
-/// The variable with the lab's log levels.
-const LOG: &str = "MILLETHOOK_LAB_LOG";
+/// The environment variable that sets the lab's log levels.
+const LOG_VARIABLE: &str = "MILLETHOOK_LAB_LOG";
 
-/// Plays timelines of faults on many daemons at once and judges what they did together.
+/// Plays timelines of faults on many daemons at once and checks the behaviour of the whole fleet.
 ///
 /// Exit codes: 0 all rules and expectations hold, 1 one does not, 2 the file or the command is wrong, 3 the run
-/// does not count.
+/// does not count because the host was too slow.
 #[derive(Parser, Debug)]
 #[command(name = "millethook-lab", version, about)]
 struct Cli {
@@ -29,29 +29,29 @@
 
 #[derive(Subcommand, Debug)]
 enum Command {
-    /// Tell all that is wrong with timelines
+    /// Check timelines and print all errors in them
     Check {
-        /// The files
+        /// The timeline files
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
     /// Play a timeline on real processes
     Run(Run),
-    /// Play timelines that are drawn from seeds
+    /// Play timelines that are generated from seeds
     Soak(Soak),
     /// Compare two folders of runs, paired by timeline, size and seed
     Compare {
         /// Runs of one build or configuration
         first: PathBuf,
-        /// Runs of the other
+        /// Runs of the other build or configuration
         second: PathBuf,
     },
-    /// Write one page over all runs in a folder
+    /// Write one HTML page that shows all runs in a folder
     Report {
-        /// The folder
+        /// The folder of runs
         folder: PathBuf,
     },
-    /// Become a daemon that ends with the lab; for the lab itself
+    /// Run a daemon that ends when the lab ends (internal)
     #[command(hide = true)]
     Guard {
         parent: i32,
@@ -63,24 +63,24 @@
 
 #[derive(clap::Args, Debug)]
 struct Run {
-    /// The timeline
+    /// The timeline file
     file: PathBuf,
-    /// So many daemons, in place of what the file says; servers follow
+    /// The number of daemons, in place of the file's; the number of servers scales with it
     #[arg(long)]
     processes: Option<usize>,
-    /// What arrivals and faults are drawn by
+    /// The seed of the random arrivals and faults
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Where the run is written down; without it only the verdict is printed
+    /// The folder to write the run's results to; without it only the verdict is printed
     #[arg(long)]
     out: Option<PathBuf>,
     #[command(flatten)]
     daemon: DaemonArgs,
 }
 
-/// The program.
+/// Runs the command line and returns its exit code.
 pub fn main() -> ExitCode {
-    let filter = EnvFilter::try_from_env(LOG).unwrap_or_else(|_| EnvFilter::new("warn"));
+    let filter = EnvFilter::try_from_env(LOG_VARIABLE).unwrap_or_else(|_| EnvFilter::new("warn"));
     tracing_subscriber::fmt()
         .with_ansi(false)
         .with_writer(std::io::stderr)
@@ -92,8 +92,10 @@
         Command::Soak(soak) => soak.carry_out(),
         Command::Compare { first, second } => compare_folders(&first, &second),
         Command::Report { folder } => {
-            let written = report::read(&folder).and_then(|runs| report::page(&folder, &runs));
-            told(&folder, written, |()| println!("{}", folder.join(report::PAGE).display()))
+            let written = report::read(&folder).and_then(|runs| report::write_page(&folder, &runs));
+            report_result(&folder, written, |()| {
+                println!("{}", folder.join(report::PAGE_FILE).display())
+            })
         }
         Command::Guard { parent, program, args } => {
             eprintln!("{}: {}", program.display(), guard(parent, &program, &args));
@@ -103,10 +105,10 @@
     verdict.into()
 }
 
-fn told<T>(of: &Path, result: std::io::Result<T>, tell: impl FnOnce(T)) -> Verdict {
+fn report_result<T>(of: &Path, result: std::io::Result<T>, on_success: impl FnOnce(T)) -> Verdict {
     match result {
         Ok(value) => {
-            tell(value);
+            on_success(value);
             Verdict::Holds
         }
         Err(e) => {
@@ -137,7 +139,7 @@
             Ok(runs) if !runs.is_empty() => sets.push(runs),
             Ok(_) => {
                 eprintln!(
-                    "{}: no runs in it; a folder written by run --out expected",
+                    "{}: no runs found; expected a folder written by run --out",
                     folder.display()
                 );
                 return Verdict::Wrong;
@@ -151,7 +153,7 @@
     let differences = compare(&sets[0], &sets[1]);
     if differences.is_empty() {
         eprintln!(
-            "no run of one folder has its pair in the other: same timeline, processes and seed expected"
+            "the folders have no run in common: expected runs of the same timeline, number of processes and seed"
         );
         return Verdict::Wrong;
     }
@@ -177,7 +179,7 @@
         let timeline = match self.processes {
             Some(n @ 1..=2_000) => timeline.with_processes(n),
             Some(n) => {
-                eprintln!("--processes: 1 to 2000 expected, not {n}");
+                eprintln!("--processes: expected 1 to 2000, got {n}");
                 return Verdict::Wrong;
             }
             None => timeline,
--- a/crates/millethook-lab/src/compare.rs
+++ b/crates/millethook-lab/src/compare.rs
@@ -1,14 +1,14 @@
-//! Two sets of runs beside each other, paired by timeline, size and seed.
+//! Compares two sets of runs that are paired by timeline, size and seed.
 
 use std::collections::BTreeMap;
 
 use crate::figures::Figures;
 
-/// A figure that is compared: its name, and how to read it.
-type Reader = (&'static str, fn(&Figures) -> f64);
+/// A figure that is compared: its name, and the function that reads it.
+type ComparedFigure = (&'static str, fn(&Figures) -> f64);
 
-/// What is compared.
-const READERS: [Reader; 13] = [
+/// The figures that are compared.
+const COMPARED_FIGURES: [ComparedFigure; 13] = [
     ("served", |f| f.served),
     ("attempts", |f| f.attempts),
     ("kept", |f| f.kept as f64),
@@ -24,34 +24,34 @@
     ("daemons_cpu_s", |f| f.processes.daemons_cpu_s),
 ];
 
-/// Fewer pairs than this tell nothing.
-const LEAST: usize = 3;
+/// With fewer pairs no interval is computed.
+const MIN_PAIRS: usize = 3;
 
 /// Two-sided 95% quantiles of Student's t by degrees of freedom, from 2 on (Abramowitz and Stegun, table 26.10).
-const STUDENT: [f64; 14] = [
+const STUDENT_T_95: [f64; 14] = [
     4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
     2.131,
 ];
-/// Beyond the table: a little wide, never narrow.
-const STUDENT_MORE: f64 = 2.131;
+/// The quantile beyond the table. It makes the interval slightly too wide, never too narrow.
+const STUDENT_T_95_BEYOND: f64 = 2.131;
 
 /// One figure of one timeline in both sets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// Timeline and size.
+    /// The timeline and the number of sidecars.
     pub of: String,
-    /// The figure.
+    /// The name of the figure.
     pub figure: &'static str,
-    /// Pairs.
+    /// The number of pairs.
     pub pairs: usize,
-    /// The means.
+    /// The means of the first and the second set.
     pub means: [f64; 2],
-    /// The interval of the paired difference, second less first, at 95%; None: too few pairs.
+    /// The 95% confidence interval of the paired difference, second minus first; `None` if there are too few pairs.
     pub interval: Option<(f64, f64)>,
 }
 
 impl Difference {
-    /// In a word.
+    /// The difference as text: an interval, no difference, or too few pairs.
     pub fn verdict(&self) -> String {
         match self.interval {
             None => format!("too few pairs ({})", self.pairs),
@@ -61,7 +61,7 @@
     }
 }
 
-/// Compares the runs that both sets have. Runs that do not count are left out.
+/// Compares the runs that are in both sets. Void runs are left out.
 pub fn compare(first: &[Figures], second: &[Figures]) -> Vec<Difference> {
     let mut groups: BTreeMap<String, Vec<(&Figures, &Figures)>> = BTreeMap::new();
     for a in first.iter().filter(|a| a.void.is_none()) {
@@ -74,7 +74,7 @@
         }
     }
     let each = groups.iter().flat_map(|(of, pairs)| {
-        READERS.iter().map(move |(figure, read)| difference(of, figure, *read, pairs))
+        COMPARED_FIGURES.iter().map(move |(figure, read)| difference(of, figure, *read, pairs))
     });
     each.collect()
 }
@@ -89,12 +89,13 @@
     let mean = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>() / n;
     let first = mean(&mut pairs.iter().map(|p| read(p.0)));
     let second = mean(&mut pairs.iter().map(|p| read(p.1)));
-    let middle = second - first;
-    let squares: f64 = pairs.iter().map(|p| (read(p.1) - read(p.0) - middle).powi(2)).sum();
-    let interval = (pairs.len() >= LEAST).then(|| {
-        let t = STUDENT.get(pairs.len() - LEAST).copied().unwrap_or(STUDENT_MORE);
-        let half = t * (squares / (n - 1.0) / n).sqrt();
-        (middle - half, middle + half)
+    let mean_difference = second - first;
+    let squares: f64 =
+        pairs.iter().map(|p| (read(p.1) - read(p.0) - mean_difference).powi(2)).sum();
+    let interval = (pairs.len() >= MIN_PAIRS).then(|| {
+        let t = STUDENT_T_95.get(pairs.len() - MIN_PAIRS).copied().unwrap_or(STUDENT_T_95_BEYOND);
+        let half_width = t * (squares / (n - 1.0) / n).sqrt();
+        (mean_difference - half_width, mean_difference + half_width)
     });
     Difference { of: of.to_owned(), figure, pairs: pairs.len(), means: [first, second], interval }
 }
--- a/crates/millethook-lab/src/report.rs
+++ b/crates/millethook-lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run leaves on disk: figures as JSON, tables as CSV, and one page with plots that needs no other file.
+//! Writes the results of a run: figures as JSON, tables as CSV, and a self-contained HTML page with plots.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,14 +10,14 @@
 use crate::ledger::judge::Breach;
 use crate::world::Outcome;
 
-/// The file of figures in a run's folder.
-pub const FIGURES: &str = "figures.json";
-/// The page.
-pub const PAGE: &str = "report.html";
-/// Folders of runs may lie so deep below the one that is named.
-const DEEPEST: usize = 4;
+/// Name of the file of figures in a run's folder.
+pub const FIGURES_FILE: &str = "figures.json";
+/// Name of the HTML page in a run's folder.
+pub const PAGE_FILE: &str = "report.html";
+/// How many levels below the given folder runs are searched for.
+const MAX_FOLDER_DEPTH: usize = 4;
 
-/// Writes a run's folder.
+/// Writes the results of a run to its folder.
 ///
 /// # Errors
 /// A file cannot be written.
@@ -28,20 +28,20 @@
     breaches: &[Breach],
 ) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join(FIGURES), serde_json::to_string_pretty(figures)?)?;
+    std::fs::write(folder.join(FIGURES_FILE), serde_json::to_string_pretty(figures)?)?;
     let mut text = String::new();
     for breach in breaches {
         text += &format!("{}: {}\n", breach.rule, breach.text);
         breach.way.iter().for_each(|step| text += &format!("    {step}\n"));
     }
     std::fs::write(folder.join("breaches.txt"), text)?;
-    csv_of(
+    write_csv(
         &folder.join("requests.csv"),
         outcome.book.requests.iter().map(|r| {
             (r.id.wire(), r.class, r.due, r.sent, r.left, r.ended, format!("{:?}", r.end))
         }),
     )?;
-    csv_of(
+    write_csv(
         &folder.join("attempts.csv"),
         outcome.book.attempts.iter().map(|a| {
             let server = outcome.book.servers[a.server].name.as_str();
@@ -57,14 +57,14 @@
             )
         }),
     )?;
-    csv_of(
+    write_csv(
         &folder.join("told.csv"),
         outcome.book.told.iter().map(|t| {
             let server = outcome.book.servers[t.server].name.as_str();
             (t.at, format!("n{}", t.sidecar), server, format!("{:?}", t.listed))
         }),
     )?;
-    csv_of(
+    write_csv(
         &folder.join("processes.csv"),
         outcome.processes.iter().map(|p| {
             let name = p.sidecar.map_or("lab".to_owned(), |n| format!("n{n}"));
@@ -76,7 +76,7 @@
     for attempt in outcome.book.attempts.iter().filter(|a| a.fresh) {
         handshakes[attempt.id.sidecar()] += 1;
     }
-    csv_of(
+    write_csv(
         &folder.join("traffic.csv"),
         outcome
             .traffic
@@ -91,18 +91,18 @@
             load.map(|(taken, waiting)| (sample.at, place, taken, waiting))
         })
     });
-    csv_of(&folder.join("servers.csv"), servers)?;
-    csv_of(
+    write_csv(&folder.join("servers.csv"), servers)?;
+    write_csv(
         &folder.join("windows.csv"),
         figures
             .windows
             .iter()
             .map(|w| (w.at_s, w.load, w.imbalance, w.cv, w.cv_random, w.attempts)),
     )?;
-    page(folder, std::slice::from_ref(figures))
+    write_page(folder, std::slice::from_ref(figures))
 }
 
-fn csv_of<R: Serialize>(path: &Path, rows: impl Iterator<Item = R>) -> io::Result<()> {
+fn write_csv<R: Serialize>(path: &Path, rows: impl Iterator<Item = R>) -> io::Result<()> {
     let mut file = csv::WriterBuilder::new().has_headers(false).from_path(path)?;
     for row in rows {
         file.serialize(row)?;
@@ -110,13 +110,13 @@
     file.flush()
 }
 
-/// Reads the figures of all runs in a folder and below it.
+/// Reads the figures of all runs in a folder and its subfolders, in the order of their paths.
 ///
 /// # Errors
-/// A folder or file cannot be read, or holds no figures of this version.
+/// A folder or file cannot be read, or does not hold figures of this version.
 pub fn read(folder: &Path) -> io::Result<Vec<Figures>> {
     let mut found = Vec::new();
-    collect(folder, DEEPEST, &mut found)?;
+    collect(folder, MAX_FOLDER_DEPTH, &mut found)?;
     found.sort();
     let read = |path: PathBuf| {
         let text = std::fs::read_to_string(&path)?;
@@ -132,29 +132,29 @@
         let path = entry?.path();
         if path.is_dir() && depth > 0 {
             collect(&path, depth - 1, found)?;
-        } else if path.file_name().is_some_and(|name| name == FIGURES) {
+        } else if path.file_name().is_some_and(|name| name == FIGURES_FILE) {
             found.push(path);
         }
     }
     Ok(())
 }
 
-/// Writes one page over some runs.
+/// Writes one HTML page that shows all the given runs.
 ///
 /// # Errors
-/// It cannot be written or drawn.
-pub fn page(folder: &Path, runs: &[Figures]) -> io::Result<()> {
+/// The page cannot be written, or a plot cannot be drawn.
+pub fn write_page(folder: &Path, runs: &[Figures]) -> io::Result<()> {
     let mut html = String::from(
         "<!doctype html><meta charset=\"utf-8\"><title>Fleet runs</title><style>body{font:14px sans-serif;\
          margin:2em;max-width:70em}table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #ccc;\
          padding:.2em .6em;text-align:right}td:first-child,th:first-child{text-align:left}.bad{color:#a00}\
          </style><h1>Fleet runs</h1>",
     );
-    html += &summary(runs);
+    html += &summary_table(runs);
     for run in runs {
-        html += &section(run)?;
+        html += &run_section(run)?;
     }
-    std::fs::write(folder.join(PAGE), html)
+    std::fs::write(folder.join(PAGE_FILE), html)
 }
 
 fn row(cells: &[String]) -> String {
@@ -168,7 +168,7 @@
     format!("<table><tr>{head}</tr>{rows}</table>")
 }
 
-fn summary(runs: &[Figures]) -> String {
+fn summary_table(runs: &[Figures]) -> String {
     let columns = [
         "timeline",
         "seed",
@@ -211,7 +211,7 @@
     table(&columns, rows)
 }
 
-fn section(f: &Figures) -> io::Result<String> {
+fn run_section(f: &Figures) -> io::Result<String> {
     let mut html = format!(
         "<h2>{}, seed {}</h2><p>{}</p><p>Plan {}.</p>",
         escape(&f.timeline),
@@ -319,7 +319,7 @@
     lines: &Lines,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let all = lines.iter().flat_map(|l| &l.1);
-    let top = all.clone().map(|p| p.1).fold(0.0, f64::max).max(0.1) * 1.05;
+    let y_max = all.clone().map(|p| p.1).fold(0.0, f64::max).max(0.1) * 1.05;
     let (from, to) = all.fold((f64::MAX, 0.0_f64), |(a, b), p| (a.min(p.0), b.max(p.0)));
     if from >= to {
         return Ok(());
@@ -331,13 +331,13 @@
         .margin(8)
         .x_label_area_size(26)
         .y_label_area_size(44)
-        .build_cartesian_2d(from..to, 0.0..top)?;
+        .build_cartesian_2d(from..to, 0.0..y_max)?;
     chart.configure_mesh().light_line_style(TRANSPARENT).x_desc("seconds").draw()?;
     for event in &f.events {
-        let mark = [(event.at_s, 0.0), (event.at_s, top)];
+        let mark = [(event.at_s, 0.0), (event.at_s, y_max)];
         chart.draw_series(LineSeries::new(mark, RGBColor(150, 150, 150).stroke_width(1)))?;
         if event.end_s > event.at_s {
-            let mark = [(event.end_s, 0.0), (event.end_s, top)];
+            let mark = [(event.end_s, 0.0), (event.end_s, y_max)];
             chart.draw_series(LineSeries::new(mark, RGBColor(210, 210, 210).stroke_width(1)))?;
         }
     }
