--- a/crates/millethook-lab/tests/it/distribution.rs
+++ b/crates/millethook-lab/tests/it/distribution.rs
@@ -1,4 +1,4 @@
-//! The judge of documents, on logs and runs written by hand.
+//! Tests the figures and expectations of documents on hand-written logs and outcomes.
 
 use millethook_lab::figures::distribution::{DistributionFigures, distribution, missed};
 use millethook_lab::ledger::{Absence, Book};
@@ -36,8 +36,8 @@
     Publication { request: format!("change-{counter}"), at, scope: "all".into() }
 }
 
-/// One change at 1 s, in force at the three sidecars at these times.
-fn one(times: [Option<u64>; 3]) -> Outcome {
+/// One change requested at 1 s that came into force at the three sidecars at these times.
+fn outcome_of_one_change(times: [Option<u64>; 3]) -> Outcome {
     let mut documents = published(S, 1).to_vec();
     let each = times.into_iter().enumerate();
     documents.extend(each.filter_map(|(n, at)| Some(applied(at?, n, 1))));
@@ -45,56 +45,57 @@
     Outcome { publications: vec![requested(S, 1)], documents, ..Outcome::default() }
 }
 
-fn judged(outcome: &Outcome) -> (DistributionFigures, Vec<String>) {
+fn evaluate(outcome: &Outcome) -> (DistributionFigures, Vec<String>) {
     let figures = distribution(&timeline(), outcome).expect("documents");
     let missed = missed(&timeline(), &figures);
     (figures, missed)
 }
 
 #[test]
-fn the_time_of_a_change_is_that_of_its_last_sidecar() {
-    let (figures, missed) = judged(&one([Some(2 * S), Some(3 * S), Some(4 * S)]));
+fn a_change_takes_until_its_last_sidecar_applies_it() {
+    let (figures, missed) =
+        evaluate(&outcome_of_one_change([Some(2 * S), Some(3 * S), Some(4 * S)]));
     assert_eq!((figures.in_force_p50_s, figures.in_force_all_s), (2.0, 3.0));
     assert_eq!((figures.requested, figures.committed, missed), (1, 1, vec![]));
-    let (_, missed) = judged(&one([Some(2 * S), Some(3 * S), Some(6 * S)]));
+    let (_, missed) = evaluate(&outcome_of_one_change([Some(2 * S), Some(3 * S), Some(6 * S)]));
     assert_eq!(missed, ["in_force_within_s: 4 expected, not 5.00"]);
-    let (figures, missed) = judged(&one([Some(2 * S), Some(3 * S), None]));
+    let (figures, missed) = evaluate(&outcome_of_one_change([Some(2 * S), Some(3 * S), None]));
     assert_eq!((figures.never, missed.len()), (1, 2), "never, and another version at the end");
 }
 
 #[test]
-fn who_was_away_has_the_time_from_its_return_and_no_more() {
-    let mut outcome = one([Some(2 * S), Some(3 * S), Some(12 * S)]);
+fn an_absent_sidecar_is_timed_from_its_return() {
+    let mut outcome = outcome_of_one_change([Some(2 * S), Some(3 * S), Some(12 * S)]);
     let absence = |to| Absence { sidecar: 2, from: S / 2, to, ended: true };
     outcome.book = Book { absences: vec![absence(10 * S)], ..Book::default() };
-    assert_eq!(judged(&outcome).0.in_force_all_s, 2.0);
+    assert_eq!(evaluate(&outcome).0.in_force_all_s, 2.0);
     outcome.book.absences = vec![absence(5 * S)];
-    assert_eq!(judged(&outcome).1, ["in_force_within_s: 4 expected, not 7.00"]);
-    // The lab notices a little later that it is ready again.
-    outcome = one([Some(2 * S), Some(3 * S), Some(12 * S)]);
+    assert_eq!(evaluate(&outcome).1, ["in_force_within_s: 4 expected, not 7.00"]);
+    // The lab notices slightly later that the sidecar is ready again.
+    outcome = outcome_of_one_change([Some(2 * S), Some(3 * S), Some(12 * S)]);
     outcome.book.absences = vec![absence(12 * S + S / 10)];
-    assert_eq!(judged(&outcome).0.in_force_all_s, 2.0);
-    // One that stays away to the end is missed by nobody.
-    outcome = one([Some(2 * S), Some(3 * S), None]);
+    assert_eq!(evaluate(&outcome).0.in_force_all_s, 2.0);
+    // A sidecar that stays down until the end does not count.
+    outcome = outcome_of_one_change([Some(2 * S), Some(3 * S), None]);
     outcome.book.absences = vec![absence(u64::MAX)];
-    assert_eq!(judged(&outcome).0.never, 0);
+    assert_eq!(evaluate(&outcome).0.never, 0);
 }
 
 #[test]
-fn a_version_that_goes_back_is_found_and_one_that_overtakes_is_none() {
-    let mut outcome = one([Some(2 * S), Some(3 * S), Some(3 * S)]);
+fn a_version_that_goes_back_is_reported_and_one_that_overtakes_is_not() {
+    let mut outcome = outcome_of_one_change([Some(2 * S), Some(3 * S), Some(3 * S)]);
     outcome.documents.extend(published(4 * S, 2));
     outcome.publications.push(requested(4 * S, 2));
     outcome.documents.extend([0, 1, 2].map(|n| applied(5 * S, n, 2)));
-    assert_eq!(judged(&outcome).1, [""; 0]);
+    assert_eq!(evaluate(&outcome).1, [""; 0]);
     outcome.documents.push(applied(6 * S, 1, 1));
-    let (figures, missed) = judged(&outcome);
+    let (figures, missed) = evaluate(&outcome);
     assert_eq!((figures.went_back, figures.different_at_end), (1, 1));
     assert!(missed.contains(&"a version in force went back 1 times".to_owned()), "{missed:?}");
 }
 
 #[test]
-fn logs_are_read_for_documents_alone() {
+fn only_document_events_are_read_from_logs() {
     let folder = std::env::temp_dir().join(format!("millethook-lab-logs-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let line = |second: u32, event: &str, rest: &str| {
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_timeline_of_documents_needs_control_nodes_and_what_they_need() {
+fn a_timeline_with_documents_needs_valid_control_nodes() {
     let text = "about = \"x\"\n[distribution]\ncontrol_nodes = 9\nregions = 2\n[[event]]\ndo = \"kill\"\nscope = \"all\"\n";
     let faults = Timeline::from_toml(text).expect_err("unsound");
     let keys: Vec<&str> = faults.iter().map(|fault| fault.key.as_str()).collect();
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -1,4 +1,4 @@
-//! Budgets, comparisons and judges on books written by hand.
+//! Tests cold-server budgets, comparisons and judges on hand-written ledgers.
 
 use millethook_lab::compare::compare;
 use millethook_lab::figures::Figures;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn two_builds_differ_only_where_their_pairs_do() {
+fn two_builds_differ_only_if_their_paired_runs_do() {
     let first: Vec<Figures> = (0..4).map(|n| run(n, 0.8 + n as f64 / 100.0)).collect();
     let better: Vec<Figures> = (0..4).map(|n| run(n, 0.85 + n as f64 / 100.0)).collect();
     let noise = [0.02, -0.02, 0.03, -0.03];
@@ -30,22 +30,22 @@
 }
 
 #[test]
-fn a_cold_server_falls_over_at_its_multiple_and_not_before() {
+fn a_cold_server_fails_at_its_work_limit_and_not_before() {
     let warmth = Warmth { slots: 2.0, share: 0.25, length: 10_000_000 };
-    // It can do 0.5 s of work in its first second, and a little more as it warms up.
-    let falls = |work| {
+    // The server can do 0.5 s of work in its first second, and slightly more as it warms up.
+    let fails = |work| {
         let mut budget = ColdBudget::new(warmth, 2.0, 1_000_000, 10_000.0);
         (0..100).any(|n| budget.send(n * 10_000, work))
     };
-    // 115 requests of mean work are allowed it then, and so it bears 115 + 21 + 2.
+    // The sidecars may send it 115 requests of mean work in that time, so it withstands 115 + 21 + 2.
     assert_eq!(bears(9.0), 17.0);
-    assert!(!falls(13_000));
-    assert!(falls(14_500));
+    assert!(!fails(13_000));
+    assert!(fails(14_500));
     let mut warm = ColdBudget::new(warmth, 2.0, 1_000_000, 10_000.0);
     assert!(!(0..1000).any(|n| warm.send(10_000_000 + n * 1_000, 100_000)));
 }
 
-/// A book with one request of the class, sent at 1 s with 1 s left, to two servers of two zones.
+/// A ledger with one request of the class, sent at 1 s with 1 s left, and two servers in two zones.
 struct Case {
     book: Book,
     class: Class,
@@ -90,18 +90,18 @@
         self
     }
 
-    fn away(mut self, from: u64, to: u64, ended: bool) -> Case {
+    fn with_absence(mut self, from: u64, to: u64, ended: bool) -> Case {
         self.book.absences.push(Absence { sidecar: 0, from, to, ended });
         self
     }
 
-    /// Whether each fault that is found is a matter of time.
-    fn by_time(&self) -> Vec<bool> {
+    /// For each breach that is found, whether it depends on timing alone.
+    fn timing_breaches(&self) -> Vec<bool> {
         let breaches = judge(&self.book, std::slice::from_ref(&self.class), &Rules::default());
         breaches.iter().map(|b| b.by_time).collect()
     }
 
-    fn broken(&self) -> Vec<Rule> {
+    fn broken_rules(&self) -> Vec<Rule> {
         let breaches = judge(&self.book, std::slice::from_ref(&self.class), &Rules::default());
         assert!(breaches.iter().all(|b| b.request.is_none() || !b.way.is_empty()));
         breaches.iter().map(|b| b.rule).collect()
@@ -109,44 +109,53 @@
 }
 
 #[test]
-fn answers_are_judged_by_their_time_and_by_who_was_away() {
+fn answers_are_judged_by_their_time_and_by_sidecar_absences() {
     let safe = |end, ended| case(Effect::Safe, Group::All, end, ended);
-    assert_eq!(safe(End::Served, 2 * S).broken(), []);
-    // 8 ms and 50 ms are the slack.
-    assert_eq!(safe(End::Served, 2 * S + 60_000).broken(), [Rule::Lost]);
-    assert_eq!(safe(End::Served, 2 * S + 60_000).away(S, S + 10_000, false).broken(), []);
-    assert_eq!(safe(End::Broken, S + 5_000).broken(), [Rule::Lost]);
-    assert_eq!(safe(End::Broken, S + 5_000).away(S + 4_000, u64::MAX, true).broken(), []);
-    assert_eq!(safe(End::Broken, S + 5_000).away(3 * S, u64::MAX, true).broken(), [Rule::Lost]);
-    assert_eq!(safe(End::Silent, 4 * S).broken(), [Rule::Lost]);
-    assert_eq!(safe(End::Foreign, S + 1).broken(), [Rule::Lost]);
-    assert_eq!(safe(End::Unreached, S + 1).broken(), []);
+    assert_eq!(safe(End::Served, 2 * S).broken_rules(), []);
+    // The slack is 8 ms plus 50 ms.
+    assert_eq!(safe(End::Served, 2 * S + 60_000).broken_rules(), [Rule::Lost]);
+    assert_eq!(
+        safe(End::Served, 2 * S + 60_000).with_absence(S, S + 10_000, false).broken_rules(),
+        []
+    );
+    assert_eq!(safe(End::Broken, S + 5_000).broken_rules(), [Rule::Lost]);
+    assert_eq!(
+        safe(End::Broken, S + 5_000).with_absence(S + 4_000, u64::MAX, true).broken_rules(),
+        []
+    );
+    assert_eq!(
+        safe(End::Broken, S + 5_000).with_absence(3 * S, u64::MAX, true).broken_rules(),
+        [Rule::Lost]
+    );
+    assert_eq!(safe(End::Silent, 4 * S).broken_rules(), [Rule::Lost]);
+    assert_eq!(safe(End::Foreign, S + 1).broken_rules(), [Rule::Lost]);
+    assert_eq!(safe(End::Unreached, S + 1).broken_rules(), []);
     let after = safe(End::Served, S + 5_000).attempt(0, S + 100_000, Fate::Served);
-    assert_eq!(after.broken(), [Rule::Lost]);
+    assert_eq!(after.broken_rules(), [Rule::Lost]);
 }
 
 #[test]
-fn only_late_answers_and_late_sends_are_matters_of_time() {
+fn only_late_answers_and_late_sends_are_timing_breaches() {
     let of = |effect, end, ended| case(effect, Group::All, end, ended);
-    assert_eq!(of(Effect::Safe, End::Served, 2 * S + 60_000).by_time(), [true]);
-    assert_eq!(of(Effect::Safe, End::Silent, 4 * S).by_time(), [true]);
-    assert_eq!(of(Effect::Safe, End::Foreign, S + 1).by_time(), [false]);
-    assert_eq!(of(Effect::Safe, End::Broken, S + 5_000).by_time(), [false]);
+    assert_eq!(of(Effect::Safe, End::Served, 2 * S + 60_000).timing_breaches(), [true]);
+    assert_eq!(of(Effect::Safe, End::Silent, 4 * S).timing_breaches(), [true]);
+    assert_eq!(of(Effect::Safe, End::Foreign, S + 1).timing_breaches(), [false]);
+    assert_eq!(of(Effect::Safe, End::Broken, S + 5_000).timing_breaches(), [false]);
     let after = of(Effect::Safe, End::Served, S + 5_000).attempt(0, S + 100_000, Fate::Served);
-    assert_eq!(after.by_time(), [false]);
+    assert_eq!(after.timing_breaches(), [false]);
     let refused = of(Effect::Unsafe, End::Refused, S + 400_000).attempt(0, S, Fate::Open);
-    assert_eq!(refused.by_time(), [false]);
+    assert_eq!(refused.timing_breaches(), [false]);
     let mut stray = of(Effect::Safe, End::Served, S + 5_000);
     stray.book.strays.push((S + 9_000, stray.book.requests[0].id));
-    assert_eq!(stray.by_time(), [false]);
+    assert_eq!(stray.timing_breaches(), [false]);
     let late = 2 * S + 70_000;
     let mut drained =
         of(Effect::Safe, End::Served, S + 900_000).attempt(0, S + 800_000, Fate::Served);
     drained.book.told.push(Told { at: 1, sidecar: 0, server: 0, listed: Listed::Leaving });
-    assert_eq!(drained.by_time(), [true]);
-    // One fault that is none of time stays one beside others.
+    assert_eq!(drained.timing_breaches(), [true]);
+    // A breach that does not depend on timing keeps this property beside one that does.
     let both = of(Effect::Unsafe, End::Served, late).attempt(0, S, Fate::Served);
-    assert_eq!(both.attempt(1, S + 100_000, Fate::Served).by_time(), [true, false]);
+    assert_eq!(both.attempt(1, S + 100_000, Fate::Served).timing_breaches(), [true, false]);
 }
 
 #[test]
@@ -156,24 +165,28 @@
         [Fate::Served, Fate::Error, Fate::Reset, Fate::Silent, Fate::Abandoned, Fate::Open];
     for fate in may_have_run {
         let again = order(End::Served).attempt(0, S, fate).attempt(1, S + 100_000, Fate::Served);
-        assert_eq!(again.broken(), [Rule::Twice], "{fate:?}");
-        assert_eq!(order(End::Refused).attempt(0, S, fate).broken(), [Rule::Twice], "{fate:?}");
-        assert_eq!(order(End::Failed(502)).attempt(0, S, fate).broken(), [], "{fate:?}");
+        assert_eq!(again.broken_rules(), [Rule::Twice], "{fate:?}");
+        assert_eq!(
+            order(End::Refused).attempt(0, S, fate).broken_rules(),
+            [Rule::Twice],
+            "{fate:?}"
+        );
+        assert_eq!(order(End::Failed(502)).attempt(0, S, fate).broken_rules(), [], "{fate:?}");
     }
     let turned_away = order(End::Served).attempt(0, S, Fate::TurnedAway);
-    assert_eq!(turned_away.attempt(1, S + 100_000, Fate::Served).broken(), []);
-    assert_eq!(order(End::Refused).attempt(0, S, Fate::TurnedAway).broken(), []);
-    // The second went out before the first was known not to have run.
+    assert_eq!(turned_away.attempt(1, S + 100_000, Fate::Served).broken_rules(), []);
+    assert_eq!(order(End::Refused).attempt(0, S, Fate::TurnedAway).broken_rules(), []);
+    // The second attempt was sent before it was known that the first had not run.
     let early =
         order(End::Served).attempt(0, S, Fate::TurnedAway).attempt(1, S + 5_000, Fate::Served);
-    assert_eq!(early.broken(), [Rule::Twice]);
+    assert_eq!(early.broken_rules(), [Rule::Twice]);
 }
 
 #[test]
 fn keyed_requests_are_judged_by_group_and_window() {
     let keyed = |group, server, at, end| {
         let case = case(Effect::Keyed, group, end, S + 900_000);
-        case.attempt(0, S, Fate::Reset).attempt(server, S + at, Fate::Served).broken()
+        case.attempt(0, S, Fate::Reset).attempt(server, S + at, Fate::Served).broken_rules()
     };
     assert_eq!(keyed(Group::Zone, 0, 300_000, End::Served), []);
     assert_eq!(keyed(Group::Zone, 1, 300_000, End::Served), [Rule::Twice]);
@@ -184,13 +197,13 @@
 }
 
 #[test]
-fn drains_are_judged_by_the_first_word_that_still_stands() {
+fn drains_are_judged_by_the_first_notice_that_is_still_valid() {
     let judged = |told: &[(u64, Listed)], at| {
         let mut case =
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, at, Fate::Served);
-        let word = |t: &(u64, Listed)| Told { at: t.0, sidecar: 0, server: 0, listed: t.1 };
-        case.book.told = told.iter().map(word).collect();
-        case.broken()
+        let notice = |t: &(u64, Listed)| Told { at: t.0, sidecar: 0, server: 0, listed: t.1 };
+        case.book.told = told.iter().map(notice).collect();
+        case.broken_rules()
     };
     use Listed::{Active, Leaving};
     assert_eq!(judged(&[(0, Active)], S), []);
@@ -201,7 +214,7 @@
 }
 
 #[test]
-fn a_fall_is_the_sidecars_fault_only_if_most_of_the_work_came_from_the_told() {
+fn an_overloaded_cold_server_counts_only_if_most_work_came_from_sidecars_that_listed_it() {
     let judged = |told| {
         let mut case =
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, S, Fate::Served);
@@ -209,7 +222,7 @@
         if told {
             case.book.told = vec![Told { at: 1, sidecar: 0, server: 0, listed: Listed::Active }];
         }
-        case.broken()
+        case.broken_rules()
     };
     assert_eq!(judged(true), [Rule::Cold]);
     assert_eq!(judged(false), []);
@@ -219,12 +232,15 @@
 fn a_header_that_a_server_got_twice_is_a_broken_rule_with_the_servers_name() {
     let mut case =
         case(Effect::Safe, Group::All, End::Served, S + 1_000).attempt(0, S, Fate::Served);
-    assert_eq!(case.broken(), []);
+    assert_eq!(case.broken_rules(), []);
     let found = |id| DoubledHeader { at: S, server: 1, id, header: "x-time-left-ms".into() };
     case.book.doubled = vec![found(Some(case.book.requests[0].id)), found(None)];
-    assert_eq!(case.broken(), [Rule::Header, Rule::Header]);
-    let said = judge(&case.book, std::slice::from_ref(&case.class), &Rules::default());
-    assert!(said.iter().all(|b| b.text == "s1 got x-time-left-ms twice at 1.000 s"), "{said:?}");
+    assert_eq!(case.broken_rules(), [Rule::Header, Rule::Header]);
+    let reported = judge(&case.book, std::slice::from_ref(&case.class), &Rules::default());
+    assert!(
+        reported.iter().all(|b| b.text == "s1 got x-time-left-ms twice at 1.000 s"),
+        "{reported:?}"
+    );
 }
 
 proptest! {
@@ -237,13 +253,13 @@
     }
 
     #[test]
-    fn no_text_crashes_the_reader(text in "\\PC{0,200}") {
+    fn no_text_makes_the_timeline_parser_panic(text in "\\PC{0,200}") {
         let _ = millethook_lab::timeline::Timeline::from_toml(&text);
     }
 }
 
 #[test]
-fn what_an_agent_has_counts_as_told_by_the_clock_whether_or_not_it_arrived() {
+fn a_list_at_an_agent_counts_as_received_after_a_time_even_if_it_was_not_delivered() {
     let sends_at = |at: u64, book: fn(&mut Book)| {
         let mut case = case(Effect::Safe, Group::All, End::Served, at + 10_000);
         case.book.requests[0].sent = at;
@@ -251,12 +267,12 @@
         let leaves = |at| Told { at, sidecar: 0, server: 0, listed: Listed::Leaving };
         case.book.has.push(leaves(2 * S));
         book(&mut case.book);
-        case.broken()
+        case.broken_rules()
     };
-    // A pushed list: at once, with half a second and the sockets' slack to act on it.
+    // A pushed list counts at once; the sidecar has 500 ms and the socket slack to act on it.
     assert_eq!(sends_at(2 * S + 540_000, |_| {}), []);
     assert_eq!(sends_at(2 * S + 560_000, |_| {}), [Rule::Drain]);
-    // A watch that fell silent before: 6 s after that, unless it came.
+    // If the watch had fallen silent before, the list counts 6 s after the silence, or when it was received.
     let silent = |book: &mut Book| book.silences.push((0, S));
     assert_eq!(sends_at(7 * S + 540_000, silent), []);
     assert_eq!(sends_at(7 * S + 560_000, silent), [Rule::Drain]);
@@ -265,9 +281,9 @@
         book.told.push(Told { at: 3 * S, sidecar: 0, server: 0, listed: Listed::Leaving });
     };
     assert_eq!(sends_at(3 * S + 560_000, written), [Rule::Drain]);
-    // Another sidecar's silence is none of this one's.
+    // The silence of another sidecar's watch does not matter.
     assert_eq!(sends_at(3 * S, |book| book.silences.push((1, S))), [Rule::Drain]);
-    // A configuration that moved discovery: 4 s after that.
+    // After a configuration that moved discovery, the list counts 4 s after the move.
     let moved = |book: &mut Book| book.moves.push((0, S));
     assert_eq!(sends_at(5 * S + 540_000, moved), []);
     assert_eq!(sends_at(5 * S + 560_000, moved), [Rule::Drain]);
@@ -283,7 +299,7 @@
             let id = RequestId::new(0, n, 0);
             case.book.requests.push(Request { id, end, ..first.clone() });
         }
-        case.broken().len()
+        case.broken_rules().len()
     };
     assert_eq!([closed(2), closed(3), closed(12)], [0, 1, 10]);
 }
--- a/crates/millethook-lab/tests/it/figures_golden.rs
+++ b/crates/millethook-lab/tests/it/figures_golden.rs
@@ -1,6 +1,6 @@
-//! The figures of an outcome made by rule, as an earlier build worked them out.
+//! Compares the figures of a generated outcome with those that an earlier build computed.
 //!
-//! A change of code that is not meant to change figures leaves `golden/figures.txt` as it is.
+//! A code change that is not meant to change figures must leave `golden/figures.txt` unchanged.
 
 use millethook_lab::figures::{figures, missed};
 use millethook_lab::ledger::{Attempt, Book, End, Fate, Request, RequestId, ServerRow};
@@ -14,7 +14,7 @@
 const SIDECARS: u64 = 4;
 const SERVERS: u64 = 6;
 
-/// Every expectation, at a limit that the outcome misses.
+/// A timeline with expectations that the outcome does not meet.
 const TIMELINE: &str = r#"
 about = "An outcome made by rule"
 duration_s = 20
@@ -67,15 +67,15 @@
 who = { share = 0.5 }
 "#;
 
-/// One operation in ten has a retry. Answers are late, and one request in three fails, while an event goes on.
+/// One operation in ten has a retry. During an event, answers are late and one request in three fails.
 fn book() -> Book {
     let mut book = Book::default();
     for n in 0..1_200u64 {
         let due = n * 18_000;
-        let hurt = (6 * S..8 * S).contains(&due) || (11 * S..14 * S).contains(&due);
+        let during_event = (6 * S..8 * S).contains(&due) || (11 * S..14 * S).contains(&due);
         let ends = [End::Failed(503), End::Served, End::Kept, End::Silent, End::Refused];
-        let end = if hurt && n % 3 == 0 { ends[(n / 3 % 5) as usize] } else { End::Served };
-        let took = 20_000 + n * 7_919 % 90_000 + if hurt { 300_000 } else { 0 };
+        let end = if during_event && n % 3 == 0 { ends[(n / 3 % 5) as usize] } else { End::Served };
+        let took = 20_000 + n * 7_919 % 90_000 + if during_event { 300_000 } else { 0 };
         for attempt in 0..if n % 10 == 0 { 2u32 } else { 1 } {
             let id = RequestId::new((n % SIDECARS) as usize, n as usize, attempt);
             let retried = n % 10 == 0 && attempt == 0;
@@ -118,7 +118,7 @@
 }
 
 fn view(at: u64, sidecar: u64) -> ViewSample {
-    // Views, and evidence, agree some time after each event.
+    // Views and evidence agree some time after each event.
     let settled = |from: u64, until: u64| !(from..until).contains(&at);
     let hash = if settled(6 * S, 9 * S) && settled(11 * S, 16 * S) { 7 } else { sidecar };
     let evidence = if settled(6 * S, 10 * S) { (1, 0) } else { (sidecar, 1) };
@@ -177,7 +177,7 @@
     }
 }
 
-/// One line a figure; six places, as the order of summing may differ from run to run.
+/// Writes one line per figure, with six decimals because the order of summation may differ between runs.
 fn lines(name: &str, value: &Value, to: &mut String) {
     match value {
         Value::Object(all) => {
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn figures_are_those_of_the_build_that_wrote_the_file() {
+fn figures_match_the_golden_file() {
     let timeline = Timeline::from_toml(TIMELINE).expect("a timeline");
     let plan = Plan::new(&timeline, 7);
     let figures = figures("by-rule", &timeline, &plan, &outcome());
@@ -207,9 +207,9 @@
     assert_eq!(text, include_str!("../golden/figures.txt"));
 }
 
-/// With leases of 1 s an owner is known to all 3 s after it has the job, and 3 s after an event.
+/// With leases of 1 s all sidecars know the owner 3 s after it gets the job, and 3 s after an event.
 #[test]
-fn only_attempts_beside_a_settled_owner_count_as_trials_by_others() {
+fn only_attempts_beside_an_agreed_owner_count_as_trials_by_others() {
     let product = "product = '''\n[lease]\nlongest_s = 1\n'''\ncount = 4\nzones = 2";
     let timeline = Timeline::from_toml(&TIMELINE.replacen("count = 4\nzones = 2", product, 1));
     let timeline = timeline.expect("a timeline");
--- a/crates/millethook-lab/tests/it/main.rs
+++ b/crates/millethook-lab/tests/it/main.rs
@@ -1,4 +1,5 @@
-//! What the lab computes from logs and files; `processes` and `scale` start daemons and stay alone.
+//! Tests of what the lab computes from logs and files. `processes` and `scale` start daemons, so they are separate
+//! test programs.
 
 mod distribution;
 mod figures;
--- a/crates/millethook-lab/tests/it/reference.rs
+++ b/crates/millethook-lab/tests/it/reference.rs
@@ -1,8 +1,8 @@
-//! `docs/lab.md` names every key and every event that a file may hold.
+//! Requires that `docs/lab.md` names every key and every event that a timeline may contain.
 
 use millethook_lab::timeline::{Fault, Timeline};
 
-/// The words that a fault says are expected.
+/// The words that the error message for an invalid timeline lists as expected.
 fn expected(text: &str) -> Vec<String> {
     let faults: Vec<Fault> = Timeline::from_toml(text).expect_err("a fault");
     let said = faults.iter().find(|f| f.text.contains("expected one of"));
--- a/crates/millethook-lab/tests/it/relay.rs
+++ b/crates/millethook-lab/tests/it/relay.rs
@@ -1,4 +1,4 @@
-//! The relay against what the timeline says, on real sockets.
+//! Tests that the relay and the network model do what the timeline specifies, on real sockets.
 
 use std::net::UdpSocket as Socket;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 const COUNT: usize = 4;
-/// No datagram on loopback takes so long unless something is wrong.
+/// Time limit for a datagram on loopback.
 const BOUND: Duration = Duration::from_secs(20);
 
 struct Net {
@@ -43,7 +43,7 @@
         self.nodes[from].send_to(data, to).await.unwrap();
     }
 
-    /// Waits until so many datagrams have fallen to cuts.
+    /// Waits until cuts and partitions have dropped this many datagrams.
     async fn cut(&self, count: u64) {
         let cut = &self.relay.counts.cut;
         let seen = timeout(BOUND, async {
@@ -54,11 +54,11 @@
         seen.await.expect("so many cut");
     }
 
-    /// The next datagram: from whom, by the receiver's own addresses, and what.
-    async fn got(&self, to: usize) -> (Option<usize>, Vec<u8>) {
+    /// Receives the next datagram: the sender's number, by the receiver's own addresses, and the data.
+    async fn receive(&self, to: usize) -> (Option<usize>, Vec<u8>) {
         let mut buffer = [0; 300];
-        let got = timeout(BOUND, self.nodes[to].recv_from(&mut buffer)).await;
-        let (n, at) = got.expect("a datagram").unwrap();
+        let received = timeout(BOUND, self.nodes[to].recv_from(&mut buffer)).await;
+        let (n, at) = received.expect("a datagram").unwrap();
         let from = self.relay.peers(to).unwrap().0.iter().position(|p| *p == at);
         (from, buffer[..n].to_vec())
     }
@@ -70,12 +70,12 @@
 }
 
 #[tokio::test]
-async fn each_sees_each_under_an_address_of_its_own() {
+async fn each_sidecar_sees_each_peer_at_a_separate_address() {
     let net = net(COUNT).await;
     for from in 0..COUNT {
         for to in (0..COUNT).filter(|to| *to != from) {
             net.send(from, to, &[from as u8, to as u8]).await;
-            assert_eq!(net.got(to).await, (Some(from), vec![from as u8, to as u8]));
+            assert_eq!(net.receive(to).await, (Some(from), vec![from as u8, to as u8]));
         }
     }
     let seen: Vec<_> = (0..COUNT).map(|n| net.relay.peers(n).unwrap().0[0]).collect();
@@ -83,7 +83,7 @@
     let everyone = net.relay.peers(2).unwrap().1;
     net.nodes[2].send_to(b"all", everyone).await.unwrap();
     for to in [0, 1, 3] {
-        assert_eq!(net.got(to).await, (Some(2), b"all".to_vec()));
+        assert_eq!(net.receive(to).await, (Some(2), b"all".to_vec()));
     }
 }
 
@@ -93,34 +93,34 @@
     net.relay.model(|m| m.begin(0, EventKind::CutOneWay, 0.0, sides(&[0], &[1])));
     net.send(0, 1, b"lost").await;
     net.send(1, 0, b"other way").await;
-    assert_eq!(net.got(0).await.1, b"other way");
+    assert_eq!(net.receive(0).await.1, b"other way");
     net.cut(1).await;
     net.relay.model(|m| m.end(0));
     net.relay.model(|m| m.begin(1, EventKind::Partition, 0.0, sides(&[0, 1], &[2, 3])));
     net.send(2, 1, b"lost").await;
     net.send(1, 2, b"lost").await;
     net.send(0, 1, b"same side").await;
-    assert_eq!(net.got(1).await, (Some(0), b"same side".to_vec()));
+    assert_eq!(net.receive(1).await, (Some(0), b"same side".to_vec()));
     net.cut(3).await;
     net.relay.model(|m| m.end(1));
     net.send(2, 1, b"healed").await;
     net.send(1, 2, b"healed").await;
-    assert_eq!(net.got(1).await, (Some(2), b"healed".to_vec()));
-    assert_eq!(net.got(2).await, (Some(1), b"healed".to_vec()));
+    assert_eq!(net.receive(1).await, (Some(2), b"healed".to_vec()));
+    assert_eq!(net.receive(2).await, (Some(1), b"healed".to_vec()));
     assert_eq!(net.relay.counts.cut.load(Ordering::Relaxed), 3);
 }
 
 #[tokio::test]
-async fn there_is_no_way_round_it() {
+async fn datagrams_from_unknown_senders_and_oversized_ones_are_dropped() {
     let net = net(2).await;
     let stranger = Socket::bind("127.0.0.1:0").unwrap();
-    let door = net.relay.peers(0).unwrap().0[1];
-    stranger.send_to(b"who are you", door).unwrap();
+    let relay_address = net.relay.peers(0).unwrap().0[1];
+    stranger.send_to(b"who are you", relay_address).unwrap();
     net.send(0, 1, &[0; 257]).await;
     net.send(0, 1, b"known").await;
-    assert_eq!(net.got(1).await, (Some(0), b"known".to_vec()));
+    assert_eq!(net.receive(1).await, (Some(0), b"known".to_vec()));
     assert_eq!(net.relay.counts.strangers.load(Ordering::Relaxed), 2);
-    // What a sidecar is told of the others are the relay's sockets, and no process's own.
+    // The peer addresses that a sidecar is given are the relay's sockets, never those of a process.
     let real: Vec<_> = net.nodes.iter().map(|n| n.local_addr().unwrap()).collect();
     for n in 0..COUNT {
         let (peers, everyone) = net.relay.peers(n).unwrap();
@@ -152,7 +152,7 @@
         .map(|ms| capped.pass(Duration::from_millis(ms), 2, 3, 100))
         .map(|p| p.delays.len() * 100)
         .sum();
-    // A bucket of one second, and ten seconds of it.
+    // A token bucket of one second's size that is refilled for ten seconds.
     assert!((10_500..=11_000).contains(&bytes), "{bytes}");
 }
 
@@ -168,7 +168,7 @@
     assert_eq!(first.digest(), again.digest());
     assert_eq!(first.steps, again.steps);
     assert_ne!(first.digest(), other.digest());
-    // Seven in ten of 40, all in zones of which one is cut off.
+    // 28 is seven in ten of 40 sidecars.
     let killed = first.steps.iter().filter(|s| format!("{s:?}").contains("Kill")).count();
     assert_eq!((killed, first.stream_classes), (28, 2));
     let passes = |seed| {
--- a/crates/millethook-lab/tests/it/soak.rs
+++ b/crates/millethook-lab/tests/it/soak.rs
@@ -1,4 +1,4 @@
-//! Timelines drawn from seeds: the same for the same seed, sound, and within their bounds.
+//! Tests timelines that are generated from seeds: they are reproducible, valid and within their bounds.
 
 use millethook_lab::plan::Plan;
 use millethook_lab::soak::command::Seeds;
@@ -6,21 +6,21 @@
 use millethook_lab::timeline::event::Target;
 use millethook_lab::timeline::{Event, EventKind, Timeline};
 
-/// So many seeds are looked at.
+/// The number of seeds that are tested.
 const SEEDS: u64 = 500;
 
 fn text(seed: u64) -> String {
     draw(seed).to_toml().expect("a text")
 }
 
-/// The timeline as `run` reads it.
+/// The timeline of a seed as the command `run` reads it.
 fn read(seed: u64) -> Timeline {
     let text = text(seed);
     Timeline::from_toml(&text).unwrap_or_else(|faults| panic!("seed {seed}: {faults:?}\n{text}"))
 }
 
 #[test]
-fn the_same_seed_draws_the_same_timeline_and_another_one_another() {
+fn equal_seeds_generate_equal_timelines_and_other_seeds_others() {
     for seed in 0..SEEDS {
         assert_eq!(text(seed), text(seed));
         assert_ne!(text(seed), text(seed + 1), "seed {seed}");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_drawn_timeline_reads_back_as_it_was_drawn() {
+fn a_generated_timeline_survives_a_round_trip_through_toml() {
     for seed in 0..SEEDS {
         let (drawn, read) = (draw(seed), read(seed));
         assert_eq!(read.to_toml().expect("a text"), text(seed));
@@ -37,19 +37,19 @@
 }
 
 #[test]
-fn the_plan_of_the_file_is_the_plan_of_the_drawn_timeline() {
+fn a_generated_timeline_and_its_file_give_the_same_plan() {
     for seed in 0..50 {
         assert_eq!(Plan::new(&read(seed), seed).digest(), Plan::new(&draw(seed), seed).digest());
     }
 }
 
-/// When an event is over, in seconds.
+/// When an event ends, in seconds.
 fn end_s(event: &Event) -> f64 {
     event.at_s + event.for_s.max(event.over_s)
 }
 
 #[test]
-fn fleets_and_times_keep_their_bounds() {
+fn fleet_sizes_and_times_are_within_their_bounds() {
     for seed in 0..SEEDS {
         let timeline = read(seed);
         let run = &timeline.run;
@@ -70,12 +70,13 @@
     }
 }
 
-/// What happens to a process or a server while it is away is lost, and the judge would excuse what it must not.
+/// Guards against overlapping events on one process or server: an event that hits it while it is down has no effect, and
+/// the judge would excuse faults that it must report.
 #[test]
-fn no_process_or_server_is_ended_while_an_earlier_event_holds_it() {
-    let holds = |event: &Event| match event.kind {
+fn no_process_or_server_is_ended_while_an_earlier_event_affects_it() {
+    let affected_for_s = |event: &Event| match event.kind {
         EventKind::Pause | EventKind::Throttle => Some(event.for_s),
-        // The signals of a series are for one process. It is ready and ends once more before another event may come.
+        // All signals of a series go to one process. It becomes ready and ends once more before another event may hit it.
         EventKind::TerminateAtReady => Some(5.0),
         EventKind::Kill | EventKind::Crash => Some(event.back_after_s.unwrap_or(0.0) + 2.0),
         EventKind::Terminate => Some(event.over_s + event.back_after_s.unwrap_or(0.0) + 2.0),
@@ -85,26 +86,26 @@
     for seed in 0..SEEDS {
         let timeline = read(seed);
         for (nth, event) in timeline.events.iter().enumerate() {
-            let Some(held_s) = holds(event) else { continue };
+            let Some(held_s) = affected_for_s(event) else { continue };
             let ids = event.who.ids.as_ref().expect("ids");
-            let meets = timeline.events[nth + 1..].iter().find(|later| {
+            let conflicting = timeline.events[nth + 1..].iter().find(|later| {
                 let of_series = matches!(
                     (event.kind, later.kind),
                     (EventKind::TerminateAtReady, EventKind::Kill)
                 );
-                let ends = holds(later).is_some() || later.kind == EventKind::Reload;
+                let ends = affected_for_s(later).is_some() || later.kind == EventKind::Reload;
                 let ends = ends && !(of_series && later.at_s < event.at_s + 0.02);
                 let named = later.who.ids.iter().flatten().any(|id| ids.contains(id));
                 let same = later.kind.target() == event.kind.target();
                 ends && same && named && later.at_s < event.at_s + held_s
             });
-            assert!(meets.is_none(), "seed {seed}: {event:?} meets {meets:?}");
+            assert!(conflicting.is_none(), "seed {seed}: {event:?} meets {conflicting:?}");
         }
     }
 }
 
 #[test]
-fn every_kind_of_trouble_is_drawn() {
+fn every_kind_of_fault_is_generated() {
     use EventKind as K;
     let kinds = [
         K::Kill,
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn seeds_are_one_or_the_first_and_the_last() {
+fn seeds_parse_as_a_number_or_an_inclusive_range() {
     for wrong in ["", "..", "1..", "..2", "2..1", "a", "-1", "1..2..3"] {
         assert!(wrong.parse::<Seeds>().is_err(), "{wrong:?}");
     }
--- a/crates/millethook-lab/tests/scale.rs
+++ b/crates/millethook-lab/tests/scale.rs
@@ -1,11 +1,11 @@
-//! The measuring program: a tiny run of each measurement gives rows that parse and have sensible signs.
+//! Tests `millethook-scale`: a tiny run of each measurement writes rows that parse and have plausible values.
 
 use std::path::PathBuf;
 use std::process::Command;
 
 use millethook_lab::scale::{Kind, Row, Unit};
 
-/// Runs one measurement; its rows, as the file has them.
+/// Runs one measurement and returns the rows of its file.
 fn measured(what: &str, args: &[&str]) -> Vec<Row> {
     let file = format!("millethook-scale-test-{}-{what}.csv", std::process::id());
     let file: PathBuf = std::env::temp_dir().join(file);
@@ -26,7 +26,7 @@
     rows
 }
 
-/// The value of a measurement at a size.
+/// Returns the value of a measurement at a size.
 fn value(rows: &[Row], measurement: &str, size: f64) -> f64 {
     let row = rows.iter().find(|r| r.measurement == measurement && r.size == size);
     row.unwrap_or_else(|| panic!("no {measurement} at {size}: {rows:#?}")).value
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn fleets_tell_one_another_something_when_quiet_and_more_after_events() {
+fn fleets_exchange_messages_when_quiet_and_more_after_events() {
     let rows = measured("control-quiet", &["--sizes", "4", "--period", "0.1"]);
     for told in ["view", "view_evidence", "all"] {
         assert!(value(&rows, &format!("sidecar.control.{told}.bytes"), 4.0) > 0.0, "{told}");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn servers_and_discovery_hear_from_each_sidecar() {
+fn servers_and_discovery_get_requests_from_each_sidecar() {
     let rows = measured("servers", &["--sizes", "3"]);
     assert!(value(&rows, "server.connections.max", 3.0) >= 1.0);
     assert!(value(&rows, "server.calls_served", 3.0) > 0.0);
