--- a/crates/millethook-lab/examples/rogue.rs
+++ b/crates/millethook-lab/examples/rogue.rs
@@ -1,9 +1,8 @@
-//! A daemon that breaks one rule on purpose, so that the lab's judges are seen to catch it. For tests only.
+//! A daemon that breaks one rule on purpose, to test that the lab's judges detect it. For tests only.
 //!
-//! It takes what each client's request wants from the first servers that discovery named, and its argument says
-//! what it does wrong: `twice`, `answers`, `foreign`, `loses`, `halves`, `late`, `after`, `refuses`, `drained`,
-//! `deaf` (it never asks for a list again), `cold`, `dies`, `headers` (it tells servers the time left twice); `nothing` is
-//! well-behaved.
+//! It forwards each request to a server of discovery's list. Its argument names the fault: `twice`, `answers`, `foreign`,
+//! `loses`, `halves`, `late`, `after`, `refuses`, `drained`, `deaf` (it requests the list only once), `cold`, `dies`,
+//! `headers` (it sends the header with the time left twice). With `nothing` it behaves correctly.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,28 +14,28 @@
 use millethook_testkit::{Conn, Message, answer};
 use serde_json::Value;
 
-/// A wrong that is done to one request in so many.
-const EVERY: usize = 5;
+/// The fault is applied to one request in this many.
+const FAULT_INTERVAL: usize = 5;
 
 struct Rogue {
-    wrong: String,
+    fault: String,
     servers: Mutex<Vec<SocketAddr>>,
     count: AtomicUsize,
 }
 
 fn main() {
-    let wrong = env::args().nth(1).unwrap_or_else(|| "nothing".into());
+    let fault = env::args().nth(1).unwrap_or_else(|| "nothing".into());
     let config = env::var("LB_CONFIG").expect("LB_CONFIG");
     let config: Value =
         serde_json::from_str(&fs::read_to_string(config).expect("a file")).expect("JSON");
     let text = |key: &str| config[key].as_str().expect("a text").to_owned();
     let listener = TcpListener::bind(text("listen")).expect("an address of its own");
-    let rogue = Rogue { wrong, servers: Mutex::default(), count: AtomicUsize::new(0) };
+    let rogue = Rogue { fault, servers: Mutex::default(), count: AtomicUsize::new(0) };
     let rogue = Arc::new(rogue);
     let discovery = text("discovery");
     rogue.read_list(&discovery);
     let reader = rogue.clone();
-    if reader.wrong != "deaf" {
+    if reader.fault != "deaf" {
         thread::spawn(move || {
             loop {
                 thread::sleep(Duration::from_millis(50));
@@ -44,7 +43,7 @@
             }
         });
     }
-    if rogue.wrong == "dies" {
+    if rogue.fault == "dies" {
         thread::spawn(|| {
             thread::sleep(Duration::from_millis(1500));
             std::process::exit(7);
@@ -66,8 +65,8 @@
 impl Rogue {
     fn read_list(&self, discovery: &str) {
         let Ok(socket) = TcpStream::connect(discovery) else { return };
-        let call = "GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n";
-        let Some(list) = Conn::new(socket).message_to(call) else { return };
+        let request_text = "GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n";
+        let Some(list) = Conn::new(socket).message_to(request_text) else { return };
         let list: Value = serde_json::from_slice(&list.body).expect("a list");
         let mut hosts: Vec<(u64, SocketAddr)> = Vec::new();
         for host in list["hosts"].as_array().expect("hosts") {
@@ -76,20 +75,20 @@
                 hosts.push((host["born_ms"].as_u64().unwrap_or(0), dial));
             }
         }
-        if self.wrong == "cold" {
-            // Everything goes to the newest one.
+        if self.fault == "cold" {
+            // Sends all requests to the newest server.
             hosts.sort_by_key(|h| std::cmp::Reverse(h.0));
             hosts.truncate(1);
         }
         let mut servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
-        if self.wrong == "drained" && !servers.is_empty() {
-            // It was told, and goes on with its first list.
+        if self.fault == "drained" && !servers.is_empty() {
+            // Ignores the new list and keeps the first one.
             return;
         }
         *servers = hosts.into_iter().map(|h| h.1).collect();
     }
 
-    fn send(&self, nth: usize, request: &Message, more: &str) -> Option<Message> {
+    fn send(&self, nth: usize, request: &Message, extra_headers: &str) -> Option<Message> {
         let server = {
             let servers = self.servers.lock().unwrap_or_else(PoisonError::into_inner);
             *servers.get(nth % servers.len().max(1))?
@@ -99,12 +98,12 @@
         for (name, value) in &request.headers {
             text += &format!("{name}: {value}\r\n");
         }
-        let mut bytes = (text + more + "\r\n").into_bytes();
+        let mut bytes = (text + extra_headers + "\r\n").into_bytes();
         bytes.extend_from_slice(&request.body);
         conn.message_to(bytes)
     }
 
-    /// Answers a request; false: the connection is done with.
+    /// Answers a request; returns false if the connection has to be closed.
     fn serve(&self, client: &mut Conn, request: &Message) -> bool {
         if request.first.contains("/health/") {
             client.send(answer("200 OK", "", ""));
@@ -112,17 +111,17 @@
         }
         let nth = self.count.fetch_add(1, Ordering::Relaxed);
         let id = request.header("x-correlation-id").unwrap_or_default();
-        // By the id, so that what is wrong with a request is wrong with it each time.
-        let due = id.bytes().map(usize::from).sum::<usize>().is_multiple_of(EVERY);
-        let wrong = if due { self.wrong.as_str() } else { "nothing" };
-        match wrong {
+        // Chosen by the id, so that each attempt of a request gets the same fault.
+        let affected = id.bytes().map(usize::from).sum::<usize>().is_multiple_of(FAULT_INTERVAL);
+        let fault = if affected { self.fault.as_str() } else { "nothing" };
+        match fault {
             "loses" => return false,
             "late" => thread::sleep(Duration::from_millis(1300)),
             _ => {}
         }
-        let more = if wrong == "headers" { "x-time-left-ms: 1\r\n" } else { "" };
-        let first = self.send(nth, request, more);
-        if wrong == "twice" {
+        let extra_headers = if fault == "headers" { "x-time-left-ms: 1\r\n" } else { "" };
+        let first = self.send(nth, request, extra_headers);
+        if fault == "twice" {
             self.send(nth + 1, request, "");
         }
         let Some(served) = first.filter(|m| m.status() == 200) else {
@@ -130,7 +129,7 @@
             return true;
         };
         let body = String::from_utf8_lossy(&served.body).into_owned();
-        match wrong {
+        match fault {
             "halves" => {
                 client.send("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
                 return false;
@@ -141,7 +140,7 @@
             _ => client.send(answer("200 OK", "", &body)),
         }
         let _ = client.socket.flush();
-        if wrong == "after" {
+        if fault == "after" {
             thread::sleep(Duration::from_millis(200));
             self.send(nth + 1, request, "");
         }
