--- a/crates/millethook-lab/src/scale/backend.rs
+++ b/crates/millethook-lab/src/scale/backend.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers that answer any request with 200, at once or after a set time, and count connections.
+//! Stand-in servers that answer any request with 200, immediately or after a delay, and count connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,28 +12,28 @@
 
 use crate::world::http::{Wire, answer};
 
-/// What one server got.
+/// Counters of one server.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Connections so far: handshakes.
+    /// Connections accepted so far.
     pub accepted: AtomicU64,
-    /// Connections that are open.
+    /// Connections that are open now.
     pub open: AtomicU64,
-    /// Requests so far.
+    /// Requests received so far.
     pub requests: AtomicU64,
 }
 
-/// One server; it dies with this value: it refuses connections, and those that are open end.
+/// A stand-in server. When it is dropped it refuses new connections and closes the open ones.
 pub struct Backend {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// What it got.
+    /// Its counters.
     pub counters: Arc<Counters>,
     task: AbortHandle,
 }
 
 impl Backend {
-    /// One that takes `delay` for each request.
+    /// Starts a server that takes `delay` per request.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -53,7 +53,7 @@
 }
 
 async fn accept(listener: TcpListener, counters: Arc<Counters>, delay: Duration) {
-    // What is open ends with this task.
+    // Open connections are closed when this task ends.
     let mut open = JoinSet::new();
     loop {
         while open.try_join_next().is_some() {}
@@ -65,7 +65,7 @@
         let counters = counters.clone();
         open.spawn(async move {
             counters.open.fetch_add(1, Ordering::Relaxed);
-            // A client that breaks its connection off is an end like any other.
+            // A connection that the client resets is treated like one that it closes.
             let _ = serve(Wire::new(stream), &counters, delay).await;
             counters.open.fetch_sub(1, Ordering::Relaxed);
         });
--- a/crates/millethook-lab/src/scale/bench.rs
+++ b/crates/millethook-lab/src/scale/bench.rs
@@ -1,4 +1,4 @@
-//! What all measurements share: where daemons are started, where rows go, what was asked for.
+//! What all measurements share: the launcher of daemons, the row writer, and the requested sizes, seeds and times.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,11 +10,11 @@
 use super::backend::Backend;
 use super::daemon::{Daemon, DaemonSpec, Launcher};
 use super::load::LoadWatch;
-use super::registry::{Listed, Registry};
+use super::registry::{ListedServer, Registry};
 use super::row::{Kind, Row, RowWriter, Unit};
 use crate::world::machine;
 
-/// Zones of the design's fleet.
+/// The number of zones of the design's fleet.
 pub const ZONES: usize = 6;
 
 /// What is measured: a stable name, its unit, and what is varied.
@@ -28,35 +28,35 @@
     pub size_of: &'static str,
 }
 
-/// Shorthand for a [`Measurement`].
+/// Creates a [`Measurement`].
 pub fn measurement(name: impl Into<String>, unit: Unit, size_of: &'static str) -> Measurement {
     Measurement { name: name.into(), unit, size_of }
 }
 
-/// Where a value stands: how many of what is varied there were, and what random choices were drawn by.
+/// The size and the seed at which a value is measured.
 #[derive(Clone, Copy, Debug)]
 pub struct Point {
-    /// How many there were.
+    /// The number of what is varied.
     pub size: usize,
     /// The seed.
     pub seed: u64,
 }
 
-/// How a measurement is run.
+/// The sizes, seeds and times of a measurement.
 #[derive(Clone, Debug)]
-pub struct Extent {
-    /// The sizes; empty: the measurement's own.
+pub struct RunOptions {
+    /// The sizes; if empty, the measurement's defaults are used.
     pub sizes: Vec<usize>,
     /// The seeds.
     pub seeds: Vec<u64>,
-    /// How long one figure is measured for.
+    /// How long each figure is measured.
     pub span: Duration,
-    /// Time between two probes of a view.
+    /// The time between two probes of a member.
     pub period: Duration,
 }
 
-impl Extent {
-    /// The sizes asked for, or these.
+impl RunOptions {
+    /// Returns the requested sizes, or these defaults.
     pub fn sizes_or(&self, own: &[usize]) -> Vec<usize> {
         if self.sizes.is_empty() { own.to_vec() } else { self.sizes.clone() }
     }
@@ -66,29 +66,29 @@
 pub struct Bench {
     /// Starts daemons.
     pub launcher: Launcher,
-    /// How a measurement is run.
-    pub extent: Extent,
+    /// The sizes, seeds and times of a measurement.
+    pub options: RunOptions,
     folder: PathBuf,
     rows: RowWriter,
     machine: String,
 }
 
 impl Bench {
-    /// One that starts `program` and keeps logs in `folder` until its end.
+    /// Creates a bench that starts `program` and keeps logs in `folder` until it is dropped.
     ///
     /// # Errors
-    /// The folder or loopback addresses cannot be had.
+    /// The folder cannot be created, or no loopback addresses are free.
     pub fn new(
         program: PathBuf,
         folder: PathBuf,
         rows: RowWriter,
-        extent: Extent,
+        options: RunOptions,
     ) -> Result<Bench, ScaleError> {
         let launcher = Launcher::new(program, folder.clone())?;
-        Ok(Bench { launcher, extent, folder, rows, machine: super::process::machine() })
+        Ok(Bench { launcher, options, folder, rows, machine: super::process::machine() })
     }
 
-    /// Writes a value that real daemons showed.
+    /// Writes a value that was measured on real daemons.
     ///
     /// # Errors
     /// The row cannot be written.
@@ -112,20 +112,20 @@
         })
     }
 
-    /// Where logs are kept until the end.
+    /// The folder of logs, which is removed when the bench is dropped.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// An address for a stand-in.
+    /// Returns an address for a stand-in.
     pub fn stand_in(&self) -> SocketAddr {
         self.launcher.addresses.stand_in()
     }
 
-    /// Starts servers that take `delay` for a request.
+    /// Starts stand-in servers that take `delay` per request.
     ///
     /// # Errors
-    /// A port cannot be had.
+    /// A port cannot be bound.
     pub async fn backends(
         &self,
         count: usize,
@@ -139,19 +139,19 @@
         Ok(backends)
     }
 
-    /// Starts discovery with a list.
+    /// Starts a stand-in for discovery with this list.
     ///
     /// # Errors
-    /// A port cannot be had.
-    pub async fn registry(&self, listed: Vec<Listed>) -> Result<Registry, ScaleError> {
+    /// A port cannot be bound.
+    pub async fn registry(&self, listed: Vec<ListedServer>) -> Result<Registry, ScaleError> {
         let registry = Registry::start(self.stand_in(), listed).await;
         Ok(registry.map_err(machine("a stand-in for discovery"))?)
     }
 
-    /// Starts daemon 0 beside this discovery, and changes its configuration first.
+    /// Starts daemon 0 with this discovery, after applying `change` to its configuration.
     ///
     /// # Errors
-    /// It does not start.
+    /// The daemon does not start.
     pub async fn daemon(
         &self,
         registry: &Registry,
@@ -170,7 +170,7 @@
         self.launcher.start(&spec).await
     }
 
-    /// Watches how busy the machine is beside these daemons.
+    /// Starts sampling the load of the machine by processes other than these daemons.
     pub fn watch<'a>(&self, daemons: impl IntoIterator<Item = &'a Daemon>) -> LoadWatch {
         LoadWatch::start(daemons.into_iter().map(|daemon| daemon.pid).collect())
     }
@@ -178,14 +178,14 @@
 
 impl Drop for Bench {
     fn drop(&mut self) {
-        // What cannot be removed is the system's to clean up.
+        // Files that cannot be removed are left to the system's cleaning of temporary files.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A list of so many servers, dealt out to zones in turn, that share the addresses of a few stand-ins.
-pub fn listed(count: usize, backends: &[Backend]) -> Vec<Listed> {
-    let one = |number| Listed {
+/// A list of `count` servers, assigned to zones in turn, that share the addresses of a few stand-ins.
+pub fn listed(count: usize, backends: &[Backend]) -> Vec<ListedServer> {
+    let one = |number| ListedServer {
         number,
         dial: backends[number % backends.len()].address,
         zone: number % ZONES,
--- a/crates/millethook-lab/src/scale/callers.rs
+++ b/crates/millethook-lab/src/scale/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: an open loop at a rate over kept connections, to a daemon or to a server directly.
+//! Open-loop load generators that send requests over a connection pool, to a daemon or directly to a server.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,30 +15,30 @@
 
 use crate::world::http::{Between, Wire};
 
-/// What a caller waits for an answer, and tells as its time.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Calls of one pool that may be out at once; arrivals beyond are counted as failed.
-const MAX_OUT: usize = 2_000;
+/// Timeout of a request, which is also sent as its time left.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limit of concurrent requests of one pool. Requests beyond it are counted as failed.
+const MAX_CONCURRENT_REQUESTS: usize = 2_000;
 
 static IDS: AtomicU64 = AtomicU64::new(0);
 
-/// What came of calls.
+/// Outcomes of requests.
 #[derive(Clone, Debug, Default)]
-pub struct Calls {
-    /// The time of each answer with 200, in microseconds from the first byte written.
+pub struct RequestOutcomes {
+    /// The latency of each answer with status 200, in microseconds from the first byte written.
     pub times_us: Vec<f64>,
-    /// Calls with another end.
+    /// Requests with any other outcome.
     pub failed: u64,
 }
 
-impl Calls {
-    /// Adds others.
-    pub fn extend(&mut self, other: Calls) {
+impl RequestOutcomes {
+    /// Adds other outcomes to these.
+    pub fn extend(&mut self, other: RequestOutcomes) {
         self.times_us.extend(other.times_us);
         self.failed += other.failed;
     }
 
-    /// The time that a share of the answers stayed under; 0 if there is none.
+    /// The quantile `share` of the latencies; 0 if there are none.
     pub fn quantile(&mut self, share: f64) -> f64 {
         self.times_us.sort_by(f64::total_cmp);
         let last = self.times_us.len().saturating_sub(1);
@@ -47,23 +47,23 @@
     }
 }
 
-/// Connections to one address.
+/// A pool of connections to one address.
 pub struct Pool {
     to: SocketAddr,
     idle: Mutex<Vec<Wire>>,
 }
 
 impl Pool {
-    /// None yet.
+    /// Creates an empty pool.
     pub fn new(to: SocketAddr) -> Arc<Pool> {
         Arc::new(Pool { to, idle: Mutex::default() })
     }
 
-    /// One call on a kept connection, or a new one; its time, None unless it was served.
-    pub async fn call(&self) -> Option<Duration> {
+    /// Sends one request on a pooled or new connection. Returns its latency, or `None` if it was not served.
+    pub async fn send_request(&self) -> Option<Duration> {
         let mut wire = self.connection().await.ok()?;
         let begun = Instant::now();
-        let served = timeout(PATIENCE, exchange(&mut wire)).await.ok()?.ok()?;
+        let served = timeout(REQUEST_TIMEOUT, exchange(&mut wire)).await.ok()?.ok()?;
         let took = begun.elapsed();
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(wire);
         served.then_some(took)
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Calls at random moments, `rate` a second, for `span`; returns when all have ended.
+    /// Sends requests as a Poisson process of `rate` per second for `span`. Returns when all have ended.
     pub async fn run(
         self: &Arc<Pool>,
         rate: f64,
         span: Duration,
         random: &mut ChaCha8Rng,
-    ) -> Calls {
+    ) -> RequestOutcomes {
         let begun = Instant::now();
         let mut due = begun;
-        let mut out = JoinSet::new();
-        let mut calls = Calls::default();
+        let mut in_flight = JoinSet::new();
+        let mut outcomes = RequestOutcomes::default();
         loop {
             let gap: f64 = random.sample(Exp1);
             due += Duration::from_secs_f64(gap / rate);
@@ -97,25 +97,25 @@
                 break;
             }
             sleep_until(due).await;
-            while let Some(done) = out.try_join_next() {
-                calls.note(done.ok().flatten());
+            while let Some(done) = in_flight.try_join_next() {
+                outcomes.record_outcome(done.ok().flatten());
             }
-            if out.len() >= MAX_OUT {
-                calls.failed += 1;
+            if in_flight.len() >= MAX_CONCURRENT_REQUESTS {
+                outcomes.failed += 1;
                 continue;
             }
             let pool = self.clone();
-            out.spawn(async move { pool.call().await });
+            in_flight.spawn(async move { pool.send_request().await });
         }
-        while let Some(done) = out.join_next().await {
-            calls.note(done.ok().flatten());
+        while let Some(done) = in_flight.join_next().await {
+            outcomes.record_outcome(done.ok().flatten());
         }
-        calls
+        outcomes
     }
 }
 
-impl Calls {
-    fn note(&mut self, took: Option<Duration>) {
+impl RequestOutcomes {
+    fn record_outcome(&mut self, took: Option<Duration>) {
         match took {
             Some(took) => self.times_us.push(took.as_secs_f64() * 1e6),
             None => self.failed += 1,
@@ -126,13 +126,13 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// It does not come up in time.
+/// The connection fails or is not established within the timeout.
 pub async fn connect(to: SocketAddr) -> io::Result<Wire> {
-    let stream = timeout(PATIENCE, TcpStream::connect(to)).await;
+    let stream = timeout(REQUEST_TIMEOUT, TcpStream::connect(to)).await;
     Ok(Wire::new(stream.map_err(|_| io::ErrorKind::TimedOut)??))
 }
 
-/// One request and its answer; whether it was served.
+/// Sends one request and reads its answer. Returns whether it was served.
 ///
 /// # Errors
 /// The connection broke.
@@ -141,7 +141,7 @@
     let request = format!(
         "GET /look/1 HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: s{id:x}\r\nX-Account: acme\r\n\
          X-Time-Left-Ms: {}\r\n\r\n",
-        PATIENCE.as_millis()
+        REQUEST_TIMEOUT.as_millis()
     );
     wire.send(request.as_bytes()).await?;
     Ok(wire.answer().await?.is_some_and(|answer| answer.status == 200))
--- a/crates/millethook-lab/src/scale/changes.rs
+++ b/crates/millethook-lab/src/scale/changes.rs
@@ -1,4 +1,4 @@
-//! What one change costs a sidecar: of its list, of its settings, a zone that leaves.
+//! Measures what a change costs a sidecar: of its list, of its settings, or the removal of a zone.
 
 use std::time::{Duration, Instant};
 
@@ -9,22 +9,22 @@
 use super::backend::Backend;
 use super::bench::{Bench, Measurement, Point, ZONES, listed, measurement};
 use super::daemon::Daemon;
-use super::registry::{Listed, Registry};
+use super::registry::{ListedServer, Registry};
 use super::row::Unit;
 
-/// Stand-ins that share the names of a long list.
+/// The number of stand-in servers, whose addresses the servers of a long list share.
 const BACKENDS: usize = 16;
-/// From the start until anything is measured.
-const SETTLE: Duration = Duration::from_millis(1200);
-/// A daemon has what it was told within this.
-const TOLD: Duration = Duration::from_secs(20);
-/// After a change, for whatever it leaves to be done.
-const AFTER: Duration = Duration::from_millis(20);
-/// List changes and settings changes of one row.
+/// Delay between the start and the first measurement.
+const SETTLE_TIME: Duration = Duration::from_millis(1200);
+/// Time limit for a daemon to receive a list.
+const LIST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay after a change, for work that the change leaves behind.
+const DELAY_AFTER_CHANGE: Duration = Duration::from_millis(20);
+/// Number of list changes and of settings changes per row.
 const LIST_CHANGES: usize = 20;
 const SETTINGS_CHANGES: usize = 5;
-/// From a signal until the settings are surely in force.
-const SETTINGS: Duration = Duration::from_millis(400);
+/// Delay after SIGHUP until the settings must be in force.
+const SETTINGS_DELAY: Duration = Duration::from_millis(400);
 
 fn by_listed(name: &'static str, unit: Unit) -> Measurement {
     measurement(name, unit, "listed_servers")
@@ -38,19 +38,19 @@
 }
 
 impl Cost {
-    /// Microseconds of processor time beyond what an idle daemon uses meanwhile.
+    /// Microseconds of processor time beyond what an idle daemon uses in the same time.
     fn beyond_idle(&self, idle_us_per_s: f64) -> f64 {
         self.used.as_secs_f64() * 1e6 - idle_us_per_s * self.took.as_secs_f64()
     }
 }
 
-/// A daemon with a list, at rest.
+/// An idle daemon with its list.
 struct Subject {
-    // Ends with the rest.
+    // Held so that the servers run as long as the daemon.
     _backends: Vec<Backend>,
     registry: Registry,
     daemon: Daemon,
-    listed: Vec<Listed>,
+    listed: Vec<ListedServer>,
     idle: f64,
 }
 
@@ -60,45 +60,45 @@
         let listed = listed(size, &backends);
         let registry = self.registry(listed.clone()).await?;
         let daemon = self.daemon(&registry, seed, &|_| {}).await?;
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
         let idle = self.idle_rate(&daemon).await?;
         Ok(Subject { _backends: backends, registry, daemon, listed, idle })
     }
 
-    /// One server leaves the list or comes to it, by the length of the list.
+    /// Measures the removal or addition of one server, by the length of the list.
     ///
     /// # Errors
-    /// A part does not start, or is not told in time.
+    /// A part does not start, or the daemon does not get a list in time.
     pub async fn list_change(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
+            for seed in self.options.seeds.clone() {
                 let subject = self.subject(size, seed).await?;
                 let load = self.watch([&subject.daemon]);
-                let (mut used, mut told) = (0.0, Duration::ZERO);
+                let (mut used, mut time_to_list) = (0.0, Duration::ZERO);
                 for n in 0..LIST_CHANGES {
                     let server = subject.listed[(n / 2 * 7 + seed as usize) % size];
                     let (cost, time) = subject.change(&[server], n % 2 == 0).await?;
                     used += cost.beyond_idle(subject.idle) / LIST_CHANGES as f64;
-                    told += time / LIST_CHANGES as u32;
+                    time_to_list += time / LIST_CHANGES as u32;
                 }
                 let (at, load) = (Point { size, seed }, load.mean());
                 let row = by_listed("sidecar.list_change.processor", Unit::Microseconds);
                 self.record(row, at, used, load)?;
                 let row = by_listed("sidecar.list_change.time", Unit::Milliseconds);
-                self.record(row, at, told.as_secs_f64() * 1e3, load)?;
+                self.record(row, at, time_to_list.as_secs_f64() * 1e3, load)?;
                 subject.daemon.stop().await?;
             }
         }
         Ok(())
     }
 
-    /// A sixth of the list leaves, in one change or one after another.
+    /// Measures the removal of a sixth of the list, in one change or one server after another.
     ///
     /// # Errors
-    /// A part does not start, or is not told in time.
+    /// A part does not start, or the daemon does not get a list in time.
     pub async fn zone_leaves(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[96, 960, 4_800, 16_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[96, 960, 4_800, 16_000]) {
+            for seed in self.options.seeds.clone() {
                 self.zone_leaves_at_once(size, seed).await?;
                 self.zone_leaves_one_by_one(size, seed).await?;
             }
@@ -117,12 +117,12 @@
                 ["sidecar.zone_returns.at_once.processor", "sidecar.zone_returns.at_once.time"],
             ),
         ] {
-            let (cost, told) = subject.change(&zone, leaves).await?;
+            let (cost, time_to_list) = subject.change(&zone, leaves).await?;
             let (at, load) = (Point { size, seed }, load.mean());
             let used = cost.beyond_idle(subject.idle);
             self.record(by_listed(names[0], Unit::Microseconds), at, used, load)?;
-            let told = told.as_secs_f64() * 1e3;
-            self.record(by_listed(names[1], Unit::Milliseconds), at, told, load)?;
+            let time_to_list = time_to_list.as_secs_f64() * 1e3;
+            self.record(by_listed(names[1], Unit::Milliseconds), at, time_to_list, load)?;
         }
         subject.daemon.stop().await
     }
@@ -132,10 +132,10 @@
         let load = self.watch([&subject.daemon]);
         let (before, begun) = (subject.daemon.processor_time()?, Instant::now());
         for server in subject.zone(seed) {
-            subject.tell(&[server], true).await?;
+            subject.change_list(&[server], true).await?;
         }
         let took = begun.elapsed();
-        sleep(AFTER).await;
+        sleep(DELAY_AFTER_CHANGE).await;
         let used = subject.daemon.processor_time()? - before;
         let used = Cost { used, took: begun.elapsed() }.beyond_idle(subject.idle);
         let (at, load) = (Point { size, seed }, load.mean());
@@ -146,13 +146,13 @@
         subject.daemon.stop().await
     }
 
-    /// A new configuration by SIGHUP that changes one class, by the length of the list.
+    /// Measures a new configuration by SIGHUP that changes one class, by the length of the list.
     ///
     /// # Errors
     /// A part does not start, or the settings are not in force in time.
     pub async fn settings_change(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
+            for seed in self.options.seeds.clone() {
                 let mut subject = self.subject(size, seed).await?;
                 let load = self.watch([&subject.daemon]);
                 let mut used = 0.0;
@@ -173,13 +173,14 @@
         Ok(())
     }
 
-    /// Discovery moves: the whole list comes anew, by its length. The cost holds that of the change of settings.
+    /// Measures receiving the whole list again after discovery moved, by the length of the list. The cost includes
+    /// that of the change of settings.
     ///
     /// # Errors
-    /// A part does not start, or is not told in time.
+    /// A part does not start, or the daemon does not get a list in time.
     pub async fn whole_list(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
+            for seed in self.options.seeds.clone() {
                 let subject = self.subject(size, seed).await?;
                 let load = self.watch([&subject.daemon]);
                 let moved = self.registry(subject.listed.clone()).await?;
@@ -187,16 +188,16 @@
                 config["discovery"] = json!(moved.address.to_string());
                 let (before, begun) = (subject.daemon.processor_time()?, Instant::now());
                 subject.daemon.send_configuration(&config)?;
-                within("the whole list", moved.told(1)).await?;
-                let told = begun.elapsed();
-                sleep(AFTER).await;
+                with_list_timeout("the whole list", moved.wait_until_received(1)).await?;
+                let time_to_list = begun.elapsed();
+                sleep(DELAY_AFTER_CHANGE).await;
                 let used = subject.daemon.processor_time()? - before;
                 let used = Cost { used, took: begun.elapsed() }.beyond_idle(subject.idle);
                 let (at, load) = (Point { size, seed }, load.mean());
                 let row = by_listed("sidecar.whole_list.processor", Unit::Microseconds);
                 self.record(row, at, used, load)?;
                 let row = by_listed("sidecar.whole_list.time", Unit::Milliseconds);
-                self.record(row, at, told.as_secs_f64() * 1e3, load)?;
+                self.record(row, at, time_to_list.as_secs_f64() * 1e3, load)?;
                 subject.daemon.stop().await?;
             }
         }
@@ -205,33 +206,38 @@
 }
 
 impl Subject {
-    /// Servers of one zone.
-    fn zone(&self, seed: u64) -> Vec<Listed> {
+    /// Returns the servers of one zone, which the seed selects.
+    fn zone(&self, seed: u64) -> Vec<ListedServer> {
         let zone = seed as usize % ZONES;
         self.listed.iter().filter(|server| server.zone == zone).copied().collect()
     }
 
-    /// Changes the list in one step, and waits until the daemon has it; how long that took.
-    async fn tell(&self, servers: &[Listed], leave: bool) -> Result<Duration, ScaleError> {
+    /// Changes the list in one step and waits until the daemon has it. Returns how long that took.
+    async fn change_list(
+        &self,
+        servers: &[ListedServer],
+        leave: bool,
+    ) -> Result<Duration, ScaleError> {
         let begun = Instant::now();
         let version = match leave {
             true => self.registry.leave(servers),
             false => self.registry.join(servers),
         };
-        within("a change of the list", self.registry.told(version)).await?;
+        with_list_timeout("a change of the list", self.registry.wait_until_received(version))
+            .await?;
         Ok(begun.elapsed())
     }
 
     async fn change(
         &self,
-        servers: &[Listed],
+        servers: &[ListedServer],
         leave: bool,
     ) -> Result<(Cost, Duration), ScaleError> {
         let (before, begun) = (self.daemon.processor_time()?, Instant::now());
-        let told = self.tell(servers, leave).await?;
-        sleep(AFTER).await;
+        let time_to_list = self.change_list(servers, leave).await?;
+        sleep(DELAY_AFTER_CHANGE).await;
         let used = self.daemon.processor_time()? - before;
-        Ok((Cost { used, took: begun.elapsed() }, told))
+        Ok((Cost { used, took: begun.elapsed() }, time_to_list))
     }
 
     /// Microseconds of processor time for one change of settings.
@@ -241,19 +247,22 @@
         let applied = self.daemon.applied().await;
         let (before, begun) = (self.daemon.processor_time()?, Instant::now());
         self.daemon.send_configuration(&config)?;
-        sleep(SETTINGS).await;
+        sleep(SETTINGS_DELAY).await;
         let used = self.daemon.processor_time()? - before;
         let cost = Cost { used, took: begun.elapsed() };
-        // On a busy machine the signal may not have been handled by then, and its cost not be in.
+        // On a busy machine the signal may not have been handled by then, and the measured cost would not include it.
         if self.daemon.applied().await == applied {
-            let (what, seconds) = ("new settings".into(), SETTINGS.as_secs_f64());
+            let (what, seconds) = ("new settings".into(), SETTINGS_DELAY.as_secs_f64());
             return Err(ScaleError::Late { what, seconds });
         }
         Ok(cost.beyond_idle(self.idle))
     }
 }
 
-async fn within(what: &str, happens: impl Future<Output = ()>) -> Result<(), ScaleError> {
-    let late = |_| ScaleError::Late { what: what.into(), seconds: TOLD.as_secs_f64() };
-    timeout(TOLD, happens).await.map_err(late)
+async fn with_list_timeout(
+    what: &str,
+    condition: impl Future<Output = ()>,
+) -> Result<(), ScaleError> {
+    let late = |_| ScaleError::Late { what: what.into(), seconds: LIST_TIMEOUT.as_secs_f64() };
+    timeout(LIST_TIMEOUT, condition).await.map_err(late)
 }
--- a/crates/millethook-lab/src/scale/command.rs
+++ b/crates/millethook-lab/src/scale/command.rs
@@ -7,15 +7,15 @@
 use clap::{Parser, Subcommand, ValueEnum};
 
 use super::ScaleError;
-use super::bench::{Bench, Extent};
-use super::data_path::Beside;
+use super::bench::{Bench, RunOptions};
+use super::data_path::BackgroundLoad;
 use super::row::RowWriter;
 use super::spinner::spin;
 use crate::world::daemon::guard;
 
-/// Measures what sidecars, servers and discovery cost as the fleet grows, and writes CSV rows.
+/// Measures the resource use of sidecars, servers and discovery as the fleet grows, and writes CSV rows.
 ///
-/// Exit codes: 0 measured, 1 something did not start or was not in time, 2 the command is wrong.
+/// Exit codes: 0 measured, 1 a part did not start or timed out, 2 the command is wrong.
 #[derive(Parser, Debug)]
 #[command(name = "millethook-scale", version, about)]
 struct Cli {
@@ -25,9 +25,9 @@
 
 #[derive(Subcommand, Debug)]
 enum Command {
-    /// Measure one thing
+    /// Run one measurement
     Measure(Measure),
-    /// Become a daemon that ends with this program; for this program itself
+    /// Run a daemon that ends when this program ends (internal)
     #[command(hide = true)]
     Guard {
         parent: i32,
@@ -35,80 +35,80 @@
         #[arg(last = true)]
         args: Vec<String>,
     },
-    /// Keep one core busy; for this program itself
+    /// Keep one core busy (internal)
     #[command(hide = true)]
     Spin { seconds: u64 },
 }
 
 #[derive(clap::Args, Debug)]
 struct Measure {
-    /// What is measured
+    /// The measurement
     #[arg(value_enum)]
     what: What,
-    /// Sizes, with commas between them; without them the measurement's own
+    /// Sizes, separated by commas; the default depends on the measurement
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
-    /// What random choices are drawn by; one run each
+    /// Seeds of random choices, separated by commas; each gives one run
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     seeds: Vec<u64>,
-    /// How long one figure is measured for, in seconds
+    /// How long each figure is measured, in seconds
     #[arg(long, default_value_t = 10.0)]
     span: f64,
-    /// Time between two probes of a view, in seconds
+    /// Time between two probes of a member, in seconds
     #[arg(long, default_value_t = 1.0)]
     period: f64,
-    /// Rows are appended here, too
+    /// A file to append the rows to, in addition to standard output
     #[arg(long)]
     out: Option<PathBuf>,
-    /// The daemon's program; without it the plankvale beside this program
+    /// The daemon's program; the default is plankvale in this program's folder
     #[arg(long)]
     daemon: Option<PathBuf>,
 }
 
-/// What can be measured.
+/// The measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum What {
-    /// Memory by servers on the list
+    /// Memory by the number of listed servers
     MemoryListed,
-    /// Memory by members of the fleet
+    /// Memory by the number of fleet members
     MemoryMembers,
-    /// Memory by idle connections of clients
+    /// Memory by the number of idle client connections
     MemoryClients,
-    /// Memory by calls that are out at once
+    /// Memory by the number of concurrent requests
     MemoryCalls,
-    /// Memory by classes in the settings
+    /// Memory by the number of classes in the settings
     MemoryClasses,
-    /// Memory by tenants in the settings
+    /// Memory by the number of tenants in the settings
     MemoryTenants,
-    /// Memory and idle processor time by services called, one daemon each
+    /// Memory and idle processor time by the number of services, with one daemon each
     MemoryServices,
-    /// Idle processor time by servers on the list
+    /// Idle processor time by the number of listed servers
     Idle,
-    /// What is added to a call, and its processor time
+    /// Latency that a sidecar adds to a request, and processor time per request
     DataPath,
-    /// The same beside a process that spins
+    /// The same while another process keeps a core busy
     DataPathBusy,
-    /// One server more or less on the list
+    /// Cost of adding or removing one listed server
     ListChange,
-    /// One change of settings
+    /// Cost of one change of settings
     SettingsChange,
-    /// The whole list anew
+    /// Cost of receiving the whole list again
     WholeList,
-    /// A zone leaves the list
+    /// Cost of the removal of a zone from the list
     ZoneLeaves,
-    /// What sidecars say to one another while nothing happens
+    /// Messages between sidecars in a quiet fleet
     ControlQuiet,
-    /// What they say as machines, a rack and a zone fail and come back, and a region is cut off
+    /// Messages between sidecars as a machine, a rack and a zone fail and return, and a region is partitioned
     ControlEvents,
-    /// What they say under load, before and after one server dies
+    /// Messages between sidecars under load, before and after a server dies
     ControlDeadServer,
-    /// Connections and handshakes that servers get
+    /// Connections and handshakes at servers
     Servers,
-    /// Calls and bytes that discovery gets
+    /// Requests and bytes at discovery
     Discovery,
 }
 
-/// The program.
+/// Runs the command line and returns its exit code.
 pub fn main() -> ExitCode {
     match Cli::parse().command {
         Command::Measure(measure) => measure.carry_out(),
@@ -125,17 +125,18 @@
 
 impl Measure {
     fn carry_out(self) -> ExitCode {
-        let Some(program) = self.daemon.clone().or_else(beside).filter(|path| path.is_file())
+        let Some(program) =
+            self.daemon.clone().or_else(sibling_daemon).filter(|path| path.is_file())
         else {
-            eprintln!("no plankvale: build it (cargo build -p plankvale), or name it by --daemon");
+            eprintln!("plankvale not found: build it (cargo build -p plankvale) or pass --daemon");
             return ExitCode::from(2);
         };
         if !(0.1..=600.0).contains(&self.span) {
-            eprintln!("--span: 0.1 to 600 seconds expected, not {}", self.span);
+            eprintln!("--span: expected 0.1 to 600 seconds, got {}", self.span);
             return ExitCode::from(2);
         }
         if !(0.05..=60.0).contains(&self.period) {
-            eprintln!("--period: 0.05 to 60 seconds expected, not {}", self.period);
+            eprintln!("--period: expected 0.05 to 60 seconds, got {}", self.period);
             return ExitCode::from(2);
         }
         match self.run(program) {
@@ -151,7 +152,7 @@
         let folder = format!("millethook-scale-{}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
         let rows = RowWriter::new(self.out.as_deref())?;
-        let extent = Extent {
+        let options = RunOptions {
             sizes: self.sizes.clone(),
             seeds: self.seeds.clone(),
             span: Duration::from_secs_f64(self.span),
@@ -159,7 +160,7 @@
         };
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
         let runtime = runtime.map_err(crate::world::machine("a runtime"))?;
-        let mut bench = Bench::new(program, folder, rows, extent)?;
+        let mut bench = Bench::new(program, folder, rows, options)?;
         let measured = runtime.block_on(async {
             tokio::select! {
                 measured = self.what.measure(&mut bench) => measured,
@@ -184,8 +185,8 @@
             What::MemoryTenants => bench.memory_by_tenants().await,
             What::MemoryServices => bench.memory_by_services().await,
             What::Idle => bench.idle().await,
-            What::DataPath => bench.data_path(Beside::Nothing).await,
-            What::DataPathBusy => bench.data_path(Beside::Spinner).await,
+            What::DataPath => bench.data_path(BackgroundLoad::Nothing).await,
+            What::DataPathBusy => bench.data_path(BackgroundLoad::Spinner).await,
             What::ListChange => bench.list_change().await,
             What::SettingsChange => bench.settings_change().await,
             What::WholeList => bench.whole_list().await,
@@ -199,8 +200,8 @@
     }
 }
 
-/// The daemon that was built with this program.
-fn beside() -> Option<PathBuf> {
+/// The path of `plankvale` in the folder of this program, if it exists.
+fn sibling_daemon() -> Option<PathBuf> {
     let mut path = std::env::current_exe().ok()?;
     path.set_file_name("plankvale");
     path.is_file().then_some(path)
--- a/crates/millethook-lab/src/scale/daemon.rs
+++ b/crates/millethook-lab/src/scale/daemon.rs
@@ -1,4 +1,4 @@
-//! Daemons under measurement: started by the lab's own launcher, one configuration each, ended on every path.
+//! Daemons under measurement. The lab's launcher starts each with its own configuration, and dropping it kills it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,32 +19,32 @@
 use crate::world::views::metrics;
 use crate::world::{RunError, machine};
 
-const READY: Duration = Duration::from_secs(60);
-const END: Duration = Duration::from_secs(5);
-const ASK: Duration = Duration::from_millis(5);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+const OPERATION_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The addresses of other sidecars, as one sidecar is told them.
+/// The addresses of other sidecars, as one sidecar is configured with them.
 #[derive(Clone, Debug)]
 pub struct Peers {
     /// The address of each sidecar by its number.
     pub each: Vec<SocketAddr>,
-    /// What is sent there reaches all.
+    /// The broadcast address, from which datagrams reach all sidecars.
     pub everyone: SocketAddr,
 }
 
-/// What a daemon is started with.
+/// The parameters of a daemon.
 pub struct DaemonSpec<'a> {
-    /// Its number; address, name and zone follow from it.
+    /// Its number, which determines its addresses, name and zone.
     pub number: usize,
-    /// How many sidecars there are in all.
+    /// The number of all sidecars.
     pub instances: usize,
-    /// The agent of discovery that it asks.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
-    /// What it draws by.
+    /// The seed of its random choices.
     pub seed: u64,
-    /// The text of the product's file; empty: none.
+    /// The text of the product's settings file; empty for none.
     pub product: &'a str,
-    /// Other sidecars, if it may tell them anything.
+    /// Other sidecars, if it may exchange messages with them.
     pub peers: Option<Peers>,
     /// Changes the platform's configuration before it is written.
     pub change: &'a dyn Fn(&mut Value),
@@ -53,16 +53,16 @@
 /// Starts daemons.
 pub struct Launcher {
     launch: Launch,
-    /// Where they listen.
+    /// The addresses that daemons and stand-ins listen on.
     pub addresses: Addresses,
     timeline: Timeline,
 }
 
 impl Launcher {
-    /// One that writes configurations and logs into `folder`.
+    /// Creates a launcher that writes configurations and logs to `folder`.
     ///
     /// # Errors
-    /// The folder cannot be made, or no loopback addresses are free.
+    /// The folder cannot be created, or no loopback addresses are free.
     pub fn new(program: PathBuf, folder: PathBuf) -> Result<Launcher, RunError> {
         std::fs::create_dir_all(&folder).map_err(machine("the folder of logs"))?;
         let mut timeline = Timeline::default();
@@ -74,21 +74,21 @@
         Ok(Launcher { launch: Launch { program, args: Vec::new(), folder }, addresses, timeline })
     }
 
-    /// Starts a daemon and waits until it is ready. Has to run on the main thread: the kernel ends a daemon with the
-    /// thread that started it.
+    /// Starts a daemon and waits until it is ready. Must be called on the main thread: the kernel kills a daemon when
+    /// the thread that started it ends.
     ///
     /// # Errors
-    /// It does not start, ends, or is not ready in time.
+    /// The daemon does not start, exits, or is not ready in time.
     pub async fn start(&self, spec: &DaemonSpec<'_>) -> Result<Daemon, ScaleError> {
         let mut daemon = self.launch(spec)?;
         daemon.ready().await?;
         Ok(daemon)
     }
 
-    /// Starts a daemon without waiting for it. Has to run on the main thread.
+    /// Starts a daemon without waiting until it is ready. Must be called on the main thread.
     ///
     /// # Errors
-    /// It does not start.
+    /// The daemon does not start.
     pub fn launch(&self, spec: &DaemonSpec<'_>) -> Result<Daemon, ScaleError> {
         let number = spec.number;
         let name = format!("n{number}");
@@ -106,7 +106,7 @@
             name,
             config,
             exited,
-            gone: false,
+            exit_reported: false,
             killed: false,
         })
     }
@@ -145,13 +145,13 @@
     }
 }
 
-/// A running daemon; it ends with this value.
+/// A running daemon, which is killed when this value is dropped.
 pub struct Daemon {
-    /// Its process.
+    /// The id of its process.
     pub pid: i32,
-    /// Where clients call.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// The address for operators.
     pub admin: SocketAddr,
     /// The configuration in force.
     pub config: Value,
@@ -159,32 +159,32 @@
     log: PathBuf,
     launch: Launch,
     exited: mpsc::UnboundedReceiver<Exit>,
-    /// Its end was told.
-    gone: bool,
+    /// Whether its exit was reported.
+    exit_reported: bool,
     killed: bool,
 }
 
 impl Daemon {
-    /// Waits until it is ready.
+    /// Waits until the daemon is ready.
     ///
     /// # Errors
-    /// It ends, or is not ready in time.
+    /// It exits, or is not ready in time.
     pub async fn ready(&mut self) -> Result<(), ScaleError> {
         let listen = self.listen;
         tokio::select! {
-            ready = timeout(READY, until_ready(listen)) => {
-                let seconds = READY.as_secs_f64();
+            ready = timeout(READY_TIMEOUT, until_ready(listen)) => {
+                let seconds = READY_TIMEOUT.as_secs_f64();
                 let what = format!("{} is ready", self.name);
                 ready.map_err(|_| ScaleError::Late { what, seconds })
             }
             _ = self.exited.recv() => {
-                self.gone = true;
-                Err(self.has_ended())
+                self.exit_reported = true;
+                Err(self.exit_error())
             }
         }
     }
 
-    fn has_ended(&self) -> ScaleError {
+    fn exit_error(&self) -> ScaleError {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let last = log.lines().last().unwrap_or("its log is empty").to_owned();
         ScaleError::Ended { name: self.name.clone(), last }
@@ -193,71 +193,71 @@
     /// Processor time so far.
     ///
     /// # Errors
-    /// It has ended.
+    /// The daemon has exited.
     pub fn processor_time(&self) -> Result<Duration, ScaleError> {
         Ok(self.scheduled()?.ran)
     }
 
-    /// Processor time so far, and time without a core.
+    /// Processor time so far, and time in which it waited for a core.
     ///
     /// # Errors
-    /// It has ended.
+    /// The daemon has exited.
     pub fn scheduled(&self) -> Result<Scheduled, ScaleError> {
-        scheduled(self.pid).ok_or_else(|| self.has_ended())
+        scheduled(self.pid).ok_or_else(|| self.exit_error())
     }
 
-    /// Configurations that it has taken over while it ran.
+    /// The number of configurations that it has applied while running.
     pub async fn applied(&self) -> u64 {
         figures(self.admin, ["sighup_applied"]).await.map_or(0, |[applied]| applied)
     }
 
-    /// Replaces its configuration and tells it so.
+    /// Replaces its configuration file and sends SIGHUP.
     ///
     /// # Errors
-    /// It cannot be written or told.
+    /// The file cannot be written, or the signal cannot be sent.
     pub fn send_configuration(&self, config: &Value) -> Result<(), ScaleError> {
         self.launch.write(&self.name, config).map_err(machine("a configuration"))?;
         Ok(signal(self.pid, Signal::SIGHUP).map_err(machine("SIGHUP"))?)
     }
 
-    /// Replaces its configuration and waits until the new one is in force; how long that took.
+    /// Replaces its configuration and waits until the new one is in force. Returns how long that took.
     ///
     /// # Errors
-    /// It cannot be written, or is not in force in time.
+    /// The configuration cannot be written, or is not in force in time.
     pub async fn reload(&mut self, config: Value) -> Result<Duration, ScaleError> {
         let applied = self.applied().await;
         let begun = Instant::now();
         self.send_configuration(&config)?;
         while self.applied().await == applied {
-            if begun.elapsed() > END {
-                let (what, seconds) = ("new settings".into(), END.as_secs_f64());
+            if begun.elapsed() > OPERATION_TIMEOUT {
+                let (what, seconds) = ("new settings".into(), OPERATION_TIMEOUT.as_secs_f64());
                 return Err(ScaleError::Late { what, seconds });
             }
-            sleep(ASK).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.config = config;
         Ok(begun.elapsed())
     }
 
-    /// Ends it at once and waits until it is gone.
+    /// Kills the daemon and waits until it has exited.
     ///
     /// # Errors
-    /// It cannot be ended.
+    /// It does not exit in time.
     pub async fn stop(mut self) -> Result<(), ScaleError> {
         self.kill();
-        if self.gone {
+        if self.exit_reported {
             return Ok(());
         }
-        let seconds = END.as_secs_f64();
+        let seconds = OPERATION_TIMEOUT.as_secs_f64();
         let what = format!("{} ends", self.name);
-        let exit = timeout(END, self.exited.recv()).await;
+        let exit = timeout(OPERATION_TIMEOUT, self.exited.recv()).await;
         exit.map(drop).map_err(|_| ScaleError::Late { what, seconds })
     }
 
     fn kill(&mut self) {
-        // Once the exit was told the number may belong to another process.
-        self.gone |= self.exited.try_recv().is_ok();
-        if !self.gone && !std::mem::replace(&mut self.killed, true) {
+        // After the exit was reported, the id may belong to another process.
+        self.exit_reported |= self.exited.try_recv().is_ok();
+        if !self.exit_reported && !std::mem::replace(&mut self.killed, true) {
             let sent: io::Result<()> = signal(self.pid, Signal::SIGKILL);
             if let Err(e) = sent {
                 tracing::debug!(event = "kill_failed", "{}: {e}", self.name);
@@ -266,10 +266,10 @@
     }
 }
 
-/// Ends daemons at once and waits until all are gone: the next ones listen at the same addresses.
+/// Kills daemons and waits until all have exited, because the next ones listen on the same addresses.
 ///
 /// # Errors
-/// One cannot be ended.
+/// A daemon does not exit in time.
 pub async fn stop_all(daemons: impl IntoIterator<Item = Daemon>) -> Result<(), ScaleError> {
     let mut daemons: Vec<Daemon> = daemons.into_iter().collect();
     daemons.iter_mut().for_each(Daemon::kill);
@@ -285,9 +285,9 @@
     }
 }
 
-/// Figures at an operators' address, named without `sidecar.`; None: it does not answer, or lacks one.
+/// Reads metrics at an operators' address, named without `sidecar.`; `None` if it does not answer or lacks a metric.
 pub async fn figures<const N: usize>(admin: SocketAddr, names: [&str; N]) -> Option<[u64; N]> {
-    let text = timeout(END, metrics(admin)).await.ok()??;
+    let text = timeout(OPERATION_TIMEOUT, metrics(admin)).await.ok()??;
     let mut figures = [0; N];
     for (figure, name) in figures.iter_mut().zip(names) {
         let line = text.lines().find_map(|l| l.strip_prefix("sidecar.")?.strip_prefix(name));
--- a/crates/millethook-lab/src/scale/data_path.rs
+++ b/crates/millethook-lab/src/scale/data_path.rs
@@ -1,4 +1,4 @@
-//! What a sidecar adds to a call, and the processor time of one.
+//! Measures the latency that a sidecar adds to a request, and its processor time per request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,56 +8,56 @@
 
 use super::ScaleError;
 use super::bench::{Bench, Measurement, Point, listed, measurement};
-use super::callers::{Calls, Pool};
+use super::callers::{Pool, RequestOutcomes};
 use super::daemon::Daemon;
 use super::load::LoadWatch;
 use super::row::Unit;
 use super::spinner::Spinner;
 use crate::plan::stream;
 
-/// The mean service.
+/// Servers of the mean service.
 const SERVERS: usize = 12;
-/// How long calls go one way before they go the other.
-const BLOCK: Duration = Duration::from_millis(500);
-/// Connections are opened before anything counts.
-const WARM: Duration = Duration::from_millis(700);
-/// One in so many pairs of blocks is among the calmest.
-const CALMEST: usize = 4;
-
-/// Whether a spinning process runs beside the daemon.
+/// Length of a block of requests that take the same path.
+const BLOCK_LENGTH: Duration = Duration::from_millis(500);
+/// Length of the warm-up, in which connections are opened.
+const WARM_UP: Duration = Duration::from_millis(700);
+/// One in this many pairs of blocks counts as calmest.
+const CALMEST_DIVISOR: usize = 4;
+
+/// Whether a process that keeps a core busy runs beside the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beside {
-    /// Nothing of this program's.
+pub enum BackgroundLoad {
+    /// No such process.
     Nothing,
-    /// A process that keeps a core busy. No affinities are set: the kernel places it.
+    /// One process that keeps a core busy. No affinity is set, so the kernel places it.
     Spinner,
 }
 
-impl Beside {
-    /// The first part of the names of figures.
+impl BackgroundLoad {
+    /// The prefix of the measurements' names.
     fn prefix(self) -> &'static str {
         match self {
-            Beside::Nothing => "sidecar.data_path",
-            Beside::Spinner => "sidecar.data_path.busy_core",
+            BackgroundLoad::Nothing => "sidecar.data_path",
+            BackgroundLoad::Spinner => "sidecar.data_path.busy_core",
         }
     }
 }
 
-/// A block of calls past the daemon and one through it, one right after the other.
+/// Two adjacent blocks of requests: one directly to the server and one through the daemon.
 struct Pair {
-    direct: Calls,
-    through: Calls,
-    /// The mean of runnable threads of others meanwhile.
+    direct: RequestOutcomes,
+    through: RequestOutcomes,
+    /// The mean number of runnable threads of other programs meanwhile.
     load: f64,
-    /// Processor time of the daemon while calls went through it.
+    /// Processor time of the daemon during its block.
     used: Duration,
-    /// Time in which the daemon could have run and had no core.
+    /// Time in which the daemon was runnable but had no core.
     waited: Duration,
-    /// How long calls went through it.
+    /// The length of the block through the daemon.
     span: Duration,
 }
 
-/// A daemon, and ways to call servers through it and past it.
+/// A daemon, and connection pools through it and directly to a server.
 struct Subject {
     daemon: Daemon,
     through: Arc<Pool>,
@@ -67,17 +67,17 @@
 }
 
 impl Bench {
-    /// Processor time of a daemon without calls: it watches its list and nothing else.
+    /// Measures the processor time of a daemon without requests, which only watches its list.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn idle(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
+            for seed in self.options.seeds.clone() {
                 let backends = self.backends(SERVERS, Duration::ZERO).await?;
                 let registry = self.registry(listed(size, &backends)).await?;
                 let daemon = self.daemon(&registry, seed, &|_| {}).await?;
-                sleep(WARM).await;
+                sleep(WARM_UP).await;
                 let load = self.watch([&daemon]);
                 let rate = self.idle_rate(&daemon).await?;
                 let unit = Unit::MicrosecondsPerSecond;
@@ -89,21 +89,21 @@
         Ok(())
     }
 
-    /// Processor time a second of a daemon that is left alone, in microseconds.
+    /// Processor time per second of an idle daemon, in microseconds.
     pub(super) async fn idle_rate(&self, daemon: &Daemon) -> Result<f64, ScaleError> {
         let before = daemon.processor_time()?;
-        sleep(self.extent.span).await;
+        sleep(self.options.span).await;
         let used = daemon.processor_time()? - before;
-        Ok(used.as_secs_f64() * 1e6 / self.extent.span.as_secs_f64())
+        Ok(used.as_secs_f64() * 1e6 / self.options.span.as_secs_f64())
     }
 
-    /// Calls through a daemon and past it, in alternating blocks to the same servers.
+    /// Sends requests through a daemon and directly to a server, in alternating blocks.
     ///
     /// # Errors
     /// A part does not start.
-    pub async fn data_path(&mut self, beside: Beside) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[45, 450, 1_500, 4_500]) {
-            for seed in self.extent.seeds.clone() {
+    pub async fn data_path(&mut self, background: BackgroundLoad) -> Result<(), ScaleError> {
+        for size in self.options.sizes_or(&[45, 450, 1_500, 4_500]) {
+            for seed in self.options.seeds.clone() {
                 let at = Point { size, seed };
                 let backends = self.backends(SERVERS, Duration::ZERO).await?;
                 let registry = self.registry(listed(SERVERS, &backends)).await?;
@@ -116,38 +116,38 @@
                     random: stream(seed, "calls", size as u64),
                     daemon,
                 };
-                subject.warm().await;
+                subject.warm_up().await;
                 let idle = self.idle_rate(&subject.daemon).await?;
-                let (spinner, load) = self.beside(&subject.daemon, beside)?;
-                let pairs = subject.pairs(self.extent.span, load).await?;
+                let (spinner, load) = self.background(&subject.daemon, background)?;
+                let pairs = subject.pairs(self.options.span, load).await?;
                 drop(spinner);
-                self.record_processor(beside, at, &pairs, idle)?;
-                self.record_latency(beside, at, pairs)?;
+                self.record_processor(background, at, &pairs, idle)?;
+                self.record_latency(background, at, pairs)?;
                 subject.daemon.stop().await?;
             }
         }
         Ok(())
     }
 
-    fn beside(
+    fn background(
         &self,
         daemon: &Daemon,
-        beside: Beside,
+        background: BackgroundLoad,
     ) -> Result<(Option<Spinner>, LoadWatch), ScaleError> {
-        if beside == Beside::Nothing {
+        if background == BackgroundLoad::Nothing {
             return Ok((None, self.watch([daemon])));
         }
-        // Blocks go two ways, and what is left is for their ends.
-        let span = 3 * self.extent.span + Duration::from_secs(5);
+        // The blocks of both paths take two spans; the rest allows for their ends.
+        let span = 3 * self.options.span + Duration::from_secs(5);
         let spinner = Spinner::start(self.folder().to_owned(), span)?;
         let load = LoadWatch::start(vec![daemon.pid, spinner.pid()]);
         Ok((Some(spinner), load))
     }
 
-    /// Processor time of a call, and what failed, over all blocks.
+    /// Records processor time per request, and failures, over all blocks.
     fn record_processor(
         &mut self,
-        beside: Beside,
+        background: BackgroundLoad,
         at: Point,
         pairs: &[Pair],
         idle: f64,
@@ -159,23 +159,24 @@
         let failed = pairs.iter().map(|p| p.through.failed).sum::<u64>();
         let waited = pairs.iter().map(|p| p.waited.as_secs_f64() * 1e6).sum::<f64>();
         let each = (used - idle) / served as f64;
-        self.record(row(beside, "processor", Unit::Microseconds), at, each, load)?;
+        self.record(row(background, "processor", Unit::Microseconds), at, each, load)?;
         let waited = waited / served as f64;
-        self.record(row(beside, "without_a_core", Unit::Microseconds), at, waited, load)?;
-        self.record(row(beside, "failed", Unit::Count), at, failed as f64, load)
+        self.record(row(background, "without_a_core", Unit::Microseconds), at, waited, load)?;
+        self.record(row(background, "failed", Unit::Count), at, failed as f64, load)
     }
 
-    /// Latency over all pairs of blocks, and over the calmest ones by the load of others alone.
+    /// Records latency over all pairs of blocks, and over those with the lowest load by other programs.
     fn record_latency(
         &mut self,
-        beside: Beside,
+        background: BackgroundLoad,
         at: Point,
         mut pairs: Vec<Pair>,
     ) -> Result<(), ScaleError> {
         pairs.sort_by(|a, b| a.load.total_cmp(&b.load));
-        let calmest = pairs.len().div_ceil(CALMEST);
+        let calmest = pairs.len().div_ceil(CALMEST_DIVISOR);
         for (kept, suffix) in [(calmest, ".calmest"), (pairs.len(), "")] {
-            let (mut direct, mut through, mut load) = (Calls::default(), Calls::default(), 0.0);
+            let (mut direct, mut through, mut load) =
+                (RequestOutcomes::default(), RequestOutcomes::default(), 0.0);
             for pair in pairs.iter().take(kept) {
                 direct.extend(pair.direct.clone());
                 through.extend(pair.through.clone());
@@ -185,7 +186,7 @@
                 let (past, by) = (direct.quantile(share), through.quantile(share));
                 for (what, value) in [("direct", past), ("through", by), ("added", by - past)] {
                     let name = format!("{what}.{quantile}{suffix}");
-                    self.record(row(beside, &name, Unit::Microseconds), at, value, load)?;
+                    self.record(row(background, &name, Unit::Microseconds), at, value, load)?;
                 }
             }
         }
@@ -193,27 +194,27 @@
     }
 }
 
-fn row(beside: Beside, name: &str, unit: Unit) -> Measurement {
-    measurement(format!("{}.{name}", beside.prefix()), unit, "calls_per_second")
+fn row(background: BackgroundLoad, name: &str, unit: Unit) -> Measurement {
+    measurement(format!("{}.{name}", background.prefix()), unit, "calls_per_second")
 }
 
 impl Subject {
-    /// Opens connections both ways.
-    async fn warm(&mut self) {
-        self.through.run(self.rate, WARM, &mut self.random).await;
-        self.direct.run(self.rate, WARM, &mut self.random).await;
+    /// Opens connections on both paths.
+    async fn warm_up(&mut self) {
+        self.through.run(self.rate, WARM_UP, &mut self.random).await;
+        self.direct.run(self.rate, WARM_UP, &mut self.random).await;
     }
 
-    /// Blocks that alternate for `span` each way. Which way comes first alternates, too.
+    /// Runs alternating blocks for `span` on each path. Which path comes first alternates, too.
     async fn pairs(&mut self, span: Duration, load: LoadWatch) -> Result<Vec<Pair>, ScaleError> {
-        let block = BLOCK.min(span);
+        let block = BLOCK_LENGTH.min(span);
         let count = (span.as_secs_f64() / block.as_secs_f64()).round() as u32;
         let mut pairs = Vec::new();
         for nth in 0..count {
             load.take();
             let mut pair = Pair {
-                direct: Calls::default(),
-                through: Calls::default(),
+                direct: RequestOutcomes::default(),
+                through: RequestOutcomes::default(),
                 load: 0.0,
                 used: Duration::ZERO,
                 waited: Duration::ZERO,
--- a/crates/millethook-lab/src/scale/discovery.rs
+++ b/crates/millethook-lab/src/scale/discovery.rs
@@ -1,4 +1,4 @@
-//! What sidecars that watch a list cost discovery and themselves: quiet, and as a zone leaves.
+//! Measures what watching a list costs discovery and the sidecars, without changes and when a zone leaves.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use super::registry::Registry;
 use super::row::Unit;
 
-/// A list long enough for a zone to show, short enough for any sidecar.
+/// Length of the list: long enough for a zone's removal to be measurable, short enough for any sidecar.
 const SERVERS: usize = 1_200;
 const BACKENDS: usize = 16;
-const SETTLE: Duration = Duration::from_millis(1500);
-/// From a zone's loss until what it caused is counted: watches that are asked are held for 3 s.
-const AFTER: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
+/// Delay between a zone's removal and the reading of its cost. Watches on request are held for 3 s.
+const DELAY_AFTER_REMOVAL: Duration = Duration::from_secs(4);
 const SIZE_OF: &str = "sidecars_that_watch";
 
-/// How sidecars learn of changes, as the platform's settings name it, with the names of figures.
-struct Watching {
+/// How sidecars learn of changes, as the platform's settings name it, and the names of its measurements.
+struct WatchMode {
     how: &'static str,
     calls: &'static str,
     bytes: &'static str,
@@ -33,8 +33,8 @@
     zone_processor: &'static str,
 }
 
-const WAYS: [Watching; 2] = [
-    Watching {
+const WATCH_MODES: [WatchMode; 2] = [
+    WatchMode {
         how: "pushed",
         calls: "discovery.pushed.calls_each",
         bytes: "discovery.pushed.bytes_each",
@@ -44,7 +44,7 @@
         zone_bytes: "discovery.pushed.zone_leaves.bytes_each",
         zone_processor: "sidecar.watch.pushed.zone_leaves.processor",
     },
-    Watching {
+    WatchMode {
         how: "on_request",
         calls: "discovery.asked.calls_each",
         bytes: "discovery.asked.bytes_each",
@@ -57,68 +57,69 @@
 ];
 
 impl Bench {
-    /// Calls, bytes and processor time of discovery and of each sidecar that watches it.
+    /// Measures requests, bytes and processor time of discovery and of each sidecar that watches it.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn discovery(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[8, 30, 60, 120, 300]) {
-            for seed in self.extent.seeds.clone() {
-                for way in &WAYS {
-                    self.watched(Point { size, seed }, way).await?;
+        for size in self.options.sizes_or(&[8, 30, 60, 120, 300]) {
+            for seed in self.options.seeds.clone() {
+                for mode in &WATCH_MODES {
+                    self.measure_watch(Point { size, seed }, mode).await?;
                 }
             }
         }
         Ok(())
     }
 
-    async fn watched(&mut self, at: Point, way: &Watching) -> Result<(), ScaleError> {
+    async fn measure_watch(&mut self, at: Point, mode: &WatchMode) -> Result<(), ScaleError> {
         let backends = self.backends(BACKENDS, Duration::ZERO).await?;
         let all = listed(SERVERS, &backends);
         let registry = self.registry(all.clone()).await?;
-        let change = |config: &mut Value| config["settings"]["discovery"] = json!(way.how);
-        let daemons = self.strangers(at.size, &registry, at.seed, &change).await?;
-        sleep(SETTLE).await;
+        let change = |config: &mut Value| config["settings"]["discovery"] = json!(mode.how);
+        let daemons = self.independent_daemons(at.size, &registry, at.seed, &change).await?;
+        sleep(SETTLE_TIME).await;
         let started = registry.traffic().bytes as f64 / at.size as f64;
         let load = self.watch(&daemons).mean();
-        self.record(row(way.start, Unit::Bytes), at, started, load)?;
-        let quiet = self.quiet_watch(at, way, &registry, &daemons).await?;
+        self.record(row(mode.start, Unit::Bytes), at, started, load)?;
+        let quiet = self.quiet_watch(at, mode, &registry, &daemons).await?;
         let zone = at.seed as usize % ZONES;
         let leaving: Vec<_> = all.iter().filter(|s| s.zone == zone).copied().collect();
         let load = self.watch(&daemons);
-        let before = Use::of(&registry, &daemons)?;
+        let before = Usage::of(&registry, &daemons)?;
         registry.leave(&leaving);
-        sleep(AFTER).await;
-        let loss = Use::of(&registry, &daemons)?.since(&before);
-        let (each, seconds, load) = (at.size as f64, AFTER.as_secs_f64(), load.mean());
+        sleep(DELAY_AFTER_REMOVAL).await;
+        let loss = Usage::of(&registry, &daemons)?.since(&before);
+        let (each, seconds, load) =
+            (at.size as f64, DELAY_AFTER_REMOVAL.as_secs_f64(), load.mean());
         let bytes = (loss.bytes - quiet.bytes * seconds) / each;
-        self.record(row(way.zone_bytes, Unit::Bytes), at, bytes, load)?;
+        self.record(row(mode.zone_bytes, Unit::Bytes), at, bytes, load)?;
         let used = (loss.daemons_us - quiet.daemons_us * seconds) / each;
-        self.record(row(way.zone_processor, Unit::Microseconds), at, used, load)?;
+        self.record(row(mode.zone_processor, Unit::Microseconds), at, used, load)?;
         stop_all(daemons).await
     }
 
-    /// What a second costs while nothing changes.
+    /// Measures the cost per second while the list does not change.
     async fn quiet_watch(
         &mut self,
         at: Point,
-        way: &Watching,
+        mode: &WatchMode,
         registry: &Registry,
         daemons: &[Daemon],
-    ) -> Result<Use, ScaleError> {
-        // This process is discovery here: a watch on the load of hundreds of daemons would be in its figures.
+    ) -> Result<Usage, ScaleError> {
+        // This process plays discovery, so sampling the load of hundreds of daemons would count as discovery's cost.
         let load = self.watch(daemons).mean();
-        let before = Use::of(registry, daemons)?;
-        sleep(self.extent.span).await;
-        let spent = Use::of(registry, daemons)?.since(&before);
+        let before = Usage::of(registry, daemons)?;
+        sleep(self.options.span).await;
+        let spent = Usage::of(registry, daemons)?.since(&before);
         let load = (load + self.watch(daemons).mean()) / 2.0;
-        let second = spent.over(self.extent.span);
+        let second = spent.over(self.options.span);
         let each = at.size as f64;
-        self.record(row(way.calls, Unit::Count), at, second.calls / each, load)?;
-        self.record(row(way.bytes, Unit::BytesPerSecond), at, second.bytes / each, load)?;
+        self.record(row(mode.calls, Unit::Count), at, second.calls / each, load)?;
+        self.record(row(mode.bytes, Unit::BytesPerSecond), at, second.bytes / each, load)?;
         let unit = Unit::MicrosecondsPerSecond;
-        self.record(row(way.processor, unit), at, second.daemons_us / each, load)?;
-        self.record(row(way.source, unit), at, second.source_us, load)?;
+        self.record(row(mode.processor, unit), at, second.daemons_us / each, load)?;
+        self.record(row(mode.source, unit), at, second.source_us, load)?;
         Ok(second)
     }
 }
@@ -127,22 +128,22 @@
     measurement(name, unit, SIZE_OF)
 }
 
-/// What discovery and those that watch it have used so far, or in a second.
+/// What discovery and the sidecars have used so far, or per second.
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct Usage {
     calls: f64,
     bytes: f64,
     /// Processor time of the daemons, in microseconds.
     daemons_us: f64,
-    /// That of this process, which is discovery here and does nothing else meanwhile.
+    /// Processor time of this process, which plays discovery and does nothing else meanwhile, in microseconds.
     source_us: f64,
 }
 
-impl Use {
-    fn of(registry: &Registry, daemons: &[Daemon]) -> Result<Use, ScaleError> {
+impl Usage {
+    fn of(registry: &Registry, daemons: &[Daemon]) -> Result<Usage, ScaleError> {
         let traffic = registry.traffic();
         let source = processor_time(std::process::id() as i32).unwrap_or_default();
-        Ok(Use {
+        Ok(Usage {
             calls: traffic.calls as f64,
             bytes: traffic.bytes as f64,
             daemons_us: processor_time_of(daemons)?.as_secs_f64() * 1e6,
@@ -150,8 +151,8 @@
         })
     }
 
-    fn since(&self, before: &Use) -> Use {
-        Use {
+    fn since(&self, before: &Usage) -> Usage {
+        Usage {
             calls: self.calls - before.calls,
             bytes: self.bytes - before.bytes,
             daemons_us: self.daemons_us - before.daemons_us,
@@ -159,9 +160,9 @@
         }
     }
 
-    fn over(&self, span: Duration) -> Use {
+    fn over(&self, span: Duration) -> Usage {
         let seconds = span.as_secs_f64();
-        Use {
+        Usage {
             calls: self.calls / seconds,
             bytes: self.bytes / seconds,
             daemons_us: self.daemons_us / seconds,
--- a/crates/millethook-lab/src/scale/error.rs
+++ b/crates/millethook-lab/src/scale/error.rs
@@ -1,30 +1,30 @@
-//! Why a measurement gave no figure.
+//! Errors of measurements.
 
 use crate::world::RunError;
 
-/// Why a measurement gave no figure.
+/// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// The machine did not give what the run needs.
+    /// The operating system did not provide a resource that the run needs.
     #[error(transparent)]
     Machine(#[from] RunError),
     /// A row could not be written.
-    #[error("the rows: {0}")]
+    #[error("cannot write rows: {0}")]
     Rows(#[from] csv::Error),
-    /// A daemon ended by itself.
-    #[error("{name} ended; the last line of its log: {last}")]
+    /// A daemon exited by itself.
+    #[error("{name} exited; the last line of its log: {last}")]
     Ended {
-        /// The daemon.
+        /// The name of the daemon.
         name: String,
-        /// What it said last.
+        /// The last line of its log.
         last: String,
     },
-    /// Something did not happen within its time.
-    #[error("{what}: not within {seconds} s")]
+    /// Something did not happen within its time limit.
+    #[error("{what}: timed out after {seconds} s")]
     Late {
         /// What was waited for.
         what: String,
-        /// The time that it had.
+        /// The time limit.
         seconds: f64,
     },
 }
--- a/crates/millethook-lab/src/scale/evidence.rs
+++ b/crates/millethook-lab/src/scale/evidence.rs
@@ -1,4 +1,4 @@
-//! What sidecars say to one another, and what it costs them, as one server of a service in use dies.
+//! Measures the traffic between sidecars and its cost when one server of a service under load dies.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 
 use super::ScaleError;
 use super::bench::{Bench, Measurement, Point, listed, measurement};
-use super::control::QUIETENS;
+use super::control::SETTLING_PERIODS;
 use super::daemon::figures;
-use super::fleet::{Fleet, Moment, Told, product};
+use super::fleet::{Fleet, FleetUsage, SharedState, product};
 use super::row::Unit;
-use super::server::call_all;
+use super::server::send_requests_through;
 
-/// The mean service.
+/// Servers of the mean service.
 const SERVERS: usize = 12;
-/// Calls a second of each sidecar.
+/// Requests per second of each sidecar.
 const RATE: f64 = 5.0;
 const WORK: Duration = Duration::from_millis(5);
-/// Connections are opened before anything counts.
-const WARM: Duration = Duration::from_secs(2);
-/// Jobs for servers that the fleet doubts.
+/// Length of the warm-up, in which connections are opened.
+const WARM_UP: Duration = Duration::from_secs(2);
+/// The setting that creates jobs for servers that the fleet suspects.
 const DEAD_SERVERS: &str = "dead_servers = true\n";
 
 impl Bench {
-    /// A fleet under load with evidence and leases: before one of 12 servers dies, and after.
+    /// Measures a fleet under load with evidence and leases, before and after one of 12 servers dies.
     ///
     /// # Errors
     /// A part does not start, or views never agree.
     pub async fn control_dead_server(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[8, 60, 120, 300]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[8, 60, 120, 300]) {
+            for seed in self.options.seeds.clone() {
                 self.dead_server(Point { size, seed }).await?;
             }
         }
@@ -39,36 +39,36 @@
     async fn dead_server(&mut self, at: Point) -> Result<(), ScaleError> {
         let mut backends = self.backends(SERVERS, WORK).await?;
         let registry = self.registry(listed(SERVERS, &backends)).await?;
-        let product = product(Told::Leases, self.extent.period) + DEAD_SERVERS;
+        let product = product(SharedState::Leases, self.options.period) + DEAD_SERVERS;
         let fleet = self.fleet(at.size, &registry, at.seed, &product).await?;
-        self.settled(&fleet).await?;
-        sleep(QUIETENS * self.extent.period).await;
-        let span = WARM + 2 * self.extent.span + WARM;
-        let callers = call_all(fleet.alive(), RATE, at.seed, span);
-        sleep(WARM).await;
+        self.wait_for_agreement(&fleet).await?;
+        sleep(SETTLING_PERIODS * self.options.period).await;
+        let span = WARM_UP + 2 * self.options.span + WARM_UP;
+        let callers = send_requests_through(fleet.alive(), RATE, at.seed, span);
+        sleep(WARM_UP).await;
         self.rates(at, &fleet, "under_load").await?;
         drop(backends.swap_remove(at.seed as usize % SERVERS));
         self.rates(at, &fleet, "server_dead").await?;
-        let (mut doubting, mut owned) = (0, 0);
+        let (mut suspecting, mut owned) = (0, 0);
         for daemon in fleet.alive() {
-            let told = figures(daemon.admin, ["fleet.evidence.doubted", "lease.owned"]).await;
-            let [doubted, owns] = told.unwrap_or_default();
-            doubting += u64::from(doubted > 0);
+            let reported = figures(daemon.admin, ["fleet.evidence.doubted", "lease.owned"]).await;
+            let [suspected, owns] = reported.unwrap_or_default();
+            suspecting += u64::from(suspected > 0);
             owned += owns;
         }
         let load = self.watch(fleet.alive()).mean();
-        self.record(row("server_dead.doubted_by", Unit::Count), at, doubting as f64, load)?;
+        self.record(row("server_dead.doubted_by", Unit::Count), at, suspecting as f64, load)?;
         self.record(row("server_dead.jobs_owned", Unit::Count), at, owned as f64, load)?;
-        // What the callers met is not the question here.
+        // The outcomes of the requests are not measured here.
         drop(callers);
         fleet.stop().await
     }
 
-    /// Bytes and processor time of a sidecar a second; its calls are in the processor time.
+    /// Records bytes and processor time per sidecar and second. The processor time includes that of its requests.
     async fn rates(&mut self, at: Point, fleet: &Fleet, name: &str) -> Result<(), ScaleError> {
-        let (load, before) = (self.watch(fleet.alive()), Moment::of(fleet)?);
-        sleep(self.extent.span).await;
-        let rates = Moment::of(fleet)?.rates_since(before);
+        let (load, before) = (self.watch(fleet.alive()), FleetUsage::of(fleet)?);
+        sleep(self.options.span).await;
+        let rates = FleetUsage::of(fleet)?.rates_since(before);
         let (each, load) = (at.size as f64, load.mean());
         let bytes = row(&format!("{name}.bytes"), Unit::BytesPerSecond);
         self.record(bytes, at, rates.bytes / each, load)?;
--- a/crates/millethook-lab/src/scale/fleet.rs
+++ b/crates/millethook-lab/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! Many daemons at once: some that only share discovery, or a fleet that keeps a view over the lab's relay.
+//! Groups of daemons: independent ones that share only discovery, or a fleet that keeps a view over the lab's relay.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,41 +19,41 @@
 use crate::world::network::NetworkModel;
 use crate::world::relay::Relay;
 
-/// What a sidecar may send in a period of a second: the product's default.
+/// Bytes that a sidecar may send per period of 1 s, the product's default.
 const BYTES_A_PERIOD: f64 = 1_500.0;
 
-/// What sidecars tell one another.
+/// What sidecars exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// Who is alive.
+pub enum SharedState {
+    /// The view of live members.
     View,
-    /// That, and what they meet at servers.
+    /// The view, and evidence on servers.
     Evidence,
-    /// All that, and who owns which job.
+    /// The view, evidence on servers, and leases of jobs.
     Leases,
 }
 
-/// The product's file of a fleet with so much time between two probes. What may be said in a period stays the same.
-pub fn product(told: Told, period: Duration) -> String {
+/// The product's settings file of a fleet with this time between two probes. The bytes per period stay the same.
+pub fn product(shared_state: SharedState, period: Duration) -> String {
     let seconds = period.as_secs_f64();
     let bytes = (BYTES_A_PERIOD / seconds).round();
     let mut text =
         format!("[fleet]\nname = \"scale\"\nperiod_s = {seconds}\nbytes_per_second = {bytes}\n");
-    if told != Told::View {
+    if shared_state != SharedState::View {
         text += "share_evidence = true\n";
     }
-    if told == Told::Leases {
+    if shared_state == SharedState::Leases {
         text += "\n[lease]\n";
     }
     text
 }
 
 impl Bench {
-    /// Starts daemons that tell one another nothing, and waits until all are ready.
+    /// Starts daemons that exchange no messages, and waits until all are ready.
     ///
     /// # Errors
-    /// One does not start.
-    pub async fn strangers(
+    /// A daemon does not start.
+    pub async fn independent_daemons(
         &self,
         count: usize,
         registry: &Registry,
@@ -82,7 +82,7 @@
     /// Starts daemons that keep a view of one another.
     ///
     /// # Errors
-    /// One does not start, or the relay has no sockets.
+    /// A daemon does not start, or the relay cannot open its sockets.
     pub async fn fleet(
         &self,
         count: usize,
@@ -107,9 +107,9 @@
     }
 }
 
-/// Daemons that keep a view of one another; they end with this value.
+/// Daemons that keep a view of one another. They are killed when this value is dropped.
 pub struct Fleet {
-    /// The only way from one to another.
+    /// The relay that carries all datagrams between the daemons.
     pub relay: Arc<Relay>,
     daemons: Vec<Option<Daemon>>,
     discovery: std::net::SocketAddr,
@@ -118,10 +118,10 @@
 }
 
 impl Fleet {
-    /// Starts those that do not run, and waits until they are ready.
+    /// Starts the daemons with these numbers and waits until they are ready.
     ///
     /// # Errors
-    /// One does not start.
+    /// A daemon does not start.
     pub async fn start(&mut self, bench: &Bench, numbers: &[usize]) -> Result<(), ScaleError> {
         for &number in numbers {
             let (each, everyone) =
@@ -146,63 +146,67 @@
         Ok(())
     }
 
-    /// Kills these.
+    /// Kills the daemons with these numbers.
     ///
     /// # Errors
-    /// One does not end.
+    /// A daemon does not exit in time.
     pub async fn kill(&mut self, numbers: &[usize]) -> Result<(), ScaleError> {
         let killed = numbers.iter().filter_map(|number| self.daemons[*number].take());
         stop_all(killed.collect::<Vec<_>>()).await
     }
 
-    /// Ends all.
+    /// Kills all daemons.
     ///
     /// # Errors
-    /// One does not end.
+    /// A daemon does not exit in time.
     pub async fn stop(self) -> Result<(), ScaleError> {
         stop_all(self.daemons.into_iter().flatten()).await
     }
 
-    /// Those that run.
+    /// The running daemons.
     pub fn alive(&self) -> impl Iterator<Item = &Daemon> {
         self.daemons.iter().flatten()
     }
 
-    /// Bytes that all have sent to others so far.
+    /// Bytes that all daemons have sent to one another so far.
     pub fn bytes(&self) -> u64 {
         self.relay.traffic.iter().map(|t| t.bytes.load(Ordering::Relaxed)).sum()
     }
 
-    /// Datagrams that all have sent to others so far.
+    /// Datagrams that all daemons have sent to one another so far.
     pub fn datagrams(&self) -> u64 {
         self.relay.traffic.iter().map(|t| t.sent.load(Ordering::Relaxed)).sum()
     }
 
-    /// Processor time of all that run.
+    /// Processor time of all running daemons.
     ///
     /// # Errors
-    /// One has ended.
+    /// A daemon has exited.
     pub fn processor_time(&self) -> Result<Duration, ScaleError> {
         self.alive().map(Daemon::processor_time).sum()
     }
 
-    /// Looks at all views every `look` until all that run have the same and count as many as run; None: not within
-    /// `limit`.
-    pub async fn agreed(&self, look: Duration, limit: Duration) -> Option<Duration> {
+    /// Reads all views every `poll_interval` until all running daemons have the same view and count as many members
+    /// as run. Returns how long that took, or `None` if it took longer than `limit`.
+    pub async fn time_to_agreement(
+        &self,
+        poll_interval: Duration,
+        limit: Duration,
+    ) -> Option<Duration> {
         let begun = Instant::now();
         loop {
-            let looked = Instant::now();
-            if self.agrees().await {
+            let read_at = Instant::now();
+            if self.views_agree().await {
                 return Some(begun.elapsed());
             }
             if begun.elapsed() > limit {
                 return None;
             }
-            sleep(look.saturating_sub(looked.elapsed())).await;
+            sleep(poll_interval.saturating_sub(read_at.elapsed())).await;
         }
     }
 
-    async fn agrees(&self) -> bool {
+    async fn views_agree(&self) -> bool {
         let mut asked = JoinSet::new();
         let mut count = 0;
         for daemon in self.alive() {
@@ -221,20 +225,20 @@
     }
 }
 
-/// What a fleet has sent and used by a moment.
+/// What a fleet has sent and used up to a point in time.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
-    /// When.
+pub struct FleetUsage {
+    /// The point in time.
     pub at: Instant,
     /// Bytes of all datagrams.
     pub bytes: f64,
     /// Datagrams.
     pub datagrams: f64,
-    /// Processor time of those that run, in microseconds.
+    /// Processor time of the running daemons, in microseconds.
     pub used_us: f64,
 }
 
-/// What a fleet sends and uses in a second, or in another span.
+/// What a fleet sends and uses per second, or in another span.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
     /// Bytes of all datagrams.
@@ -245,13 +249,13 @@
     pub used_us: f64,
 }
 
-impl Moment {
-    /// Now.
+impl FleetUsage {
+    /// Reads the present values.
     ///
     /// # Errors
-    /// A daemon has ended.
-    pub fn of(fleet: &Fleet) -> Result<Moment, ScaleError> {
-        Ok(Moment {
+    /// A daemon has exited.
+    pub fn of(fleet: &Fleet) -> Result<FleetUsage, ScaleError> {
+        Ok(FleetUsage {
             used_us: fleet.processor_time()?.as_secs_f64() * 1e6,
             bytes: fleet.bytes() as f64,
             datagrams: fleet.datagrams() as f64,
@@ -259,8 +263,8 @@
         })
     }
 
-    /// In the mean of a second since an earlier moment.
-    pub fn rates_since(&self, earlier: Moment) -> Rates {
+    /// The mean rates per second since an earlier snapshot.
+    pub fn rates_since(&self, earlier: FleetUsage) -> Rates {
         let seconds = (self.at - earlier.at).as_secs_f64();
         Rates {
             bytes: (self.bytes - earlier.bytes) / seconds,
@@ -271,7 +275,7 @@
 }
 
 impl Rates {
-    /// In so much time.
+    /// The amounts in a span at these rates per second.
     pub fn for_span(&self, span: Duration) -> Rates {
         let seconds = span.as_secs_f64();
         Rates {
--- a/crates/millethook-lab/src/scale/load.rs
+++ b/crates/millethook-lab/src/scale/load.rs
@@ -1,4 +1,4 @@
-//! How busy the machine was with other things while something was measured.
+//! Samples the load of the machine by other processes during a measurement.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -8,29 +8,29 @@
 
 use super::process::runnable_threads;
 
-const EVERY: Duration = Duration::from_millis(100);
+const SAMPLING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Mean of some samples.
+/// The sum and the number of samples, for their mean.
 #[derive(Clone, Copy, Debug, Default)]
 struct Samples {
     sum: f64,
     count: u32,
 }
 
-/// Samples the runnable threads of all processes but the run's own ones, until dropped.
+/// Samples the number of runnable threads of all processes except the run's own, until dropped.
 pub struct LoadWatch {
     samples: Arc<Mutex<Samples>>,
     task: AbortHandle,
 }
 
 impl LoadWatch {
-    /// Begins. `own` are the run's processes beside this one.
+    /// Starts sampling. `own` are the run's processes other than this one.
     pub fn start(own: Vec<i32>) -> LoadWatch {
         let samples: Arc<Mutex<Samples>> = Arc::default();
         let shared = samples.clone();
         let task = tokio::spawn(async move {
             loop {
-                sleep(EVERY).await;
+                sleep(SAMPLING_INTERVAL).await;
                 let Some(others) = runnable_others(&own) else { continue };
                 let mut samples = shared.lock().unwrap_or_else(PoisonError::into_inner);
                 samples.sum += others;
@@ -40,7 +40,7 @@
         LoadWatch { samples, task: task.abort_handle() }
     }
 
-    /// The mean so far; one sample is taken if there is none yet.
+    /// The mean of the samples so far; takes one sample if there is none yet.
     pub fn mean(&self) -> f64 {
         let samples = *self.samples.lock().unwrap_or_else(PoisonError::into_inner);
         match samples.count {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The mean since the last call of this, and begins anew.
+    /// Returns the mean since the last call, and clears the samples.
     pub fn take(&self) -> f64 {
         let mean = self.mean();
         *self.samples.lock().unwrap_or_else(PoisonError::into_inner) = Samples::default();
--- a/crates/millethook-lab/src/scale/memory.rs
+++ b/crates/millethook-lab/src/scale/memory.rs
@@ -1,4 +1,4 @@
-//! Resident memory of a sidecar by what it holds.
+//! Measures the memory of a sidecar by the number of objects that it holds.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -11,25 +11,25 @@
 use super::bench::{Bench, Point, listed, measurement};
 use super::callers::{Pool, connect, exchange};
 use super::daemon::{Daemon, DaemonSpec, Peers, stop_all};
-use super::fleet::{Told, product};
+use super::fleet::{SharedState, product};
 use super::process::memory;
 use super::row::Unit;
 
 const RESIDENT: &str = "sidecar.memory.resident";
 const PEAK: &str = "sidecar.memory.peak";
 const PROPORTIONAL: &str = "sidecar.memory.proportional";
-/// Stand-ins that share the names of a long list.
+/// The number of stand-in servers, whose addresses the servers of a long list share.
 const BACKENDS: usize = 16;
-/// Servers on the list where something else is varied: the mean service.
+/// Listed servers of the mean service, where something else is varied.
 const MEAN_SERVICE: usize = 12;
-/// Calls before memory is read, so that what the first ones allocate is there.
+/// Requests sent before memory is read, so that it includes what the first requests allocate.
 const WARM_CALLS: usize = 200;
-/// From the last change until memory is read.
-const SETTLE: Duration = Duration::from_millis(1500);
-async fn warm(daemon: &Daemon) {
+/// Delay between the last change and the reading of memory.
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
+async fn warm_up(daemon: &Daemon) {
     let pool = Pool::new(daemon.listen);
     for _ in 0..WARM_CALLS {
-        pool.call().await;
+        pool.send_request().await;
     }
 }
 
@@ -47,26 +47,26 @@
         self.record(row(PEAK), at, used.peak as f64, load)
     }
 
-    /// By servers on its one list.
+    /// Measures memory by the number of listed servers.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn memory_by_listed_servers(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[12, 100, 1_000, 4_000, 16_000]) {
+            for seed in self.options.seeds.clone() {
                 self.memory_of("listed_servers", Point { size, seed }, size, &|_| {}).await?;
             }
         }
         Ok(())
     }
 
-    /// By classes in its settings.
+    /// Measures memory by the number of classes in the settings.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn memory_by_classes(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[1, 10, 50, 200]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[1, 10, 50, 200]) {
+            for seed in self.options.seeds.clone() {
                 let change = |config: &mut Value| set_classes(config, size);
                 self.memory_of("classes", Point { size, seed }, MEAN_SERVICE, &change).await?;
             }
@@ -74,13 +74,13 @@
         Ok(())
     }
 
-    /// By tenants in its settings.
+    /// Measures memory by the number of tenants in the settings.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn memory_by_tenants(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[1, 100, 1_000, 10_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[1, 100, 1_000, 10_000]) {
+            for seed in self.options.seeds.clone() {
                 let change = |config: &mut Value| set_tenants(config, size);
                 self.memory_of("tenants", Point { size, seed }, MEAN_SERVICE, &change).await?;
             }
@@ -98,20 +98,21 @@
         let backends = self.backends(BACKENDS, Duration::ZERO).await?;
         let registry = self.registry(listed(servers, &backends)).await?;
         let daemon = self.daemon(&registry, at.seed, change).await?;
-        warm(&daemon).await;
-        sleep(SETTLE).await;
+        warm_up(&daemon).await;
+        sleep(SETTLE_TIME).await;
         self.record_memory(size_of, at, &daemon)?;
         daemon.stop().await
     }
 
-    /// By members of the fleet that it is configured with. None of them answers: the view probes and suspects them.
+    /// Measures memory by the number of configured fleet members. None of them answers, so the view probes and
+    /// suspects them.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn memory_by_members(&mut self) -> Result<(), ScaleError> {
-        let product = product(Told::Leases, self.extent.period);
-        for size in self.extent.sizes_or(&[60, 300, 1_800, 16_000]) {
-            for seed in self.extent.seeds.clone() {
+        let product = product(SharedState::Leases, self.options.period);
+        for size in self.options.sizes_or(&[60, 300, 1_800, 16_000]) {
+            for seed in self.options.seeds.clone() {
                 let backends = self.backends(BACKENDS, Duration::ZERO).await?;
                 let registry = self.registry(listed(MEAN_SERVICE, &backends)).await?;
                 let spec = DaemonSpec {
@@ -120,12 +121,12 @@
                     discovery: registry.address,
                     seed,
                     product: &product,
-                    peers: Some(nobody(size, self.stand_in())),
+                    peers: Some(unreachable_peers(size, self.stand_in())),
                     change: &|_| {},
                 };
                 let daemon = self.launcher.start(&spec).await?;
-                warm(&daemon).await;
-                sleep(self.extent.span).await;
+                warm_up(&daemon).await;
+                sleep(self.options.span).await;
                 self.record_memory("members", Point { size, seed }, &daemon)?;
                 daemon.stop().await?;
             }
@@ -133,17 +134,17 @@
         Ok(())
     }
 
-    /// By clients' connections that are open and idle; each has made one call.
+    /// Measures memory by the number of idle client connections, each of which has carried one request.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn memory_by_client_connections(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[0, 100, 500, 1_000, 2_000]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[0, 100, 500, 1_000, 2_000]) {
+            for seed in self.options.seeds.clone() {
                 let backends = self.backends(BACKENDS, Duration::ZERO).await?;
                 let registry = self.registry(listed(MEAN_SERVICE, &backends)).await?;
                 let daemon = self.daemon(&registry, seed, &|_| {}).await?;
-                warm(&daemon).await;
+                warm_up(&daemon).await;
                 let mut open = Vec::new();
                 while open.len() < size {
                     let wire = connect(daemon.listen).await;
@@ -152,7 +153,7 @@
                         open.push(wire);
                     }
                 }
-                sleep(SETTLE.min(Duration::from_millis(500))).await;
+                sleep(SETTLE_TIME.min(Duration::from_millis(500))).await;
                 self.record_memory("client_connections", Point { size, seed }, &daemon)?;
                 daemon.stop().await?;
             }
@@ -160,22 +161,23 @@
         Ok(())
     }
 
-    /// By calls that are out at once: each holds a client's connection, one to a server, and a request.
+    /// Measures memory by the number of concurrent requests. Each holds a client connection, a server connection and a
+    /// request.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn memory_by_open_calls(&mut self) -> Result<(), ScaleError> {
         const WORK: Duration = Duration::from_millis(900);
-        for size in self.extent.sizes_or(&[10, 100, 250, 500]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[10, 100, 250, 500]) {
+            for seed in self.options.seeds.clone() {
                 let backends = self.backends(BACKENDS, WORK).await?;
                 let registry = self.registry(listed(MEAN_SERVICE, &backends)).await?;
-                let daemon = self.daemon(&registry, seed, &patient).await?;
-                let mut out = JoinSet::new();
+                let daemon = self.daemon(&registry, seed, &raise_aims).await?;
+                let mut in_flight = JoinSet::new();
                 for n in 0..size {
                     let pool = Pool::new(daemon.listen);
-                    out.spawn(async move { pool.call().await });
-                    // Handshakes with one server are bounded.
+                    in_flight.spawn(async move { pool.send_request().await });
+                    // The sidecar limits concurrent handshakes with one server.
                     if n % 50 == 49 {
                         sleep(Duration::from_millis(20)).await;
                     }
@@ -189,30 +191,31 @@
                 let count = measurement("sidecar.server_connections", Unit::Count, "open_calls");
                 let load = self.watch([&daemon]).mean();
                 self.record(count, Point { size, seed }, held as f64, load)?;
-                while out.join_next().await.is_some() {}
+                while in_flight.join_next().await.is_some() {}
                 daemon.stop().await?;
             }
         }
         Ok(())
     }
 
-    /// By services called. A daemon balances over one list, so there is one daemon for each service: the sums of all.
+    /// Measures memory by the number of services. A daemon balances over one list, so there is one daemon per
+    /// service, and the values are sums over all daemons.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn memory_by_services(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[1, 5, 20, 60]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[1, 5, 20, 60]) {
+            for seed in self.options.seeds.clone() {
                 let backends = self.backends(BACKENDS, Duration::ZERO).await?;
                 let registry = self.registry(listed(MEAN_SERVICE, &backends)).await?;
-                let daemons = self.strangers(size, &registry, seed, &|_| {}).await?;
+                let daemons = self.independent_daemons(size, &registry, seed, &|_| {}).await?;
                 for daemon in &daemons {
-                    warm(daemon).await;
+                    warm_up(daemon).await;
                 }
-                sleep(SETTLE).await;
+                sleep(SETTLE_TIME).await;
                 let load = self.watch(&daemons);
                 let before = processor_time_of(&daemons)?;
-                sleep(self.extent.span).await;
+                sleep(self.options.span).await;
                 let used = processor_time_of(&daemons)? - before;
                 let each: Vec<_> = daemons.iter().filter_map(|d| memory(d.pid)).collect();
                 let resident: u64 = each.iter().map(|m| m.resident).sum();
@@ -221,7 +224,7 @@
                 let row = |name| measurement(name, Unit::Bytes, "services");
                 self.record(row(RESIDENT), at, resident as f64, load)?;
                 self.record(row(PROPORTIONAL), at, proportional as f64, load)?;
-                let rate = used.as_secs_f64() * 1e6 / self.extent.span.as_secs_f64();
+                let rate = used.as_secs_f64() * 1e6 / self.options.span.as_secs_f64();
                 let idle =
                     measurement("sidecar.processor.idle", Unit::MicrosecondsPerSecond, "services");
                 self.record(idle, at, rate, load)?;
@@ -232,13 +235,14 @@
     }
 }
 
-/// Processor time of some daemons in sum.
+/// The sum of the processor times of some daemons.
 pub fn processor_time_of(daemons: &[Daemon]) -> Result<Duration, ScaleError> {
     daemons.iter().map(Daemon::processor_time).sum()
 }
 
-/// Servers here take longer than a class wants by default; nothing is sent twice for that.
-fn patient(config: &mut Value) {
+/// Raises aims and deadlines, since the servers here are slower than a class's default aim and slow requests would be
+/// sent a second time.
+fn raise_aims(config: &mut Value) {
     for class in config["settings"]["classes"].as_array_mut().into_iter().flatten() {
         class["aim"] = json!(5_000_000);
         class["deadline"] = json!(6_000_000);
@@ -263,8 +267,8 @@
     config["settings"]["tenants"] = (0..count).map(tenant).collect();
 }
 
-/// Addresses at which nobody listens.
-fn nobody(count: usize, everyone: SocketAddr) -> Peers {
+/// Peers at addresses on which nothing listens.
+fn unreachable_peers(count: usize, everyone: SocketAddr) -> Peers {
     let SocketAddr::V4(base) = everyone else { return Peers { each: Vec::new(), everyone } };
     let second = base.ip().octets()[1];
     let at = |n: usize| {
--- a/crates/millethook-lab/src/scale/mod.rs
+++ b/crates/millethook-lab/src/scale/mod.rs
@@ -1,7 +1,7 @@
-//! Slopes: what one sidecar, server and discovery agent costs as the fleet around it grows.
+//! Measures the resource use of a sidecar, a server and a discovery agent as the fleet around it grows.
 //!
-//! Each measurement starts real daemons beside stand-ins, changes one size, and writes a [`Row`] for each size and
-//! seed. `docs/capacity/README.md` says how each file of rows is made.
+//! Each measurement starts real daemons together with stand-ins, varies one size, and writes a [`Row`] for each size
+//! and seed. `docs/capacity/README.md` says how each file of rows is made.
 
 mod backend;
 mod bench;
--- a/crates/millethook-lab/src/scale/process.rs
+++ b/crates/millethook-lab/src/scale/process.rs
@@ -1,4 +1,4 @@
-//! What processes use, as `/proc` tells it.
+//! Memory, processor time and threads of processes, read from `/proc`.
 
 use std::fs::read_to_string;
 use std::path::Path;
@@ -9,15 +9,15 @@
 /// Memory of a process, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Memory {
-    /// Resident, pages shared with other processes among it.
+    /// Resident memory, including pages shared with other processes.
     pub resident: u64,
-    /// Resident; a page that several processes share counts in proportion.
+    /// Resident memory; a shared page counts divided by the number of processes that share it.
     pub proportional: u64,
-    /// The most that was ever resident.
+    /// The peak of resident memory.
     pub peak: u64,
 }
 
-/// Reads the memory of a process; None: it has ended.
+/// Reads the memory of a process; `None` if it has ended.
 pub fn memory(pid: i32) -> Option<Memory> {
     let rollup = read_to_string(format!("/proc/{pid}/smaps_rollup")).ok()?;
     let status = read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -33,20 +33,20 @@
     rest.split_whitespace().next()?.parse().ok()
 }
 
-/// What the kernel's scheduler tells of a process: all its threads that live.
+/// The kernel scheduler's times of a process, summed over its live threads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Scheduled {
     /// Time on a core.
     pub ran: Duration,
-    /// Time in which it could have run and had no core.
+    /// Time in which it was runnable but had no core.
     pub waited: Duration,
 }
 
-/// Reads what the scheduler tells of a process; None: it has ended.
+/// Reads the scheduler's times of a process; `None` if it has ended.
 pub fn scheduled(pid: i32) -> Option<Scheduled> {
     let mut all = Scheduled::default();
     for task in std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten() {
-        // A thread may end between the listing and this.
+        // A thread may end after it was listed.
         let text = read_to_string(task.path().join("schedstat")).unwrap_or_default();
         let mut fields = text.split_whitespace().map_while(|field| field.parse::<u64>().ok());
         all.ran += Duration::from_nanos(fields.next().unwrap_or(0));
@@ -55,12 +55,12 @@
     Some(all)
 }
 
-/// Processor time of all threads of a process that live; None: it has ended.
+/// Processor time of all live threads of a process; `None` if it has ended.
 pub fn processor_time(pid: i32) -> Option<Duration> {
     Some(scheduled(pid)?.ran)
 }
 
-/// Threads of a process that run or want to.
+/// The number of running or runnable threads of a process.
 pub fn runnable_threads(pid: i32) -> usize {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{pid}/task")) else { return 0 };
     tasks.flatten().filter(|task| is_runnable(&task.path())).count()
@@ -68,11 +68,11 @@
 
 fn is_runnable(task: &Path) -> bool {
     let stat = read_to_string(task.join("stat")).unwrap_or_default();
-    // The name may hold blanks; it ends with the last parenthesis, and the state follows.
+    // The process name may contain blanks. It ends with the last parenthesis; the state follows.
     stat.rsplit_once(')').is_some_and(|(_, rest)| rest.trim_start().starts_with('R'))
 }
 
-/// The kind of this machine: its processor and how many cores may be used.
+/// Describes this machine: its processor model and the number of usable cores.
 pub fn machine() -> String {
     let text = read_to_string("/proc/cpuinfo").unwrap_or_default();
     let model = text.lines().find_map(|line| line.strip_prefix("model name"));
--- a/crates/millethook-lab/src/scale/registry.rs
+++ b/crates/millethook-lab/src/scale/registry.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery that holds lists of any length, and counts what it is asked and what it says.
+//! A stand-in for discovery that holds lists of any length and counts its requests and bytes.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,24 +16,24 @@
 use crate::timeline::Timeline;
 use crate::world::http::{Wire, answer};
 
-/// Changes that are remembered; who asks for more gets the whole list.
-const MAX_REMEMBERED: usize = 20_000;
+/// Number of changes that are kept. A request for older changes gets the whole list.
+const MAX_KEPT_CHANGES: usize = 20_000;
 
-/// A server in the list.
+/// A listed server.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
-    /// Its name follows from this.
+pub struct ListedServer {
+    /// Its number, which determines its name.
     pub number: usize,
-    /// Where it listens.
+    /// The address it listens on.
     pub dial: SocketAddr,
     /// Its zone.
     pub zone: usize,
 }
 
-/// What discovery was asked, and what it said.
+/// Requests to discovery and their bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Calls.
+    /// Requests.
     pub calls: u64,
     /// Bytes of HTTP in both directions.
     pub bytes: u64,
@@ -47,16 +47,16 @@
 
 struct State {
     version: u64,
-    /// The body of an answer with the whole list, once somebody has asked for it.
+    /// The cached body of an answer with the whole list, if it has been requested since the last change.
     whole: Option<Arc<str>>,
-    listed: Vec<Listed>,
-    /// Entries by the version that they came with, in order.
+    listed: Vec<ListedServer>,
+    /// Changed entries with the version of their change, in order.
     changes: VecDeque<(u64, Value)>,
 }
 
-/// The stand-in; it ends with this value.
+/// The stand-in for discovery, which stops when this value is dropped.
 pub struct Registry {
-    /// Where it is asked.
+    /// The address it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     task: AbortHandle,
@@ -65,25 +65,25 @@
 struct Shared {
     state: Mutex<State>,
     version: watch::Sender<u64>,
-    /// The lowest version that the last caller had.
-    asked_from: watch::Sender<u64>,
+    /// The version that the last requester already had.
+    requested_from: watch::Sender<u64>,
     counters: Counters,
     address: SocketAddr,
 }
 
 impl Registry {
-    /// One that lists these.
+    /// Starts a registry that lists these servers.
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub async fn start(at: SocketAddr, listed: Vec<Listed>) -> io::Result<Registry> {
+    pub async fn start(at: SocketAddr, listed: Vec<ListedServer>) -> io::Result<Registry> {
         let listener = TcpListener::bind(at).await?;
         let address = listener.local_addr()?;
         let state = State { version: 1, whole: None, listed, changes: VecDeque::default() };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
             version: watch::Sender::new(1),
-            asked_from: watch::Sender::new(0),
+            requested_from: watch::Sender::new(0),
             counters: Counters::default(),
             address,
         });
@@ -91,7 +91,7 @@
         Ok(Registry { address, shared, task })
     }
 
-    /// Counts so far.
+    /// Requests and bytes so far.
     pub fn traffic(&self) -> Traffic {
         let counters = &self.shared.counters;
         Traffic {
@@ -100,24 +100,24 @@
         }
     }
 
-    /// Lists servers, all in one change.
-    pub fn join(&self, servers: &[Listed]) -> u64 {
+    /// Adds servers to the list in one change. Returns the new version.
+    pub fn join(&self, servers: &[ListedServer]) -> u64 {
         self.change(servers, "active")
     }
 
-    /// Takes servers off the list, all in one change.
-    pub fn leave(&self, servers: &[Listed]) -> u64 {
+    /// Removes servers from the list in one change. Returns the new version.
+    pub fn leave(&self, servers: &[ListedServer]) -> u64 {
         self.change(servers, "left")
     }
 
-    /// Waits until a caller has this version.
-    pub async fn told(&self, version: u64) {
-        let mut asked_from = self.shared.asked_from.subscribe();
-        // The sender lives as long as this value.
-        let _ = asked_from.wait_for(|from| *from >= version).await;
+    /// Waits until a requester has this version.
+    pub async fn wait_until_received(&self, version: u64) {
+        let mut requested_from = self.shared.requested_from.subscribe();
+        // This cannot fail, since the sender lives as long as this value.
+        let _ = requested_from.wait_for(|from| *from >= version).await;
     }
 
-    fn change(&self, servers: &[Listed], health: &str) -> u64 {
+    fn change(&self, servers: &[ListedServer], health: &str) -> u64 {
         let mut state = self.shared.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.version += 1;
         let version = state.version;
@@ -129,7 +129,7 @@
         for server in servers {
             state.changes.push_back((version, host(server, health)));
         }
-        while state.changes.len() > MAX_REMEMBERED {
+        while state.changes.len() > MAX_KEPT_CHANGES {
             state.changes.pop_front();
         }
         state.whole = None;
@@ -155,13 +155,13 @@
         whole.clone()
     }
 
-    /// What to tell someone who has a version, or nothing yet.
+    /// The answer for a requester that has version `from`, or no list yet.
     fn body(&mut self, from: Option<u64>) -> Arc<str> {
         let oldest = self.changes.front().map_or(self.version + 1, |change| change.0);
         match from {
             Some(from) if from == self.version || from + 1 >= oldest => {
-                let news = self.changes.iter().filter(|change| change.0 > from);
-                let hosts: Vec<&Value> = news.map(|change| &change.1).collect();
+                let newer = self.changes.iter().filter(|change| change.0 > from);
+                let hosts: Vec<&Value> = newer.map(|change| &change.1).collect();
                 json!({"seq": self.version, "whole": false, "hosts": hosts}).to_string().into()
             }
             _ => self.whole(),
@@ -178,27 +178,27 @@
             };
             let shared = self.clone();
             tokio::spawn(async move {
-                // A caller that goes away ends its connection.
-                let _ = shared.talk(Wire::new(stream)).await;
+                // An error means that the requester closed its connection.
+                let _ = shared.serve_connection(Wire::new(stream)).await;
             });
         }
     }
 
-    async fn talk(&self, mut wire: Wire) -> io::Result<()> {
-        while let Some(call) = wire.request().await? {
-            let from = number(&call.target, "from=");
-            let hold = number(&call.target, "hold_ms=").unwrap_or(0).min(60_000);
+    async fn serve_connection(&self, mut wire: Wire) -> io::Result<()> {
+        while let Some(message) = wire.request().await? {
+            let from = number(&message.target, "from=");
+            let hold_ms = number(&message.target, "hold_ms=").unwrap_or(0).min(60_000);
             self.counters.calls.fetch_add(1, Ordering::Relaxed);
             if let Some(from) = from {
-                self.asked_from.send_replace(from);
+                self.requested_from.send_replace(from);
             }
             let body = tokio::select! {
-                body = self.body(from, Duration::from_millis(hold)) => body,
+                body = self.body(from, Duration::from_millis(hold_ms)) => body,
                 () = wire.ended() => return Ok(()),
             };
             let reply = answer("200 OK", "", &body);
-            // The head as the daemon's HTTP library writes it.
-            let head = format!("GET {} HTTP/1.1\r\nhost: {}\r\n\r\n", call.target, self.address);
+            // The request head as the daemon's HTTP library writes it.
+            let head = format!("GET {} HTTP/1.1\r\nhost: {}\r\n\r\n", message.target, self.address);
             let bytes = (head.len() + reply.len()) as u64;
             self.counters.bytes.fetch_add(bytes, Ordering::Relaxed);
             wire.send(reply.as_bytes()).await?;
@@ -206,12 +206,12 @@
         Ok(())
     }
 
-    /// What to say, as soon as there is news and at the end of the hold at the latest.
+    /// Returns the answer as soon as the list changes, or when the hold time ends.
     async fn body(&self, from: Option<u64>, hold: Duration) -> Arc<str> {
         let end = Instant::now() + hold;
         if let Some(from) = from {
             let mut versions = self.version.subscribe();
-            // No news within the hold is an answer, too.
+            // A timeout means that nothing changed, which is a valid answer.
             let _ = timeout_at(end, versions.wait_for(|version| *version != from)).await;
         }
         self.state.lock().unwrap_or_else(PoisonError::into_inner).body(from)
@@ -224,7 +224,7 @@
     digits.parse().ok()
 }
 
-fn host(server: &Listed, health: &str) -> Value {
+fn host(server: &ListedServer, health: &str) -> Value {
     json!({
         "host": format!("service-server-{:05}", server.number), "dial": server.dial.to_string(),
         "site": Timeline::zone_name(server.zone), "class": "std", "block": 0,
--- a/crates/millethook-lab/src/scale/row.rs
+++ b/crates/millethook-lab/src/scale/row.rs
@@ -1,4 +1,4 @@
-//! One measured value and how it was measured: a line of the CSV files in `docs/capacity/`.
+//! One measured value and how it was measured: a row of the CSV files in `docs/capacity/`.
 
 use std::fs::File;
 use std::io::Write;
@@ -8,74 +8,74 @@
 
 use super::ScaleError;
 
-/// What a value counts.
+/// The unit of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
-    /// Memory or payload.
+    /// Bytes of memory or payload.
     #[serde(rename = "bytes")]
     Bytes,
-    /// Microseconds, of processor time or of latency; the measurement's name says which.
+    /// Microseconds of processor time or of latency; the measurement's name says which.
     #[serde(rename = "us")]
     Microseconds,
-    /// Payload a second.
+    /// Bytes of payload per second.
     #[serde(rename = "bytes/s")]
     BytesPerSecond,
-    /// Microseconds of processor time a second.
+    /// Microseconds of processor time per second.
     #[serde(rename = "us/s")]
     MicrosecondsPerSecond,
     /// Milliseconds of wall time.
     #[serde(rename = "ms")]
     Milliseconds,
-    /// A number of things.
+    /// A number of objects or occurrences.
     #[serde(rename = "count")]
     Count,
 }
 
-/// What the value was measured on.
+/// How the value was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
     /// Real daemons.
     Processes,
-    /// State machines without a clients' side, on real sockets.
+    /// State machines without their client side, on real sockets.
     Hollow,
     /// State machines on a virtual clock.
     Virtual,
-    /// Worked out.
+    /// Computed from a model.
     Model,
 }
 
 /// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The stable dotted name, as `sidecar.memory.resident`.
+    /// The stable dotted name, such as `sidecar.memory.resident`.
     pub measurement: String,
-    /// What the value counts.
+    /// The unit of the value.
     pub unit: Unit,
-    /// What was varied, as `listed_servers`.
+    /// What was varied, such as `listed_servers`.
     pub size_of: String,
-    /// How many of them there were.
+    /// The number of what was varied.
     pub size: f64,
-    /// What random choices were drawn by.
+    /// The seed of random choices.
     pub seed: u64,
     /// The value.
     pub value: f64,
-    /// What it was measured on.
+    /// How the value was obtained.
     pub kind: Kind,
-    /// The kind of the machine and its cores.
+    /// The processor model and the number of cores.
     pub machine: String,
-    /// The mean number of runnable threads that were not the run's own.
+    /// The mean number of runnable threads of other programs.
     pub load: f64,
 }
 
-/// Writes rows to standard output, and to a file if there is one.
+/// Writes rows to standard output, and to a file if one is given.
 pub struct RowWriter {
     file: Option<csv::Writer<File>>,
     standard: csv::Writer<std::io::Stdout>,
 }
 
 impl RowWriter {
-    /// Appends to `file`, with a header if it is new.
+    /// Creates a writer that appends to `file`, with a header if the file is empty.
     ///
     /// # Errors
     /// The file cannot be opened.
@@ -84,10 +84,10 @@
         Ok(RowWriter { file, standard: csv::Writer::from_writer(std::io::stdout()) })
     }
 
-    /// Writes one row at once, so that an interrupted run keeps what it has.
+    /// Writes one row and flushes it, so that an interrupted run keeps its rows.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// The row cannot be written.
     pub fn write(&mut self, row: &Row) -> Result<(), ScaleError> {
         write_to(&mut self.standard, row)?;
         match &mut self.file {
--- a/crates/millethook-lab/src/scale/server.rs
+++ b/crates/millethook-lab/src/scale/server.rs
@@ -1,4 +1,4 @@
-//! What a server gets from many sidecars: connections held, handshakes, and how many come when a zone returns.
+//! Load on a server from many sidecars: open connections, handshakes, and the burst of handshakes when a zone returns.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -9,31 +9,32 @@
 use super::ScaleError;
 use super::backend::Backend;
 use super::bench::{Bench, Measurement, Point, ZONES, listed, measurement};
-use super::callers::{Calls, Pool};
+use super::callers::{Pool, RequestOutcomes};
 use super::daemon::{Daemon, stop_all};
-use super::registry::{Listed, Registry};
+use super::registry::{ListedServer, Registry};
 use super::row::Unit;
 use crate::plan::stream;
 
-/// Two in each zone: the mean service.
+/// Servers of the mean service, two in each zone.
 const SERVERS: usize = 12;
-/// Calls a second of each sidecar.
+/// Requests per second of each sidecar.
 const RATE: f64 = 10.0;
-/// Work of a call.
+/// Work of a request at a server.
 const WORK: Duration = Duration::from_millis(10);
-/// How long a zone's servers are off the list.
-const AWAY: Duration = Duration::from_secs(3);
+/// How long a zone's servers are removed from the list.
+const ZONE_ABSENCE: Duration = Duration::from_secs(3);
 const SECOND: Duration = Duration::from_secs(1);
 const SIZE_OF: &str = "sidecars";
 
 impl Bench {
-    /// A service of 12 servers in 6 zones, called by so many sidecars; one zone's servers leave the list and return.
+    /// Measures a service of 12 servers in 6 zones by the number of sidecars that use it. One zone's servers leave
+    /// the list and return.
     ///
     /// # Errors
     /// A part does not start.
     pub async fn servers(&mut self) -> Result<(), ScaleError> {
-        for size in self.extent.sizes_or(&[8, 30, 60, 120, 300]) {
-            for seed in self.extent.seeds.clone() {
+        for size in self.options.sizes_or(&[8, 30, 60, 120, 300]) {
+            for seed in self.options.seeds.clone() {
                 self.servers_of(Point { size, seed }).await?;
             }
         }
@@ -44,14 +45,18 @@
         let backends = self.backends(SERVERS, WORK).await?;
         let all = listed(SERVERS, &backends);
         let registry = self.registry(all.clone()).await?;
-        let daemons = self.strangers(at.size, &registry, at.seed, &|_| {}).await?;
+        let daemons = self.independent_daemons(at.size, &registry, at.seed, &|_| {}).await?;
         let load = self.watch(&daemons);
         // Warm-up, what is counted, and the zone's way out and back.
-        let mut callers =
-            call_all(&daemons, RATE, at.seed, SECOND + self.extent.span + AWAY + 3 * SECOND);
+        let mut callers = send_requests_through(
+            &daemons,
+            RATE,
+            at.seed,
+            SECOND + self.options.span + ZONE_ABSENCE + 3 * SECOND,
+        );
         sleep(SECOND).await;
         let before = accepted(&backends);
-        sleep(self.extent.span).await;
+        sleep(self.options.span).await;
         let steady: u64 =
             accepted(&backends).iter().zip(&before).map(|(now, then)| now - then).sum();
         let open: Vec<u64> =
@@ -59,21 +64,21 @@
         let zone = at.seed as usize % ZONES;
         let leaving: Vec<_> = all.iter().filter(|s| s.zone == zone).copied().collect();
         let first = zone_returns(&registry, &leaving, &backends).await;
-        let mut calls = Calls::default();
+        let mut outcomes = RequestOutcomes::default();
         while let Some(done) = callers.join_next().await {
-            calls.extend(done.unwrap_or_default());
+            outcomes.extend(done.unwrap_or_default());
         }
         let load = load.mean();
         let most = open.iter().max().copied().unwrap_or(0) as f64;
         let mean = open.iter().sum::<u64>() as f64 / SERVERS as f64;
-        let handshakes = steady as f64 / SERVERS as f64 / self.extent.span.as_secs_f64();
+        let handshakes = steady as f64 / SERVERS as f64 / self.options.span.as_secs_f64();
         self.record(count("server.connections.mean"), at, mean, load)?;
         self.record(count("server.connections.max"), at, most, load)?;
         self.record(count("server.handshakes_per_second.mean"), at, handshakes, load)?;
         let name = "server.zone_returns.handshakes_first_second";
         self.record(count(name), at, first as f64, load)?;
-        self.record(count("server.calls_failed"), at, calls.failed as f64, load)?;
-        let served = calls.times_us.len() as f64;
+        self.record(count("server.calls_failed"), at, outcomes.failed as f64, load)?;
+        let served = outcomes.times_us.len() as f64;
         self.record(count("server.calls_served"), at, served, load)?;
         stop_all(daemons).await
     }
@@ -83,13 +88,13 @@
     measurement(name, Unit::Count, SIZE_OF)
 }
 
-/// Calls through each daemon for a time, `rate` a second each.
-pub fn call_all<'a>(
+/// Starts sending `rate` requests per second through each daemon for `span`.
+pub fn send_requests_through<'a>(
     daemons: impl IntoIterator<Item = &'a Daemon>,
     rate: f64,
     seed: u64,
     span: Duration,
-) -> JoinSet<Calls> {
+) -> JoinSet<RequestOutcomes> {
     let mut callers = JoinSet::new();
     for (number, daemon) in daemons.into_iter().enumerate() {
         let pool = Pool::new(daemon.listen);
@@ -99,10 +104,11 @@
     callers
 }
 
-/// Takes these servers off the list for a while; the most handshakes that one of them gets in its first second back.
-async fn zone_returns(registry: &Registry, leaving: &[Listed], backends: &[Backend]) -> u64 {
+/// Removes these servers from the list for a while. Returns the most handshakes that one of them gets in the first
+/// second after its return.
+async fn zone_returns(registry: &Registry, leaving: &[ListedServer], backends: &[Backend]) -> u64 {
     registry.leave(leaving);
-    sleep(AWAY).await;
+    sleep(ZONE_ABSENCE).await;
     let before = accepted(backends);
     registry.join(leaving);
     sleep(SECOND).await;
--- a/crates/millethook-lab/src/scale/spinner.rs
+++ b/crates/millethook-lab/src/scale/spinner.rs
@@ -1,4 +1,4 @@
-//! A process that keeps one core busy for a bounded time.
+//! A process that keeps one core busy for a limited time.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
 use crate::world::daemon::{Exit, Launch, signal};
 use crate::world::machine;
 
-/// The name of the hidden command that spins.
+/// The name of the hidden command that keeps a core busy.
 pub const COMMAND: &str = "spin";
 
-/// Keeps the present core busy.
+/// Keeps one core busy for `span`.
 pub fn spin(span: Duration) {
     let end = Instant::now() + span;
     while Instant::now() < end {
@@ -21,29 +21,29 @@
     }
 }
 
-/// A spinning process; it ends with this value, and by itself after its time.
+/// A process that keeps a core busy. It is killed when this value is dropped, and exits by itself after its time.
 pub struct Spinner {
     pid: i32,
     exited: mpsc::UnboundedReceiver<Exit>,
 }
 
 impl Spinner {
-    /// Starts one with its log in `folder`. Has to run on the main thread.
+    /// Starts the process with its log in `folder`. Must be called on the main thread.
     ///
     /// # Errors
-    /// It does not start.
+    /// The process does not start.
     pub fn start(folder: PathBuf, span: Duration) -> Result<Spinner, ScaleError> {
         let program = std::env::current_exe().map_err(machine("this program's path"))?;
         let seconds = span.as_secs().to_string();
         let launch = Launch { program, args: vec![COMMAND.into(), seconds], folder };
         let (exits, exited) = mpsc::unbounded_channel();
-        // It reads no configuration.
+        // The process does not read a configuration.
         let config = launch.folder.join("none");
         let pid = launch.start(COMMAND, &config, None, exits).map_err(machine(COMMAND))?;
         Ok(Spinner { pid, exited })
     }
 
-    /// Its process.
+    /// The id of the process.
     pub fn pid(&self) -> i32 {
         self.pid
     }
@@ -51,9 +51,9 @@
 
 impl Drop for Spinner {
     fn drop(&mut self) {
-        // Once the exit was told the number may belong to another process.
+        // After the exit was reported, the id may belong to another process.
         if self.exited.try_recv().is_err() {
-            // It may be ending by itself.
+            // The signal fails if the process is exiting by itself.
             let _ = signal(self.pid, Signal::SIGKILL);
         }
     }
