--- a/crates/millethook-lab/examples/rogue.rs
+++ b/crates/millethook-lab/examples/rogue.rs
@@ -1,8 +1,8 @@
 //! A daemon that breaks one rule on purpose, to test that the lab's judges detect it. For tests only.
 //!
-//! It forwards each request to a server of discovery's list. Its argument names the fault: `twice`, `answers`, `foreign`,
-//! `loses`, `halves`, `late`, `after`, `refuses`, `drained`, `deaf` (it requests the list only once), `cold`, `dies`,
-//! `headers` (it sends the header with the time left twice). With `nothing` it behaves correctly.
+//! It forwards each request to a server of discovery's list. Its argument names the fault: `twice`, `answers`,
+//! `foreign`, `loses`, `halves`, `late`, `after`, `refuses`, `drained`, `deaf` (it requests the list only once),
+//! `cold`, `dies`, `headers` (it sends the header with the time left twice). With `nothing` it behaves correctly.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/millethook-lab/src/figures/distribution.rs
+++ b/crates/millethook-lab/src/figures/distribution.rs
@@ -69,7 +69,8 @@
             let of = |e: &&DocumentEvent| e.kind == *kind && e.version == published.version;
             events.iter().any(|event| of(&event))
         };
-        // A stopped version is in force nowhere. A version that a later one merged with comes into force as that later one.
+        // A stopped version is in force nowhere. A version that a later one merged with comes into force as that
+        // later one.
         if is(&Kind::Stopped) || publication.scope != "all" {
             continue;
         }
@@ -149,8 +150,8 @@
     let overlapping_ends = |spans: &[Span]| -> Vec<Micros> {
         spans.iter().filter(|s| s.0 < at && s.1 > from).map(|s| s.1).collect()
     };
-    // A restarted process applies documents before the lab has noticed that it is ready. A partitioned sidecar may be cut
-    // off from only some members and apply documents before the partition ends.
+    // A restarted process applies documents before the lab has noticed that it is ready. A partitioned sidecar may be
+    // cut off from only some members and apply documents before the partition ends.
     let returns = overlapping_ends(&away).into_iter().map(|span_end| span_end.min(at));
     let healed = overlapping_ends(&cut).into_iter().filter(|span_end| *span_end <= at);
     let from = returns.chain(healed).fold(from, Micros::max);
--- a/crates/millethook-lab/src/figures/events.rs
+++ b/crates/millethook-lab/src/figures/events.rs
@@ -37,12 +37,13 @@
     pub before: f64,
     /// The lowest share in a window of 1 s after it.
     pub worst: f64,
-    /// Seconds from its beginning until service was back at 95% of that before; `None` if it was not before the next event.
+    /// Seconds from its beginning until service was back at 95% of that before; `None` if it was not before the next
+    /// event.
     pub back_s: Option<f64>,
     /// The most arrivals at one server in 50 ms and in 250 ms, divided by the mean.
     pub herds: [f64; 2],
-    /// Seconds from its end until all running sidecars had the same, correct view; `None` if they had not before the next
-    /// event, or if there were no views.
+    /// Seconds from its end until all running sidecars had the same, correct view; `None` if they had not before the
+    /// next event, or if there were no views.
     #[serde(default)]
     pub view_agrees_s: Option<f64>,
     /// Seconds from its end until all running sidecars held the same evidence, if evidence is shared.
--- a/crates/millethook-lab/src/figures/expectations.rs
+++ b/crates/millethook-lab/src/figures/expectations.rs
@@ -73,8 +73,8 @@
     ]
 }
 
-/// Lists events after which the sidecars took longer than `limit` seconds to agree. Events that were followed by another
-/// event within the limit are skipped.
+/// Lists events after which the sidecars took longer than `limit` seconds to agree. Events that were followed by
+/// another event within the limit are skipped.
 fn late_agreements(figures: &Figures, name: &str, limit: f64, agreement: Agreement) -> Vec<String> {
     let next = figures.events.iter().skip(1).map(|e| e.at_s).chain([f64::INFINITY]);
     let late = (figures.events.iter().zip(next))
--- a/crates/millethook-lab/src/figures/trials.rs
+++ b/crates/millethook-lab/src/figures/trials.rs
@@ -40,9 +40,9 @@
     spans.into_values().collect()
 }
 
-/// Counts attempts that a server never answered, by sidecars that did not own its trial although another sidecar had owned
-/// it for at least a lease and 2 s. Attempts within that time of the beginning or end of an event do not count: in the
-/// minority side of a partition, for example, each sidecar tries by itself. Jobs of different servers are not
+/// Counts attempts that a server never answered, by sidecars that did not own its trial although another sidecar had
+/// owned it for at least a lease and 2 s. Attempts within that time of the beginning or end of an event do not count:
+/// in the minority side of a partition, for example, each sidecar tries by itself. Jobs of different servers are not
 /// distinguished, so the figure is meant for timelines with one unresponsive server and one zone.
 pub(super) fn trials_by_others(timeline: &Timeline, outcome: &Outcome) -> u64 {
     let settled = ((longest_lease_s(timeline) + AGREEMENT_MARGIN_S) * 1e6) as Micros;
--- a/crates/millethook-lab/tests/it/soak.rs
+++ b/crates/millethook-lab/tests/it/soak.rs
@@ -70,13 +70,14 @@
     }
 }
 
-/// Guards against overlapping events on one process or server: an event that hits it while it is down has no effect, and
-/// the judge would excuse faults that it must report.
+/// Guards against overlapping events on one process or server: an event that hits it while it is down has no effect,
+/// and the judge would excuse faults that it must report.
 #[test]
 fn no_process_or_server_is_ended_while_an_earlier_event_affects_it() {
     let affected_for_s = |event: &Event| match event.kind {
         EventKind::Pause | EventKind::Throttle => Some(event.for_s),
-        // All signals of a series go to one process. It becomes ready and ends once more before another event may hit it.
+        // All signals of a series go to one process. It becomes ready and ends once more before another event may hit
+        // it.
         EventKind::TerminateAtReady => Some(5.0),
         EventKind::Kill | EventKind::Crash => Some(event.back_after_s.unwrap_or(0.0) + 2.0),
         EventKind::Terminate => Some(event.over_s + event.back_after_s.unwrap_or(0.0) + 2.0),
