--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -108,8 +108,8 @@
             }
             // Its word is as old as the last renewal; without another one its lease is over.
             let other = known(doubt.job).filter(|(_, age)| mine.is_none() && *age < length);
-            let held = match lease.standing(now, doubt.job) {
-                Some(millethook_lease::Standing::Held(token, until)) => Some((token, until)),
+            let held = match lease.status(now, doubt.job) {
+                Some(millethook_lease::LeaseStatus::Held(token, until)) => Some((token, until)),
                 _ => other.map(|(token, age)| (token, now + length - age)),
             };
             match (mine, held) {
--- a/crates/millethook-lease/src/lease.rs
+++ b/crates/millethook-lease/src/lease.rs
@@ -20,7 +20,7 @@
 
 use crate::message::{LONGEST_LEASE, Record};
 use crate::mutant::{self, Mutant};
-use crate::owner::{Jobs, Standing};
+use crate::owner::{Jobs, LeaseStatus};
 use crate::seat::Seat;
 use crate::seats::Members;
 use crate::token::Token;
@@ -134,12 +134,12 @@
     }
 
     /// How this member stands to a job; None: it has not asked for it.
-    pub fn standing(&self, now: Micros, job: JobId) -> Option<Standing> {
+    pub fn status(&self, now: Micros, job: JobId) -> Option<LeaseStatus> {
         let wanted = self.jobs.get(&job)?;
         Some(match (&wanted.owned, wanted.held) {
-            (Some(owned), _) if now < owned.until => Standing::Owner(owned.token, owned.until),
-            (_, Some((token, until))) if now < until => Standing::Held(token, until),
-            _ => Standing::Waiting,
+            (Some(owned), _) if now < owned.until => LeaseStatus::Owner(owned.token, owned.until),
+            (_, Some((token, until))) if now < until => LeaseStatus::Held(token, until),
+            _ => LeaseStatus::Waiting,
         })
     }
 
--- a/crates/millethook-lease/src/lib.rs
+++ b/crates/millethook-lease/src/lib.rs
@@ -23,7 +23,7 @@
 
 pub use lease::{Config, Event, Figures, Lease, MAX_WANTED};
 pub use millethook_machine::{LONGEST, Micros, Violation};
-pub use owner::Standing;
+pub use owner::LeaseStatus;
 pub use seat::MAX_JOBS;
 pub use seats::{Member, Members};
 pub use token::{Fence, StaleToken, Token};
--- a/crates/millethook-lease/src/owner.rs
+++ b/crates/millethook-lease/src/owner.rs
@@ -9,7 +9,7 @@
 
 /// How a member stands to a job that it has asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseStatus {
     /// It has no lease, and knows of no other owner.
     Waiting,
     /// It owns the job under this token until this time at the latest.
--- a/crates/millethook-lease/tests/it/fleet.rs
+++ b/crates/millethook-lease/tests/it/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{Act, BORN, DRIFT, LEASE, MEMBERS, World};
 use millethook_lease::{
-    Config, Event, Fence, JobId, Lease, MAX_JOBS, Member, Members, Standing, Token,
+    Config, Event, Fence, JobId, Lease, LeaseStatus, MAX_JOBS, Member, Members, Token,
 };
 use millethook_machine::sim::SECOND;
 use proptest::prelude::*;
@@ -345,7 +345,7 @@
         asker.request(now, *job, LEASE, 0);
         asker.tick(now);
         exchange_with(now, &mut asker, &mut seat);
-        granted += usize::from(matches!(asker.standing(now, *job), Some(Standing::Owner(..))));
+        granted += usize::from(matches!(asker.status(now, *job), Some(LeaseStatus::Owner(..))));
         asker = Lease::new(Config { seats: 1, ..config(1, BORN) }, members(1), 0);
     }
     assert_eq!(granted, MAX_JOBS);
