--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -6,7 +6,7 @@
 use coppercart::api::{Health, Micros, Outcome, ServerEntry, ServerId};
 use millethook_lease::{JobId, Token};
 use millethook_replica::{
-    Departure, EntryValue, Figures, Key, ObservedOutcome, Replica, ReplicaConfig, Standing,
+    Departure, EntryValue, Figures, Key, ObservedOutcome, Replica, ReplicaConfig, ServerStatus,
 };
 use millethook_view::View;
 
@@ -26,11 +26,11 @@
 }
 
 /// A standing in the balancer's terms.
-fn told(standing: Standing) -> coppercart::api::Standing {
+fn told(standing: ServerStatus) -> coppercart::api::Standing {
     match standing {
-        Standing::Trusted => coppercart::api::Standing::Trusted,
-        Standing::Suspected => coppercart::api::Standing::Doubted,
-        Standing::Leaving => coppercart::api::Standing::Leaving,
+        ServerStatus::Trusted => coppercart::api::Standing::Trusted,
+        ServerStatus::Suspected => coppercart::api::Standing::Doubted,
+        ServerStatus::Leaving => coppercart::api::Standing::Leaving,
     }
 }
 
@@ -134,9 +134,9 @@
         loop {
             let event = self.replica.borrow_mut().poll_event();
             let Some(event) = event else { return };
-            also(ServerId(event.server), told(event.standing));
+            also(ServerId(event.server), told(event.status));
             if let Some(sink) = sink.as_deref() {
-                sink.stands(ServerId(event.server), told(event.standing));
+                sink.stands(ServerId(event.server), told(event.status));
             }
         }
     }
@@ -175,9 +175,9 @@
         for entry in entries.iter().filter(|_| self.shares) {
             let (server, epoch) = (entry.id.0, entry.started / 1_000);
             match entry.health {
-                Health::Ready => replica.listed(now, server, epoch),
+                Health::Ready => replica.on_server_listed(now, server, epoch),
                 Health::Draining => {
-                    replica.listed(now, server, epoch);
+                    replica.on_server_listed(now, server, epoch);
                     replica.on_departure(now, server, epoch, Departure::Leaving);
                 }
                 Health::Gone => replica.on_departure(now, server, epoch, Departure::Gone),
@@ -188,12 +188,12 @@
     /// The own list does not have these servers any more.
     pub fn unlisted(&self, servers: &[ServerId]) {
         let mut replica = self.replica.borrow_mut();
-        servers.iter().for_each(|server| replica.unlisted(server.0));
+        servers.iter().for_each(|server| replica.on_server_unlisted(server.0));
     }
 
     /// The standing of a server.
     pub fn standing(&self, server: ServerId) -> coppercart::api::Standing {
-        told(self.replica.borrow().standing(server.0))
+        told(self.replica.borrow().server_status(server.0))
     }
 
     /// Counts of the replica.
--- a/crates/millethook-replica/examples/ages.rs
+++ b/crates/millethook-replica/examples/ages.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::{BORN, SECOND, Sim};
-use millethook_replica::{Departure, ObservedOutcome, Standing};
+use millethook_replica::{Departure, ObservedOutcome, ServerStatus};
 
 fn seconds(of: Option<u64>) -> String {
     of.map_or("-".into(), |t| format!("{:.2}", t as f64 / SECOND as f64))
@@ -38,7 +38,7 @@
     let mut ages = [None; 3];
     for (age, share) in ages.iter_mut().zip([0.5, 0.99, 1.0]) {
         let wanted = (f64::from(size) * share).ceil() as usize;
-        let known = |sim: &Sim| sim.stand(1, Standing::Suspected) >= wanted;
+        let known = |sim: &Sim| sim.stand(1, ServerStatus::Suspected) >= wanted;
         *age = sim.run_until(8 * SECOND, known).map(|_| sim.now - begun);
     }
     let passed = (sim.now - begun).max(SECOND) as f64 / SECOND as f64;
--- a/crates/millethook-replica/src/lib.rs
+++ b/crates/millethook-replica/src/lib.rs
@@ -23,7 +23,7 @@
 pub use millethook_machine::codec::Malformed;
 #[cfg(feature = "mutants")]
 pub use mutant::{Mutant, become_mutant};
-pub use replica::{Event, Figures, Replica, ReplicaConfig, Standing, To};
+pub use replica::{Event, Figures, Replica, ReplicaConfig, ServerStatus, To};
 pub use store::{MAX_DEPARTURES, MAX_EDGES, MAX_EVIDENCE, MAX_JOBS};
 
 /// Microseconds.
--- a/crates/millethook-replica/src/replica.rs
+++ b/crates/millethook-replica/src/replica.rs
@@ -26,7 +26,7 @@
 use crate::{Epoch, Micros};
 
 pub use config::ReplicaConfig;
-pub use event::{Event, Standing, To};
+pub use event::{Event, ServerStatus, To};
 pub use figures::Figures;
 use receive::Agreement;
 use update_queue::UpdateQueue;
@@ -49,7 +49,7 @@
     /// Servers of the own list, with the epoch of the process of each.
     listed_servers: BTreeMap<u64, Epoch>,
     /// Servers that are not trusted.
-    standings: BTreeMap<u64, Standing>,
+    server_statuses: BTreeMap<u64, ServerStatus>,
     /// Entries that are still to be sent to others.
     updates: UpdateQueue,
     /// Counts own observations.
@@ -79,7 +79,7 @@
             store: Store::default(),
             attempt_monitor: AttemptMonitor::default(),
             listed_servers: BTreeMap::new(),
-            standings: BTreeMap::new(),
+            server_statuses: BTreeMap::new(),
             updates: UpdateQueue::default(),
             counter: 0,
             random,
@@ -106,7 +106,7 @@
         self.config.epoch = self.config.epoch.max(epoch);
     }
 
-    /// The next change of a server's standing, in order. If more than 1,024 wait, the oldest are lost.
+    /// The next change of a server's status, in order. If more than 1,024 wait, the oldest are lost.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
@@ -131,9 +131,9 @@
         self.store.get(key, now)
     }
 
-    /// The standing of a server.
-    pub fn standing(&self, server: u64) -> Standing {
-        self.standings.get(&server).copied().unwrap_or_default()
+    /// The status of a server.
+    pub fn server_status(&self, server: u64) -> ServerStatus {
+        self.server_statuses.get(&server).copied().unwrap_or_default()
     }
 
     /// The header of a message.
--- a/crates/millethook-replica/src/replica/check.rs
+++ b/crates/millethook-replica/src/replica/check.rs
@@ -27,7 +27,7 @@
         rule(ordered == positions, "what is told has one place in the order", &|| {
             format!("{ordered} and {positions}")
         })?;
-        for server in self.standings.keys() {
+        for server in self.server_statuses.keys() {
             rule(
                 self.listed_servers.contains_key(server),
                 "only listed servers stand for anything",
--- a/crates/millethook-replica/src/replica/event.rs
+++ b/crates/millethook-replica/src/replica/event.rs
@@ -1,4 +1,4 @@
-//! Receivers of messages, standings of servers, and events.
+//! Receivers of messages, server_statuses of servers, and events.
 
 /// The receiver of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 
 /// What the entries say together about a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerStatus {
     /// Nothing speaks against it.
     #[default]
     Trusted,
@@ -31,11 +31,11 @@
     Leaving,
 }
 
-/// The standing of a server has changed.
+/// The status of a server has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
     /// The server.
     pub server: u64,
-    /// Its new standing.
-    pub standing: Standing,
+    /// Its new status.
+    pub status: ServerStatus,
 }
--- a/crates/millethook-replica/src/replica/figures.rs
+++ b/crates/millethook-replica/src/replica/figures.rs
@@ -1,6 +1,6 @@
 //! Counts for monitoring.
 
-use super::{Replica, Standing};
+use super::{Replica, ServerStatus};
 
 /// Counts since the start, and present numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -22,7 +22,8 @@
 impl Replica {
     /// Counts since the start, and present numbers.
     pub fn figures(&self) -> Figures {
-        let suspected = self.standings.values().filter(|s| **s == Standing::Suspected).count();
+        let suspected =
+            self.server_statuses.values().filter(|s| **s == ServerStatus::Suspected).count();
         let (entries, crowded_out) = (self.store.len(), self.store.crowded_out);
         Figures { entries, crowded_out, suspected, ..self.figures }
     }
--- a/crates/millethook-replica/src/replica/gossip.rs
+++ b/crates/millethook-replica/src/replica/gossip.rs
@@ -25,7 +25,7 @@
             let end = now + key.life();
             self.next_expiry = Some(self.next_expiry.map_or(end, |at| at.min(end)));
             if let Some(server) = key.server() {
-                self.update_standing(server, now);
+                self.update_server_status(server, now);
             }
         }
         news
--- a/crates/millethook-replica/src/replica/servers.rs
+++ b/crates/millethook-replica/src/replica/servers.rs
@@ -1,6 +1,6 @@
-//! The servers of the own list, and the standing of each.
+//! The servers of the own list, and the status of each.
 
-use super::{Event, MAX_EVENTS, Replica, Standing};
+use super::{Event, MAX_EVENTS, Replica, ServerStatus};
 use crate::entry::{Departure, EntryValue, Key, Verdict};
 use crate::{Epoch, Micros};
 
@@ -11,7 +11,7 @@
 
 impl Replica {
     /// The own list has a server, whose process has this epoch; 0: not known.
-    pub fn listed(&mut self, now: Micros, server: u64, epoch: Epoch) {
+    pub fn on_server_listed(&mut self, now: Micros, server: u64, epoch: Epoch) {
         if !self.listed_servers.contains_key(&server)
             && self.listed_servers.len() >= MAX_LISTED_SERVERS
         {
@@ -20,14 +20,14 @@
         if self.listed_servers.insert(server, epoch).is_some_and(|before| before < epoch) {
             self.attempt_monitor.forget(server);
         }
-        self.update_standing(server, now);
+        self.update_server_status(server, now);
     }
 
     /// The own list does not have a server any more, and does not say why.
-    pub fn unlisted(&mut self, server: u64) {
+    pub fn on_server_unlisted(&mut self, server: u64) {
         self.listed_servers.remove(&server);
         self.attempt_monitor.forget(server);
-        self.standings.remove(&server);
+        self.server_statuses.remove(&server);
     }
 
     /// The own list says that a server leaves.
@@ -38,7 +38,7 @@
         let known = self.listed_servers.get(&server).is_some_and(|listed| *listed <= epoch);
         let later = self.store.get(key, now).is_some_and(|held| held.value >= value);
         if departure == Departure::Gone {
-            self.unlisted(server);
+            self.on_server_unlisted(server);
         }
         if known && !later {
             self.publish(key, value, now);
@@ -65,8 +65,8 @@
         (failures, answers)
     }
 
-    /// Works out the standing of a server anew, and queues an event if it has changed.
-    pub(super) fn update_standing(&mut self, server: u64, now: Micros) {
+    /// Works out the status of a server anew, and queues an event if it has changed.
+    pub(super) fn update_server_status(&mut self, server: u64, now: Micros) {
         let Some(&epoch) = self.listed_servers.get(&server) else { return };
         let departure = self.store.get(Key::Departure { server }, now);
         let leaves = departure.is_some_and(|held| {
@@ -76,17 +76,17 @@
         failures.sort_unstable();
         let answered = answers.into_iter().min().unwrap_or(Micros::MAX);
         let suspected = failures.get(MIN_FAILURE_REPORTS - 1).is_some_and(|age| *age < answered);
-        let standing = match (leaves, suspected) {
-            (true, _) => Standing::Leaving,
-            (_, true) => Standing::Suspected,
-            _ => Standing::Trusted,
+        let status = match (leaves, suspected) {
+            (true, _) => ServerStatus::Leaving,
+            (_, true) => ServerStatus::Suspected,
+            _ => ServerStatus::Trusted,
         };
-        let before = match standing {
-            Standing::Trusted => self.standings.remove(&server),
-            _ => self.standings.insert(server, standing),
+        let before = match status {
+            ServerStatus::Trusted => self.server_statuses.remove(&server),
+            _ => self.server_statuses.insert(server, status),
         };
-        if before.unwrap_or_default() != standing {
-            self.events.push_back(Event { server, standing });
+        if before.unwrap_or_default() != status {
+            self.events.push_back(Event { server, status });
             if self.events.len() > MAX_EVENTS {
                 self.events.pop_front();
             }
--- a/crates/millethook-replica/src/replica/tick.rs
+++ b/crates/millethook-replica/src/replica/tick.rs
@@ -32,7 +32,7 @@
     fn expire_entries(&mut self, now: Micros) {
         if self.next_expiry.is_some_and(|at| at <= now) {
             for server in self.store.expire(now) {
-                self.update_standing(server, now);
+                self.update_server_status(server, now);
             }
             self.next_expiry = self.store.next_expiry();
         }
--- a/crates/millethook-replica/tests/it/common/mod.rs
+++ b/crates/millethook-replica/tests/it/common/mod.rs
@@ -8,7 +8,7 @@
 use millethook_machine::Violation;
 pub use millethook_machine::sim::SECOND;
 use millethook_machine::sim::{Fleet, Machine};
-use millethook_replica::{Micros, ObservedOutcome, Replica, ReplicaConfig, Standing};
+use millethook_replica::{Micros, ObservedOutcome, Replica, ReplicaConfig, ServerStatus};
 
 /// Servers are numbered from 1 on; this is the process of each that is listed at first.
 pub const BORN: u64 = 1_700_000_000_000;
@@ -81,7 +81,7 @@
         let servers = self.servers;
         self.fleet.start(number, |now| {
             let mut replica = Replica::new(config, now);
-            (1..=servers).for_each(|server| replica.listed(now, server, BORN));
+            (1..=servers).for_each(|server| replica.on_server_listed(now, server, BORN));
             Held(replica)
         });
     }
@@ -148,7 +148,7 @@
     }
 
     /// How many take a server for this.
-    pub fn stand(&self, server: u64, standing: Standing) -> usize {
-        self.replicas().filter(|r| r.standing(server) == standing).count()
+    pub fn stand(&self, server: u64, status: ServerStatus) -> usize {
+        self.replicas().filter(|r| r.server_status(server) == status).count()
     }
 }
--- a/crates/millethook-replica/tests/it/fleet.rs
+++ b/crates/millethook-replica/tests/it/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{BORN, Held, SECOND, Sim};
 use millethook_replica::{
-    Departure, MAX_EVIDENCE, ObservedOutcome, Replica, ReplicaConfig, Standing,
+    Departure, MAX_EVIDENCE, ObservedOutcome, Replica, ReplicaConfig, ServerStatus,
 };
 use rand_core::RngCore;
 
@@ -11,15 +11,15 @@
     let mut sim = Sim::new(60, 4, 1);
     sim.end_two_attempts(7, 1, ObservedOutcome::TimedOut);
     sim.run(3 * SECOND);
-    assert_eq!(sim.stand(1, Standing::Suspected), 0, "one may be cut off, or lie");
+    assert_eq!(sim.stand(1, ServerStatus::Suspected), 0, "one may be cut off, or lie");
     sim.end_two_attempts(8, 1, ObservedOutcome::Broken);
-    let took = sim.run_until(2 * SECOND, |sim| sim.stand(1, Standing::Suspected) == 60);
+    let took = sim.run_until(2 * SECOND, |sim| sim.stand(1, ServerStatus::Suspected) == 60);
     assert!(took.is_some());
     // The first that is answered again takes the doubt from all.
     sim.run(SECOND);
     sim.end_two_attempts(30, 1, ObservedOutcome::Answered);
-    assert!(sim.run_until(2 * SECOND, |sim| sim.stand(1, Standing::Trusted) == 60).is_some());
-    assert_eq!(sim.stand(2, Standing::Trusted), 60);
+    assert!(sim.run_until(2 * SECOND, |sim| sim.stand(1, ServerStatus::Trusted) == 60).is_some());
+    assert_eq!(sim.stand(2, ServerStatus::Trusted), 60);
 }
 
 #[test]
@@ -32,7 +32,7 @@
     sim.run(SECOND);
     sim.passes = Box::new(|_, _| true);
     sim.run(5 * SECOND);
-    assert!((1..=12).all(|server| sim.stand(server, Standing::Suspected) == 0));
+    assert!((1..=12).all(|server| sim.stand(server, ServerStatus::Suspected) == 0));
 }
 
 #[test]
@@ -50,13 +50,13 @@
             seed: u64::from(n),
         };
         let mut replica = Replica::new(config, sim.now);
-        replica.listed(sim.now, 1, BORN);
+        replica.on_server_listed(sim.now, 1, BORN);
         sim.nodes[usize::from(n)].machine = Some(Held(replica));
     }
     sim.end_two_attempts(3, 1, ObservedOutcome::TimedOut);
     sim.end_two_attempts(4, 1, ObservedOutcome::TimedOut);
     sim.run(3 * SECOND);
-    assert_eq!(sim.stand(1, Standing::Suspected), 3, "those of zone 1 only");
+    assert_eq!(sim.stand(1, ServerStatus::Suspected), 3, "those of zone 1 only");
     assert!(sim.agree());
 }
 
@@ -68,16 +68,19 @@
     // Heard from one list before the others' say so.
     sim.with(5, |r, now| r.on_departure(now, 2, BORN, Departure::Leaving));
     sim.run(2 * SECOND);
-    assert_eq!((sim.stand(1, Standing::Suspected), sim.stand(2, Standing::Leaving)), (8, 8));
+    assert_eq!(
+        (sim.stand(1, ServerStatus::Suspected), sim.stand(2, ServerStatus::Leaving)),
+        (8, 8)
+    );
     for n in 0..8 {
         sim.with(n, |r, now| {
-            r.listed(now, 1, BORN + 5);
-            r.listed(now, 2, BORN + 5);
+            r.on_server_listed(now, 1, BORN + 5);
+            r.on_server_listed(now, 2, BORN + 5);
         });
     }
-    assert_eq!((sim.stand(1, Standing::Trusted), sim.stand(2, Standing::Trusted)), (8, 8));
+    assert_eq!((sim.stand(1, ServerStatus::Trusted), sim.stand(2, ServerStatus::Trusted)), (8, 8));
     sim.run(3 * SECOND);
-    assert_eq!((sim.stand(1, Standing::Trusted), sim.stand(2, Standing::Trusted)), (8, 8));
+    assert_eq!((sim.stand(1, ServerStatus::Trusted), sim.stand(2, ServerStatus::Trusted)), (8, 8));
 }
 
 #[test]
@@ -114,7 +117,7 @@
     let mut most = 0;
     for server in 1..=2_700u64 {
         for n in 0..4 {
-            sim.with(n, |r, now| r.listed(now, server, BORN));
+            sim.with(n, |r, now| r.on_server_listed(now, server, BORN));
         }
         sim.end_two_attempts(0, server, ObservedOutcome::Broken);
         sim.end_two_attempts(1, server, ObservedOutcome::Broken);
@@ -157,16 +160,16 @@
             seed: 1,
         };
         let mut forged = Replica::new(config, sim.now);
-        forged.listed(sim.now, 1, BORN);
+        forged.on_server_listed(sim.now, 1, BORN);
         forged.on_attempt_ended(sim.now, 1, sim.now - 10, ObservedOutcome::Broken);
         forged.on_attempt_ended(sim.now + 20, 1, sim.now + 15, ObservedOutcome::Broken);
         forged.send_state(sim.now, 5, 0, 1);
         let (_, content) = forged.poll_transmit().expect("a message");
         sim.with(5, |r, now| r.handle(now, 6, &content).expect("a message"));
     }
-    assert_eq!(sim.stand(1, Standing::Suspected), 1, "the one that was lied to");
+    assert_eq!(sim.stand(1, ServerStatus::Suspected), 1, "the one that was lied to");
     sim.run(3 * SECOND);
-    assert_eq!(sim.stand(1, Standing::Suspected), 0, "7 says that it has not said so");
+    assert_eq!(sim.stand(1, ServerStatus::Suspected), 0, "7 says that it has not said so");
 }
 
 #[test]
@@ -183,5 +186,8 @@
         });
     }
     sim.run(SECOND);
-    assert_eq!((sim.stand(1, Standing::Suspected), sim.stand(2, Standing::Trusted)), (8, 8));
+    assert_eq!(
+        (sim.stand(1, ServerStatus::Suspected), sim.stand(2, ServerStatus::Trusted)),
+        (8, 8)
+    );
 }
--- a/crates/millethook-replica/tests/it/golden.rs
+++ b/crates/millethook-replica/tests/it/golden.rs
@@ -51,8 +51,8 @@
     sim.run(2 * SECOND);
     sim.restart(3);
     sim.run(3 * SECOND);
-    sim.with(1, |replica, now| replica.listed(now, 1, BORN + 5));
-    sim.with(1, |replica, _| replica.unlisted(2));
+    sim.with(1, |replica, now| replica.on_server_listed(now, 1, BORN + 5));
+    sim.with(1, |replica, _| replica.on_server_unlisted(2));
     sim.run(20 * SECOND);
 }
 
@@ -78,7 +78,7 @@
         seed: 1,
     };
     let mut replica = Replica::new(config, SECOND);
-    (1..=12).for_each(|server| replica.listed(SECOND, server, BORN));
+    (1..=12).for_each(|server| replica.on_server_listed(SECOND, server, BORN));
     replica
 }
 
--- a/crates/millethook-replica/tests/it/laws.rs
+++ b/crates/millethook-replica/tests/it/laws.rs
@@ -100,7 +100,7 @@
     ) {
         let config = ReplicaConfig { me: 0, members: 4, epoch: BORN, zone: 0, period: SECOND, silence: SECOND / 2, seed: 1 };
         let mut replica = Replica::new(config, SECOND);
-        replica.listed(SECOND, 1, BORN);
+        replica.on_server_listed(SECOND, 1, BORN);
         for (mut content, kind) in contents.into_iter().zip(kinds) {
             if let Some(first) = content.first_mut() {
                 *first = kind;
