--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -57,14 +57,14 @@
             me,
             epoch,
             seats: settings.seats,
-            longest: settings.longest.as_micros() as Micros,
-            change: settings.change.as_micros() as Micros,
-            drift: settings.drift,
+            max_lease: settings.longest.as_micros() as Micros,
+            change_timeout: settings.change.as_micros() as Micros,
+            max_drift: settings.drift,
             seed,
         };
         let trials = settings.dead_servers.then(|| {
             let job = move |server| trial_job(zone, server);
-            RefCell::new(Trials::new(hold, config.longest, mix(seed ^ 0x7e57), Box::new(job)))
+            RefCell::new(Trials::new(hold, config.max_lease, mix(seed ^ 0x7e57), Box::new(job)))
         });
         Leases { lease: RefCell::new(Lease::new(config, members(count), now)), trials }
     }
--- a/crates/millethook-engine/tests/it/lease_budget.rs
+++ b/crates/millethook-engine/tests/it/lease_budget.rs
@@ -38,9 +38,9 @@
             me,
             epoch: 1_700_000_000_000 + now / 1_000,
             seats: 5,
-            longest: LONGEST,
-            change: 60 * S,
-            drift: 0.05,
+            max_lease: LONGEST,
+            change_timeout: 60 * S,
+            max_drift: 0.05,
             seed,
         };
         let mut lease = Lease::new(config, members, now);
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -59,9 +59,9 @@
             me: 0,
             epoch: 1,
             seats: 1,
-            longest: LEASE_LENGTH,
-            change: S,
-            drift: 0.01,
+            max_lease: LEASE_LENGTH,
+            change_timeout: S,
+            max_drift: 0.01,
             seed,
         };
         Sidecar {
--- a/crates/millethook-hollow/src/sidecar.rs
+++ b/crates/millethook-hollow/src/sidecar.rs
@@ -125,9 +125,9 @@
             me: number,
             epoch,
             seats: config.seats,
-            longest,
-            change: 3_600_000_000,
-            drift: 0.01,
+            max_lease: longest,
+            change_timeout: 3_600_000_000,
+            max_drift: 0.01,
             seed,
         };
         let mut lease = Lease::new(lease, Members::new(list), now);
--- a/crates/millethook-lease/examples/common/mod.rs
+++ b/crates/millethook-lease/examples/common/mod.rs
@@ -41,9 +41,9 @@
                 me: number,
                 epoch: 1_700_000_000_000 + u64::from(number),
                 seats: SEATS,
-                longest: LEASE,
-                change: 600 * SECOND,
-                drift: 0.01,
+                max_lease: LEASE,
+                change_timeout: 600 * SECOND,
+                max_drift: 0.01,
                 seed: fleet.below(u64::MAX),
             };
             let members = members.clone();
--- a/crates/millethook-lease/src/lease.rs
+++ b/crates/millethook-lease/src/lease.rs
@@ -73,21 +73,21 @@
     /// Starts a member. It grants nothing for one longest lease, since it does not know what the process before it
     /// granted.
     ///
-    /// `config.longest` is limited to 1 ms to 65 s, `config.drift` to 0 to 0.5.
+    /// `config.max_lease` is limited to 1 ms to 65 s, `config.max_drift` to 0 to 0.5.
     pub fn new(config: Config, members: Members, now: Micros) -> Lease {
-        let longest = config.longest.clamp(1_000, LONGEST_LEASE);
-        let drift = config.drift.clamp(0.0, 0.5);
-        let config = Config { longest, drift, seats: config.seats.max(1), ..config };
+        let max_lease = config.max_lease.clamp(1_000, LONGEST_LEASE);
+        let max_drift = config.max_drift.clamp(0.0, 0.5);
+        let config = Config { max_lease, max_drift, seats: config.seats.max(1), ..config };
         let mut random = Pcg32::seed_from_u64(mix(config.seed ^ u64::from(config.me)));
         Lease {
-            seat: Seat::new(config.epoch, now.saturating_add(longest)),
+            seat: Seat::new(config.epoch, now.saturating_add(max_lease)),
             members,
             earlier_members: Vec::new(),
             unknown_members_until: 0,
             members_unchanged: true,
             jobs: Jobs::new(),
             congested: false,
-            startup_until: now.saturating_add(longest),
+            startup_until: now.saturating_add(max_lease),
             final_messages: FinalMessages::default(),
             nonce: random.next_u32(),
             random,
--- a/crates/millethook-lease/src/lease/answers.rs
+++ b/crates/millethook-lease/src/lease/answers.rs
@@ -24,7 +24,7 @@
         note: impl FnOnce(&mut Round),
     ) {
         self.expire(now, job);
-        let (own, longest) = (self.members.id(), self.config.longest);
+        let (own, longest) = (self.members.id(), self.config.max_lease);
         let Some(wanted) = self.jobs.get_mut(&job) else { return };
         if members == own || wanted.earlier_seats.iter().any(|before| before.id == members) {
             wanted.note_members_of_seat(now, from, members, longest);
@@ -70,7 +70,7 @@
 
     /// A majority has granted the round: the lease runs from when its first claim was sent.
     pub(super) fn acquire_lease(&mut self, now: Micros, job: JobId, round: Round) {
-        let drift = if mutant::is(Mutant::NoDrift) { 0.0 } else { self.config.drift };
+        let drift = if mutant::is(Mutant::NoDrift) { 0.0 } else { self.config.max_drift };
         let random = u64::from(self.random.next_u32());
         let Some(wanted) = self.jobs.get_mut(&job) else { return };
         // Seats count from when they received the claim, which is later than when it was sent. The owner's clock may
--- a/crates/millethook-lease/src/lease/asking.rs
+++ b/crates/millethook-lease/src/lease/asking.rs
@@ -42,7 +42,7 @@
             return false;
         }
         let mut wanted = Wanted {
-            lease: lease.clamp(1_000, self.config.longest),
+            lease: lease.clamp(1_000, self.config.max_lease),
             seats: self.members.seats(job, self.config.seats),
             earlier_seats: Vec::new(),
             round: None,
--- a/crates/millethook-lease/src/lease/check.rs
+++ b/crates/millethook-lease/src/lease/check.rs
@@ -23,7 +23,7 @@
                 format!("{job:?}: {token} above {}", known.highest)
             })?;
             rule(
-                until <= now.saturating_add(self.config.longest),
+                until <= now.saturating_add(self.config.max_lease),
                 "a seat grants for the longest lease at most",
                 &|| format!("{job:?}: until {until}, now {now}"),
             )?;
--- a/crates/millethook-lease/src/lease/config.rs
+++ b/crates/millethook-lease/src/lease/config.rs
@@ -12,12 +12,12 @@
     /// Seats of each job: 3, 5 or 7. A majority of them grants a lease.
     pub seats: usize,
     /// The longest lease, in microseconds, 65 s at most. A process that has started grants nothing for this time.
-    pub longest: Micros,
+    pub max_lease: Micros,
     /// How long a replaced list of members counts at most, in microseconds. By then every member has to have the new
     /// one.
-    pub change: Micros,
+    pub change_timeout: Micros,
     /// The greatest difference between the speed of a clock and true time: 0.01 is one part in a hundred.
-    pub drift: f64,
+    pub max_drift: f64,
     /// The seed of the random waits.
     pub seed: u64,
 }
--- a/crates/millethook-lease/src/lease/members.rs
+++ b/crates/millethook-lease/src/lease/members.rs
@@ -29,7 +29,7 @@
             // What was asked by the list before counts no more.
             wanted.round = None;
         }
-        self.earlier_members.push((old, now.saturating_add(self.config.change)));
+        self.earlier_members.push((old, now.saturating_add(self.config.change_timeout)));
         true
     }
 
@@ -38,7 +38,7 @@
         !self.earlier_members.is_empty()
     }
 
-    /// Drops lists of members that were replaced longer than [`Config::change`](super::Config::change) ago.
+    /// Drops lists of members that were replaced longer than [`Config::change_timeout`](super::Config::change_timeout) ago.
     pub(super) fn forget_earlier_members(&mut self, now: Micros) {
         while let Some((list, _)) = self.earlier_members.first().filter(|(_, until)| *until <= now)
         {
--- a/crates/millethook-lease/src/lease/receive.rs
+++ b/crates/millethook-lease/src/lease/receive.rs
@@ -83,7 +83,7 @@
         self.figures.strangers += 1;
         let since = self.earlier_members.iter().any(|(list, _)| list.id() == members);
         if self.members_unchanged && !since {
-            self.unknown_members_until = now.saturating_add(self.config.longest);
+            self.unknown_members_until = now.saturating_add(self.config.max_lease);
         }
         false
     }
@@ -92,7 +92,7 @@
     fn answer_claim(&mut self, now: Micros, from: u16, claim: &Claim) {
         let Claim { job, nonce, token, lease } = *claim;
         let members = self.members.id();
-        let lease = lease.min(self.config.longest);
+        let lease = lease.min(self.config.max_lease);
         let message = match self.seat.claim(now, job, token, lease) {
             ClaimDecision::Granted => Message::Granted { nonce, members, token },
             ClaimDecision::Held(token, left) => Message::Held { nonce, members, token, left },
--- a/crates/millethook-lease/tests/it/common/mod.rs
+++ b/crates/millethook-lease/tests/it/common/mod.rs
@@ -153,9 +153,9 @@
             me: n,
             epoch,
             seats,
-            longest: LEASE,
-            change: 600 * SECOND,
-            drift: DRIFT,
+            max_lease: LEASE,
+            change_timeout: 600 * SECOND,
+            max_drift: DRIFT,
             seed,
         };
         let members = list(self.lists[usize::from(n)]);
--- a/crates/millethook-lease/tests/it/fleet.rs
+++ b/crates/millethook-lease/tests/it/fleet.rs
@@ -166,7 +166,15 @@
 }
 
 fn config(me: u16, epoch: u64) -> Config {
-    Config { me, epoch, seats: 3, longest: LEASE, change: 60 * SECOND, drift: 0.01, seed: 1 }
+    Config {
+        me,
+        epoch,
+        seats: 3,
+        max_lease: LEASE,
+        change_timeout: 60 * SECOND,
+        max_drift: 0.01,
+        seed: 1,
+    }
 }
 
 fn members(seed: u64) -> Members {
--- a/crates/millethook-lease/tests/it/golden.rs
+++ b/crates/millethook-lease/tests/it/golden.rs
@@ -79,9 +79,9 @@
                 me: 0,
                 epoch: BORN,
                 seats: 3,
-                longest: LEASE,
-                change: 60 * SECOND,
-                drift: 0.1,
+                max_lease: LEASE,
+                change_timeout: 60 * SECOND,
+                max_drift: 0.1,
                 seed: 1,
             };
             let mut lease = Lease::new(config, members.clone(), SECOND);
