--- a/crates/millethook-engine/src/leases.rs
+++ b/crates/millethook-engine/src/leases.rs
@@ -56,7 +56,7 @@
         let config = Config {
             me,
             epoch,
-            seats: settings.seats,
+            acceptors: settings.seats,
             max_lease: settings.longest.as_micros() as Micros,
             change_timeout: settings.change.as_micros() as Micros,
             max_drift: settings.drift,
--- a/crates/millethook-engine/tests/it/lease_budget.rs
+++ b/crates/millethook-engine/tests/it/lease_budget.rs
@@ -37,7 +37,7 @@
         let config = Config {
             me,
             epoch: 1_700_000_000_000 + now / 1_000,
-            seats: 5,
+            acceptors: 5,
             max_lease: LONGEST,
             change_timeout: 60 * S,
             max_drift: 0.05,
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -58,7 +58,7 @@
         let config = Config {
             me: 0,
             epoch: 1,
-            seats: 1,
+            acceptors: 1,
             max_lease: LEASE_LENGTH,
             change_timeout: S,
             max_drift: 0.01,
--- a/crates/millethook-hollow/src/sidecar.rs
+++ b/crates/millethook-hollow/src/sidecar.rs
@@ -124,7 +124,7 @@
         let lease = Config {
             me: number,
             epoch,
-            seats: config.seats,
+            acceptors: config.seats,
             max_lease: longest,
             change_timeout: 3_600_000_000,
             max_drift: 0.01,
--- a/crates/millethook-lease/examples/capacity.rs
+++ b/crates/millethook-lease/examples/capacity.rs
@@ -1,7 +1,7 @@
 //! What leases cost by jobs and members, as rows of `docs/capacity/lease.csv`:
 //! `cargo run --release -p millethook-lease --example capacity > docs/capacity/lease.csv`.
 //!
-//! Virtual clock, leases of 6 s, five seats, the daemon's budget for each member, datagrams of 1 to 4 ms, no loss. Each
+//! Virtual clock, leases of 6 s, five acceptors, the daemon's budget for each member, datagrams of 1 to 4 ms, no loss. Each
 //! job is wanted by three members. The one size that all rows grow with is the number of jobs for each member.
 
 mod common;
@@ -11,7 +11,7 @@
 use millethook_machine::hash::mix;
 use millethook_machine::sim::SECOND;
 
-/// What makes a job's candidates others than its seats, as `Members::rank` has it.
+/// What makes a job's candidates others than its acceptors, as `Members::rank` has it.
 const CANDIDATE: u64 = 0x0b;
 /// What one member may send in a second, as the virtual fleet has it.
 const BUDGET: f64 = 1_500.0;
@@ -44,7 +44,7 @@
     /// The members that come first for a job, as `Members::rank` has it, want it.
     fn want(&mut self) {
         for job in self.run.jobs.clone() {
-            let candidates = self.run.members.seats(JobId(mix(job.0 ^ CANDIDATE)), CANDIDATES);
+            let candidates = self.run.members.acceptors(JobId(mix(job.0 ^ CANDIDATE)), CANDIDATES);
             for (rank, number) in candidates.into_iter().enumerate() {
                 self.run.want(number, job, rank);
             }
@@ -120,7 +120,7 @@
     measurement.row(name, "s", "members", members, longest);
 }
 
-/// Members of the fleet whose memory is measured: all of a job's five seats and three candidates.
+/// Members of the fleet whose memory is measured: all of a job's five acceptors and three candidates.
 const FEW_MEMBERS: u16 = 8;
 /// Jobs whose memory is measured; a member wants 1,024 at most.
 const JOBS_IN_MEMORY: [u64; 4] = [250, 500, 1000, 2000];
--- a/crates/millethook-lease/examples/common/mod.rs
+++ b/crates/millethook-lease/examples/common/mod.rs
@@ -15,8 +15,8 @@
 
 /// The length of all leases.
 pub const LEASE: Micros = 6 * SECOND;
-/// Seats of a job.
-pub const SEATS: usize = 5;
+/// Acceptors of a job.
+pub const ACCEPTORS: usize = 5;
 /// Members that want a job; the others wait for one of these to be gone.
 pub const CANDIDATES: usize = 3;
 /// The next candidate waits so much longer before it claims a job.
@@ -40,7 +40,7 @@
             let config = Config {
                 me: number,
                 epoch: 1_700_000_000_000 + u64::from(number),
-                seats: SEATS,
+                acceptors: ACCEPTORS,
                 max_lease: LEASE,
                 change_timeout: 600 * SECOND,
                 max_drift: 0.01,
--- a/crates/millethook-lease/src/seat.rs
+++ b/crates/millethook-lease/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The seat's side: which claims are granted.
+//! The acceptor's side: which claims are granted.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 use crate::token::Token;
 use crate::{JobId, Micros};
 
-/// The most jobs that one seat keeps. Of more, jobs without a lease are forgotten; a lease never is.
+/// The most jobs that one acceptor keeps. Of more, jobs without a lease are forgotten; a lease never is.
 pub const MAX_JOBS: usize = 4096;
 
-/// What a seat knows of one job.
+/// What an acceptor knows of one job.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SeatJob {
+pub(crate) struct AcceptorJob {
     /// No token up to this one is granted again.
     pub highest: Token,
     /// The lease that was granted last, and its end.
     pub granted: Option<(Token, Micros)>,
 }
 
-/// What a seat answers to a claim.
+/// What an acceptor answers to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimDecision {
     /// The lease is granted, or renewed.
@@ -33,20 +33,20 @@
 
 /// The jobs that this member grants.
 #[derive(Clone, Debug)]
-pub(crate) struct Seat {
+pub(crate) struct Acceptor {
     /// Jobs of which something is known.
-    pub jobs: BTreeMap<JobId, SeatJob>,
+    pub jobs: BTreeMap<JobId, AcceptorJob>,
     /// The highest token of all jobs that are not in the table.
     pub floor: Token,
     /// Nothing is granted before. Leases that an earlier process granted have expired by then.
     pub silent_until: Micros,
 }
 
-impl Seat {
-    /// A seat that knows of no lease.
-    pub fn new(epoch: u64, silent_until: Micros) -> Seat {
+impl Acceptor {
+    /// An acceptor that knows of no lease.
+    pub fn new(epoch: u64, silent_until: Micros) -> Acceptor {
         let floor = Token { epoch, counter: 0, owner: 0 };
-        Seat { jobs: BTreeMap::new(), floor, silent_until }
+        Acceptor { jobs: BTreeMap::new(), floor, silent_until }
     }
 
     /// The highest token of a job that is known.
@@ -72,7 +72,8 @@
             return ClaimDecision::NoAnswer;
         }
         let floor = self.floor;
-        let job_state = self.jobs.entry(job).or_insert(SeatJob { highest: floor, granted: None });
+        let job_state =
+            self.jobs.entry(job).or_insert(AcceptorJob { highest: floor, granted: None });
         match job_state.granted.filter(|(_, until)| now < *until) {
             Some((mine, _)) if mine == token => {}
             Some((other, until)) if !mutant::is(Mutant::GrantsTwice) => {
--- a/crates/millethook-lease/src/lease.rs
+++ b/crates/millethook-lease/src/lease.rs
@@ -1,4 +1,4 @@
-//! The state machine of one member, which grants leases as a seat and asks for leases itself.
+//! The state machine of one member, which grants leases as an acceptor and asks for leases itself.
 
 mod answers;
 mod asking;
@@ -18,11 +18,11 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
+use crate::acceptor::Acceptor;
+use crate::membership::Members;
 use crate::message::{LONGEST_LEASE, Record};
 use crate::mutant::{self, Mutant};
 use crate::owner::{Jobs, LeaseStatus};
-use crate::seat::Seat;
-use crate::seats::Members;
 use crate::token::Token;
 use crate::{JobId, Micros};
 
@@ -38,7 +38,7 @@
 /// The most events that wait to be fetched; of more the oldest are dropped.
 const MAX_EVENTS: usize = 1024;
 
-/// One member of the fleet: it grants leases as a seat, and asks for leases on the jobs that it wants.
+/// One member of the fleet: it grants leases as an acceptor, and asks for leases on the jobs that it wants.
 ///
 /// [`Lease::request`] asks for a job, [`Lease::holds`] tells whether it is owned at this instant, [`Lease::handle`] takes
 /// messages of other members, and [`Lease::tick`] has to be called at [`Lease::poll_timeout`]. After each call
@@ -54,7 +54,7 @@
     unknown_members_until: Micros,
     /// The list of members has not changed since the start.
     members_unchanged: bool,
-    seat: Seat,
+    acceptor: Acceptor,
     jobs: Jobs,
     random: Pcg32,
     /// The budget for sending is short; see [`Lease::set_congested`].
@@ -77,10 +77,10 @@
     pub fn new(config: Config, members: Members, now: Micros) -> Lease {
         let max_lease = config.max_lease.clamp(1_000, LONGEST_LEASE);
         let max_drift = config.max_drift.clamp(0.0, 0.5);
-        let config = Config { max_lease, max_drift, seats: config.seats.max(1), ..config };
+        let config = Config { max_lease, max_drift, acceptors: config.acceptors.max(1), ..config };
         let mut random = Pcg32::seed_from_u64(mix(config.seed ^ u64::from(config.me)));
         Lease {
-            seat: Seat::new(config.epoch, now.saturating_add(max_lease)),
+            acceptor: Acceptor::new(config.epoch, now.saturating_add(max_lease)),
             members,
             earlier_members: Vec::new(),
             unknown_members_until: 0,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Tells whether the budget for sending is short. While it is, a round for a job that is not owned asks each seat
+    /// Tells whether the budget for sending is short. While it is, a round for a job that is not owned asks each acceptor
     /// once only, and three of four claims are put off whose round before has collided with those of others.
     pub fn set_congested(&mut self, congested: bool) {
         self.congested = congested;
@@ -158,7 +158,7 @@
         self.outgoing.append(to, &bytes);
     }
 
-    /// Hands a record to another member, or directly to the own seat.
+    /// Hands a record to another member, or directly to the own acceptor.
     fn deliver(&mut self, now: Micros, to: u16, record: Record) {
         if to == self.config.me {
             self.handle_record(now, to, record);
--- a/crates/millethook-lease/src/lease/answers.rs
+++ b/crates/millethook-lease/src/lease/answers.rs
@@ -1,4 +1,4 @@
-//! The owner's side: answers of seats, and the lease that follows from a majority of them.
+//! The owner's side: answers of acceptors, and the lease that follows from a majority of them.
 
 use rand_core::RngCore;
 
@@ -12,8 +12,8 @@
 const RENEW_AT_REMAINING: f64 = 2.0 / 3.0;
 
 impl Lease {
-    /// Takes the answer of a seat. `members` names the list that the seat goes by; `note` enters the answer into the
-    /// round with this `nonce`, if that one still runs and the sender is a seat of the job.
+    /// Takes the answer of an acceptor. `members` names the list that the acceptor goes by; `note` enters the answer into the
+    /// round with this `nonce`, if that one still runs and the sender is an acceptor of the job.
     pub(super) fn handle_answer(
         &mut self,
         now: Micros,
@@ -26,14 +26,14 @@
         self.expire(now, job);
         let (own, longest) = (self.members.id(), self.config.max_lease);
         let Some(wanted) = self.jobs.get_mut(&job) else { return };
-        if members == own || wanted.earlier_seats.iter().any(|before| before.id == members) {
-            wanted.note_members_of_seat(now, from, members, longest);
+        if members == own || wanted.earlier_acceptors.iter().any(|before| before.id == members) {
+            wanted.note_members_of_acceptor(now, from, members, longest);
         }
-        let seats = wanted.all_seats();
+        let acceptors = wanted.all_acceptors();
         let Some(round) = wanted.round.as_mut().filter(|round| round.nonce == nonce) else {
             return;
         };
-        if !seats.contains(&from) {
+        if !acceptors.contains(&from) {
             return;
         }
         round.answered.insert(from);
@@ -51,9 +51,9 @@
             }
             return;
         }
-        // Of several claims that have some seats each, none with a majority, the greatest token has its way, and the others
-        // give back at once what they have. Without this each would keep its seats until the end of its round, and all
-        // would fail, again and again where a seat is silent or datagrams are lost. Where the greater token is that of a
+        // Of several claims that have some acceptors each, none with a majority, the greatest token has its way, and the others
+        // give back at once what they have. Without this each would keep its acceptors until the end of its round, and all
+        // would fail, again and again where an acceptor is silent or datagrams are lost. Where the greater token is that of a
         // claim whose sender is gone, this one comes back with a token above it.
         let outbid = wanted.owned.is_none() && round.is_outbid();
         if !outbid && !wanted.quorum_impossible(round) {
@@ -73,7 +73,7 @@
         let drift = if mutant::is(Mutant::NoDrift) { 0.0 } else { self.config.max_drift };
         let random = u64::from(self.random.next_u32());
         let Some(wanted) = self.jobs.get_mut(&job) else { return };
-        // Seats count from when they received the claim, which is later than when it was sent. The owner's clock may
+        // Acceptors count from when they received the claim, which is later than when it was sent. The owner's clock may
         // be as much slower than true time, and theirs as much faster, as the bound on drift allows.
         let length = (wanted.lease as f64 * (1.0 - drift) / (1.0 + drift)) as Micros;
         let from = if mutant::is(Mutant::CountsFromAnswer) { now } else { round.started_at };
@@ -108,9 +108,9 @@
             wanted.round = None;
             wanted.unreleased_token = Some(owned.token);
             wanted.next_round_at = now;
-            let all_seats = wanted.all_seats();
+            let all_acceptors = wanted.all_acceptors();
             self.figures.lost += 1;
-            self.release_at_seats(job, &all_seats, owned.token);
+            self.release_at_acceptors(job, &all_acceptors, owned.token);
             self.push_event(Event::Lost(job, owned.token));
         }
     }
--- a/crates/millethook-lease/src/lease/asking.rs
+++ b/crates/millethook-lease/src/lease/asking.rs
@@ -1,4 +1,4 @@
-//! The owner's side: rounds of claims to the seats of a job, for a first lease and for each renewal.
+//! The owner's side: rounds of claims to the acceptors of a job, for a first lease and for each renewal.
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,11 @@
 use crate::token::Token;
 use crate::{JobId, Micros};
 
-/// The first wait, in microseconds, until seats that have not answered are asked again. It doubles with each attempt.
+/// The first wait, in microseconds, until acceptors that have not answered are asked again. It doubles with each attempt.
 const RETRY_INTERVAL: Micros = 250_000;
 /// A round fails after this share of the lease that it asks for.
 const ROUND_SHARE: f64 = 0.25;
-/// How often the wait for seats, and the wait after a failed round, doubles at most.
+/// How often the wait for acceptors, and the wait after a failed round, doubles at most.
 pub(super) const MAX_DOUBLINGS: u32 = 5;
 /// After a collision with a short budget, one claim in so many goes out.
 const ONE_CLAIM_IN: u32 = 4;
@@ -43,8 +43,8 @@
         }
         let mut wanted = Wanted {
             lease: lease.clamp(1_000, self.config.max_lease),
-            seats: self.members.seats(job, self.config.seats),
-            earlier_seats: Vec::new(),
+            acceptors: self.members.acceptors(job, self.config.acceptors),
+            earlier_acceptors: Vec::new(),
             round: None,
             owned: None,
             // Without the wait after a start, a process that started in the middle of a change of members, and so knows
@@ -59,20 +59,20 @@
             given_up: None,
         };
         for (before, _) in &self.earlier_members {
-            wanted.members_changed(job, self.config.seats, before, &self.members);
+            wanted.members_changed(job, self.config.acceptors, before, &self.members);
         }
         self.jobs.insert(job, wanted);
         true
     }
 
-    /// Starts a round: a claim to each seat, for a new lease or to renew the one that is held.
+    /// Starts a round: a claim to each acceptor, for a new lease or to renew the one that is held.
     pub(super) fn start_round(&mut self, now: Micros, job: JobId) {
         self.nonce = self.nonce.wrapping_add(1);
         let (nonce, me) = (self.nonce, self.config.me);
-        let floor = self.seat.highest(job);
+        let floor = self.acceptor.highest(job);
         let Some(wanted) = self.jobs.get_mut(&job) else { return };
         let owned = wanted.owned.as_ref().map(|owned| owned.token);
-        // After a collision where many want the job, such as the writer's, seats that are short of bytes could not answer all
+        // After a collision where many want the job, such as the writer's, acceptors that are short of bytes could not answer all
         // of them before their rounds end. Only a collision counts: a claim that collides with none is never put off.
         let crowded = wanted.collided && wanted.put_off < MAX_PUT_OFF;
         if owned.is_none()
@@ -104,7 +104,7 @@
         self.send_claims(now, job);
     }
 
-    /// Sends a claim to each seat that has not granted this round, and before it a release of the last token that
+    /// Sends a claim to each acceptor that has not granted this round, and before it a release of the last token that
     /// may still be granted there.
     pub(super) fn send_claims(&mut self, now: Micros, job: JobId) {
         let (members, congested) = (self.members.id(), self.congested);
@@ -115,11 +115,13 @@
         // twice more. Where a datagram of the one claim is lost, and the majority with it, the job waits for a round.
         let claims_once = congested && wanted.owned.is_none();
         let mut before = [0; MAX_EARLIER_LISTS];
-        before.iter_mut().zip(&wanted.earlier_seats).for_each(|(id, of)| *id = of.id);
-        let all_seats = wanted.all_seats();
+        before.iter_mut().zip(&wanted.earlier_acceptors).for_each(|(id, of)| *id = of.id);
+        let all_acceptors = wanted.all_acceptors();
         let Some(round) = &mut wanted.round else { return };
-        let open: Vec<u16> =
-            all_seats.into_iter().filter(|seat| !round.granted.contains(seat)).collect();
+        let open: Vec<u16> = all_acceptors
+            .into_iter()
+            .filter(|acceptor| !round.granted.contains(acceptor))
+            .collect();
         let retry_interval = RETRY_INTERVAL << round.attempts.min(MAX_DOUBLINGS);
         let longest_interval = round_length(lease);
         round.retry_at =
@@ -129,21 +131,21 @@
         let message = Message::Claim { nonce, members, before, token, lease };
         let unreleased_token =
             wanted.unreleased_token.filter(|unreleased_token| *unreleased_token != token);
-        for seat in open {
+        for acceptor in open {
             if let Some(token) = unreleased_token {
-                self.deliver(now, seat, Record { job, message: Message::Release { token } });
+                self.deliver(now, acceptor, Record { job, message: Message::Release { token } });
             }
-            self.deliver(now, seat, Record { job, message });
+            self.deliver(now, acceptor, Record { job, message });
         }
     }
 
-    /// Ends a round without a lease, and chooses when the next one starts. What seats have granted is released, unless
+    /// Ends a round without a lease, and chooses when the next one starts. What acceptors have granted is released, unless
     /// it renews a lease that is held.
     pub(super) fn fail_round(&mut self, now: Micros, job: JobId) {
         let random = u64::from(self.random.next_u32());
         let Some(wanted) = self.jobs.get_mut(&job) else { return };
         let Some(round) = wanted.round.take() else { return };
-        let all_seats = wanted.all_seats();
+        let all_acceptors = wanted.all_acceptors();
         let owned = wanted.owned.is_some();
         self.figures.failed += 1;
         let some = |of: Micros| of / 2 + random % (of / 2).max(1);
@@ -167,7 +169,7 @@
         wanted.held = owner.or(wanted.held);
         if !owned {
             wanted.unreleased_token = Some(round.token);
-            self.release_at_seats(job, &all_seats, round.token);
+            self.release_at_acceptors(job, &all_acceptors, round.token);
         }
         if let Some((token, _)) = owner {
             self.push_event(Event::Held(job, token));
--- a/crates/millethook-lease/src/lease/check.rs
+++ b/crates/millethook-lease/src/lease/check.rs
@@ -3,9 +3,9 @@
 use millethook_machine::Violation;
 
 use super::{Lease, MAX_WANTED};
+use crate::acceptor::MAX_JOBS;
 use crate::mutant::{self, Mutant};
 use crate::owner::is_majority;
-use crate::seat::MAX_JOBS;
 use crate::{Micros, Token};
 
 impl Lease {
@@ -16,26 +16,26 @@
     pub fn check(&self, now: Micros) -> Result<(), Violation> {
         let (rule, within) = (Violation::unless, Violation::unless_within);
         within(self.jobs.len(), MAX_WANTED, "wanted jobs are bounded")?;
-        within(self.seat.jobs.len(), MAX_JOBS, "granted jobs are bounded")?;
-        for (job, known) in &self.seat.jobs {
+        within(self.acceptor.jobs.len(), MAX_JOBS, "granted jobs are bounded")?;
+        for (job, known) in &self.acceptor.jobs {
             let Some((token, until)) = known.granted else { continue };
-            rule(token <= known.highest, "a seat knows the token that it granted", &|| {
+            rule(token <= known.highest, "an acceptor knows the token that it granted", &|| {
                 format!("{job:?}: {token} above {}", known.highest)
             })?;
             rule(
                 until <= now.saturating_add(self.config.max_lease),
-                "a seat grants for the longest lease at most",
+                "an acceptor grants for the longest lease at most",
                 &|| format!("{job:?}: until {until}, now {now}"),
             )?;
             rule(
-                now >= self.seat.silent_until
+                now >= self.acceptor.silent_until
                     || until <= now
-                    || self.seat.silent_until == Micros::MAX,
-                "a seat that has just started has granted nothing",
+                    || self.acceptor.silent_until == Micros::MAX,
+                "an acceptor that has just started has granted nothing",
                 &|| {
                     format!(
                         "{job:?}: {token} until {until}, silent until {}",
-                        self.seat.silent_until
+                        self.acceptor.silent_until
                     )
                 },
             )?;
@@ -53,7 +53,7 @@
             )?;
             rule(
                 mutant::is(Mutant::NoMajority) || granted_by_majority(wanted),
-                "an owner has a majority of some list's seats",
+                "an owner has a majority of some list's acceptors",
                 of,
             )?;
         }
@@ -61,10 +61,10 @@
     }
 }
 
-/// Whether a majority of the seats by some list has granted the lease that is held. After a change of members it is
-/// the seats of an earlier list that granted it.
+/// Whether a majority of the acceptors by some list has granted the lease that is held. After a change of members it is
+/// the acceptors of an earlier list that granted it.
 fn granted_by_majority(wanted: &crate::owner::Wanted) -> bool {
     let Some(owned) = &wanted.owned else { return true };
-    let before = wanted.earlier_seats.iter().any(|b| is_majority(&b.seats, &owned.by));
-    is_majority(&wanted.seats, &owned.by) || before
+    let before = wanted.earlier_acceptors.iter().any(|b| is_majority(&b.acceptors, &owned.by));
+    is_majority(&wanted.acceptors, &owned.by) || before
 }
--- a/crates/millethook-lease/src/lease/config.rs
+++ b/crates/millethook-lease/src/lease/config.rs
@@ -9,8 +9,8 @@
     pub me: u16,
     /// The epoch of this process: milliseconds of Unix time at its start.
     pub epoch: u64,
-    /// Seats of each job: 3, 5 or 7. A majority of them grants a lease.
-    pub seats: usize,
+    /// Acceptors of each job: 3, 5 or 7. A majority of them grants a lease.
+    pub acceptors: usize,
     /// The longest lease, in microseconds, 65 s at most. A process that has started grants nothing for this time.
     pub max_lease: Micros,
     /// How long a replaced list of members counts at most, in microseconds. By then every member has to have the new
--- a/crates/millethook-lease/src/lease/figures.rs
+++ b/crates/millethook-lease/src/lease/figures.rs
@@ -10,7 +10,7 @@
     pub owned: usize,
     /// Jobs that this member has asked for.
     pub wanted: usize,
-    /// Jobs for which this member, as a seat, has granted a lease that still runs.
+    /// Jobs for which this member, as an acceptor, has granted a lease that still runs.
     pub granting: usize,
     /// Leases that this member was granted; renewals do not count.
     pub granted: u64,
@@ -28,7 +28,7 @@
     /// Counts since the start, and present numbers.
     pub fn figures(&self, now: Micros) -> Figures {
         let owned = self.jobs.keys().filter(|job| self.holds(now, **job).is_some()).count();
-        let (wanted, granting) = (self.jobs.len(), self.seat.granted_jobs(now));
+        let (wanted, granting) = (self.jobs.len(), self.acceptor.granted_jobs(now));
         Figures { owned, wanted, granting, ..self.figures }
     }
 }
--- a/crates/millethook-lease/src/lease/members.rs
+++ b/crates/millethook-lease/src/lease/members.rs
@@ -2,15 +2,15 @@
 
 use super::Lease;
 use crate::Micros;
+use crate::membership::Members;
 use crate::message::MAX_EARLIER_LISTS;
-use crate::seats::Members;
 use crate::token::Token;
 
 impl Lease {
     /// Replaces the list of configured members.
     ///
-    /// Until the change is complete, a lease needs a majority of the seats by the list before and of those by the new
-    /// one. `unix_ms` is Unix time in milliseconds: seats that know nothing of a job go above all tokens that were
+    /// Until the change is complete, a lease needs a majority of the acceptors by the list before and of those by the new
+    /// one. `unix_ms` is Unix time in milliseconds: acceptors that know nothing of a job go above all tokens that were
     /// granted before.
     ///
     /// False: three earlier changes are not complete yet, and nothing has changed.
@@ -25,7 +25,7 @@
         self.members_unchanged = false;
         self.set_epoch(unix_ms);
         for (job, wanted) in &mut self.jobs {
-            wanted.members_changed(*job, self.config.seats, &old, &self.members);
+            wanted.members_changed(*job, self.config.acceptors, &old, &self.members);
             // What was asked by the list before counts no more.
             wanted.round = None;
         }
@@ -43,15 +43,17 @@
         while let Some((list, _)) = self.earlier_members.first().filter(|(_, until)| *until <= now)
         {
             let id = list.id();
-            self.jobs.values_mut().for_each(|wanted| wanted.earlier_seats.retain(|b| b.id != id));
+            self.jobs
+                .values_mut()
+                .for_each(|wanted| wanted.earlier_acceptors.retain(|b| b.id != id));
             self.earlier_members.remove(0);
         }
     }
 
-    /// Raises the epoch of this process (see `millethook_view`); tokens that its seat grants go above it.
+    /// Raises the epoch of this process (see `millethook_view`); tokens that its acceptor grants go above it.
     pub fn set_epoch(&mut self, epoch: u64) {
-        if epoch > self.seat.floor.epoch {
-            self.seat.floor = Token { epoch, counter: 0, owner: 0 };
+        if epoch > self.acceptor.floor.epoch {
+            self.acceptor.floor = Token { epoch, counter: 0, owner: 0 };
         }
     }
 }
--- a/crates/millethook-lease/src/lease/receive.rs
+++ b/crates/millethook-lease/src/lease/receive.rs
@@ -1,11 +1,11 @@
-//! Messages of other members: the seat answers claims, the owner takes answers.
+//! Messages of other members: the acceptor answers claims, the owner takes answers.
 
 use millethook_machine::codec::Reader;
 
 use super::Lease;
+use crate::acceptor::ClaimDecision;
 use crate::message::{Message, Record};
 use crate::mutant::{self, Mutant};
-use crate::seat::ClaimDecision;
 use crate::token::Token;
 use crate::{JobId, Micros};
 
@@ -56,8 +56,8 @@
                 let until = now.saturating_add(left);
                 self.handle_answer(now, from, job, nonce, members, |round| {
                     round.held_by.insert(from, (token, until));
-                    // Without this the seat is asked again only after a wait that doubles, and when that is over the round may
-                    // be, too: a job has no owner for rounds on end, though it is known when the seat is free.
+                    // Without this the acceptor is asked again only after a wait that doubles, and when that is over the round may
+                    // be, too: a job has no owner for rounds on end, though it is known when the acceptor is free.
                     round.retry_at = round.retry_at.min(until + 1);
                 });
                 self.observe_token(job, token);
@@ -66,14 +66,14 @@
                 self.observe_token(job, token);
                 self.handle_answer(now, from, job, nonce, members, |_| {});
             }
-            Message::Release { token } if token.owner == from => self.seat.release(job, token),
+            Message::Release { token } if token.owner == from => self.acceptor.release(job, token),
             Message::Release { .. } => self.figures.malformed += 1,
             Message::Invite { token } => self.handle_invitation(now, job, token),
         }
     }
     /// Whether a claim goes by the own list of members, or by one that its sender has since replaced by the own one.
     ///
-    /// A member that goes by another list has other seats, and two majorities of different seats need not share one.
+    /// A member that goes by another list has other acceptors, and two majorities of different acceptors need not share one.
     /// A claim by an unknown list is counted, and not answered.
     fn knows_members(&mut self, now: Micros, members: u32, before: &[u32]) -> bool {
         let own = self.members.id();
@@ -88,12 +88,12 @@
         false
     }
 
-    /// Answers a claim as a seat.
+    /// Answers a claim as an acceptor.
     fn answer_claim(&mut self, now: Micros, from: u16, claim: &Claim) {
         let Claim { job, nonce, token, lease } = *claim;
         let members = self.members.id();
         let lease = lease.min(self.config.max_lease);
-        let message = match self.seat.claim(now, job, token, lease) {
+        let message = match self.acceptor.claim(now, job, token, lease) {
             ClaimDecision::Granted => Message::Granted { nonce, members, token },
             ClaimDecision::Held(token, left) => Message::Held { nonce, members, token, left },
             ClaimDecision::TokenTooLow(token) => Message::TokenTooLow { nonce, members, token },
@@ -120,6 +120,6 @@
         if let Some(wanted) = self.jobs.get_mut(&job) {
             wanted.highest_token = wanted.highest_token.max(token);
         }
-        self.seat.observe_token(job, token);
+        self.acceptor.observe_token(job, token);
     }
 }
--- a/crates/millethook-lease/src/lease/release.rs
+++ b/crates/millethook-lease/src/lease/release.rs
@@ -33,7 +33,7 @@
         let token = wanted.owned.as_ref().map(|owned| owned.token);
         // A claim that is under way may have been granted somewhere.
         for token in [token, wanted.round.as_ref().map(|r| r.token)].into_iter().flatten() {
-            self.release_at_seats(job, &wanted.all_seats(), token);
+            self.release_at_acceptors(job, &wanted.all_acceptors(), token);
         }
         if let Some(token) = token {
             self.push_event(Event::Lost(job, token));
@@ -52,8 +52,9 @@
             let Some(owned) = &wanted.owned else { continue };
             let token = owned.token;
             let release = Record { job: *job, message: Message::Release { token } };
-            let seats = wanted.all_seats().into_iter().filter(|seat| *seat != self.config.me);
-            self.final_messages.records.extend(seats.map(|seat| (seat, release)));
+            let acceptors =
+                wanted.all_acceptors().into_iter().filter(|acceptor| *acceptor != self.config.me);
+            self.final_messages.records.extend(acceptors.map(|acceptor| (acceptor, release)));
             let invite = Record { job: *job, message: Message::Invite { token } };
             self.final_messages
                 .records
@@ -63,16 +64,16 @@
         self.final_messages.repeats_left = FINAL_REPEATS;
         jobs.into_iter().for_each(|job| self.release(now, job, successor(job)));
         // Leases that it has granted keep their time, but it grants no new ones.
-        self.seat.silent_until = Micros::MAX;
+        self.acceptor.silent_until = Micros::MAX;
     }
 
-    /// Tells seats that a token is not used any more.
-    pub(super) fn release_at_seats(&mut self, job: JobId, seats: &[u16], token: Token) {
-        for seat in seats {
-            if *seat == self.config.me {
-                self.seat.release(job, token);
+    /// Tells acceptors that a token is not used any more.
+    pub(super) fn release_at_acceptors(&mut self, job: JobId, acceptors: &[u16], token: Token) {
+        for acceptor in acceptors {
+            if *acceptor == self.config.me {
+                self.acceptor.release(job, token);
             } else {
-                self.send(*seat, Record { job, message: Message::Release { token } });
+                self.send(*acceptor, Record { job, message: Message::Release { token } });
             }
         }
     }
--- a/crates/millethook-lease/src/lib.rs
+++ b/crates/millethook-lease/src/lib.rs
@@ -1,6 +1,6 @@
 //! Leases: at most one owner at a time for each job of a fleet.
 //!
-//! A member owns a job after a majority of the job's seats has granted it a lease. Seats are drawn from the
+//! A member owns a job after a majority of the job's acceptors has granted it a lease. Acceptors are drawn from the
 //! *configured* members, never from the members that are thought to be alive, so the two sides of a network partition
 //! cannot both have a majority. No clock is compared with another: each process measures lengths of time, and the
 //! greatest difference in speed between clocks is part of the configuration (leases: Gray and Cheriton, SOSP 1989; by
@@ -13,19 +13,19 @@
 //! the process is suspended.
 #![forbid(unsafe_code)]
 
+mod acceptor;
 mod lease;
+mod membership;
 mod message;
 pub mod mutant;
 mod owner;
-mod seat;
-mod seats;
 mod token;
 
+pub use acceptor::MAX_JOBS;
 pub use lease::{Config, Event, Figures, Lease, MAX_WANTED};
+pub use membership::{Member, Members};
 pub use millethook_machine::{LONGEST, Micros, Violation};
 pub use owner::LeaseStatus;
-pub use seat::MAX_JOBS;
-pub use seats::{Member, Members};
 pub use token::{Fence, StaleToken, Token};
 
 /// The name of a job as a number: a hash that is the same at all sidecars.
--- a/crates/millethook-lease/src/seats.rs
+++ b/crates/millethook-lease/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which members are the seats of a job.
+//! Which members are the acceptors of a job.
 
 use millethook_machine::hash::{mix, weight};
 
@@ -39,9 +39,9 @@
         self.members.is_empty()
     }
 
-    /// The seats of a job: the `count` members with the greatest weights, or all if there are fewer (rendezvous
-    /// hashing). Different jobs have different seats, so that no member has to keep all jobs.
-    pub fn seats(&self, job: JobId, count: usize) -> Vec<u16> {
+    /// The acceptors of a job: the `count` members with the greatest weights, or all if there are fewer (rendezvous
+    /// hashing). Different jobs have different acceptors, so that no member has to keep all jobs.
+    pub fn acceptors(&self, job: JobId, count: usize) -> Vec<u16> {
         let of = |(n, member): (usize, &Member)| (weight(job.0, member.0), n as u16);
         let mut all: Vec<(u64, u16)> = self.members.iter().enumerate().map(of).collect();
         let count = count.min(all.len());
@@ -55,7 +55,7 @@
 
     /// How many of the `present` members come before `me` in the order in which members try to own the job.
     pub fn rank(&self, job: JobId, me: u16, present: impl Iterator<Item = u16>) -> usize {
-        // Another subject than that of the seats, so that owners are others than seats.
+        // Another subject than that of the acceptors, so that owners are others than acceptors.
         let subject = mix(job.0 ^ 0x0b);
         let of = |n: u16| (self.members.get(usize::from(n)).map_or(0, |m| weight(subject, m.0)), n);
         let mine = of(me);
--- a/crates/millethook-lease/src/mutant.rs
+++ b/crates/millethook-lease/src/mutant.rs
@@ -1,13 +1,13 @@
 //! Rules that tests remove one by one, to show that each is needed (`--features mutants`).
 
 millethook_machine::mutants! {
-    /// A seat that has just started grants at once.
+    /// An acceptor that has just started grants at once.
     NoSilence,
-    /// One seat less than a majority is enough.
+    /// One acceptor less than a majority is enough.
     NoMajority,
-    /// A seat grants what another one holds.
+    /// An acceptor grants what another one holds.
     GrantsTwice,
-    /// A seat takes a token that is no greater than one that it knows.
+    /// An acceptor takes a token that is no greater than one that it knows.
     TokensStay,
     /// An owner counts from when it was granted, not from when it asked.
     CountsFromAnswer,
@@ -15,7 +15,7 @@
     NoDrift,
     /// After a change of the members the old majority is not asked any more.
     OldMajorityForgotten,
-    /// A seat answers whoever asks, whatever members that one knows.
+    /// An acceptor answers whoever asks, whatever members that one knows.
     AnyMembers,
     /// What was given back can be granted again by a message that comes late.
     ReleasedComesBack,
--- a/crates/millethook-lease/src/token.rs
+++ b/crates/millethook-lease/src/token.rs
@@ -7,7 +7,7 @@
 /// The name of one lease. Of two leases of a job the later one has the greater token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token {
-    /// The epoch of some seat's process: milliseconds of Unix time at its start, 48 bits, raised above every epoch
+    /// The epoch of some acceptor's process: milliseconds of Unix time at its start, 48 bits, raised above every epoch
     /// that it has seen.
     pub epoch: u64,
     /// Counts leases and claims within the epoch.
--- a/crates/millethook-lease/tests/crash.rs
+++ b/crates/millethook-lease/tests/crash.rs
@@ -19,7 +19,7 @@
 
 /// So many jobs that renewals and the claims of waiting candidates use up the 1,500 B/s of each member.
 const SHORT_OF_BYTES: Scenario = Scenario { members: 60, jobs: 200, crashes: 3, loss: 0.0 };
-/// Some jobs lose their owner and a seat.
+/// Some jobs lose their owner and an acceptor.
 const LOSSY: Scenario = Scenario { members: 300, jobs: 300, crashes: 20, loss: 0.2 };
 
 /// A lease, and the time in which candidates ask for the job.
@@ -73,7 +73,7 @@
     }
 }
 
-/// Candidates kept some seats each until their rounds ended, all failed, and began again: 17 of 257 jobs had no owner
+/// Candidates kept some acceptors each until their rounds ended, all failed, and began again: 17 of 257 jobs had no owner
 /// for more than a lease and two seconds.
 #[test]
 fn at_a_fifth_loss_few_jobs_have_no_owner_for_more_than_a_lease_and_two_seconds() {
@@ -101,12 +101,12 @@
 }
 
 /// What was seen: 8.3 s without an owner where nothing is lost (seed 3). What happens: the owner had three of the five
-/// seats and was one of them. A member that came to want the job after the crash had the other two at once, and two named
+/// acceptors and was one of them. A member that came to want the job after the crash had the other two at once, and two named
 /// the end of the lease that was left, 5.3 s on. It asked them again after waits that double, and its rounds ended with
 /// the longest of these: the last question came 0.3 s before that lease ended, the next round 1 s after it. By then others
-/// had those seats, and nobody had three. What showed it: the claims of the job, with what each seat answered.
+/// had those acceptors, and nobody had three. What showed it: the claims of the job, with what each acceptor answered.
 #[test]
-fn a_seat_that_named_the_end_of_a_lease_is_asked_again_as_it_ends() {
+fn an_acceptor_that_named_the_end_of_a_lease_is_asked_again_as_it_ends() {
     for seed in 1..=16 {
         let mut run = Run::new(SMALL, u64::from(SMALL), seed, 0.0, false);
         want_all(&mut run);
--- a/crates/millethook-lease/tests/it/common/mod.rs
+++ b/crates/millethook-lease/tests/it/common/mod.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use worker::{Effect, Worker};
 
-/// Members; each is a process, and a seat of some jobs.
+/// Members; each is a process, and an acceptor of some jobs.
 pub const MEMBERS: u16 = 7;
 /// Jobs that scripts speak of.
 pub const JOBS: u64 = 2;
@@ -105,7 +105,7 @@
 /// The fleet, and what has come of its jobs.
 pub struct World {
     pub fleet: Fleet<Worker>,
-    seats: usize,
+    acceptors: usize,
     /// The list by which each member goes; the file that it reads at its start.
     lists: Vec<u8>,
     /// Of each job: the last token that was granted, and what guards its effects.
@@ -121,7 +121,7 @@
     pub fn new(seed: u64) -> World {
         let mut world = World {
             fleet: Fleet::new(MEMBERS, seed),
-            seats: if seed.is_multiple_of(2) { 5 } else { 3 },
+            acceptors: if seed.is_multiple_of(2) { 5 } else { 3 },
             lists: vec![0; usize::from(MEMBERS)],
             granted: BTreeMap::new(),
             fences: BTreeMap::new(),
@@ -148,11 +148,11 @@
 
     pub fn start(&mut self, n: u16) {
         let (epoch, seed) = (self.unix_ms(), self.fleet.below(u64::MAX));
-        let seats = self.seats;
+        let acceptors = self.acceptors;
         let config = Config {
             me: n,
             epoch,
-            seats,
+            acceptors,
             max_lease: LEASE,
             change_timeout: 600 * SECOND,
             max_drift: DRIFT,
--- a/crates/millethook-lease/tests/it/fleet.rs
+++ b/crates/millethook-lease/tests/it/fleet.rs
@@ -66,9 +66,9 @@
 }
 
 #[test]
-fn a_majority_of_seats_is_needed_and_enough() {
+fn a_majority_of_acceptors_is_needed_and_enough() {
     let mut world = owned(4);
-    // Five of seven members are seats; with four members gone three seats are left at the most, with six one.
+    // Five of seven members are acceptors; with four members gone three acceptors are left at the most, with six one.
     (1..MEMBERS).for_each(|n| world.act(&Act::Kill(n)));
     world.run(3 * LEASE);
     assert_eq!(world.owners(JOB), []);
@@ -103,7 +103,7 @@
 #[test]
 fn an_owner_whose_answers_are_lost_stops_in_time() {
     let mut world = owned(6);
-    // It hears nobody; all hear it: its seats go on granting what it does not know that it has.
+    // It hears nobody; all hear it: its acceptors go on granting what it does not know that it has.
     world.act(&Act::CutOneWay(!1, 1));
     world.run(LEASE);
     assert_eq!(world.owners(JOB), []);
@@ -169,7 +169,7 @@
     Config {
         me,
         epoch,
-        seats: 3,
+        acceptors: 3,
         max_lease: LEASE,
         change_timeout: 60 * SECOND,
         max_drift: 0.01,
@@ -207,7 +207,7 @@
     a.observe_token(JobId(1), stored);
     a.tick(now);
     exchange(now, &mut a, &mut b);
-    let token = a.holds(now, JobId(1)).expect("two of three seats");
+    let token = a.holds(now, JobId(1)).expect("two of three acceptors");
     assert!(token > stored);
     assert_eq!(Fence::at(stored).admit(token), Ok(()));
     assert_eq!(a.poll_event(), Some(Event::Granted(JobId(1), token)));
@@ -241,7 +241,7 @@
     }
 }
 
-/// An invitation can overtake the releases. Then the seats refuse the heir in the name of the lease that was given up, and
+/// An invitation can overtake the releases. Then the acceptors refuse the heir in the name of the lease that was given up, and
 /// the heir waited for its end: 4.8 s without an owner after a planned leave.
 #[test]
 fn an_heir_whose_invitation_overtakes_the_releases_claims_again_soon() {
@@ -250,7 +250,7 @@
     let now = 10 * LEASE;
     let list = Members::new((0..5).map(Member).collect());
     let mut members: Vec<Lease> = (0..5)
-        .map(|me| Lease::new(Config { seats: 5, ..config(me, BORN) }, list.clone(), 0))
+        .map(|me| Lease::new(Config { acceptors: 5, ..config(me, BORN) }, list.clone(), 0))
         .collect();
     members[usize::from(OWNER)].request(now, JobId(1), LEASE, 0);
     members[usize::from(OWNER)].tick(now);
@@ -259,11 +259,14 @@
     let heir = usize::from(HEIR);
     members[heir].request(now, JobId(1), LEASE, LEASE);
     members[usize::from(OWNER)].release(now, JobId(1), Some(HEIR));
-    // The owner's datagrams to others than the heir are late: three of five seats name the old token.
+    // The owner's datagrams to others than the heir are late: three of five acceptors name the old token.
     let mut late = deliver_all(now, &mut members, |_, to| to == HEIR);
     members[heir].tick(now);
     late.extend(deliver_all(now, &mut members, |from, _| from != OWNER));
-    assert!(members[heir].holds(now, JobId(1)).is_none(), "the seats have heard of the release");
+    assert!(
+        members[heir].holds(now, JobId(1)).is_none(),
+        "the acceptors have heard of the release"
+    );
     for (from, to, content) in late {
         members[usize::from(to)].handle(now, from, &content);
     }
@@ -292,8 +295,8 @@
     }
 }
 
-/// Claims that a member sends in `length` microseconds while no seat answers.
-fn claims_to_silent_seats(congested: bool, length: u64) -> usize {
+/// Claims that a member sends in `length` microseconds while no acceptor answers.
+fn claims_to_silent_acceptors(congested: bool, length: u64) -> usize {
     let begin = 10 * LEASE;
     let mut a = Lease::new(config(0, BORN), members(1), 0);
     a.set_congested(congested);
@@ -313,9 +316,11 @@
 const RELEASE_LENGTH: usize = 21;
 
 #[test]
-fn with_a_short_budget_silent_seats_are_asked_less() {
-    let (short, ample) =
-        (claims_to_silent_seats(true, 40 * LEASE), claims_to_silent_seats(false, 40 * LEASE));
+fn with_a_short_budget_silent_acceptors_are_asked_less() {
+    let (short, ample) = (
+        claims_to_silent_acceptors(true, 40 * LEASE),
+        claims_to_silent_acceptors(false, 40 * LEASE),
+    );
     assert!(short > 0 && 3 * short < 2 * ample, "{short} claims, {ample} with an ample budget");
 }
 
@@ -337,14 +342,14 @@
 }
 
 #[test]
-fn a_seat_keeps_what_it_has_granted_when_more_jobs_come_than_it_holds() {
+fn an_acceptor_keeps_what_it_has_granted_when_more_jobs_come_than_it_holds() {
     let now = 10 * LEASE;
-    let mut seat = Lease::new(config(0, BORN), members(1), 0);
-    let mut asker = Lease::new(Config { seats: 1, ..config(1, BORN) }, members(1), 0);
-    let mine = members(1).seats(JobId(0), 1)[0];
+    let mut acceptor = Lease::new(config(0, BORN), members(1), 0);
+    let mut asker = Lease::new(Config { acceptors: 1, ..config(1, BORN) }, members(1), 0);
+    let mine = members(1).acceptors(JobId(0), 1)[0];
     let jobs: Vec<JobId> = (0..)
         .map(JobId)
-        .filter(|job| members(1).seats(*job, 1)[0] == 0)
+        .filter(|job| members(1).acceptors(*job, 1)[0] == 0)
         .take(MAX_JOBS + 50)
         .collect();
     assert!(mine < 3);
@@ -352,20 +357,20 @@
     for job in &jobs {
         asker.request(now, *job, LEASE, 0);
         asker.tick(now);
-        exchange_with(now, &mut asker, &mut seat);
+        exchange_with(now, &mut asker, &mut acceptor);
         granted += usize::from(matches!(asker.status(now, *job), Some(LeaseStatus::Owner(..))));
-        asker = Lease::new(Config { seats: 1, ..config(1, BORN) }, members(1), 0);
+        asker = Lease::new(Config { acceptors: 1, ..config(1, BORN) }, members(1), 0);
     }
     assert_eq!(granted, MAX_JOBS);
-    assert_eq!(seat.check(now), Ok(()));
-    assert_eq!(seat.figures(now).granting, MAX_JOBS);
+    assert_eq!(acceptor.check(now), Ok(()));
+    assert_eq!(acceptor.figures(now).granting, MAX_JOBS);
 }
 
-fn exchange_with(now: u64, asker: &mut Lease, seat: &mut Lease) {
+fn exchange_with(now: u64, asker: &mut Lease, acceptor: &mut Lease) {
     while let Some((_, content)) = asker.poll_transmit() {
-        seat.handle(now, 1, &content);
+        acceptor.handle(now, 1, &content);
     }
-    while let Some((_, content)) = seat.poll_transmit() {
+    while let Some((_, content)) = acceptor.poll_transmit() {
         asker.handle(now, 0, &content);
     }
 }
--- a/crates/millethook-lease/tests/it/golden.rs
+++ b/crates/millethook-lease/tests/it/golden.rs
@@ -78,7 +78,7 @@
             let config = Config {
                 me: 0,
                 epoch: BORN,
-                seats: 3,
+                acceptors: 3,
                 max_lease: LEASE,
                 change_timeout: 60 * SECOND,
                 max_drift: 0.1,
