--- a/crates/millethook-lease/examples/capacity.rs
+++ b/crates/millethook-lease/examples/capacity.rs
@@ -1,8 +1,8 @@
-//! What leases cost by jobs and members, as rows of `docs/capacity/lease.csv`:
-//! `cargo run --release -p millethook-lease --example capacity > docs/capacity/lease.csv`.
+//! Measures the cost of leases by number of jobs and members, as rows of `docs/capacity/lease.csv`: `cargo run
+//! --release -p millethook-lease --example capacity > docs/capacity/lease.csv`.
 //!
-//! Virtual clock, leases of 6 s, five acceptors, the daemon's budget for each member, datagrams of 1 to 4 ms, no loss. Each
-//! job is wanted by three members. The one size that all rows grow with is the number of jobs for each member.
+//! Virtual clock, leases of 6 s, five acceptors, the daemon's budget for each member, datagrams of 1 to 4 ms, no loss.
+//! Each job is wanted by three members. All rows grow with one size, the number of jobs for each member.
 
 mod common;
 
@@ -11,57 +11,57 @@
 use millethook_machine::hash::mix;
 use millethook_machine::sim::SECOND;
 
-/// What makes a job's candidates others than its acceptors, as `Members::rank` has it.
+/// Hash input that makes a job's candidates differ from its acceptors, as in `Members::rank`.
 const CANDIDATE: u64 = 0x0b;
-/// What one member may send in a second, as the virtual fleet has it.
+/// Bytes per second that one member may send, as in the virtual fleet.
 const BUDGET: f64 = 1_500.0;
-/// A crash is played where members send no more than this in a second: the virtual fleet does not hold back what goes
-/// beyond the budget, so beyond that its times say nothing.
-const MOST_FOR_A_CRASH: f64 = 2.0 * BUDGET;
+/// A crash is simulated only where members send no more than this per second: the virtual fleet does not delay messages
+/// beyond the budget, so its times mean nothing above it.
+const MAX_RATE_FOR_CRASH: f64 = 2.0 * BUDGET;
 /// How long messages are counted, in seconds.
-const COUNTED: u64 = 20;
+const COUNTED_SECONDS: u64 = 20;
 const MEMBERS: [u16; 4] = [60, 300, 600, 1800];
 const JOBS: [u64; 3] = [60, 600, 6000];
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// One fleet, and the seed that it was made with.
+/// One fleet, and the seed that it was created with.
 struct Measurement {
     seed: u64,
     run: Run,
 }
 
 impl Measurement {
-    /// A fleet of `count` members that has had its jobs for three leases.
+    /// A fleet of `count` members whose jobs have been owned for three leases.
     fn settled(count: u16, jobs: u64, seed: u64) -> Measurement {
-        // Random load checks the rules elsewhere; here it would be most of the time.
+        // Random load checks the rules elsewhere; here checks would take most of the time.
         let run = Run::new(count, jobs, seed, 0.0, false);
         let mut measurement = Measurement { seed, run };
-        measurement.want();
+        measurement.request_jobs();
         measurement.run.fleet.run(3 * LEASE);
         measurement
     }
 
-    /// The members that come first for a job, as `Members::rank` has it, want it.
-    fn want(&mut self) {
+    /// The members that come first for a job in `Members::rank` request it.
+    fn request_jobs(&mut self) {
         for job in self.run.jobs.clone() {
             let candidates = self.run.members.acceptors(JobId(mix(job.0 ^ CANDIDATE)), CANDIDATES);
             for (rank, number) in candidates.into_iter().enumerate() {
-                self.run.want(number, job, rank);
+                self.run.request_job(number, job, rank);
             }
         }
     }
 
-    /// Bytes and datagrams that each member sends in a second.
+    /// Bytes and datagrams that each member sends per second.
     fn sent_in_a_second(&mut self) -> Vec<(f64, f64)> {
         let fleet = &mut self.run.fleet;
         let before: Vec<(u64, u64)> = fleet.nodes.iter().map(|node| node.sent).collect();
-        fleet.run(COUNTED * SECOND);
-        let rate = |now: u64, then: u64| (now - then) as f64 / COUNTED as f64;
+        fleet.run(COUNTED_SECONDS * SECOND);
+        let rate = |now: u64, then: u64| (now - then) as f64 / COUNTED_SECONDS as f64;
         let nodes = fleet.nodes.iter().zip(&before);
         nodes.map(|(node, b)| (rate(node.sent.0, b.0), rate(node.sent.1, b.1))).collect()
     }
 
-    /// Kills one owner; how long until each of its jobs has another, in seconds.
+    /// Kills one owner. Returns how long each of its jobs has no owner, in seconds.
     fn crash(&mut self) -> Vec<f64> {
         let owners = self.run.owners();
         let Some(dead) = owners.values().next().copied() else { return Vec::new() };
@@ -99,7 +99,7 @@
     measurement.row("lease bytes sent by the busiest member", "B/s", each, share, most);
     measurement.row("lease grants held by a seat", "grants", each, share, mean);
     measurement.row("lease grants held by the fullest seat", "grants", each, share, highest);
-    // Of one that is short of bytes, what it sends says nothing of what a job costs.
+    // Where members exceed the budget, the bytes that they send say nothing about the cost of a job.
     if bytes / members <= BUDGET {
         let of_one_job = |value: f64| value / jobs as f64;
         let (bytes, datagrams) = (of_one_job(bytes), of_one_job(datagrams));
@@ -107,7 +107,7 @@
         let name = "lease datagrams sent for one job";
         measurement.row(name, "datagrams/s", "members", members, datagrams);
     }
-    if bytes / members > MOST_FOR_A_CRASH {
+    if bytes / members > MAX_RATE_FOR_CRASH {
         return;
     }
     let took = measurement.crash();
@@ -120,12 +120,12 @@
     measurement.row(name, "s", "members", members, longest);
 }
 
-/// Members of the fleet whose memory is measured: all of a job's five acceptors and three candidates.
-const FEW_MEMBERS: u16 = 8;
-/// Jobs whose memory is measured; a member wants 1,024 at most.
+/// The members of the fleet whose memory is measured: all of a job's five acceptors and three candidates.
+const MEMORY_FLEET_MEMBERS: u16 = 8;
+/// Numbers of jobs whose memory is measured; a member requests 1,024 at most.
 const JOBS_IN_MEMORY: [u64; 4] = [250, 500, 1000, 2000];
 
-/// Resident memory of this process, in bytes. 0: the system does not tell.
+/// Resident memory of this process, in bytes. 0: the system does not report it.
 fn resident() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -133,14 +133,15 @@
     kilobytes.unwrap_or(0.0) * 1024.0
 }
 
-/// What all members together hold for so many jobs: wants, leases, grants, and the virtual fleet's own queue.
+/// Memory that all members together use for each number of jobs: requests, leases, grants, and the virtual fleet's own
+/// queue.
 fn measure_memory() {
-    // Kept until the end: memory that is free again would be used once more and not counted.
+    // Kept until the end: freed memory would be reused and not counted.
     let mut kept = Vec::new();
     for jobs in JOBS_IN_MEMORY {
         for seed in SEEDS {
             let before = resident();
-            let fleet = Measurement::settled(FEW_MEMBERS, jobs, seed);
+            let fleet = Measurement::settled(MEMORY_FLEET_MEMBERS, jobs, seed);
             let held = resident() - before;
             fleet.row("lease memory of all members", "bytes", "jobs", jobs as f64, held);
             kept.push(fleet);
@@ -148,7 +149,7 @@
     }
 }
 
-/// The only size to play, if the program is called with it: members and jobs.
+/// The single size to measure, if given as arguments: members and jobs.
 fn size_from_args() -> Option<(u16, u64)> {
     let mut arguments = std::env::args().skip(1);
     Some((arguments.next()?.parse().ok()?, arguments.next()?.parse().ok()?))
@@ -160,7 +161,7 @@
         SEEDS.into_iter().for_each(|seed| measure(count, jobs, seed));
         return;
     }
-    // First, while nothing has been freed that could be used again.
+    // First, while no memory has been freed that could be reused.
     measure_memory();
     for count in MEMBERS {
         for jobs in JOBS {
--- a/crates/millethook-lease/examples/common/mod.rs
+++ b/crates/millethook-lease/examples/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of leases on the virtual clock, as the examples that measure it need it.
+//! A fleet of leases on the virtual clock, for the examples that measure it.
 
 // Each example uses a part of it.
 #![allow(dead_code)]
@@ -15,11 +15,11 @@
 
 /// The length of all leases.
 pub const LEASE: Micros = 6 * SECOND;
-/// Acceptors of a job.
+/// The number of acceptors of a job.
 pub const ACCEPTORS: usize = 5;
-/// Members that want a job; the others wait for one of these to be gone.
+/// Members that request a job; the others wait until one of these is gone.
 pub const CANDIDATES: usize = 3;
-/// The next candidate waits so much longer before it claims a job.
+/// Each further candidate waits this much longer before it claims a job.
 const CANDIDATE_WAIT: Micros = SECOND / 4;
 
 /// A fleet and its jobs.
@@ -30,8 +30,8 @@
 }
 
 impl Run {
-    /// A fleet of `count` members that have run for one lease; nobody wants any of its jobs yet. `checked`: the
-    /// invariants of all members are checked after each step.
+    /// A fleet of `count` members that have run for one lease, without requested jobs. `checked`: the invariants of all
+    /// members are checked after each step.
     pub fn new(count: u16, jobs: u64, seed: u64, loss: f64, checked: bool) -> Run {
         let members = Members::new((0..u64::from(count)).map(|n| Member(mix(n + 1))).collect());
         let mut fleet = Fleet::new(count, seed);
@@ -57,8 +57,8 @@
         Run { fleet, members, jobs }
     }
 
-    /// The candidate of this rank wants a job.
-    pub fn want(&mut self, number: u16, job: JobId, rank: usize) {
+    /// The candidate of this rank requests a job.
+    pub fn request_job(&mut self, number: u16, job: JobId, rank: usize) {
         let wait = rank as Micros * CANDIDATE_WAIT;
         self.fleet.with(number, |member, now| member.lease.request(now, job, LEASE, wait));
     }
@@ -78,8 +78,8 @@
         owners
     }
 
-    /// Runs until each of these jobs has an owner, looked at every `interval`, for `longest` at most. How long it took
-    /// for each that has one, in seconds, in the order of the jobs' names.
+    /// Runs until each of these jobs has an owner, checked every `interval`, for `longest` at most. Returns how long it
+    /// took for each that has one, in seconds, in the order of job ids.
     pub fn until_owned(&mut self, jobs: &[JobId], interval: Micros, longest: Micros) -> Vec<f64> {
         let begin = self.fleet.now;
         let mut took: BTreeMap<JobId, Micros> = BTreeMap::new();
@@ -94,7 +94,7 @@
     }
 }
 
-/// The mean and the greatest of some values; 0 where there are none.
+/// The mean and the greatest of some values; 0 if there are none.
 pub fn mean_and_greatest(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     (mean, values.iter().copied().fold(0.0, f64::max))
--- a/crates/millethook-lease/examples/lease_scale.rs
+++ b/crates/millethook-lease/examples/lease_scale.rs
@@ -1,5 +1,5 @@
-//! What leases cost and how long a job is without an owner, by size: `cargo run --release -p millethook-lease --example
-//! lease_scale [SEED]` (7 if none is given). Datagrams take 1 to 4 ms; the budget of one process is the daemon's.
+//! Measures the cost of leases and how long a job has no owner, by size: `cargo run --release -p millethook-lease
+//! --example lease_scale [SEED]` (default 7). Datagrams take 1 to 4 ms; the budget of one process is the daemon's.
 
 mod common;
 
@@ -7,21 +7,21 @@
 use millethook_lease::JobId;
 use millethook_machine::sim::SECOND;
 
-/// How long jobs may be without an owner.
-const PATIENCE: u64 = 60 * SECOND;
+/// How long the program waits for jobs to have an owner.
+const MAX_UNOWNED: u64 = 60 * SECOND;
 /// The seed of the table in `docs/design/lease.md`.
 const DEFAULT_SEED: u64 = 7;
 
-/// A fleet that has had its jobs for three leases.
+/// A fleet whose jobs have been owned for three leases.
 fn settled(count: u16, jobs: u64, seed: u64, loss: f64) -> Run {
     let mut run = Run::new(count, jobs, seed, loss, true);
-    want(&mut run);
+    request_jobs(&mut run);
     run.fleet.run(3 * LEASE);
     run
 }
 
-/// The first that are there want each job.
-fn want(run: &mut Run) {
+/// For each job, the running members that come first in `Members::rank` request it.
+fn request_jobs(run: &mut Run) {
     let present: Vec<u16> = (0..run.members.len() as u16)
         .filter(|n| run.fleet.nodes[usize::from(*n)].machine.is_some())
         .collect();
@@ -29,15 +29,15 @@
         for n in present.iter().copied() {
             let rank = run.members.rank(job, n, present.iter().copied());
             if rank < CANDIDATES {
-                run.want(n, job, rank);
+                run.request_job(n, job, rank);
             }
         }
     }
 }
 
-/// How long each of these jobs is without an owner, in seconds: the mean and the longest.
+/// How long each of these jobs has no owner, in seconds: the mean and the longest.
 fn without_owner(run: &mut Run, jobs: &[JobId]) -> String {
-    let (mean, longest) = mean_and_greatest(&run.until_owned(jobs, SECOND / 100, PATIENCE));
+    let (mean, longest) = mean_and_greatest(&run.until_owned(jobs, SECOND / 100, MAX_UNOWNED));
     format!("{mean:.1}, {longest:.1}")
 }
 
@@ -70,11 +70,11 @@
                     .collect::<Vec<_>>(),
             );
             dead.iter().for_each(|n| run.fleet.kill(*n));
-            // Those that come next want it once the view has told them.
+            // The next candidates request the jobs after the view has reported the crash.
             run.fleet.run(SECOND / 100);
-            want(&mut run);
+            request_jobs(&mut run);
             let crash = without_owner(&mut run, &lost);
-            want(&mut run);
+            request_jobs(&mut run);
             run.fleet.run(2 * LEASE);
             let leaver = run.owners().into_iter().next();
             let Some((_, leaver)) = leaver else { continue };
--- a/crates/millethook-lease/examples/lease_search.rs
+++ b/crates/millethook-lease/examples/lease_search.rs
@@ -1,5 +1,5 @@
-//! The search in its long form: `cargo run --release -p millethook-lease --example lease_search -- 100000`. Prints the
-//! shortest script of what it finds, and the seed that finds it again.
+//! The long form of the random search: `cargo run --release -p millethook-lease --example lease_search -- 100000`.
+//! Prints the shortest script that finds a violation, and the seed that reproduces it.
 
 #[path = "../tests/it/common/mod.rs"]
 mod common;
--- a/crates/millethook-lease/src/acceptor.rs
+++ b/crates/millethook-lease/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor's side: which claims are granted.
+//! The acceptor: which claims are granted.
 
 use std::collections::BTreeMap;
 
@@ -6,55 +6,55 @@
 use crate::token::Token;
 use crate::{JobId, Micros};
 
-/// The most jobs that one acceptor keeps. Of more, jobs without a lease are forgotten; a lease never is.
+/// The maximum number of jobs in an acceptor's table. Beyond it, jobs without a lease are dropped; a lease never is.
 pub const MAX_JOBS: usize = 4096;
 
-/// What an acceptor knows of one job.
+/// An acceptor's state of one job.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AcceptorJob {
-    /// No token up to this one is granted again.
+    /// The highest known token. No token up to this one is granted again.
     pub highest: Token,
     /// The lease that was granted last, and its end.
     pub granted: Option<(Token, Micros)>,
 }
 
-/// What an acceptor answers to a claim.
+/// An acceptor's answer to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimDecision {
     /// The lease is granted, or renewed.
     Granted,
-    /// Another token holds the job for so many microseconds.
+    /// Another token holds the job for this many microseconds.
     Held(Token, Micros),
     /// This higher token is known.
     TokenTooLow(Token),
-    /// Nothing is answered: the process has just started, or its table is full.
+    /// No answer: the process has just started, or its table is full.
     NoAnswer,
 }
 
-/// The jobs that this member grants.
+/// The leases that this member has granted.
 #[derive(Clone, Debug)]
 pub(crate) struct Acceptor {
-    /// Jobs of which something is known.
+    /// The jobs with known state.
     pub jobs: BTreeMap<JobId, AcceptorJob>,
     /// The highest token of all jobs that are not in the table.
     pub floor: Token,
-    /// Nothing is granted before. Leases that an earlier process granted have expired by then.
+    /// Nothing is granted before this time. Leases that an earlier process granted have expired by then.
     pub silent_until: Micros,
 }
 
 impl Acceptor {
-    /// An acceptor that knows of no lease.
+    /// An acceptor without any known lease.
     pub fn new(epoch: u64, silent_until: Micros) -> Acceptor {
         let floor = Token { epoch, counter: 0, owner: 0 };
         Acceptor { jobs: BTreeMap::new(), floor, silent_until }
     }
 
-    /// The highest token of a job that is known.
+    /// The highest known token of a job.
     pub fn highest(&self, job: JobId) -> Token {
         self.jobs.get(&job).map_or(self.floor, |job_state| job_state.highest)
     }
 
-    /// Notes a token that was seen elsewhere: nothing below it is granted from now on.
+    /// Records a token that was seen elsewhere: no lower token is granted from now on.
     pub fn observe_token(&mut self, job: JobId, token: Token) {
         if let Some(job_state) = self.jobs.get_mut(&job) {
             job_state.highest = job_state.highest.max(token);
@@ -64,7 +64,7 @@
     /// Decides on a claim for `lease` microseconds.
     pub fn claim(&mut self, now: Micros, job: JobId, token: Token, lease: Micros) -> ClaimDecision {
         if now < self.silent_until && !mutant::is(Mutant::NoSilence) {
-            // Renewals that come in this time tell how high tokens are, even if the own clock was set back.
+            // Renewals that arrive in this time show how high tokens are, even if the own clock was set back.
             self.floor = self.floor.max(token);
             return ClaimDecision::NoAnswer;
         }
@@ -75,16 +75,16 @@
         let job_state =
             self.jobs.entry(job).or_insert(AcceptorJob { highest: floor, granted: None });
         match job_state.granted.filter(|(_, until)| now < *until) {
-            Some((mine, _)) if mine == token => {}
+            Some((held, _)) if held == token => {}
             Some((other, until)) if !mutant::is(Mutant::GrantsTwice) => {
                 return ClaimDecision::Held(other, until - now);
             }
             _ => {
-                // The same token again is a renewal, even if it comes after the lease has expired here, as long as no
-                // other token came between.
-                let renewed_late =
+                // The same token again is a renewal, even after the lease has expired here, as long as no other token
+                // was granted in between.
+                let late_renewal =
                     job_state.granted.is_some_and(|(t, _)| t == token && t == job_state.highest);
-                if token <= job_state.highest && !renewed_late && !mutant::is(Mutant::TokensStay) {
+                if token <= job_state.highest && !late_renewal && !mutant::is(Mutant::TokensStay) {
                     return ClaimDecision::TokenTooLow(job_state.highest);
                 }
             }
@@ -94,8 +94,8 @@
         ClaimDecision::Granted
     }
 
-    /// Ends the lease with this token. The token itself is not granted again, because a claim with it may still be on
-    /// its way.
+    /// Ends the lease with this token. The token itself is not granted again, because a claim with it may still be in
+    /// transit.
     pub fn release(&mut self, job: JobId, token: Token) {
         if let Some(job_state) = self.jobs.get_mut(&job)
             && job_state.granted.is_some_and(|(granted, _)| granted == token)
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether there is room for one more job. Jobs without a lease are forgotten; the floor keeps their tokens.
+    /// Whether there is room for one more job. Jobs without a lease are dropped; the floor keeps their tokens.
     fn make_room(&mut self, now: Micros) -> bool {
         if self.jobs.len() < MAX_JOBS {
             return true;
@@ -125,7 +125,7 @@
         self.jobs.len() < MAX_JOBS
     }
 
-    /// Jobs with a lease that still runs.
+    /// The number of jobs with a lease that has not expired.
     pub fn granted_jobs(&self, now: Micros) -> usize {
         self.jobs.values().filter(|j| j.granted.is_some_and(|(_, until)| now < until)).count()
     }
--- a/crates/millethook-lease/src/lease/check.rs
+++ b/crates/millethook-lease/src/lease/check.rs
@@ -2,7 +2,7 @@
 
 use millethook_machine::Violation;
 
-use super::{Lease, MAX_WANTED};
+use super::{Lease, MAX_WANTED_JOBS};
 use crate::acceptor::MAX_JOBS;
 use crate::mutant::{self, Mutant};
 use crate::owner::is_majority;
@@ -12,10 +12,10 @@
     /// Checks every invariant of this member.
     ///
     /// # Errors
-    /// The first invariant that does not hold, with the values that break it.
+    /// Returns the first violated invariant, with the values that violate it.
     pub fn check(&self, now: Micros) -> Result<(), Violation> {
         let (rule, within) = (Violation::unless, Violation::unless_within);
-        within(self.jobs.len(), MAX_WANTED, "wanted jobs are bounded")?;
+        within(self.jobs.len(), MAX_WANTED_JOBS, "wanted jobs are bounded")?;
         within(self.acceptor.jobs.len(), MAX_JOBS, "granted jobs are bounded")?;
         for (job, known) in &self.acceptor.jobs {
             let Some((token, until)) = known.granted else { continue };
@@ -42,29 +42,30 @@
         }
         for (job, wanted) in &self.jobs {
             let Some(owned) = &wanted.owned else { continue };
-            let of = &|| format!("{job:?}: {owned:?}, now {now}");
-            rule(owned.token.owner == self.config.me, "an owner's token is its own", of)?;
-            rule(owned.token != Token::default(), "an owner has a token", of)?;
-            rule(owned.token <= wanted.highest_token, "an owner knows its token", of)?;
+            let details = &|| format!("{job:?}: {owned:?}, now {now}");
+            rule(owned.token.owner == self.config.me, "an owner's token is its own", details)?;
+            rule(owned.token != Token::default(), "an owner has a token", details)?;
+            rule(owned.token <= wanted.highest_token, "an owner knows its token", details)?;
             rule(
                 owned.until <= now.saturating_add(wanted.lease),
                 "a lease is no longer than it was asked for",
-                of,
+                details,
             )?;
             rule(
                 mutant::is(Mutant::NoMajority) || granted_by_majority(wanted),
                 "an owner has a majority of some list's acceptors",
-                of,
+                details,
             )?;
         }
         Ok(())
     }
 }
 
-/// Whether a majority of the acceptors by some list has granted the lease that is held. After a change of members it is
-/// the acceptors of an earlier list that granted it.
-fn granted_by_majority(wanted: &crate::owner::Wanted) -> bool {
+/// Whether a majority of the acceptors by some member list has granted the lease that is held. After a member change
+/// the acceptors of an earlier list granted it.
+fn granted_by_majority(wanted: &crate::owner::WantedJob) -> bool {
     let Some(owned) = &wanted.owned else { return true };
-    let before = wanted.earlier_acceptors.iter().any(|b| is_majority(&b.acceptors, &owned.by));
-    is_majority(&wanted.acceptors, &owned.by) || before
+    let before =
+        wanted.earlier_acceptors.iter().any(|b| is_majority(&b.acceptors, &owned.granted_by));
+    is_majority(&wanted.acceptors, &owned.granted_by) || before
 }
--- a/crates/millethook-lease/src/lease/members.rs
+++ b/crates/millethook-lease/src/lease/members.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of configured members.
+//! Changes of the configured member list.
 
 use super::Lease;
 use crate::Micros;
@@ -7,13 +7,13 @@
 use crate::token::Token;
 
 impl Lease {
-    /// Replaces the list of configured members.
+    /// Replaces the configured member list.
     ///
-    /// Until the change is complete, a lease needs a majority of the acceptors by the list before and of those by the new
-    /// one. `unix_ms` is Unix time in milliseconds: acceptors that know nothing of a job go above all tokens that were
-    /// granted before.
+    /// Until the change is complete, a lease needs a majority of the acceptors by the previous list and of those by the
+    /// new one. `unix_ms` is Unix time in milliseconds: acceptors that know nothing of a job grant only tokens above
+    /// all that were granted before.
     ///
-    /// False: three earlier changes are not complete yet, and nothing has changed.
+    /// Returns false, and changes nothing, if three earlier changes are not complete yet.
     pub fn set_members(&mut self, now: Micros, members: Members, unix_ms: u64) -> bool {
         if members == self.members {
             return true;
@@ -22,24 +22,24 @@
             return false;
         }
         let old = std::mem::replace(&mut self.members, members);
-        self.members_unchanged = false;
+        self.list_unchanged = false;
         self.set_epoch(unix_ms);
         for (job, wanted) in &mut self.jobs {
             wanted.members_changed(*job, self.config.acceptors, &old, &self.members);
-            // What was asked by the list before counts no more.
+            // Answers to claims by the previous list no longer count.
             wanted.round = None;
         }
         self.earlier_members.push((old, now.saturating_add(self.config.change_timeout)));
         true
     }
 
-    /// Whether a change of members is not complete, so that majorities by an earlier list are still needed.
+    /// Whether a member change is not complete, so that majorities by an earlier list are still needed.
     pub fn is_changing(&self) -> bool {
         !self.earlier_members.is_empty()
     }
 
-    /// Drops lists of members that were replaced longer than [`Config::change_timeout`](super::Config::change_timeout) ago.
-    pub(super) fn forget_earlier_members(&mut self, now: Micros) {
+    /// Drops member lists that were replaced longer than [`Config::change_timeout`](super::Config::change_timeout) ago.
+    pub(super) fn drop_earlier_members(&mut self, now: Micros) {
         while let Some((list, _)) = self.earlier_members.first().filter(|(_, until)| *until <= now)
         {
             let id = list.id();
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Raises the epoch of this process (see `millethook_view`); tokens that its acceptor grants go above it.
+    /// Raises the epoch of this process (see `millethook_view`). Tokens that its acceptor grants are above it.
     pub fn set_epoch(&mut self, epoch: u64) {
         if epoch > self.acceptor.floor.epoch {
             self.acceptor.floor = Token { epoch, counter: 0, owner: 0 };
--- a/crates/millethook-lease/src/lease/receive.rs
+++ b/crates/millethook-lease/src/lease/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other members: the acceptor answers claims, the owner takes answers.
+//! Messages of other members: the acceptor answers claims, the proposer processes answers.
 
 use millethook_machine::codec::Reader;
 
@@ -9,7 +9,7 @@
 use crate::token::Token;
 use crate::{JobId, Micros};
 
-/// A claim of a member that goes by a known list.
+/// A claim of a member that uses a known member list.
 struct Claim {
     job: JobId,
     nonce: u32,
@@ -19,8 +19,8 @@
 }
 
 impl Lease {
-    /// Takes a message of the member `from`. Reading ends at the first bytes that are no record, which are counted in
-    /// [`Figures::malformed`](super::Figures::malformed).
+    /// Processes a message of the member `from`. Reading stops at the first bytes that are not a record, which are
+    /// counted in [`Figures::malformed`](super::Figures::malformed).
     pub fn handle(&mut self, now: Micros, from: u16, content: &[u8]) {
         let mut reader = Reader::new(content);
         let records: Vec<Record> = reader.records(Record::read).collect();
@@ -30,7 +30,7 @@
         records.into_iter().for_each(|record| self.handle_record(now, from, record));
     }
 
-    /// Takes one record. A claim or a release in the name of another member is counted and has no effect.
+    /// Processes one record. A claim or a release in the name of another member is counted and has no effect.
     pub(super) fn handle_record(&mut self, now: Micros, from: u16, record: Record) {
         let job = record.job;
         match record.message {
@@ -56,8 +56,9 @@
                 let until = now.saturating_add(left);
                 self.handle_answer(now, from, job, nonce, members, |round| {
                     round.held_by.insert(from, (token, until));
-                    // Without this the acceptor is asked again only after a wait that doubles, and when that is over the round may
-                    // be, too: a job has no owner for rounds on end, though it is known when the acceptor is free.
+                    // Otherwise the acceptor would be sent a claim again only after a doubled wait, which may outlast
+                    // the round. A job would then have no owner for several rounds, although it is known when the
+                    // acceptor becomes free.
                     round.retry_at = round.retry_at.min(until + 1);
                 });
                 self.observe_token(job, token);
@@ -71,10 +72,10 @@
             Message::Invite { token } => self.handle_invitation(now, job, token),
         }
     }
-    /// Whether a claim goes by the own list of members, or by one that its sender has since replaced by the own one.
+    /// Whether a claim uses the own member list, or one that its sender has since replaced by the own one.
     ///
-    /// A member that goes by another list has other acceptors, and two majorities of different acceptors need not share one.
-    /// A claim by an unknown list is counted, and not answered.
+    /// A member with another list has other acceptors, and two majorities of different acceptors need not overlap. A
+    /// claim by an unknown list is counted and not answered.
     fn knows_members(&mut self, now: Micros, members: u32, before: &[u32]) -> bool {
         let own = self.members.id();
         if members == own || before.contains(&own) || mutant::is(Mutant::AnyMembers) {
@@ -82,8 +83,8 @@
         }
         self.figures.strangers += 1;
         let since = self.earlier_members.iter().any(|(list, _)| list.id() == members);
-        if self.members_unchanged && !since {
-            self.unknown_members_until = now.saturating_add(self.config.max_lease);
+        if self.list_unchanged && !since {
+            self.unknown_list_until = now.saturating_add(self.config.max_lease);
         }
         false
     }
@@ -102,20 +103,20 @@
         self.deliver(now, from, Record { job, message });
     }
 
-    /// The owner has released a job, and names this member as the one to claim it next.
+    /// Handles an invitation: the owner has released a job, and names this member as the next to claim it.
     fn handle_invitation(&mut self, now: Micros, job: JobId, token: Token) {
         self.observe_token(job, token);
         if let Some(wanted) = self.jobs.get_mut(&job).filter(|w| w.owned.is_none()) {
-            wanted.held = None;
-            wanted.given_up = Some(token);
+            wanted.other_owner = None;
+            wanted.invitation_token = Some(token);
             if wanted.round.is_none() {
                 wanted.next_round_at = now.max(self.startup_until);
             }
         }
     }
 
-    /// Tells a token that was seen elsewhere, by whatever the job changes: the next claim of this member goes above
-    /// it.
+    /// Records a token that was seen elsewhere, at a resource that the job changes. The next claim of this member uses
+    /// a token above it.
     pub fn observe_token(&mut self, job: JobId, token: Token) {
         if let Some(wanted) = self.jobs.get_mut(&job) {
             wanted.highest_token = wanted.highest_token.max(token);
--- a/crates/millethook-lease/src/lease/release.rs
+++ b/crates/millethook-lease/src/lease/release.rs
@@ -1,17 +1,17 @@
-//! Leases that are given back, one by one or all at the end of the process.
+//! Release of leases, one by one or all at the end of the process.
 
 use super::{Event, Lease};
 use crate::message::{Message, Record};
 use crate::token::Token;
 use crate::{JobId, Micros};
 
-/// Microseconds between two repeats of the final messages. They are repeated because a datagram may be lost and nobody
-/// asks for them.
+/// Microseconds between repetitions of the final messages. They are repeated because a datagram may be lost and they
+/// are not acknowledged.
 const FINAL_REPEAT_INTERVAL: Micros = 50_000;
-/// How often the final messages are repeated.
+/// The number of repetitions of the final messages.
 const FINAL_REPEATS: u32 = 3;
 
-/// Releases and invitations of a member that has left, repeated because nobody asks for them.
+/// Releases and invitations of a member that has left, repeated because they are not acknowledged.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FinalMessages {
     records: Vec<(u16, Record)>,
@@ -20,18 +20,18 @@
 }
 
 impl FinalMessages {
-    /// When they are sent again; None: never.
+    /// When they are sent again. None: never.
     pub fn poll_timeout(&self) -> Option<Micros> {
         (self.repeats_left > 0).then_some(self.next_at)
     }
 }
 
 impl Lease {
-    /// Stops asking for a job, and releases its lease if it is held; then `successor` is invited to claim it at once.
+    /// Stops requesting a job, and releases its lease if it is held. Then `successor` is invited to claim it at once.
     pub fn release(&mut self, now: Micros, job: JobId, successor: Option<u16>) {
         let Some(wanted) = self.jobs.remove(&job) else { return };
         let token = wanted.owned.as_ref().map(|owned| owned.token);
-        // A claim that is under way may have been granted somewhere.
+        // A claim of the active round may have been granted somewhere.
         for token in [token, wanted.round.as_ref().map(|r| r.token)].into_iter().flatten() {
             self.release_at_acceptors(job, &wanted.all_acceptors(), token);
         }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Releases all leases because this process is about to end. `successor` names for each job the member that is
+    /// Releases all leases because this process is about to end. `successor` returns for each job the member that is
     /// invited to claim it. From now on this member grants nothing.
     pub fn shutdown(&mut self, now: Micros, successor: impl Fn(JobId) -> Option<u16>) {
         let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
@@ -63,11 +63,11 @@
         self.final_messages.next_at = now + FINAL_REPEAT_INTERVAL;
         self.final_messages.repeats_left = FINAL_REPEATS;
         jobs.into_iter().for_each(|job| self.release(now, job, successor(job)));
-        // Leases that it has granted keep their time, but it grants no new ones.
+        // Granted leases keep their time, but no new ones are granted.
         self.acceptor.silent_until = Micros::MAX;
     }
 
-    /// Tells acceptors that a token is not used any more.
+    /// Tells acceptors that a token is no longer in use.
     pub(super) fn release_at_acceptors(&mut self, job: JobId, acceptors: &[u16], token: Token) {
         for acceptor in acceptors {
             if *acceptor == self.config.me {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Sends the final messages once more, if that is due.
+    /// Sends the final messages once more, if due.
     pub(super) fn repeat_final_messages(&mut self, now: Micros) {
         if self.final_messages.poll_timeout().is_none_or(|at| at > now) {
             return;
--- a/crates/millethook-lease/src/membership.rs
+++ b/crates/millethook-lease/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which members are the acceptors of a job.
+//! The member list, and the acceptors of a job.
 
 use millethook_machine::hash::{mix, weight};
 
@@ -16,7 +16,7 @@
 }
 
 impl Members {
-    /// A list of members; the number of each is its place.
+    /// A member list; the number of each member is its index.
     pub fn new(members: Vec<Member>) -> Members {
         let fold = |hash: u64, member: &Member| mix(hash.rotate_left(5) ^ mix(member.0));
         let hash = members.iter().fold(members.len() as u64, fold);
@@ -24,7 +24,7 @@
         Members { id: ((hash >> 32) as u32).max(1), members }
     }
 
-    /// The name of the list: a hash that is the same for the same list, and never 0.
+    /// The identifier of the list: a hash that is the same for the same list, and never 0.
     pub fn id(&self) -> u32 {
         self.id
     }
@@ -40,10 +40,10 @@
     }
 
     /// The acceptors of a job: the `count` members with the greatest weights, or all if there are fewer (rendezvous
-    /// hashing). Different jobs have different acceptors, so that no member has to keep all jobs.
+    /// hashing). Different jobs have different acceptors, so that no member has to store all jobs.
     pub fn acceptors(&self, job: JobId, count: usize) -> Vec<u16> {
-        let of = |(n, member): (usize, &Member)| (weight(job.0, member.0), n as u16);
-        let mut all: Vec<(u64, u16)> = self.members.iter().enumerate().map(of).collect();
+        let weighted = |(n, member): (usize, &Member)| (weight(job.0, member.0), n as u16);
+        let mut all: Vec<(u64, u16)> = self.members.iter().enumerate().map(weighted).collect();
         let count = count.min(all.len());
         if count < all.len() {
             all.select_nth_unstable_by(count, |a, b| b.cmp(a));
@@ -55,10 +55,11 @@
 
     /// How many of the `present` members come before `me` in the order in which members try to own the job.
     pub fn rank(&self, job: JobId, me: u16, present: impl Iterator<Item = u16>) -> usize {
-        // Another subject than that of the acceptors, so that owners are others than acceptors.
+        // A different hash input from the acceptors', so that owners differ from acceptors.
         let subject = mix(job.0 ^ 0x0b);
-        let of = |n: u16| (self.members.get(usize::from(n)).map_or(0, |m| weight(subject, m.0)), n);
-        let mine = of(me);
-        present.filter(|n| *n != me && of(*n) > mine).count()
+        let weighted =
+            |n: u16| (self.members.get(usize::from(n)).map_or(0, |m| weight(subject, m.0)), n);
+        let own = weighted(me);
+        present.filter(|n| *n != me && weighted(*n) > own).count()
     }
 }
--- a/crates/millethook-lease/src/message.rs
+++ b/crates/millethook-lease/src/message.rs
@@ -1,14 +1,14 @@
-//! Messages about leases: records, one behind another, in at most 241 bytes. Numbers are big-endian.
+//! Messages about leases: consecutive records, in at most 241 bytes. Numbers are big-endian.
 //!
 //! | bytes | of | content |
 //! | --- | --- | --- |
 //! | 1 | all | kind |
 //! | 8 | all | job |
-//! | 4 | all but releases and invitations | number of the round, repeated in the answer |
-//! | 4 | all but releases and invitations | name of the list of members that the sender goes by |
-//! | 1, and 4 each | claims | names of earlier lists that still count for the sender, at most 3 |
+//! | 4 | all but releases and invitations | nonce of the round, repeated in the answer |
+//! | 4 | all but releases and invitations | identifier of the member list that the sender uses |
+//! | 1, and 4 each | claims | identifiers of earlier member lists that still count for the sender, at most 3 |
 //! | 12 | all | token: claimed, granted, held, highest known, released, or of the lease that has ended |
-//! | 2 | claims, `Held` | milliseconds: length of the lease, or what is left of it |
+//! | 2 | claims, `Held` | milliseconds: length of the lease, or its remaining time |
 
 use millethook_machine::Micros;
 use millethook_machine::codec::{BufMut, Malformed, Reader};
@@ -17,11 +17,11 @@
 use crate::JobId;
 use crate::token::Token;
 
-/// Earlier lists of members that count at the same time, at most.
+/// The maximum number of earlier member lists that count at the same time.
 pub(crate) const MAX_EARLIER_LISTS: usize = 3;
-/// Microseconds of the unit in which times are sent.
+/// Microseconds of the unit of times on the wire.
 const MILLISECOND: Micros = 1_000;
-/// The longest lease, in microseconds: 65 s.
+/// The maximum length of a lease, in microseconds: 65 s.
 pub(crate) const LONGEST_LEASE: Micros = u16::MAX as Micros * MILLISECOND;
 
 /// A record about one job.
@@ -31,7 +31,7 @@
     pub message: Message,
 }
 
-/// What a record says.
+/// The content of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Message {
     /// A request for a lease, or for its renewal, under this token.
@@ -44,13 +44,13 @@
     },
     /// The claim is granted.
     Granted { nonce: u32, members: u32, token: Token },
-    /// Another token holds the job for so many microseconds.
+    /// Another token holds the job for this many microseconds.
     Held { nonce: u32, members: u32, token: Token, left: Micros },
-    /// The token of the claim is too low: this one is known.
+    /// The token of the claim is too low: this higher one is known.
     TokenTooLow { nonce: u32, members: u32, token: Token },
-    /// The owner does not use this token any more.
+    /// The owner no longer uses this token.
     Release { token: Token },
-    /// The job is free after this token, and the receiver may claim it at once.
+    /// The lease with this token has ended, and the receiver may claim the job at once.
     Invite { token: Token },
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Record {
-    /// Adds it to a message.
+    /// Appends it to a message.
     pub fn write(&self, bytes: &mut Vec<u8>) {
         bytes.put_u8(self.message.kind().to_wire());
         bytes.put_u64(self.job.0);
@@ -113,10 +113,10 @@
         }
     }
 
-    /// Takes one from a message.
+    /// Reads one from a message.
     ///
     /// # Errors
-    /// The message ends too early, or this is no record.
+    /// The message ends too early, or the bytes are not a record.
     pub fn read(reader: &mut Reader<'_>) -> Result<Record, Malformed> {
         let kind = RecordKind::from_wire(reader.u8()?).ok_or(Malformed::Kind)?;
         let job = JobId(reader.u64()?);
@@ -146,18 +146,18 @@
     }
 }
 
-/// Adds the number of a round and the name of a list of members.
+/// Appends the nonce of a round and the identifier of a member list.
 fn put_round_head(bytes: &mut Vec<u8>, nonce: u32, members: u32) {
     bytes.put_u32(nonce);
     bytes.put_u32(members);
 }
 
-/// Adds a time in milliseconds, rounded up so that its reader waits long enough.
+/// Appends a time in milliseconds, rounded up so that its reader waits long enough.
 fn put_time(bytes: &mut Vec<u8>, time: Micros) {
     bytes.put_u16(time.div_ceil(MILLISECOND).min(u64::from(u16::MAX)) as u16);
 }
 
-/// Takes the number of a round and the name of a list of members.
+/// Reads the nonce of a round and the identifier of a member list.
 fn read_round_head(reader: &mut Reader<'_>) -> Result<(u32, u32), Malformed> {
     Ok((reader.u32()?, reader.u32()?))
 }
--- a/crates/millethook-lease/src/mutant.rs
+++ b/crates/millethook-lease/src/mutant.rs
@@ -1,26 +1,26 @@
-//! Rules that tests remove one by one, to show that each is needed (`--features mutants`).
+//! Rules that tests disable one by one, to show that each is needed (`--features mutants`).
 
 millethook_machine::mutants! {
-    /// An acceptor that has just started grants at once.
+    /// An acceptor grants leases directly after its start.
     NoSilence,
-    /// One acceptor less than a majority is enough.
+    /// One acceptor less than a majority suffices.
     NoMajority,
-    /// An acceptor grants what another one holds.
+    /// An acceptor grants a job that another token holds.
     GrantsTwice,
-    /// An acceptor takes a token that is no greater than one that it knows.
+    /// An acceptor grants a token that is not greater than one that it knows.
     TokensStay,
-    /// An owner counts from when it was granted, not from when it asked.
+    /// An owner counts its lease from the grant instead of from the claim.
     CountsFromAnswer,
-    /// An owner allows for no difference between clocks.
+    /// An owner makes no allowance for clock drift.
     NoDrift,
-    /// After a change of the members the old majority is not asked any more.
+    /// After a member change no majority of the previous acceptors is needed.
     OldMajorityForgotten,
-    /// An acceptor answers whoever asks, whatever members that one knows.
+    /// An acceptor answers every claim, whichever member list its sender uses.
     AnyMembers,
-    /// What was given back can be granted again by a message that comes late.
+    /// A released token can be granted again by a late message.
     ReleasedComesBack,
-    /// An owner does not look whether its lease is over.
+    /// An owner does not check whether its lease has expired.
     NoLook,
-    /// What holds the effects takes lower tokens, too.
+    /// A fence admits lower tokens, too.
     NoFence,
 }
--- a/crates/millethook-lease/src/owner.rs
+++ b/crates/millethook-lease/src/owner.rs
@@ -1,4 +1,4 @@
-//! What the owner's side knows of each job that it asks for: the round under way, the lease, and the acceptors.
+//! The proposer's state of each requested job: the active round, the lease, and the acceptors.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,46 +7,46 @@
 use crate::token::Token;
 use crate::{JobId, Micros};
 
-/// How a member stands to a job that it has asked for.
+/// The state of a requested job, as one member sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseStatus {
-    /// It has no lease, and knows of no other owner.
+    /// This member has no lease, and knows of no other owner.
     Waiting,
-    /// It owns the job under this token until this time at the latest.
+    /// This member owns the job under this token until this time at the latest.
     Owner(Token, Micros),
-    /// Another member owned the job under this token when the acceptors were last asked, until this time at the latest.
+    /// Another member owned the job under this token, until this time at the latest, when the acceptors last answered.
     Held(Token, Micros),
 }
 
 /// One round of claims to all acceptors of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
-    /// Names the round in answers.
+    /// Identifies the round in answers.
     pub nonce: u32,
     /// The token that is claimed.
     pub token: Token,
-    /// When the first claim was sent. The lease runs from then.
+    /// When the first claim was sent. The lease runs from this time.
     pub started_at: Micros,
     /// Acceptors that have granted the claim.
     pub granted: BTreeSet<u16>,
     /// Acceptors that have answered in any way.
     pub answered: BTreeSet<u16>,
-    /// When acceptors that have not answered are asked again.
+    /// When acceptors that have not answered are sent a claim again.
     pub retry_at: Micros,
     /// How often claims were sent in this round.
     pub attempts: u32,
-    /// What acceptors that refused the claim last named: the token that holds the job, and the end of its lease.
+    /// By acceptor that refused the claim: the token that holds the job, and the end of its lease.
     pub held_by: BTreeMap<u16, (Token, Micros)>,
 }
 
 impl Round {
-    /// How many acceptors name this token as the holder.
-    fn naming(&self, token: Token) -> usize {
+    /// The number of acceptors that report this token as the holder.
+    fn count_naming(&self, token: Token) -> usize {
         self.held_by.values().filter(|(held, _)| *held == token).count()
     }
 
-    /// The latest end of a token's lease that an acceptor names.
-    fn end_of(&self, token: Token) -> Option<Micros> {
+    /// The latest end of a token's lease that an acceptor reports.
+    fn latest_end_of(&self, token: Token) -> Option<Micros> {
         self.held_by.values().filter(|(held, _)| *held == token).map(|(_, until)| *until).max()
     }
 
@@ -56,36 +56,38 @@
     }
 }
 
-/// A job that this member asks for.
+/// A job that this member requests.
 #[derive(Clone, Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct WantedJob {
     /// The length of each lease, in microseconds.
     pub lease: Micros,
-    /// The acceptors by the present list of members.
+    /// The acceptors by the current member list.
     pub acceptors: Vec<u16>,
-    /// The acceptors by earlier lists, the latest last, each until nobody can be granted the job by it alone any more.
+    /// The acceptors by earlier member lists, the latest last, each kept until nobody can be granted the job by that
+    /// list alone.
     pub earlier_acceptors: Vec<EarlierAcceptors>,
-    /// The round under way.
+    /// The active round.
     pub round: Option<Round>,
     /// The lease that is held.
     pub owned: Option<Owned>,
     /// When the next round starts.
     pub next_round_at: Micros,
-    /// The token of the last round that failed, or of the lease that expired. Its release may have been lost, so it is
-    /// sent again before each claim.
+    /// The token of the last failed round, or of the expired lease. Its release may have been lost, so it is sent again
+    /// before each claim.
     pub unreleased_token: Option<Token>,
-    /// Rounds in a row that failed and found no owner.
+    /// Consecutive rounds that failed and found no owner.
     pub failures: u32,
-    /// In the last round acceptors were held by claims of others, none of which is known to own the job.
+    /// Whether, in the last round, acceptors were held by claims of others, none of which is known to own the job.
     pub collided: bool,
-    /// How often in a row the next round was put off for want of bytes.
-    pub put_off: u32,
+    /// Consecutive postponements of the next round because the send budget was short.
+    pub postponements: u32,
     /// The highest token of the job that is known.
     pub highest_token: Token,
-    /// Another owner, and the end of its lease.
-    pub held: Option<(Token, Micros)>,
-    /// The token whose owner has invited this member to claim the job. Acceptors may name it until its release arrives.
-    pub given_up: Option<Token>,
+    /// Another owner's token, and the end of its lease.
+    pub other_owner: Option<(Token, Micros)>,
+    /// The token whose owner has invited this member to claim the job. Acceptors may report it as the holder until its
+    /// release arrives.
+    pub invitation_token: Option<Token>,
 }
 
 /// A lease that is held.
@@ -96,38 +98,39 @@
     /// Its end, by the own clock.
     pub until: Micros,
     /// The acceptors that granted it last.
-    pub by: BTreeSet<u16>,
+    pub granted_by: BTreeSet<u16>,
 }
 
-/// The acceptors of a job by a list of members that was replaced.
+/// The acceptors of a job by a replaced member list.
 #[derive(Clone, Debug)]
 pub(crate) struct EarlierAcceptors {
-    /// The name of the list.
+    /// The identifier of the member list.
     pub id: u32,
     /// The acceptors.
     pub acceptors: Vec<u16>,
-    /// Those that go by a later list.
-    pub followed: BTreeSet<u16>,
-    /// Since when a majority of them does.
-    pub since: Option<Micros>,
+    /// Acceptors that use a later list.
+    pub moved_on: BTreeSet<u16>,
+    /// Since when a majority of the acceptors does.
+    pub majority_since: Option<Micros>,
 }
 
 /// Whether `granted` contains a majority of these acceptors.
 pub(crate) fn is_majority(acceptors: &[u16], granted: &BTreeSet<u16>) -> bool {
-    let have = acceptors.iter().filter(|acceptor| granted.contains(acceptor)).count();
-    let less = usize::from(mutant::is(Mutant::NoMajority));
-    have + less > acceptors.len() / 2
+    let granted_count = acceptors.iter().filter(|acceptor| granted.contains(acceptor)).count();
+    let missing_allowed = usize::from(mutant::is(Mutant::NoMajority));
+    granted_count + missing_allowed > acceptors.len() / 2
 }
 
-impl Wanted {
-    /// Whether `granted` suffices for a lease: a majority of the acceptors, and of those by each earlier list that counts.
+impl WantedJob {
+    /// Whether `granted` suffices for a lease: a majority of the current acceptors, and of those by each earlier list
+    /// that counts.
     pub fn is_quorum(&self, granted: &BTreeSet<u16>) -> bool {
-        let heeded = !mutant::is(Mutant::OldMajorityForgotten);
-        let mut before = self.earlier_acceptors.iter().filter(|_| heeded);
+        let earlier_lists_count = !mutant::is(Mutant::OldMajorityForgotten);
+        let mut before = self.earlier_acceptors.iter().filter(|_| earlier_lists_count);
         is_majority(&self.acceptors, granted) && before.all(|b| is_majority(&b.acceptors, granted))
     }
 
-    /// Whether the acceptors that have not answered are too few to complete a quorum.
+    /// Whether the acceptors that have granted the claim or not answered yet are too few for a quorum.
     pub fn quorum_impossible(&self, round: &Round) -> bool {
         let open: BTreeSet<u16> = (self.all_acceptors().into_iter())
             .filter(|acceptor| {
@@ -139,36 +142,36 @@
 
     /// The other owner that has to be waited for, and the end of its lease.
     ///
-    /// It is the one that a majority of the acceptors by the present list names. A majority of the answers does not suffice,
-    /// since a round ends as soon as a quorum is impossible: of several members that claim at the same time each may
-    /// have some acceptors for a moment, and whoever waited for the end of those leases would wait for nobody.
+    /// It is the one that a majority of the current acceptors reports. A majority of the answers does not suffice,
+    /// since a round ends as soon as a quorum is impossible: each of several simultaneous claimants may have some
+    /// acceptors for a moment, and waiting for the end of those leases would be waiting for no owner.
     ///
-    /// The owner that was known before counts also where a minority names it, as long as the other answers are too few
-    /// for a quorum: without that, candidates would collide until its lease is over at the acceptors that answer.
+    /// The previously known owner counts also where a minority reports it, as long as the other answers are too few for
+    /// a quorum. Otherwise candidates would collide until its lease has expired at the acceptors that answer.
     ///
-    /// A token that its owner has given up does not count. An invitation can overtake the releases, and without this the
-    /// heir would wait for the end of a lease that nobody has.
-    pub fn owner_named(&self, round: &Round) -> Option<(Token, Micros)> {
+    /// The invitation token does not count. An invitation can overtake the releases; the successor would then wait for
+    /// the end of a lease that nobody holds.
+    pub fn named_owner(&self, round: &Round) -> Option<(Token, Micros)> {
         let tokens = round.held_by.values().map(|(token, _)| *token);
-        let tokens = tokens.filter(|token| Some(*token) != self.given_up);
-        let named = tokens.max_by_key(|token| round.naming(*token))?;
-        if 2 * round.naming(named) > self.acceptors.len() {
-            return Some((named, round.end_of(named)?));
+        let tokens = tokens.filter(|token| Some(*token) != self.invitation_token);
+        let named = tokens.max_by_key(|token| round.count_naming(*token))?;
+        if 2 * round.count_naming(named) > self.acceptors.len() {
+            return Some((named, round.latest_end_of(named)?));
         }
-        let known = self.held.map(|(token, _)| token)?;
+        let known = self.other_owner.map(|(token, _)| token)?;
         let names_known =
             |acceptor: &u16| round.held_by.get(acceptor).is_some_and(|(t, _)| *t == known);
         let others: BTreeSet<u16> =
             round.answered.iter().copied().filter(|acceptor| !names_known(acceptor)).collect();
-        (!self.is_quorum(&others)).then_some((known, round.end_of(known)?))
+        (!self.is_quorum(&others)).then_some((known, round.latest_end_of(known)?))
     }
 
-    /// Whether an acceptor names the token that its owner has given up.
+    /// Whether an acceptor still reports the invitation token.
     pub fn release_pending(&self, round: &Round) -> bool {
-        round.held_by.values().any(|(token, _)| Some(*token) == self.given_up)
+        round.held_by.values().any(|(token, _)| Some(*token) == self.invitation_token)
     }
 
-    /// All acceptors, those by earlier lists included.
+    /// All acceptors, including those by earlier lists.
     pub fn all_acceptors(&self) -> Vec<u16> {
         let mut all = self.acceptors.clone();
         let before = self.earlier_acceptors.iter().flat_map(|b| &b.acceptors);
@@ -177,22 +180,22 @@
         all
     }
 
-    /// Draws the acceptors anew after the list of members has changed from `old` to `new`.
+    /// Selects the acceptors again after the member list has changed from `old` to `new`.
     pub fn members_changed(&mut self, job: JobId, count: usize, old: &Members, new: &Members) {
         self.acceptors = new.acceptors(job, count);
         let acceptors = old.acceptors(job, count);
         self.earlier_acceptors.push(EarlierAcceptors {
             id: old.id(),
             acceptors,
-            followed: BTreeSet::new(),
-            since: None,
+            moved_on: BTreeSet::new(),
+            majority_since: None,
         });
     }
 
-    /// Notes that an acceptor goes by the list with this name.
+    /// Records that an acceptor uses the list with this identifier.
     ///
-    /// An earlier list does not count any more once a majority of its acceptors goes by a later one, because these refuse
-    /// claims by the earlier one alone, and the leases that they granted before have expired.
+    /// An earlier list no longer counts one maximum lease after a majority of its acceptors uses a later one: these
+    /// refuse claims by the earlier list alone, and the leases that they granted before have expired.
     pub fn note_members_of_acceptor(
         &mut self,
         now: Micros,
@@ -202,15 +205,15 @@
     ) {
         let at = self.earlier_acceptors.iter().position(|before| before.id == list);
         for before in self.earlier_acceptors.iter_mut().take(at.unwrap_or(usize::MAX)) {
-            before.followed.insert(acceptor);
-            if before.since.is_none() && is_majority(&before.acceptors, &before.followed) {
-                before.since = Some(now);
+            before.moved_on.insert(acceptor);
+            if before.majority_since.is_none() && is_majority(&before.acceptors, &before.moved_on) {
+                before.majority_since = Some(now);
             }
         }
         self.earlier_acceptors
-            .retain(|before| before.since.is_none_or(|since| now < since + longest));
+            .retain(|before| before.majority_since.is_none_or(|since| now < since + longest));
     }
 }
 
-/// Jobs that a member asks for.
-pub(crate) type Jobs = BTreeMap<JobId, Wanted>;
+/// The jobs that a member requests.
+pub(crate) type Jobs = BTreeMap<JobId, WantedJob>;
--- a/crates/millethook-lease/src/token.rs
+++ b/crates/millethook-lease/src/token.rs
@@ -4,10 +4,10 @@
 
 use crate::mutant::{self, Mutant};
 
-/// The name of one lease. Of two leases of a job the later one has the greater token.
+/// Identifies one lease. Of two leases of a job, the later one has the greater token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token {
-    /// The epoch of some acceptor's process: milliseconds of Unix time at its start, 48 bits, raised above every epoch
+    /// The epoch of some acceptor's process: Unix time at its start in milliseconds, 48 bits, raised above every epoch
     /// that it has seen.
     pub epoch: u64,
     /// Counts leases and claims within the epoch.
@@ -17,10 +17,10 @@
 }
 
 impl Token {
-    /// Bytes of a token in a message.
+    /// The length of a token in a message, in bytes.
     pub const LENGTH: usize = 12;
 
-    /// The least token of `owner` that is greater than this one.
+    /// The lowest token of `owner` that is greater than this one.
     pub fn next(self, owner: u16) -> Token {
         match self.counter.checked_add(1) {
             Some(counter) => Token { epoch: self.epoch, counter, owner },
@@ -28,14 +28,14 @@
         }
     }
 
-    /// Adds the token to a message.
+    /// Appends the token to a message.
     pub fn write(self, bytes: &mut Vec<u8>) {
         codec::put_epoch(bytes, self.epoch);
         bytes.put_u32(self.counter);
         bytes.put_u16(self.owner);
     }
 
-    /// Takes a token from the front of a message; None: there are fewer than [`Token::LENGTH`] bytes.
+    /// Reads a token from the front of a message. None: there are fewer than [`Token::LENGTH`] bytes.
     pub fn read(bytes: &mut &[u8]) -> Option<Token> {
         let (epoch, counter) = (codec::epoch(bytes)?, codec::word(bytes)?);
         Some(Token { epoch, counter, owner: codec::short(bytes)? })
@@ -52,17 +52,17 @@
     type Err = StaleToken;
 
     fn from_str(text: &str) -> Result<Token, StaleToken> {
-        let wrong = StaleToken { given: Token::default(), highest: Token::default() };
+        let invalid = StaleToken { given: Token::default(), highest: Token::default() };
         if text.len() != 2 * Token::LENGTH || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(wrong);
+            return Err(invalid);
         }
-        let part = |range| u64::from_str_radix(&text[range], 16).map_err(|_| wrong);
+        let part = |range| u64::from_str_radix(&text[range], 16).map_err(|_| invalid);
         let (counter, owner) = (part(12..20)? as u32, part(20..24)? as u16);
         Ok(Token { epoch: part(0..12)?, counter, owner })
     }
 }
 
-/// A token that is lower than one that was seen: the lease that it names has been followed by another.
+/// A token that is lower than one that was seen: a later lease has replaced the one that it identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleToken {
     /// The token that was given.
@@ -79,8 +79,8 @@
 
 impl std::error::Error for StaleToken {}
 
-/// The highest token that was seen at one place. Whatever a job changes keeps one, and refuses lower tokens; the
-/// owner's own check is not enough, because it may be suspended between the check and the effect.
+/// The highest token that was seen at one resource. Each resource that a job changes keeps a fence, which rejects lower
+/// tokens. The owner's own check is not enough, because the owner may be suspended between the check and the effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
     highest: Token,
--- a/crates/millethook-lease/tests/crash.rs
+++ b/crates/millethook-lease/tests/crash.rs
@@ -1,5 +1,5 @@
-//! How long jobs have no owner after crashes, in a fleet that uses its whole budget of bytes and in one that loses a
-//! fifth of all datagrams.
+//! How long jobs have no owner after crashes, in a fleet that uses its whole send budget and in one that loses a fifth
+//! of all datagrams.
 
 #[path = "../examples/common/mod.rs"]
 mod common;
@@ -18,14 +18,14 @@
 }
 
 /// So many jobs that renewals and the claims of waiting candidates use up the 1,500 B/s of each member.
-const SHORT_OF_BYTES: Scenario = Scenario { members: 60, jobs: 200, crashes: 3, loss: 0.0 };
+const CONGESTED: Scenario = Scenario { members: 60, jobs: 200, crashes: 3, loss: 0.0 };
 /// Some jobs lose their owner and an acceptor.
 const LOSSY: Scenario = Scenario { members: 300, jobs: 300, crashes: 20, loss: 0.2 };
 
-/// A lease, and the time in which candidates ask for the job.
-const AIM: f64 = 8.0;
+/// A lease of 6 s, and the time in which candidates claim the job.
+const MAX_UNOWNED_SECONDS: f64 = 8.0;
 
-/// A fleet that has had its jobs for five leases, each wanted by the members that come first for it.
+/// A fleet whose jobs have been owned for five leases, each requested by the members that come first for it.
 fn settled(scenario: Scenario, seed: u64) -> (Run, Vec<(JobId, Vec<u16>)>) {
     let Scenario { members: count, jobs, loss, .. } = scenario;
     let mut run = Run::new(count, jobs, seed, loss, false);
@@ -35,7 +35,7 @@
         members.sort_by_key(|n| run.members.rank(job, *n, 0..count));
         members.truncate(CANDIDATES);
         for (rank, number) in members.iter().enumerate() {
-            run.want(*number, job, rank);
+            run.request_job(*number, job, rank);
         }
         candidates_of.push((job, members));
     }
@@ -43,7 +43,7 @@
     (run, candidates_of)
 }
 
-/// Kills some owners, and tells how long each of their jobs that still has a candidate has no owner, in seconds.
+/// Kills some owners, and returns how long each of their jobs that still has a candidate has no owner, in seconds.
 fn without_owner(scenario: Scenario, seed: u64) -> Vec<f64> {
     let (mut run, candidates_of) = settled(scenario, seed);
     let owners = run.owners();
@@ -62,54 +62,56 @@
     took
 }
 
-/// Claims were put off by chance while the budget was short, time after time: 13.3 s without an owner.
+/// Guards against claims being postponed randomly many times in a row while the budget is short: a job had no owner for
+/// 13.3 s.
 #[test]
-fn a_crash_in_a_fleet_short_of_bytes_leaves_no_job_without_an_owner_for_more_than_a_lease_and_two_seconds()
- {
+fn congested_crash_leaves_no_job_unowned_for_more_than_a_lease_and_two_seconds() {
     for seed in 1..=4 {
-        let took = without_owner(SHORT_OF_BYTES, seed);
+        let took = without_owner(CONGESTED, seed);
         assert!(!took.is_empty(), "seed {seed}: nobody that crashed owned a job");
-        assert!(took.iter().all(|took| *took <= AIM), "seed {seed}: {took:?}");
+        assert!(took.iter().all(|took| *took <= MAX_UNOWNED_SECONDS), "seed {seed}: {took:?}");
     }
 }
 
-/// Candidates kept some acceptors each until their rounds ended, all failed, and began again: 17 of 257 jobs had no owner
-/// for more than a lease and two seconds.
+/// Guards against candidates that keep some acceptors each until their rounds end, all fail, and start again: 17 of 257
+/// jobs had no owner for more than a lease and two seconds.
 #[test]
-fn at_a_fifth_loss_few_jobs_have_no_owner_for_more_than_a_lease_and_two_seconds() {
+fn at_a_fifth_loss_few_jobs_stay_unowned_for_more_than_a_lease_and_two_seconds() {
     let took: Vec<f64> = (1..=4).flat_map(|seed| without_owner(LOSSY, seed)).collect();
-    let longer: Vec<f64> = took.iter().copied().filter(|took| *took > AIM).collect();
+    let longer: Vec<f64> =
+        took.iter().copied().filter(|took| *took > MAX_UNOWNED_SECONDS).collect();
     println!("{} of {} jobs: {longer:?}", longer.len(), took.len());
     assert!(100 * longer.len() <= 3 * took.len(), "of {} jobs {longer:?}", took.len());
 }
 
-/// Members, and jobs, of the small fleet.
-const SMALL: u16 = 8;
+/// The number of members, and of jobs, in the small fleet.
+const SMALL_FLEET: u16 = 8;
 
-/// The first of the members that are there want each job.
-fn want_all(run: &mut Run) {
+/// For each job, the running members that come first request it.
+fn request_all_jobs(run: &mut Run) {
     let machine = |n: &u16| run.fleet.nodes[usize::from(*n)].machine.is_some();
-    let present: Vec<u16> = (0..SMALL).filter(machine).collect();
+    let present: Vec<u16> = (0..SMALL_FLEET).filter(machine).collect();
     for job in run.jobs.clone() {
         for n in present.iter().copied() {
             let rank = run.members.rank(job, n, present.iter().copied());
             if rank < CANDIDATES {
-                run.want(n, job, rank);
+                run.request_job(n, job, rank);
             }
         }
     }
 }
 
-/// What was seen: 8.3 s without an owner where nothing is lost (seed 3). What happens: the owner had three of the five
-/// acceptors and was one of them. A member that came to want the job after the crash had the other two at once, and two named
-/// the end of the lease that was left, 5.3 s on. It asked them again after waits that double, and its rounds ended with
-/// the longest of these: the last question came 0.3 s before that lease ended, the next round 1 s after it. By then others
-/// had those acceptors, and nobody had three. What showed it: the claims of the job, with what each acceptor answered.
+/// Guards against a claim that is not repeated when a reported lease ends: a job had no owner for 8.3 s without any
+/// loss (seed 3). The crashed owner had been one of the job's acceptors and had three of the five. A member that
+/// requested the job after the crash was granted two at once, and the other two reported the end of the remaining
+/// lease, 5.3 s later. The member repeated its claims after doubled waits, and its rounds ended with the longest of
+/// these: the last claim came 0.3 s before that lease ended, the next round 1 s after it. By then others had those
+/// acceptors, and nobody had three.
 #[test]
-fn an_acceptor_that_named_the_end_of_a_lease_is_asked_again_as_it_ends() {
+fn acceptor_that_reported_a_lease_end_is_claimed_again_when_it_ends() {
     for seed in 1..=16 {
-        let mut run = Run::new(SMALL, u64::from(SMALL), seed, 0.0, false);
-        want_all(&mut run);
+        let mut run = Run::new(SMALL_FLEET, u64::from(SMALL_FLEET), seed, 0.0, false);
+        request_all_jobs(&mut run);
         run.fleet.run(3 * LEASE + 60 * SECOND);
         let owners = run.owners();
         let Some(dead) = owners.values().next().copied() else { panic!("seed {seed}: no owner") };
@@ -117,9 +119,9 @@
             owners.iter().filter(|(_, owner)| **owner == dead).map(|(job, _)| *job).collect();
         run.fleet.kill(dead);
         run.fleet.run(SECOND / 100);
-        want_all(&mut run);
+        request_all_jobs(&mut run);
         let took = run.until_owned(&lost, SECOND / 100, 10 * LEASE);
         assert_eq!(took.len(), lost.len(), "seed {seed}: a job has no owner for ten leases");
-        assert!(took.iter().all(|took| *took <= AIM), "seed {seed}: {took:?}");
+        assert!(took.iter().all(|took| *took <= MAX_UNOWNED_SECONDS), "seed {seed}: {took:?}");
     }
 }
--- a/crates/millethook-lease/tests/it/common/worker.rs
+++ b/crates/millethook-lease/tests/it/common/worker.rs
@@ -3,7 +3,7 @@
 use millethook_lease::{JobId, Lease, Micros, Token, Violation};
 use millethook_machine::sim::Machine;
 
-/// An effect on its way to what the job changes.
+/// An effect on its way to the resource that the job changes.
 #[derive(Clone, Debug)]
 pub struct Effect {
     pub job: JobId,
@@ -13,18 +13,18 @@
 /// One process.
 pub struct Worker {
     pub lease: Lease,
-    /// An effect for which it has looked at its lease, and which it has not carried out yet.
-    pub ready: Option<Effect>,
-    /// Whether its invariants are checked after each step, which takes most of the time of a large fleet.
+    /// An effect for which it has checked its lease, and which it has not carried out yet.
+    pub pending_effect: Option<Effect>,
+    /// Whether its invariants are checked after each step, which takes most of the time in a large fleet.
     checked: bool,
 }
 
 impl Worker {
     pub fn new(lease: Lease) -> Worker {
-        Worker { lease, ready: None, checked: true }
+        Worker { lease, pending_effect: None, checked: true }
     }
 
-    /// One whose invariants are not checked.
+    /// A worker whose invariants are not checked.
     pub fn unchecked(lease: Lease) -> Worker {
         Worker { checked: false, ..Worker::new(lease) }
     }
--- a/crates/millethook-lease/tests/it/fleet.rs
+++ b/crates/millethook-lease/tests/it/fleet.rs
@@ -1,6 +1,6 @@
-//! Single faults, each with what has to come of it.
+//! Single faults, each with the expected outcome.
 
-use crate::common::{Act, BORN, DRIFT, LEASE, MEMBERS, World};
+use crate::common::{Action, DRIFT, LEASE, MEMBERS, START_UNIX_MS, World};
 use millethook_lease::{
     Config, Event, Fence, JobId, Lease, LeaseStatus, MAX_JOBS, Member, Members, Token,
 };
@@ -9,25 +9,25 @@
 
 const JOB: u64 = 1;
 
-/// A fleet in which member 0 owns the job, and others want it.
-fn owned(seed: u64) -> World {
+/// A fleet in which member 0 owns the job, and the others request it.
+fn fleet_with_owner(seed: u64) -> World {
     let mut world = World::new(seed);
     world.run(LEASE);
-    world.act(&Act::Request(0, JOB));
+    world.apply(&Action::Request(0, JOB));
     world.run(SECOND);
     assert_eq!(world.owners(JOB).len(), 1);
-    (1..MEMBERS).for_each(|n| world.act(&Act::Request(n, JOB)));
+    (1..MEMBERS).for_each(|n| world.apply(&Action::Request(n, JOB)));
     world.run(LEASE);
     assert_eq!(world.owners(JOB)[0].0, 0);
     world
 }
 
-fn sound(world: &World) {
-    assert_eq!(world.broken, None);
+fn assert_no_violation(world: &World) {
+    assert_eq!(world.violation, None);
 }
 
 /// How long the job has no owner, in microseconds.
-fn until_owned(world: &mut World) -> u64 {
+fn time_until_owned(world: &mut World) -> u64 {
     let begin = world.fleet.now;
     while world.owners(JOB).is_empty() && world.fleet.now < begin + 60 * SECOND {
         world.run(SECOND / 100);
@@ -36,62 +36,63 @@
 }
 
 #[test]
-fn an_owner_that_is_killed_is_followed_within_the_lease_and_two_seconds() {
+fn killed_owner_is_replaced_within_the_lease_and_two_seconds() {
     for seed in 0..20 {
-        let mut world = owned(seed);
+        let mut world = fleet_with_owner(seed);
         let before = world.owners(JOB)[0].1;
-        world.act(&Act::Kill(0));
-        let took = until_owned(&mut world);
+        world.apply(&Action::Kill(0));
+        let took = time_until_owned(&mut world);
         assert!(took <= LEASE + 2 * SECOND, "seed {seed}: {took}");
         assert!(world.owners(JOB)[0].1 > before);
-        sound(&world);
+        assert_no_violation(&world);
     }
 }
 
 #[test]
-fn an_owner_that_wakes_after_another_took_over_does_nothing() {
+fn resumed_former_owner_changes_nothing() {
     for (ms, followed) in [(500, false), (20_000, true)] {
-        let mut world = owned(3);
-        // It has looked at its lease, and stops before it acts.
-        world.act(&Act::Look(JOB));
-        world.act(&Act::Pause(0, ms));
+        let mut world = fleet_with_owner(3);
+        // It has checked its lease, and is paused before the effect.
+        world.apply(&Action::PrepareEffect(JOB));
+        world.apply(&Action::Pause(0, ms));
         world.run(ms * 1_000 - 1);
-        world.act(&Act::Look(JOB));
-        world.act(&Act::Do);
+        world.apply(&Action::PrepareEffect(JOB));
+        world.apply(&Action::ApplyEffects);
         world.run(SECOND / 10);
-        world.act(&Act::Do);
+        world.apply(&Action::ApplyEffects);
         assert_eq!((world.owners(JOB)[0].0 != 0, world.stale > 0), (followed, followed), "{ms} ms");
-        sound(&world);
+        assert_no_violation(&world);
     }
 }
 
 #[test]
-fn a_majority_of_acceptors_is_needed_and_enough() {
-    let mut world = owned(4);
-    // Five of seven members are acceptors; with four members gone three acceptors are left at the most, with six one.
-    (1..MEMBERS).for_each(|n| world.act(&Act::Kill(n)));
+fn majority_of_acceptors_is_necessary_and_sufficient() {
+    let mut world = fleet_with_owner(4);
+    // Five of seven members are acceptors. With four members gone at most three acceptors are left, with six at most
+    // one.
+    (1..MEMBERS).for_each(|n| world.apply(&Action::Kill(n)));
     world.run(3 * LEASE);
     assert_eq!(world.owners(JOB), []);
-    (1..MEMBERS).for_each(|n| world.act(&Act::Start(n)));
-    (1..MEMBERS).for_each(|n| world.act(&Act::Request(n, JOB)));
-    assert!(until_owned(&mut world) <= 2 * LEASE + 2 * SECOND);
-    sound(&world);
+    (1..MEMBERS).for_each(|n| world.apply(&Action::Start(n)));
+    (1..MEMBERS).for_each(|n| world.apply(&Action::Request(n, JOB)));
+    assert!(time_until_owned(&mut world) <= 2 * LEASE + 2 * SECOND);
+    assert_no_violation(&world);
 }
 
 #[test]
-fn a_side_without_a_majority_owns_nothing_and_the_other_side_goes_on() {
-    let mut world = owned(5);
+fn minority_partition_owns_nothing_and_majority_continues() {
+    let mut world = fleet_with_owner(5);
     let before = world.owners(JOB)[0].1;
-    world.act(&Act::CutOffOwner(JOB));
-    assert!(until_other(&mut world, 0) <= LEASE + 2 * SECOND);
+    world.apply(&Action::CutOffOwner(JOB));
+    assert!(time_until_other_owner(&mut world, 0) <= LEASE + 2 * SECOND);
     assert!(world.owners(JOB)[0].1 > before);
-    world.act(&Act::Heal);
+    world.apply(&Action::Heal);
     world.run(LEASE);
     assert_eq!(world.owners(JOB).len(), 1);
-    sound(&world);
+    assert_no_violation(&world);
 }
 
-fn until_other(world: &mut World, than: u16) -> u64 {
+fn time_until_other_owner(world: &mut World, than: u16) -> u64 {
     let begin = world.fleet.now;
     while world.owners(JOB).iter().all(|(n, _)| *n == than) && world.fleet.now < begin + 60 * SECOND
     {
@@ -101,37 +102,38 @@
 }
 
 #[test]
-fn an_owner_whose_answers_are_lost_stops_in_time() {
-    let mut world = owned(6);
-    // It hears nobody; all hear it: its acceptors go on granting what it does not know that it has.
-    world.act(&Act::CutOneWay(!1, 1));
+fn owner_that_receives_no_answers_stops_when_its_lease_ends() {
+    let mut world = fleet_with_owner(6);
+    // It receives from nobody, but all receive from it: its acceptors keep granting renewals of which it does not know.
+    world.apply(&Action::CutOneWay(!1, 1));
     world.run(LEASE);
     assert_eq!(world.owners(JOB), []);
-    world.act(&Act::Heal);
-    assert!(until_owned(&mut world) <= 2 * LEASE);
-    sound(&world);
+    world.apply(&Action::Heal);
+    assert!(time_until_owned(&mut world) <= 2 * LEASE);
+    assert_no_violation(&world);
 }
 
 #[test]
-fn all_restarted_at_once_grant_nothing_for_a_lease_and_go_above_all_that_was() {
-    let mut world = owned(7);
+fn after_a_full_restart_nothing_is_granted_for_one_lease_and_tokens_increase() {
+    let mut world = fleet_with_owner(7);
     let before = world.owners(JOB)[0].1;
-    world.act(&Act::KillAll);
-    (0..MEMBERS).for_each(|n| world.act(&Act::Request(n, JOB)));
+    world.apply(&Action::KillAll);
+    (0..MEMBERS).for_each(|n| world.apply(&Action::Request(n, JOB)));
     world.run(LEASE - SECOND / 100);
     assert_eq!(world.owners(JOB), []);
-    assert!(until_owned(&mut world) <= LEASE + 2 * SECOND);
+    assert!(time_until_owned(&mut world) <= LEASE + 2 * SECOND);
     assert!(world.owners(JOB)[0].1 > before);
-    sound(&world);
+    assert_no_violation(&world);
 }
 
-/// The bound on clocks is what everything rests on: beyond it there can be two, and the fence is what is left.
+/// Exclusive ownership depends on the bound on clock drift. Beyond the bound two members can own a job, and only the
+/// fence protects the resource.
 #[test]
-fn clocks_beyond_the_bound_make_two_owners_and_no_stale_effect() {
-    let mut world = owned(8);
-    // As if nothing ran at the owner's for most of the time, clock included.
+fn excessive_clock_drift_makes_two_owners_but_no_stale_effect() {
+    let mut world = fleet_with_owner(8);
+    // As if the owner's process and clock were stopped most of the time.
     world.fleet.set_clock(0, 0.05, 0);
-    world.act(&Act::CutOffOwner(JOB));
+    world.apply(&Action::CutOffOwner(JOB));
     let begin = world.fleet.now;
     while world.owners(JOB).len() < 2 && world.fleet.now < begin + 10 * LEASE {
         world.fleet.run(SECOND / 100);
@@ -145,24 +147,24 @@
 }
 
 #[test]
-fn a_clock_that_jumps_an_hour_ends_a_lease_and_makes_no_second_owner() {
-    let mut world = owned(9);
+fn clock_jump_ends_the_lease_without_a_second_owner() {
+    let mut world = fleet_with_owner(9);
     let before = world.owners(JOB)[0].1;
     world.fleet.set_clock(0, 1.0, 3_600 * SECOND);
     world.run(SECOND / 100);
-    // It may have asked anew, and got another token.
+    // It may have claimed the job again, and been granted another token.
     assert!(world.owners(JOB).iter().all(|(_, token)| *token > before));
-    assert!(until_owned(&mut world) <= LEASE + 2 * SECOND);
-    sound(&world);
+    assert!(time_until_owned(&mut world) <= LEASE + 2 * SECOND);
+    assert_no_violation(&world);
 }
 
 #[test]
-fn whoever_leaves_hands_over_in_so_many_words() {
-    let mut world = owned(10);
-    world.act(&Act::Shutdown(0));
-    assert!(until_owned(&mut world) < SECOND / 10);
-    assert_eq!(world.owners(JOB)[0].0, 1, "the heir that was named");
-    sound(&world);
+fn shutdown_hands_the_lease_to_the_invited_successor() {
+    let mut world = fleet_with_owner(10);
+    world.apply(&Action::Shutdown(0));
+    assert!(time_until_owned(&mut world) < SECOND / 10);
+    assert_eq!(world.owners(JOB)[0].0, 1, "the successor that was named");
+    assert_no_violation(&world);
 }
 
 fn config(me: u16, epoch: u64) -> Config {
@@ -181,28 +183,30 @@
     Members::new((0..3).map(|n| Member(seed ^ n)).collect())
 }
 
-/// A lone machine that is asked by hand: carries what the one says to the other.
+/// Carries messages between two members that are driven by hand.
 fn exchange(now: u64, a: &mut Lease, b: &mut Lease) {
     for _ in 0..4 {
-        let of = |from: &mut Lease, number: u16, to: &mut Lease, me: u16| {
+        let transfer = |from: &mut Lease, number: u16, to: &mut Lease, me: u16| {
             while let Some((whom, content)) = from.poll_transmit() {
                 if whom == me {
                     to.handle(now, number, &content);
                 }
             }
         };
-        of(a, 0, b, 1);
-        of(b, 1, a, 0);
+        transfer(a, 0, b, 1);
+        transfer(b, 1, a, 0);
     }
 }
 
 #[test]
-fn a_token_that_a_store_refused_is_gone_above() {
+fn next_token_exceeds_the_highest_observed_token() {
     let now = 10 * LEASE;
-    let (mut a, mut b) =
-        (Lease::new(config(0, BORN), members(1), 0), Lease::new(config(1, BORN), members(1), 0));
-    // Both clocks were set back, and the store remembers what came before.
-    let stored = Token { epoch: BORN + 5_000_000, counter: 4, owner: 2 };
+    let (mut a, mut b) = (
+        Lease::new(config(0, START_UNIX_MS), members(1), 0),
+        Lease::new(config(1, START_UNIX_MS), members(1), 0),
+    );
+    // Both clocks were set back, and the resource remembers an earlier token.
+    let stored = Token { epoch: START_UNIX_MS + 5_000_000, counter: 4, owner: 2 };
     a.request(now, JobId(1), LEASE, 0);
     a.observe_token(JobId(1), stored);
     a.tick(now);
@@ -213,8 +217,8 @@
     assert_eq!(a.poll_event(), Some(Event::Granted(JobId(1), token)));
 }
 
-/// Carries messages among members until none is left. Returns those that `on_time` refuses by sender and receiver, each
-/// with both.
+/// Carries messages among members until none is left. Returns the messages for which `on_time` returned false, each
+/// with its sender and receiver.
 fn deliver_all(
     now: u64,
     members: &mut [Lease],
@@ -241,50 +245,51 @@
     }
 }
 
-/// An invitation can overtake the releases. Then the acceptors refuse the heir in the name of the lease that was given up, and
-/// the heir waited for its end: 4.8 s without an owner after a planned leave.
+/// Guards against an invitation that overtakes the releases: acceptors rejected the successor because of the released
+/// lease, and the successor waited for its end, 4.8 s without an owner after a planned leave.
 #[test]
-fn an_heir_whose_invitation_overtakes_the_releases_claims_again_soon() {
+fn successor_whose_invitation_overtakes_the_releases_claims_again_soon() {
     const OWNER: u16 = 0;
-    const HEIR: u16 = 1;
+    const SUCCESSOR: u16 = 1;
     let now = 10 * LEASE;
     let list = Members::new((0..5).map(Member).collect());
     let mut members: Vec<Lease> = (0..5)
-        .map(|me| Lease::new(Config { acceptors: 5, ..config(me, BORN) }, list.clone(), 0))
+        .map(|me| Lease::new(Config { acceptors: 5, ..config(me, START_UNIX_MS) }, list.clone(), 0))
         .collect();
     members[usize::from(OWNER)].request(now, JobId(1), LEASE, 0);
     members[usize::from(OWNER)].tick(now);
     deliver_all(now, &mut members, |_, _| true);
     assert!(members[usize::from(OWNER)].holds(now, JobId(1)).is_some());
-    let heir = usize::from(HEIR);
-    members[heir].request(now, JobId(1), LEASE, LEASE);
-    members[usize::from(OWNER)].release(now, JobId(1), Some(HEIR));
-    // The owner's datagrams to others than the heir are late: three of five acceptors name the old token.
-    let mut late = deliver_all(now, &mut members, |_, to| to == HEIR);
-    members[heir].tick(now);
+    let successor = usize::from(SUCCESSOR);
+    members[successor].request(now, JobId(1), LEASE, LEASE);
+    members[usize::from(OWNER)].release(now, JobId(1), Some(SUCCESSOR));
+    // The owner's datagrams to others than the successor are late: three of five acceptors report the old token.
+    let mut late = deliver_all(now, &mut members, |_, to| to == SUCCESSOR);
+    members[successor].tick(now);
     late.extend(deliver_all(now, &mut members, |from, _| from != OWNER));
     assert!(
-        members[heir].holds(now, JobId(1)).is_none(),
+        members[successor].holds(now, JobId(1)).is_none(),
         "the acceptors have heard of the release"
     );
     for (from, to, content) in late {
         members[usize::from(to)].handle(now, from, &content);
     }
     let mut at = now;
-    while members[heir].holds(at, JobId(1)).is_none() && at < now + 2 * LEASE {
-        at = members[heir].poll_timeout().max(at + 1);
-        members[heir].tick(at);
+    while members[successor].holds(at, JobId(1)).is_none() && at < now + 2 * LEASE {
+        at = members[successor].poll_timeout().max(at + 1);
+        members[successor].tick(at);
         deliver_all(at, &mut members, |_, _| true);
     }
     assert!(at < now + SECOND, "{} us without an owner", at - now);
 }
 
-/// Chance must not keep a claimer from a job that is free: it waited for many leases in a row with a short budget.
+/// Guards against random postponement of claims for a free job, which lasted for many leases in a row with a short
+/// budget.
 #[test]
-fn a_free_job_is_claimed_at_once_however_short_the_budget_is() {
+fn free_job_is_claimed_at_once_while_congested() {
     let now = 10 * LEASE;
     for seed in 0..20 {
-        let config = Config { seed, ..config(0, BORN) };
+        let config = Config { seed, ..config(0, START_UNIX_MS) };
         let mut a = Lease::new(config, members(1), 0);
         let mut b = Lease::new(Config { me: 1, ..config }, members(1), 0);
         a.set_congested(true);
@@ -295,10 +300,10 @@
     }
 }
 
-/// Claims that a member sends in `length` microseconds while no acceptor answers.
+/// The number of claims that a member sends in `length` microseconds while no acceptor answers.
 fn claims_to_silent_acceptors(congested: bool, length: u64) -> usize {
     let begin = 10 * LEASE;
-    let mut a = Lease::new(config(0, BORN), members(1), 0);
+    let mut a = Lease::new(config(0, START_UNIX_MS), members(1), 0);
     a.set_congested(congested);
     a.request(begin, JobId(1), LEASE, 0);
     let mut claims = 0;
@@ -312,11 +317,11 @@
     claims
 }
 
-/// Bytes of a message that is a release alone.
+/// The length of a message with a single release, in bytes.
 const RELEASE_LENGTH: usize = 21;
 
 #[test]
-fn with_a_short_budget_silent_acceptors_are_asked_less() {
+fn silent_acceptors_get_fewer_claims_while_congested() {
     let (short, ample) = (
         claims_to_silent_acceptors(true, 40 * LEASE),
         claims_to_silent_acceptors(false, 40 * LEASE),
@@ -325,15 +330,18 @@
 }
 
 #[test]
-fn members_that_go_by_different_lists_grant_one_another_nothing() {
+fn members_with_different_lists_grant_each_other_nothing() {
     let now = 10 * LEASE;
-    let (mut a, mut b) =
-        (Lease::new(config(0, BORN), members(1), 0), Lease::new(config(1, BORN), members(9), 0));
+    let (mut a, mut b) = (
+        Lease::new(config(0, START_UNIX_MS), members(1), 0),
+        Lease::new(config(1, START_UNIX_MS), members(9), 0),
+    );
     a.request(now, JobId(1), LEASE, 0);
     a.tick(now);
     exchange(now, &mut a, &mut b);
     assert_eq!((a.holds(now, JobId(1)), b.figures(now).strangers > 0), (None, true));
-    // It has started in the middle of a change, for all that it knows: it asks for nothing as long as it hears that.
+    // As far as it knows, it started in the middle of a member change: it claims nothing as long as it receives claims
+    // by unknown lists.
     b.request(now, JobId(2), LEASE, 0);
     b.tick(now);
     assert_eq!(b.poll_transmit(), None);
@@ -342,44 +350,45 @@
 }
 
 #[test]
-fn an_acceptor_keeps_what_it_has_granted_when_more_jobs_come_than_it_holds() {
+fn full_acceptor_keeps_its_granted_leases() {
     let now = 10 * LEASE;
-    let mut acceptor = Lease::new(config(0, BORN), members(1), 0);
-    let mut asker = Lease::new(Config { acceptors: 1, ..config(1, BORN) }, members(1), 0);
-    let mine = members(1).acceptors(JobId(0), 1)[0];
+    let mut acceptor = Lease::new(config(0, START_UNIX_MS), members(1), 0);
+    let mut claimant =
+        Lease::new(Config { acceptors: 1, ..config(1, START_UNIX_MS) }, members(1), 0);
+    let first_acceptor = members(1).acceptors(JobId(0), 1)[0];
     let jobs: Vec<JobId> = (0..)
         .map(JobId)
         .filter(|job| members(1).acceptors(*job, 1)[0] == 0)
         .take(MAX_JOBS + 50)
         .collect();
-    assert!(mine < 3);
+    assert!(first_acceptor < 3);
     let mut granted = 0;
     for job in &jobs {
-        asker.request(now, *job, LEASE, 0);
-        asker.tick(now);
-        exchange_with(now, &mut asker, &mut acceptor);
-        granted += usize::from(matches!(asker.status(now, *job), Some(LeaseStatus::Owner(..))));
-        asker = Lease::new(Config { acceptors: 1, ..config(1, BORN) }, members(1), 0);
+        claimant.request(now, *job, LEASE, 0);
+        claimant.tick(now);
+        exchange_claims(now, &mut claimant, &mut acceptor);
+        granted += usize::from(matches!(claimant.status(now, *job), Some(LeaseStatus::Owner(..))));
+        claimant = Lease::new(Config { acceptors: 1, ..config(1, START_UNIX_MS) }, members(1), 0);
     }
     assert_eq!(granted, MAX_JOBS);
     assert_eq!(acceptor.check(now), Ok(()));
     assert_eq!(acceptor.figures(now).granting, MAX_JOBS);
 }
 
-fn exchange_with(now: u64, asker: &mut Lease, acceptor: &mut Lease) {
-    while let Some((_, content)) = asker.poll_transmit() {
+fn exchange_claims(now: u64, claimant: &mut Lease, acceptor: &mut Lease) {
+    while let Some((_, content)) = claimant.poll_transmit() {
         acceptor.handle(now, 1, &content);
     }
     while let Some((_, content)) = acceptor.poll_transmit() {
-        asker.handle(now, 0, &content);
+        claimant.handle(now, 0, &content);
     }
 }
 
 proptest! {
     #[test]
-    fn bytes_of_any_kind_break_nothing(contents in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..40)) {
+    fn arbitrary_bytes_break_no_invariant(contents in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..40)) {
         let now = 10 * LEASE;
-        let mut lease = Lease::new(config(0, BORN), members(1), 0);
+        let mut lease = Lease::new(config(0, START_UNIX_MS), members(1), 0);
         lease.request(now, JobId(1), LEASE, 0);
         lease.tick(now);
         for (n, content) in contents.into_iter().enumerate() {
--- a/crates/millethook-lease/tests/it/golden.rs
+++ b/crates/millethook-lease/tests/it/golden.rs
@@ -1,60 +1,61 @@
-//! The bytes of every message of a fixed fleet, as an earlier build wrote them.
+//! Compares the bytes of every message of a fixed fleet with those that an earlier build wrote.
 //!
-//! A change of code that is not meant to change behaviour leaves `golden/messages.txt` as it is.
+//! A change that is not meant to alter behaviour leaves `golden/messages.txt` unchanged.
 
-use crate::common::{Act, BORN, LEASE, MEMBERS, World};
+use crate::common::{Action, LEASE, MEMBERS, START_UNIX_MS, World};
 use millethook_lease::{Config, JobId, Lease, Member, Members, Token};
 use millethook_machine::sim::{SECOND, Transcript};
 
-/// Kinds of records in `src/message.rs`.
+/// The number of record kinds in `src/message.rs`.
 const KINDS: u8 = 6;
 
-/// Claims, renewals, cuts, losses, pauses, a change of the members, handovers and restarts.
+/// Plays claims, renewals, partitions, losses, pauses, a member change, handovers and restarts.
 fn play(world: &mut World) {
-    (0..MEMBERS).for_each(|n| world.act(&Act::Request(n, u64::from(n) % 2)));
+    (0..MEMBERS).for_each(|n| world.apply(&Action::Request(n, u64::from(n) % 2)));
     world.run(2 * LEASE);
-    (0..MEMBERS).for_each(|n| world.act(&Act::Request(n, 1)));
-    world.act(&Act::Loss(20));
+    (0..MEMBERS).for_each(|n| world.apply(&Action::Request(n, 1)));
+    world.apply(&Action::Loss(20));
     world.run(2 * LEASE);
-    world.act(&Act::Cut(0b111));
+    world.apply(&Action::Cut(0b111));
     world.run(2 * LEASE);
-    world.act(&Act::Heal);
-    world.act(&Act::PauseOwner(1, 5_000));
+    world.apply(&Action::Heal);
+    world.apply(&Action::PauseOwner(1, 5_000));
     world.run(3 * LEASE);
-    world.act(&Act::ListBut(3));
+    world.apply(&Action::NextListExcept(3));
     world.run(LEASE);
-    world.act(&Act::List(3, 1));
+    world.apply(&Action::SetList(3, 1));
     world.run(LEASE);
     let owner = world.owners(1).first().map_or(0, |owner| owner.0);
-    world.act(&Act::Release(owner, 1, Some((owner + 1) % MEMBERS)));
+    world.apply(&Action::Release(owner, 1, Some((owner + 1) % MEMBERS)));
     world.run(LEASE);
     let owner = world.owners(0).first().map_or(0, |owner| owner.0);
-    world.act(&Act::Shutdown(owner));
+    world.apply(&Action::Shutdown(owner));
     world.run(LEASE);
-    world.act(&Act::KillAll);
-    (0..MEMBERS).for_each(|n| world.act(&Act::Request(n, 0)));
+    world.apply(&Action::KillAll);
+    (0..MEMBERS).for_each(|n| world.apply(&Action::Request(n, 0)));
     world.run(3 * LEASE);
 }
 
 #[test]
-fn every_message_is_that_of_the_build_that_wrote_the_file() {
+fn messages_match_the_golden_file() {
     let mut world = World::new(8);
     world.fleet.transcript = Some(Transcript::default());
     play(&mut world);
-    assert_eq!(world.broken, None);
+    assert_eq!(world.violation, None);
     let transcript = world.fleet.transcript.take().unwrap_or_default();
     assert_eq!(transcript.to_string(), include_str!("../golden/messages.txt"));
     let kinds: Vec<u8> = transcript.first_of_kind().keys().copied().collect();
     assert_eq!(kinds, (1..=KINDS).collect::<Vec<u8>>(), "the run has messages of every kind");
 }
 
-/// What one member answers to a record of each kind: whole, cut off, twice, and with more lists than are heeded.
+/// The answers of one member to a record of each kind: whole, truncated, twice, and with more member lists than
+/// allowed.
 #[test]
-fn every_record_is_read_as_by_the_build_that_wrote_the_file() {
+fn records_are_read_as_in_the_golden_file() {
     let members = Members::new((0..5).map(|n| Member(n * 77)).collect());
     let id = members.id().to_be_bytes();
     let mut token = Vec::new();
-    Token { epoch: BORN, counter: 7, owner: 3 }.write(&mut token);
+    Token { epoch: START_UNIX_MS, counter: 7, owner: 3 }.write(&mut token);
     let job = 5u64.to_be_bytes();
     let mut records = Vec::new();
     for lists in 0..=4u8 {
@@ -62,7 +63,7 @@
         let head = [&[1][..], &job, &[0, 0, 0, 9], &id, &[lists]].concat();
         records.push([&head[..], &before, &token, &[7, 0xd0]].concat());
     }
-    // A list of which the name is 0 stands for none.
+    // The identifier 0 stands for no list.
     let zero = [&[1][..], &job, &[0, 0, 0, 9], &id, &[1, 0, 0, 0, 0], &token, &[7, 0xd0]];
     records.push(zero.concat());
     for kind in 2..=4u8 {
@@ -77,7 +78,7 @@
         for content in [record.clone(), record[..record.len() - 1].to_vec(), record.repeat(2)] {
             let config = Config {
                 me: 0,
-                epoch: BORN,
+                epoch: START_UNIX_MS,
                 acceptors: 3,
                 max_lease: LEASE,
                 change_timeout: 60 * SECOND,
--- a/crates/millethook-lease/tests/it/main.rs
+++ b/crates/millethook-lease/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Leases on the virtual clock, in one program.
+//! Tests of leases on the virtual clock.
 
 mod common;
 mod fleet;
--- a/crates/millethook-lease/tests/it/search.rs
+++ b/crates/millethook-lease/tests/it/search.rs
@@ -1,4 +1,5 @@
-//! Random load and random faults: two owners, stale effects, tokens that do not grow, and each member's own rules.
+//! Random load and faults, checked for two owners, stale effects, tokens that do not increase, and each member's
+//! invariants.
 
 use crate::common::{play, script};
 use proptest::prelude::*;
@@ -7,17 +8,17 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn nothing_that_may_never_be_comes_of_random_load_and_faults(seed: u64, script in script(60)) {
-        if let Err(broken) = play(seed, &script) {
-            return Err(TestCaseError::fail(broken));
+    fn random_load_and_faults_break_no_invariant(seed: u64, script in script(60)) {
+        if let Err(violation) = play(seed, &script) {
+            return Err(TestCaseError::fail(violation));
         }
     }
 }
 
-/// Each rule that is taken out is missed by the same search.
+/// The same search detects each rule that is disabled.
 #[cfg(feature = "mutants")]
 #[test]
-fn each_missing_rule_is_found() {
+fn each_mutant_is_found() {
     use millethook_lease::mutant::{Mutant, become_mutant};
     use proptest::test_runner::{Config, TestRunner};
 
