--- a/crates/millethook-lease/tests/it/search.rs
+++ b/crates/millethook-lease/tests/it/search.rs
@@ -35,7 +35,7 @@
             play(seed, &script).map(drop).map_err(TestCaseError::fail)
         });
         become_mutant(None);
-        let found = found.expect_err(&format!("{mutant:?} is not missed"));
+        let found = found.expect_err(&format!("{mutant:?} is not detected"));
         println!("{mutant:?}: {found}");
     }
 }
--- a/crates/millethook-replica/examples/ages.rs
+++ b/crates/millethook-replica/examples/ages.rs
@@ -1,19 +1,19 @@
-//! Fleets of replicas on a virtual clock: how old a word is when all have it, bytes, and how long one that starts needs.
-//! Prints a Markdown table.
+//! Measures fleets of replicas on a virtual clock: the age of a report when all members have it, the bytes sent, and
+//! how long a started member needs to catch up. Prints a Markdown table.
 //!
 //!     cargo run --release -p millethook-replica --example ages [sizes of fleets]
 
 #[path = "../tests/it/common/mod.rs"]
 mod common;
 
-use common::{BORN, SECOND, Sim};
+use common::{SECOND, SERVER_EPOCH, Sim};
 use millethook_replica::{Departure, ObservedOutcome, ServerStatus};
 
 fn seconds(of: Option<u64>) -> String {
     of.map_or("-".into(), |t| format!("{:.2}", t as f64 / SECOND as f64))
 }
 
-fn middle(mut of: Vec<Option<u64>>) -> Option<u64> {
+fn median(mut of: Vec<Option<u64>>) -> Option<u64> {
     of.sort_by_key(|t| t.unwrap_or(u64::MAX));
     of[of.len() / 2]
 }
@@ -29,7 +29,7 @@
     let mut sim = Sim::new(size, 480, seed);
     sim.loss = loss;
     sim.run(2 * SECOND);
-    // Two have met a dead server: the second word makes the doubt.
+    // Two members have failed attempts at a server: the second report makes it suspected.
     sim.end_two_attempts(0, 1, ObservedOutcome::TimedOut);
     sim.run(SECOND);
     sim.nodes.iter_mut().for_each(|n| n.sent.0 = 0);
@@ -37,22 +37,23 @@
     let begun = sim.now;
     let mut ages = [None; 3];
     for (age, share) in ages.iter_mut().zip([0.5, 0.99, 1.0]) {
-        let wanted = (f64::from(size) * share).ceil() as usize;
-        let known = |sim: &Sim| sim.stand(1, ServerStatus::Suspected) >= wanted;
+        let required = (f64::from(size) * share).ceil() as usize;
+        let known = |sim: &Sim| sim.count_with_status(1, ServerStatus::Suspected) >= required;
         *age = sim.run_until(8 * SECOND, known).map(|_| sim.now - begun);
     }
     let passed = (sim.now - begun).max(SECOND) as f64 / SECOND as f64;
     let sum = |sim: &Sim| sim.nodes.iter().map(|n| n.sent.0).sum::<u64>() as f64;
     let bytes = sum(&sim) / passed / f64::from(size);
-    // When it is forgotten nothing is said.
+    // After the reports have expired nothing is sent.
     sim.run(30 * SECOND);
     sim.nodes.iter_mut().for_each(|n| n.sent.0 = 0);
     sim.run(20 * SECOND);
     let quiet = sum(&sim) / 20.0 / f64::from(size);
-    // 8 KiB: all lists say that 480 servers leave.
+    // 8 KiB: all lists report that 480 servers leave.
     for n in 0..size {
         sim.with(n, |r, now| {
-            (1..=480).for_each(|server| r.on_departure(now, server, BORN, Departure::Leaving));
+            (1..=480)
+                .for_each(|server| r.on_departure(now, server, SERVER_EPOCH, Departure::Leaving));
         });
     }
     sim.run(5 * SECOND);
@@ -75,7 +76,7 @@
     for (size, loss) in sizes.into_iter().flat_map(|size| [0.0, 0.2].map(|loss| (size, loss))) {
         let seeds = if size > 300 { 3 } else { 9 };
         let runs: Vec<Run> = (0..seeds).map(|seed| run(size, seed, loss)).collect();
-        let of = |n: usize| seconds(middle(runs.iter().map(|r| r.ages[n]).collect()));
+        let of = |n: usize| seconds(median(runs.iter().map(|r| r.ages[n]).collect()));
         let mean = |of: fn(&Run) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
         println!(
             "| {size} | {loss} | {seeds} | {} | {} | {} | {:.0} | {:.0} | {} |",
@@ -84,7 +85,7 @@
             of(2),
             mean(|r| r.bytes),
             mean(|r| r.quiet),
-            seconds(middle(runs.iter().map(|r| r.caught_up).collect()))
+            seconds(median(runs.iter().map(|r| r.caught_up).collect()))
         );
     }
 }
--- a/crates/millethook-replica/src/attempt_monitor.rs
+++ b/crates/millethook-replica/src/attempt_monitor.rs
@@ -1,14 +1,14 @@
-//! Outcomes of the own attempts, and which of them are worth a report to the fleet.
+//! Outcomes of this process's attempts, and which of them are reported to the fleet.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 use crate::entry::Verdict;
 
-/// How an attempt ended, as far as it tells something about the server.
+/// How an attempt ended, as far as that says something about the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservedOutcome {
-    /// An answer that is no error, or a refusal: the server works.
+    /// An answer that is not an error, or a refusal: the server works.
     Answered,
     /// An answer that is an error.
     Error,
@@ -29,12 +29,12 @@
     pub outcome: ObservedOutcome,
 }
 
-/// Consecutive failures that are reported. A single one happens in any network.
+/// The number of consecutive failures that is reported. A single failure happens in any network.
 const FAILURES_TO_REPORT: u32 = 2;
-/// The most servers that are watched. Of more, those that answer are left out.
+/// The maximum number of monitored servers. Beyond it, no further server is monitored.
 const MAX_SERVERS: usize = 4096;
 
-/// What is known of one server.
+/// The state of one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerRecord {
     failures: u32,
@@ -43,12 +43,12 @@
     reported: Option<Verdict>,
     /// Attempts that have not ended.
     outstanding: u32,
-    /// Since when one of them waits while the server has sent nothing.
+    /// Since when one of them is unanswered while the server has sent nothing.
     silent_since: Option<Micros>,
 }
 
 impl ServerRecord {
-    /// One attempt less is outstanding. `last_answer` is the time, if the server has sent something.
+    /// Records the end of an attempt. `last_answer` is the current time if the server has sent something.
     fn attempt_ended(&mut self, last_answer: Option<Micros>) {
         self.outstanding = self.outstanding.saturating_sub(1);
         self.silent_since = match (self.outstanding, last_answer) {
@@ -59,16 +59,16 @@
     }
 }
 
-/// Outcomes of the own attempts, by server.
+/// Outcomes of this process's attempts, by server.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptMonitor {
     servers: BTreeMap<u64, ServerRecord>,
-    /// Servers that owe an answer and of which nothing was reported, with the time since when.
+    /// Servers with an unanswered attempt and without a report, each with the time since when.
     awaiting_answer: BTreeMap<u64, Micros>,
 }
 
 impl AttemptMonitor {
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub fn on_attempt_sent(&mut self, now: Micros, server: u64) {
         if self.servers.len() >= MAX_SERVERS && !self.servers.contains_key(&server) {
             return;
@@ -76,11 +76,11 @@
         let record = self.servers.entry(server).or_default();
         record.outstanding += 1;
         record.silent_since.get_or_insert(now);
-        self.update_awaiting(server);
+        self.update_awaiting_answer(server);
     }
 
-    /// Notes whether the server is to be reported if it stays silent.
-    fn update_awaiting(&mut self, server: u64) {
+    /// Updates whether the server is to be reported if it stays silent.
+    fn update_awaiting_answer(&mut self, server: u64) {
         let record = self.servers.get(&server).filter(|r| r.reported.is_none());
         match record.and_then(|r| r.silent_since) {
             Some(since) => self.awaiting_answer.insert(server, since),
@@ -88,8 +88,9 @@
         };
     }
 
-    /// Servers that have been silent for `silence` microseconds, and of which that was not reported yet.
-    pub fn silent(&mut self, now: Micros, silence: Micros) -> Vec<u64> {
+    /// Returns servers that have been silent for `silence` microseconds, and marks them as reported. Servers that are
+    /// already reported are left out.
+    pub fn take_silent_servers(&mut self, now: Micros, silence: Micros) -> Vec<u64> {
         let long = self.awaiting_answer.iter().filter(|(_, since)| now >= **since + silence);
         let found: Vec<u64> = long.map(|(server, _)| *server).collect();
         for server in &found {
@@ -102,32 +103,37 @@
     }
 
     /// When the next server will have been silent for `silence` microseconds.
-    pub fn next_silent(&self, silence: Micros) -> Option<Micros> {
+    pub fn next_silence_at(&self, silence: Micros) -> Option<Micros> {
         self.awaiting_answer.values().min().map(|since| since + silence)
     }
 
-    /// An attempt was cancelled; its outcome tells nothing.
+    /// Records that an attempt was cancelled; its outcome says nothing.
     pub fn on_attempt_cancelled(&mut self, server: u64) {
         if let Some(record) = self.servers.get_mut(&server) {
             record.attempt_ended(None);
-            self.update_awaiting(server);
+            self.update_awaiting_answer(server);
         }
     }
 
-    /// An attempt has ended. Returns what is to be reported, if it differs from the last report. `suspected`: another
-    /// member reports failures of this server.
+    /// Records the end of an attempt. Returns the verdict to report, if it differs from the last report. `suspected`:
+    /// another member reports failures of this server.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
         attempt: &EndedAttempt,
         suspected: bool,
     ) -> Option<Verdict> {
-        let verdict = self.judge(now, attempt, suspected);
-        self.update_awaiting(attempt.server);
+        let verdict = self.evaluate(now, attempt, suspected);
+        self.update_awaiting_answer(attempt.server);
         verdict
     }
 
-    fn judge(&mut self, now: Micros, attempt: &EndedAttempt, suspected: bool) -> Option<Verdict> {
+    fn evaluate(
+        &mut self,
+        now: Micros,
+        attempt: &EndedAttempt,
+        suspected: bool,
+    ) -> Option<Verdict> {
         let EndedAttempt { server, sent_at, outcome } = *attempt;
         let known = self.servers.contains_key(&server);
         let room = self.servers.len() < MAX_SERVERS;
@@ -148,7 +154,8 @@
                 return (suspected || reported.is_some_and(|v| v != Verdict::Well))
                     .then_some(Verdict::Well);
             }
-            // Impatient clients and long queues cause timeouts too. A server that answers others meanwhile is not silent.
+            // Short client timeouts and long queues cause timeouts too. A server that answers others meanwhile is not
+            // silent.
             ObservedOutcome::TimedOut if record.last_answer > sent_at => return None,
             ObservedOutcome::TimedOut => Verdict::Silent,
             ObservedOutcome::Broken => Verdict::Refusing,
@@ -166,7 +173,7 @@
         Some(verdict)
     }
 
-    /// Forgets a server that is not listed any more.
+    /// Drops a server that is no longer listed.
     pub fn forget(&mut self, server: u64) {
         self.servers.remove(&server);
         self.awaiting_answer.remove(&server);
--- a/crates/millethook-replica/src/entry.rs
+++ b/crates/millethook-replica/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries, and the order that decides which of two copies of an entry holds.
+//! Entries, and the order that decides which of two copies of an entry is kept.
 
 use millethook_lease::Token;
 use millethook_machine::wire_enum;
@@ -6,35 +6,35 @@
 use crate::mutant::{self, Mutant};
 use crate::{Epoch, Micros};
 
-/// What an entry is about. A replica holds at most one entry of each key.
+/// Identifies an entry. A replica holds at most one entry of each key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// What one sidecar has observed of a server. Only that sidecar writes it.
+    /// An observation of a server by one sidecar. Only that sidecar writes it.
     Evidence {
         /// The server.
         server: u64,
-        /// The sidecar's number.
+        /// The number of the sidecar.
         author: u16,
     },
-    /// That a server leaves. Every sidecar that learns it from discovery may write it.
+    /// The departure of a server. Every sidecar that learns of it from discovery may write it.
     Departure {
         /// The server.
         server: u64,
     },
     /// The owner of a job of the fleet.
     Job {
-        /// The job's name.
+        /// The number of the job.
         job: u64,
     },
-    /// How far a store of kept writes has been replayed.
+    /// The replay progress of an edge store (a store of writes that are kept until a server can be reached).
     Edge {
-        /// The store.
+        /// The number of the edge store.
         edge: u64,
     },
 }
 
 impl Key {
-    /// The server that it is about; None for jobs and stores.
+    /// The server that the key concerns; None for jobs and edge stores.
     pub fn server(self) -> Option<u64> {
         match self {
             Key::Evidence { server, .. } | Key::Departure { server } => Some(server),
@@ -42,15 +42,15 @@
         }
     }
 
-    /// Whether every member is to hold it. Entries of stores are asked for instead, because many stores change all the
-    /// time and few members need to know.
+    /// Whether every member holds the entry. Entries of edge stores are queried instead, because many of them change
+    /// all the time and few members need them.
     pub(crate) fn is_shared(self) -> bool {
         !matches!(self, Key::Edge { .. })
     }
 
-    /// How long an entry is kept after it was written, in microseconds. What is still true is written again before
-    /// that.
-    pub fn life(self) -> Micros {
+    /// How long an entry is kept after it was written, in microseconds. An entry that still applies is written again
+    /// before that.
+    pub fn lifetime(self) -> Micros {
         match self {
             Key::Evidence { .. } => 10_000_000,
             Key::Departure { .. } => 60_000_000,
@@ -63,67 +63,67 @@
 wire_enum! {
     /// What a sidecar has observed of a server.
     pub enum Verdict {
-        /// It answers. Written only after somebody has reported a failure.
+        /// The server answers. Written only after a failure has been reported.
         Well = 1,
-        /// Attempts had no answer.
+        /// Attempts were not answered.
         Silent = 2,
-        /// It accepts no connections, or breaks them.
+        /// The server accepts no connections, or breaks them.
         Refusing = 3,
-        /// It answers with errors.
+        /// The server answers with errors.
         Erring = 4,
     }
 }
 
 wire_enum! {
-    /// How far a server has left.
+    /// The stage of a server's departure.
     pub enum Departure {
-        /// It finishes the requests that it has.
+        /// The server finishes its outstanding requests.
         Leaving = 1,
-        /// It is not on the list any more.
+        /// The server is no longer listed.
         Gone = 2,
     }
 }
 
-/// The content of an entry. Of two contents for one key the greater one holds; fields are in the order of their rank.
+/// The content of an entry. Of two contents for one key the greater one is kept; the order of the fields is the order
+/// of comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EntryValue {
-    /// An observation. It holds until its author writes a later one.
+    /// An observation. It applies until its author writes a later one.
     Evidence {
-        /// The process of the author.
+        /// The epoch of the author's process.
         author_epoch: Epoch,
-        /// Counts what the author has written.
+        /// Counts the observations that the author has written.
         counter: u32,
-        /// The process of the server that was observed.
+        /// The epoch of the observed server process.
         server_epoch: Epoch,
-        /// What was observed.
+        /// The observed state.
         verdict: Verdict,
         /// The zone of the author: a server may be unreachable from one zone and reachable from another.
         zone: u8,
     },
-    /// A departure. The furthest one of the latest process holds.
+    /// A departure. The furthest stage of the latest process is kept.
     Departure {
-        /// The process of the server.
+        /// The epoch of the server process.
         server_epoch: Epoch,
-        /// How far it has left.
+        /// The stage of the departure.
         departure: Departure,
     },
-    /// Of the highest token, the latest entry holds; a lower token is refused.
+    /// The owner of a job. The latest entry of the highest token is kept; a lower token is rejected.
     Job {
         /// The token of the owner.
         token: Token,
-        /// Counts what the owner has written under this token.
+        /// Counts the entries that the owner has written under this token.
         said: u16,
     },
-    /// Of the highest token, the furthest entry holds.
+    /// The replay progress of an edge store. The furthest entry of the highest token is kept.
     Edge {
         /// The token of the member that replays the store.
         token: Token,
-        /// Every write up to this number has ended.
+        /// All writes up to this number have ended.
         upto: u64,
-        /// Writes that have ended among the 64 behind `upto`, one bit each, the first one in the lowest bit.
+        /// Writes that have ended among the 64 after `upto`, one bit each, the first one in the lowest bit.
         beyond: u64,
-        /// The last writes that did not succeed, each as one more than its distance back from the 64th behind `upto`;
-        /// 0: none.
+        /// The last writes that failed, each as one more than its distance back from the 64th after `upto`; 0: none.
         failed: [u16; 3],
         /// The number of writes that have not ended.
         left: u16,
@@ -135,15 +135,15 @@
 pub struct Entry {
     /// The content.
     pub value: EntryValue,
-    /// Its age when it was received, in microseconds. The time on the way is not included, so of two ages the greater
-    /// one is nearer to the truth.
+    /// Its age when it was received, in microseconds. Transit time is not included, so the greater of two ages is the
+    /// more accurate one.
     pub age: Micros,
 }
 
 impl Entry {
-    /// Merges another copy of the same key; true: something has changed.
+    /// Merges another copy of the same key. Returns whether something has changed.
     ///
-    /// The join is commutative, associative and idempotent: the greatest content holds, and of equal contents the
+    /// The join is commutative, associative and idempotent: the greatest content is kept, and of equal contents the
     /// greatest age.
     pub fn join(&mut self, other: &Entry) -> bool {
         let before = *self;
--- a/crates/millethook-replica/src/lib.rs
+++ b/crates/millethook-replica/src/lib.rs
@@ -1,13 +1,13 @@
-//! What the sidecars of a fleet know together about servers. Each holds a copy, and copies that differ are merged by
-//! rule.
+//! A replicated store of evidence about servers. Each sidecar of a fleet holds a copy, and copies that differ are
+//! merged deterministically.
 //!
-//! New entries travel as deltas from member to member (rumor mongering: Demers et al., PODC 1987). Differences that
-//! are left are found by comparing hashes of ranges of keys with a random peer (anti-entropy, the same paper). Entries
+//! New entries are disseminated as deltas from member to member (rumor mongering: Demers et al., PODC 1987). Remaining
+//! differences are found by comparing hashes of key ranges with a random peer (anti-entropy, the same paper). Entries
 //! are joined as in state-based replicated data types (Shapiro et al., INRIA 7506, 2011). The design is explained in
 //! `docs/design/replica.md`.
 //!
-//! [`Replica`] has no socket and no clock. Contents of datagrams and the time, in microseconds, are handed in;
-//! messages and events come out. The same calls give the same results.
+//! [`Replica`] performs no I/O and reads no clock. The caller passes in datagram contents and the time in microseconds,
+//! and polls messages and events. The same calls give the same results.
 #![forbid(unsafe_code)]
 
 mod attempt_monitor;
@@ -23,10 +23,10 @@
 pub use millethook_machine::codec::Malformed;
 #[cfg(feature = "mutants")]
 pub use mutant::{Mutant, become_mutant};
-pub use replica::{Event, Figures, Replica, ReplicaConfig, ServerStatus, To};
+pub use replica::{Destination, Event, Figures, Replica, ReplicaConfig, ServerStatus};
 pub use store::{MAX_DEPARTURES, MAX_EDGES, MAX_EVIDENCE, MAX_JOBS};
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
-/// The epoch of a process: milliseconds of Unix time at its start, 48 bits. 0: not known.
+/// The epoch of a process: Unix time at its start in milliseconds, 48 bits. 0: not known.
 pub type Epoch = u64;
--- a/crates/millethook-replica/src/message.rs
+++ b/crates/millethook-replica/src/message.rs
@@ -1,16 +1,16 @@
-//! Messages between replicas: the content of a record in a frame. Numbers are big-endian.
+//! Messages between replicas: the payload of a record in a frame. Numbers are big-endian.
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 1 | kind |
 //! | 2 | salt of the hashes of a comparison, else 0 |
 //! | 4 | hash of all shared entries that the sender holds |
-//! | 8 | query for a store only: its name; then padding up to 52 bytes |
+//! | 8 | query for an edge store only: its number; then padding up to 52 bytes |
 //! | 32 | comparison only: hashes of 32 ranges of keys, one byte each |
 //! | 30 | evidence: 0x10 and the verdict (1), server (8), author (2), author's epoch (6), counter (4), server's epoch (6), zone (1), age (2) |
-//! | 17 | departure: 0x20 and how far (1), server (8), server's epoch (6), age (2) |
-//! | 25 | job: 0x30 (1), name (8), token (12), counter (2), age (2) |
-//! | 45 | store: 0x40 (1), name (8), token (12), `upto` (6), `beyond` (8), `failed` (3 times 2), `left` (2), age (2) |
+//! | 17 | departure: 0x20 and the stage (1), server (8), server's epoch (6), age (2) |
+//! | 25 | job: 0x30 (1), number (8), token (12), counter (2), age (2) |
+//! | 45 | edge store: 0x40 (1), number (8), token (12), `upto` (6), `beyond` (8), `failed` (3 times 2), `left` (2), age (2) |
 //!
 //! Ages are in milliseconds, 65,535 at most.
 
@@ -21,17 +21,17 @@
 use crate::Micros;
 use crate::entry::{Departure, Entry, EntryValue, Key, Verdict};
 
-/// The longest content, in bytes.
+/// The maximum length of a content, in bytes.
 pub const LONGEST: usize = millethook_machine::LONGEST;
-/// Bytes of the header.
+/// The length of the header, in bytes.
 pub(crate) const HEADER_BYTES: usize = MessageHeader::LENGTH;
-/// Bytes of a query for a store: as many as its answer, so that nobody can have a third party sent more than was asked
-/// with.
+/// The length of a query for an edge store, in bytes. It equals that of the answer, so that a forged query cannot make
+/// this member send a third party more bytes than it received.
 pub(crate) const EDGE_QUERY_BYTES: usize = HEADER_BYTES + 45;
-/// Ranges of keys that are compared.
+/// The number of key ranges in a comparison.
 pub(crate) const RANGES: usize = 32;
-/// Microseconds of the unit in which ages are sent. Ages are rounded down: rounded up, an entry would age by being
-/// sent to and fro.
+/// Microseconds of the unit of ages on the wire. Ages are rounded down: rounded up, an entry would age by being sent
+/// back and forth.
 const AGE_STEP: Micros = 1_000;
 
 wire_enum! {
@@ -39,19 +39,19 @@
     pub(crate) enum MessageKind {
         /// New entries.
         Gossip = 1,
-        /// Hashes of ranges of keys. The receiver answers with the entries of the ranges that differ.
+        /// Hashes of key ranges. The receiver answers with the entries of the ranges that differ.
         Compare = 2,
-        /// Entries of ranges that differ. The receiver answers with those that it holds in a later form.
+        /// Entries of ranges that differ. The receiver answers with those of which it holds a later version.
         Differences = 3,
-        /// A part of all shared entries, for a member that has just come.
+        /// A part of all shared entries, for a member that has just joined.
         StateTransfer = 4,
-        /// A query for the entry of a store.
+        /// A query for the entry of an edge store.
         EdgeQuery = 5,
     }
 }
 
 message_header! {
-    /// What stands at the beginning of each message.
+    /// The header of each message.
     pub(crate) struct MessageHeader {
         /// The kind of the message.
         pub kind: MessageKind,
@@ -62,17 +62,17 @@
     }
 }
 
-/// First bytes of records. In the lower half stands the verdict, or how far a server has left.
+/// First bytes of records. The lower half holds the verdict, or the stage of a departure.
 const EVIDENCE: u8 = 0x10;
 const DEPARTURE: u8 = 0x20;
 const JOB: u8 = 0x30;
 const EDGE: u8 = 0x40;
-/// The half of the first byte that says what a record is about.
-const SUBJECT: u8 = 0xf0;
-/// The half that holds the verdict, or how far a server has left.
-const DETAIL: u8 = 0x0f;
+/// Mask of the record kind in the first byte.
+const KIND_MASK: u8 = 0xf0;
+/// Mask of the verdict or of the stage of a departure in the first byte.
+const DETAIL_MASK: u8 = 0x0f;
 
-/// Adds an entry if the message stays within `longest` bytes; false: it would not, and nothing has changed.
+/// Appends an entry if the message stays within `longest` bytes. Otherwise it changes nothing and returns false.
 pub(crate) fn write_entry(bytes: &mut Vec<u8>, key: Key, entry: &Entry, longest: usize) -> bool {
     codec::push_within(bytes, longest, |bytes| {
         match (key, entry.value) {
@@ -108,20 +108,20 @@
                 failed.iter().for_each(|f| bytes.put_u16(*f));
                 bytes.put_u16(left);
             }
-            // The types let a key stand beside another's value; no such entry is ever made.
+            // The types allow a key with another kind's value; no such entry is ever created.
             _ => return,
         }
         bytes.put_u16(u16::try_from(entry.age / AGE_STEP).unwrap_or(u16::MAX));
     })
 }
 
-/// Takes an entry.
+/// Reads an entry.
 ///
 /// # Errors
-/// The message ends too early, or this is no entry.
+/// The message ends too early, or the bytes are not an entry.
 pub(crate) fn read_entry(reader: &mut Reader<'_>) -> Result<(Key, Entry), Malformed> {
     let kind = reader.u8()?;
-    let (key, value) = match (kind & SUBJECT, kind & DETAIL) {
+    let (key, value) = match (kind & KIND_MASK, kind & DETAIL_MASK) {
         (EVIDENCE, verdict) => read_evidence(reader, verdict)?,
         (DEPARTURE, departure) => read_departure(reader, departure)?,
         (JOB, 0) => read_job(reader)?,
--- a/crates/millethook-replica/src/message/tests.rs
+++ b/crates/millethook-replica/src/message/tests.rs
@@ -1,12 +1,12 @@
-//! The form of messages, as fixed bytes.
+//! Tests of the encoding, as fixed bytes.
 
 use millethook_machine::codec::{read_message, write_header};
 
 use super::*;
 
-/// What a build of another day wrote has to be read: the form is fixed by bytes.
+/// Messages of other builds must be readable, so the encoding is fixed by bytes.
 #[test]
-fn the_form_is_that_of_the_table() {
+fn encoding_matches_the_table() {
     let header = MessageHeader { kind: MessageKind::Compare, salt: 0x0102, hash: 0x0304_0506 };
     assert_eq!(write_header(&header), [2, 1, 2, 3, 4, 5, 6]);
     let (read, rest) = read_message::<MessageHeader>(&[2, 1, 2, 3, 4, 5, 6, 9]).expect("a message");
--- a/crates/millethook-replica/src/mutant.rs
+++ b/crates/millethook-replica/src/mutant.rs
@@ -1,14 +1,14 @@
-//! Rules that tests remove one by one, to show that each is needed (`--features mutants`, `tests/it/laws.rs`).
+//! Rules that tests disable one by one, to show that each is needed (`--features mutants`, `tests/it/laws.rs`).
 
 millethook_machine::mutants! {
-    /// The value that came last holds, whichever was said later.
+    /// The value that was received last is kept, whichever was written later.
     LastComerHolds,
-    /// A later process of an author does not count before an earlier one.
+    /// The epoch of the author is ignored.
     EpochsDoNotCount,
-    /// An entry that comes again is as young as it says.
+    /// An entry that is received again takes the received age, even if it is lower.
     AgesShrink,
-    /// Of two departures the one that came first holds.
+    /// Of two departures the one that was received first is kept.
     FirstDepartureHolds,
-    /// Differences are not mended.
+    /// Differences are not repaired.
     NoRepair,
 }
--- a/crates/millethook-replica/src/replica.rs
+++ b/crates/millethook-replica/src/replica.rs
@@ -26,50 +26,50 @@
 use crate::{Epoch, Micros};
 
 pub use config::ReplicaConfig;
-pub use event::{Event, ServerStatus, To};
+pub use event::{Destination, Event, ServerStatus};
 pub use figures::Figures;
 use receive::Agreement;
 use update_queue::UpdateQueue;
 
-/// The most messages that wait to be sent; more are dropped.
+/// The maximum number of queued outgoing messages; more are dropped.
 const MAX_OUTGOING: usize = 64;
-/// The most events that wait to be fetched; of more the oldest are dropped.
+/// The maximum number of queued events; beyond it the oldest are dropped.
 const MAX_EVENTS: usize = 1024;
 
-/// The copy that one process holds.
+/// The copy of one process.
 ///
-/// [`Replica::handle`] takes messages of other members, and [`Replica::tick`] has to be called at
-/// [`Replica::poll_timeout`]. After each call [`Replica::poll_transmit`] and [`Replica::poll_event`] are read until
-/// they return None.
+/// [`Replica::handle`] processes messages of other members, and [`Replica::tick`] must be called at
+/// [`Replica::poll_timeout`]. After each call, call [`Replica::poll_transmit`] and [`Replica::poll_event`] until they
+/// return None.
 #[derive(Clone)]
 pub struct Replica {
     config: ReplicaConfig,
     store: Store,
     attempt_monitor: AttemptMonitor,
-    /// Servers of the own list, with the epoch of the process of each.
+    /// Servers of this process's list, with the process epoch of each.
     listed_servers: BTreeMap<u64, Epoch>,
-    /// Servers that are not trusted.
+    /// The status of each server that is not trusted.
     server_statuses: BTreeMap<u64, ServerStatus>,
     /// Entries that are still to be sent to others.
     updates: UpdateQueue,
-    /// Counts own observations.
+    /// Counts the observations of this process.
     counter: u32,
     random: Pcg32,
     next_gossip: Micros,
     next_compare: Micros,
     next_expiry: Option<Micros>,
-    /// Until then comparisons take the place of gossip, because copies were seen to differ.
+    /// Until this time comparisons replace gossip, because copies were found to differ.
     differs_until: Micros,
     agreement: Agreement,
-    /// The budget for sending is short.
+    /// Whether the send budget is nearly used up.
     congested: bool,
-    outgoing: VecDeque<(To, Vec<u8>)>,
+    outgoing: VecDeque<(Destination, Vec<u8>)>,
     events: VecDeque<Event>,
     figures: Figures,
 }
 
 impl Replica {
-    /// An empty copy. `config.period` is at least 10 ms.
+    /// Creates an empty copy. `config.period` is at least 10 ms.
     pub fn new(config: ReplicaConfig, now: Micros) -> Replica {
         let period = config.period.max(10_000);
         let mut random = Pcg32::seed_from_u64(mix(config.seed ^ u64::from(config.me)));
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Tells whether the budget for sending is short. While it is, neither updates nor comparisons nor answers to
+    /// Sets whether the send budget is nearly used up. While it is, neither updates nor comparisons nor answers to
     /// comparisons are sent.
     pub fn set_congested(&mut self, congested: bool) {
         self.congested = congested;
@@ -106,13 +106,13 @@
         self.config.epoch = self.config.epoch.max(epoch);
     }
 
-    /// The next change of a server's status, in order. If more than 1,024 wait, the oldest are lost.
+    /// Returns the next change of a server's status, in order. If more than 1,024 are queued, the oldest are lost.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// The next message: its receiver, and its content of at most 241 bytes.
-    pub fn poll_transmit(&mut self) -> Option<(To, Vec<u8>)> {
+    /// Returns the next message: its destination, and its content of at most 241 bytes.
+    pub fn poll_transmit(&mut self) -> Option<(Destination, Vec<u8>)> {
         self.outgoing.pop_front()
     }
 
@@ -126,7 +126,7 @@
         self.store.iter(now).collect()
     }
 
-    /// The entry of a key, with its present age.
+    /// The entry of a key, with its current age.
     pub fn get(&self, now: Micros, key: Key) -> Option<Entry> {
         self.store.get(key, now)
     }
@@ -141,8 +141,8 @@
         MessageHeader { kind, salt, hash: self.store.hashes(now).0 }
     }
 
-    /// Queues a message, unless too many wait.
-    fn enqueue_message(&mut self, to: To, bytes: Vec<u8>) {
+    /// Queues a message, unless the queue is full.
+    fn enqueue_message(&mut self, to: Destination, bytes: Vec<u8>) {
         if self.outgoing.len() < MAX_OUTGOING {
             self.outgoing.push_back((to, bytes));
         }
--- a/crates/millethook-replica/src/replica/attempts.rs
+++ b/crates/millethook-replica/src/replica/attempts.rs
@@ -1,15 +1,15 @@
-//! Outcomes of the own attempts, and their reports to the fleet.
+//! Outcomes of this process's attempts, and their reports to the fleet.
 
 use super::{Replica, ReplicaConfig};
 use crate::attempt_monitor::{EndedAttempt, ObservedOutcome};
 use crate::entry::{EntryValue, Key, Verdict};
 use crate::{Epoch, Micros};
 
-/// If so many members of the own zone have reported the same, one more report adds nothing.
+/// After this many equal reports from members of the own zone, another report adds nothing.
 const SUFFICIENT_REPORTS: usize = 4;
 
 impl Replica {
-    /// An attempt of this process, sent at `sent_at`, has ended.
+    /// Records the end of an attempt of this process that was sent at `sent_at`.
     pub fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -25,17 +25,17 @@
         }
     }
 
-    /// This process has sent an attempt.
+    /// Records that this process has sent an attempt.
     pub fn on_attempt_sent(&mut self, now: Micros, server: u64) {
         self.attempt_monitor.on_attempt_sent(now, server);
     }
 
-    /// An attempt of this process was cancelled; its outcome tells nothing.
+    /// Records that an attempt of this process was cancelled; its outcome says nothing.
     pub fn on_attempt_cancelled(&mut self, server: u64) {
         self.attempt_monitor.on_attempt_cancelled(server);
     }
 
-    /// Reports an observation, unless enough members have reported the same lately.
+    /// Reports an observation, unless enough members have recently reported the same.
     pub(super) fn publish_verdict(
         &mut self,
         now: Micros,
@@ -46,11 +46,11 @@
         let (failures, answers) = self.verdict_ages(server, server_epoch, now);
         let key = Key::Evidence { server, author: self.config.me };
         let own = self.store.get(key, now).filter(|own| {
-            let said = matches!(own.value, EntryValue::Evidence { verdict: v, server_epoch: e, .. }
+            let same = matches!(own.value, EntryValue::Evidence { verdict: v, server_epoch: e, .. }
                 if v == verdict && e == server_epoch);
-            said && own.age < key.life() / 2
+            same && own.age < key.lifetime() / 2
         });
-        let fresh = |ages: &[Micros]| ages.iter().filter(|a| **a < key.life() / 2).count();
+        let fresh = |ages: &[Micros]| ages.iter().filter(|a| **a < key.lifetime() / 2).count();
         let enough = if verdict == Verdict::Well {
             // Enough answers were reported since the last failure.
             let last = failures.iter().min().copied().unwrap_or(Micros::MAX);
--- a/crates/millethook-replica/src/replica/check.rs
+++ b/crates/millethook-replica/src/replica/check.rs
@@ -11,7 +11,7 @@
     /// Checks every invariant of this copy.
     ///
     /// # Errors
-    /// The first invariant that does not hold, with the values that break it.
+    /// Returns the first violated invariant, with the values that violate it.
     pub fn check(&self, now: Micros) -> Result<(), Violation> {
         let (rule, within) = (Violation::unless, Violation::unless_within);
         let counts = self.store.counts();
@@ -21,16 +21,16 @@
         rule(counts == self.store.recount(), "entries are counted once", &|| {
             format!("{counts:?}, {:?} expected", self.store.recount())
         })?;
-        within(self.outgoing.len(), MAX_OUTGOING, "messages that wait are bounded")?;
-        within(self.events.len(), MAX_EVENTS, "events that wait are bounded")?;
+        within(self.outgoing.len(), MAX_OUTGOING, "queued messages are bounded")?;
+        within(self.events.len(), MAX_EVENTS, "queued events are bounded")?;
         let (ordered, positions) = self.updates.lengths();
-        rule(ordered == positions, "what is told has one place in the order", &|| {
+        rule(ordered == positions, "each queued update has one position", &|| {
             format!("{ordered} and {positions}")
         })?;
         for server in self.server_statuses.keys() {
             rule(
                 self.listed_servers.contains_key(server),
-                "only listed servers stand for anything",
+                "only listed servers have a status",
                 &|| server.to_string(),
             )?;
         }
@@ -42,9 +42,11 @@
                 continue;
             };
             let own = author == me && author_epoch == self.config.epoch;
-            rule(!own || counter <= self.counter, "nobody else writes in the own name", &|| {
-                format!("{key:?}: {counter}, {} said", self.counter)
-            })?;
+            rule(
+                !own || counter <= self.counter,
+                "nobody else writes in this member's name",
+                &|| format!("{key:?}: {counter}, {} written", self.counter),
+            )?;
         }
         Ok(())
     }
--- a/crates/millethook-replica/src/replica/config.rs
+++ b/crates/millethook-replica/src/replica/config.rs
@@ -11,11 +11,12 @@
     pub members: u16,
     /// The epoch of this process.
     pub epoch: Epoch,
-    /// The own zone. Only reports of members of this zone count, since another zone may reach what this one does not.
+    /// The zone of this member. Only reports of members of this zone count, since another zone may reach servers that
+    /// this one does not.
     pub zone: u8,
-    /// Microseconds between two comparisons with a random peer.
+    /// Microseconds between comparisons with a random peer.
     pub period: Micros,
-    /// Microseconds after which a server that owes an answer counts as silent.
+    /// Microseconds after which a server with an unanswered attempt counts as silent.
     pub silence: Micros,
     /// The seed of random choices.
     pub seed: u64,
--- a/crates/millethook-replica/src/replica/event.rs
+++ b/crates/millethook-replica/src/replica/event.rs
@@ -1,37 +1,37 @@
-//! Receivers of messages, server_statuses of servers, and events.
+//! Destinations of messages, statuses of servers, and events.
 
-/// The receiver of a message.
+/// The destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
-    /// A random member that is present; the caller chooses it.
+pub enum Destination {
+    /// A random present member; the caller chooses it.
     Anyone,
     /// This member.
     Peer(u16),
 }
 
-impl To {
-    /// The number of the receiver; `any_present` draws a random member that is present. None: there is none.
+impl Destination {
+    /// The number of the receiver; `any_present` returns a random present member. None: there is none.
     pub fn resolve(self, any_present: impl FnOnce() -> Option<u16>) -> Option<u16> {
         match self {
-            To::Peer(member) => Some(member),
-            To::Anyone => any_present(),
+            Destination::Peer(member) => Some(member),
+            Destination::Anyone => any_present(),
         }
     }
 }
 
-/// What the entries say together about a server.
+/// The status of a server that follows from all entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerStatus {
-    /// Nothing speaks against it.
+    /// No evidence against the server.
     #[default]
     Trusted,
     /// Two members of the own zone have reported failures since the last answer that anyone reported.
     Suspected,
-    /// It leaves, or has left.
+    /// The server leaves, or has left.
     Leaving,
 }
 
-/// The status of a server has changed.
+/// A change of a server's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
     /// The server.
--- a/crates/millethook-replica/src/replica/figures.rs
+++ b/crates/millethook-replica/src/replica/figures.rs
@@ -2,7 +2,7 @@
 
 use super::{Replica, ServerStatus};
 
-/// Counts since the start, and present numbers.
+/// Counts since the start, and current numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
     /// Entries that are held.
@@ -13,14 +13,14 @@
     pub learned: u64,
     /// Entries that were dropped to make room for newer ones.
     pub crowded_out: u64,
-    /// Contents that were no message, and observations in the name of this process that it has not written.
+    /// Contents that were not a message, and observations in the name of this process that it has not written.
     pub malformed: u64,
     /// Servers that are suspected.
     pub suspected: usize,
 }
 
 impl Replica {
-    /// Counts since the start, and present numbers.
+    /// Counts since the start, and current numbers.
     pub fn figures(&self) -> Figures {
         let suspected =
             self.server_statuses.values().filter(|s| **s == ServerStatus::Suspected).count();
--- a/crates/millethook-replica/src/replica/gossip.rs
+++ b/crates/millethook-replica/src/replica/gossip.rs
@@ -1,11 +1,11 @@
 //! Dissemination: each new entry is sent a bounded number of times, the least sent first.
 
-use super::{Replica, To};
+use super::{Destination, Replica};
 use crate::Micros;
 use crate::entry::{Entry, EntryValue, Key};
 use crate::message::write_entry;
 
-/// How often an entry is sent for each power of ten of the fleet's size (SWIM, section 4.1).
+/// Transmissions of an entry for each power of ten of the fleet's size (SWIM, section 4.1).
 const TRANSMISSIONS_PER_DECADE: u32 = 4;
 
 impl Replica {
@@ -15,32 +15,32 @@
         self.merge_entry(key, &Entry { value, age: 0 }, now);
     }
 
-    /// Merges an entry; true: its content is new here, and it is sent on.
+    /// Merges an entry. Returns whether its content is new here; if so, it is sent on.
     pub(super) fn merge_entry(&mut self, key: Key, entry: &Entry, now: Micros) -> bool {
-        let news = self.store.merge(key, entry, now);
-        if news {
+        let changed = self.store.merge(key, entry, now);
+        if changed {
             if key.is_shared() {
                 self.schedule_update(key, 0);
             }
-            let end = now + key.life();
+            let end = now + key.lifetime();
             self.next_expiry = Some(self.next_expiry.map_or(end, |at| at.min(end)));
             if let Some(server) = key.server() {
                 self.update_server_status(server, now);
             }
         }
-        news
+        changed
     }
 
-    /// Puts an entry into the queue after so many transmissions, unless these are enough.
+    /// Queues an entry after this many transmissions, unless they suffice.
     pub(super) fn schedule_update(&mut self, key: Key, transmissions: u32) {
         let decades = u32::from(self.config.members).max(1).ilog10() + 1;
         self.updates.insert(key, transmissions, TRANSMISSIONS_PER_DECADE * decades);
     }
 
-    /// Adds updates to a message up to `longest` bytes, and queues it.
+    /// Appends updates to a message up to `longest` bytes, and queues it.
     pub(super) fn send_with_updates(
         &mut self,
-        to: To,
+        to: Destination,
         mut bytes: Vec<u8>,
         longest: usize,
         now: Micros,
@@ -51,7 +51,7 @@
             if entry.is_some_and(|entry| !write_entry(&mut bytes, key, &entry, longest)) {
                 break;
             }
-            // An entry that has expired meanwhile is not sent any more.
+            // An entry that has expired meanwhile is no longer sent.
             sent.push((entry.map_or(u32::MAX, |_| transmissions + 1), key));
         }
         for (transmissions, key) in sent {
--- a/crates/millethook-replica/src/replica/receive.rs
+++ b/crates/millethook-replica/src/replica/receive.rs
@@ -1,31 +1,31 @@
-//! Messages of other members.
+//! Processing of messages of other members.
 
 use millethook_machine::codec::{Malformed, Reader, read_message, write_header};
 
-use super::{Replica, ReplicaConfig, To};
+use super::{Destination, Replica, ReplicaConfig};
 use crate::Micros;
 use crate::entry::{Entry, EntryValue, Key, Verdict};
 use crate::message::{MessageHeader, MessageKind, RANGES, read_entry, write_entry};
 
-/// After a message with another hash, comparisons take the place of gossip for so many periods.
+/// After a message with another hash, comparisons replace gossip for this many periods.
 const REPAIR_PERIODS: u64 = 2;
-/// After so many messages in a row with the own hash, all members are taken to have the updates.
+/// After this many consecutive messages with the own hash, all members are assumed to have the updates.
 const AGREEMENTS_UNTIL_QUIET: u32 = 4;
 
-/// How many messages in a row came from members that hold the same.
+/// How many consecutive messages came from members with the same entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Agreement {
     /// The own hash when the last message came.
     hash: u32,
-    /// Messages in a row with this hash.
+    /// Consecutive messages with this hash.
     equal: u32,
 }
 
 impl Replica {
-    /// Takes a message of the member `from`.
+    /// Processes a message of the member `from`.
     ///
     /// # Errors
-    /// The content is no message; nothing of it was used, and it is counted in [`Figures::malformed`].
+    /// The content is not a message. Nothing of it was used, and it is counted in [`Figures::malformed`].
     ///
     /// [`Figures::malformed`]: super::Figures::malformed
     pub fn handle(&mut self, now: Micros, from: u16, content: &[u8]) -> Result<(), Malformed> {
@@ -57,7 +57,7 @@
         Ok(())
     }
 
-    /// Merges the entries of a message; the keys of those of which a later word is held here.
+    /// Merges the entries of a message. Returns the keys of those of which a later version is held here.
     fn merge_entries(&mut self, reader: &mut Reader<'_>, now: Micros) -> Vec<Key> {
         let mut outdated = Vec::new();
         for (key, entry) in reader.records(read_entry) {
@@ -75,7 +75,7 @@
         outdated
     }
 
-    /// Compares the hash of another member with the own one; true: they are the same.
+    /// Compares the hash of another member with the own one. Returns whether they are equal.
     fn note_agreement(&mut self, theirs: u32, now: Micros) -> bool {
         let hash = self.store.hashes(now).0;
         if self.agreement.hash != hash {
@@ -93,7 +93,7 @@
         true
     }
 
-    /// Sends the entries that are held here under these keys, in `longest` bytes at most.
+    /// Sends the entries that are held here under these keys, in at most `longest` bytes.
     fn send_newer(&mut self, to: u16, keys: &[Key], longest: usize, now: Micros) {
         let mut bytes = write_header(&self.header(MessageKind::Gossip, 0, now));
         for key in keys {
@@ -101,11 +101,11 @@
                 write_entry(&mut bytes, *key, &entry, longest);
             }
         }
-        self.enqueue_message(To::Peer(to), bytes);
+        self.enqueue_message(Destination::Peer(to), bytes);
     }
 
-    /// Whether an entry can be genuine. Nobody else writes in the name of this process; an earlier process of the same
-    /// number did.
+    /// Whether an entry can be genuine. Only this process writes in its own name; an earlier process with the same
+    /// number may have done so.
     pub(super) fn is_plausible(&self, key: Key, entry: &Entry) -> bool {
         let ReplicaConfig { me, members, epoch, .. } = self.config;
         match (key, entry.value) {
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Somebody has written in the name of this process what it has not written: it writes what holds, with a higher
-    /// counter.
+    /// Refutes an entry that was written in the name of this process by somebody else: writes the current verdict with
+    /// a higher counter.
     pub(super) fn refute(&mut self, key: Key, entry: &Entry, now: Micros) {
         let EntryValue::Evidence { author_epoch, counter, server_epoch, zone, .. } = entry.value
         else {
--- a/crates/millethook-replica/src/replica/repair.rs
+++ b/crates/millethook-replica/src/replica/repair.rs
@@ -1,41 +1,41 @@
-//! Anti-entropy: two members compare hashes of ranges of keys, and the entries of ranges that differ are sent.
+//! Anti-entropy: two members compare hashes of key ranges, and send the entries of ranges that differ.
 
 use millethook_machine::codec::write_header;
 use millethook_machine::hash::mix;
 use rand_core::RngCore;
 
-use super::{Replica, To};
+use super::{Destination, Replica};
 use crate::Micros;
 use crate::entry::{Entry, Key};
 use crate::message::{HEADER_BYTES, LONGEST, MessageHeader, MessageKind, RANGES, write_entry};
 use crate::store::range_of;
 
-/// The most messages for a member that has just come.
+/// The maximum number of messages in a state transfer to a member that has just joined.
 const MAX_TRANSFER_MESSAGES: usize = 16;
 
 impl Replica {
-    /// Sends hashes to a random member, with updates and padding up to `length` bytes so that the answer may be as
+    /// Sends hashes to a random member, with updates and with padding up to `length` bytes so that the answer may be as
     /// long.
     pub(super) fn compare_with_anyone(&mut self, now: Micros, length: usize) {
         let salt = self.random.next_u32() as u16;
         let mut bytes = write_header(&self.header(MessageKind::Compare, salt, now));
         bytes.extend_from_slice(&self.digests(salt, now));
         if length == 0 {
-            return self.enqueue_message(To::Anyone, bytes);
+            return self.enqueue_message(Destination::Anyone, bytes);
         }
-        self.send_with_updates(To::Anyone, bytes, length, now);
+        self.send_with_updates(Destination::Anyone, bytes, length, now);
         if let Some((_, bytes)) = self.outgoing.back_mut() {
             bytes.resize(length, 0);
         }
     }
 
-    /// One byte for each range of keys. The salt makes two that are equal by chance differ the next time.
+    /// One byte for each key range. With another salt, hashes that collide by chance differ.
     pub(super) fn digests(&self, salt: u16, now: Micros) -> [u8; RANGES] {
         let ranges = self.store.hashes(now).1;
         ranges.map(|range| mix(u64::from(range) << 16 | u64::from(salt)) as u8)
     }
 
-    /// Answers a comparison with the entries of ranges that differ, in `longest` bytes at most.
+    /// Answers a comparison with the entries of ranges that differ, in at most `longest` bytes.
     pub(super) fn send_differences(
         &mut self,
         to: u16,
@@ -52,7 +52,7 @@
         if keys.is_empty() {
             return;
         }
-        // Where not all entries have room, another part is sent each time.
+        // If not all entries fit, a different part is sent each time.
         let first = self.random.next_u32() as usize % keys.len();
         keys.rotate_left(first);
         let mut bytes = write_header(&self.header(MessageKind::Differences, 0, now));
@@ -63,14 +63,14 @@
             }
         }
         if bytes.len() > HEADER_BYTES {
-            self.enqueue_message(To::Peer(to), bytes);
+            self.enqueue_message(Destination::Peer(to), bytes);
         }
     }
 
-    /// Sends a member that has come, or come back, the `part`th of `parts` parts of all shared entries.
+    /// Sends the `part`th of `parts` parts of all shared entries to a member that has joined or returned.
     ///
-    /// It is sent without being asked for. If a request caused it, a forged request would make this member send a
-    /// third party many times as much.
+    /// It is sent unrequested. If a request triggered it, a forged request would make this member send a third party
+    /// many times as many bytes.
     pub fn send_state(&mut self, now: Micros, to: u16, part: usize, parts: usize) {
         let all: Vec<(Key, Entry)> =
             self.store.iter(now).filter(|(key, _)| key.is_shared()).collect();
@@ -80,7 +80,7 @@
         for (_, (key, entry)) in share {
             if !write_entry(&mut bytes, key, &entry, LONGEST) {
                 let next = write_header(&self.header(MessageKind::StateTransfer, 0, now));
-                self.enqueue_message(To::Peer(to), std::mem::replace(&mut bytes, next));
+                self.enqueue_message(Destination::Peer(to), std::mem::replace(&mut bytes, next));
                 messages += 1;
                 if messages == MAX_TRANSFER_MESSAGES {
                     return;
@@ -89,7 +89,7 @@
             }
         }
         if bytes.len() > HEADER_BYTES {
-            self.enqueue_message(To::Peer(to), bytes);
+            self.enqueue_message(Destination::Peer(to), bytes);
         }
     }
 }
--- a/crates/millethook-replica/src/replica/servers.rs
+++ b/crates/millethook-replica/src/replica/servers.rs
@@ -1,16 +1,16 @@
-//! The servers of the own list, and the status of each.
+//! The servers of this process's list, and the status of each.
 
 use super::{Event, MAX_EVENTS, Replica, ServerStatus};
 use crate::entry::{Departure, EntryValue, Key, Verdict};
 use crate::{Epoch, Micros};
 
-/// Reports of failures that put a server in doubt. A single reporter may be cut off, or wrong.
+/// The number of failure reports that makes a server suspected. A single reporter may be partitioned, or wrong.
 const MIN_FAILURE_REPORTS: usize = 2;
-/// The most servers of the own list.
+/// The maximum number of listed servers.
 const MAX_LISTED_SERVERS: usize = 65_536;
 
 impl Replica {
-    /// The own list has a server, whose process has this epoch; 0: not known.
+    /// Records that a server is listed; `epoch` is that of its process, 0: not known.
     pub fn on_server_listed(&mut self, now: Micros, server: u64, epoch: Epoch) {
         if !self.listed_servers.contains_key(&server)
             && self.listed_servers.len() >= MAX_LISTED_SERVERS
@@ -23,18 +23,18 @@
         self.update_server_status(server, now);
     }
 
-    /// The own list does not have a server any more, and does not say why.
+    /// Records that a server is no longer listed, for an unknown reason.
     pub fn on_server_unlisted(&mut self, server: u64) {
         self.listed_servers.remove(&server);
         self.attempt_monitor.forget(server);
         self.server_statuses.remove(&server);
     }
 
-    /// The own list says that a server leaves.
+    /// Records that the list reports the departure of a server.
     pub fn on_departure(&mut self, now: Micros, server: u64, epoch: Epoch, departure: Departure) {
         let key = Key::Departure { server };
         let value = EntryValue::Departure { server_epoch: epoch, departure };
-        // An outdated list may name a process that has been followed by another.
+        // An outdated list may name a process that another one has replaced.
         let known = self.listed_servers.get(&server).is_some_and(|listed| *listed <= epoch);
         let later = self.store.get(key, now).is_some_and(|held| held.value >= value);
         if departure == Departure::Gone {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Ages of what the own zone reports about a process of a server: of failures, and of answers.
+    /// Ages of the reports of the own zone about a server process: of failures, and of answers.
     pub(super) fn verdict_ages(
         &self,
         server: u64,
--- a/crates/millethook-replica/src/replica/tick.rs
+++ b/crates/millethook-replica/src/replica/tick.rs
@@ -1,27 +1,27 @@
-//! Timers: what is done when time has passed, and when that is next.
+//! Timers: work that is due, and when the next is due.
 
 use millethook_machine::codec::write_header;
 
-use super::{Replica, To};
+use super::{Destination, Replica};
 use crate::Micros;
 use crate::entry::Verdict;
 use crate::message::{LONGEST, MessageKind};
 use crate::mutant::{self, Mutant};
 
-/// Messages with updates in a period.
+/// Messages with updates per period.
 const GOSSIPS_PER_PERIOD: u64 = 10;
 
 impl Replica {
-    /// When [`Replica::tick`] has to be called next, in microseconds.
+    /// When [`Replica::tick`] must be called next, in microseconds.
     pub fn poll_timeout(&self) -> Micros {
         let gossips = !self.updates.is_empty() || self.differs_until > self.next_gossip;
         let next =
             if gossips { self.next_compare.min(self.next_gossip) } else { self.next_compare };
-        let silent = self.attempt_monitor.next_silent(self.config.silence);
+        let silent = self.attempt_monitor.next_silence_at(self.config.silence);
         [self.next_expiry, silent].into_iter().flatten().fold(next, Micros::min)
     }
 
-    /// Does what is due at `now`.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Micros) {
         self.expire_entries(now);
         self.report_silent_servers(now);
@@ -39,7 +39,7 @@
     }
 
     fn report_silent_servers(&mut self, now: Micros) {
-        for server in self.attempt_monitor.silent(now, self.config.silence) {
+        for server in self.attempt_monitor.take_silent_servers(now, self.config.silence) {
             if let Some(&epoch) = self.listed_servers.get(&server) {
                 self.publish_verdict(now, server, epoch, Verdict::Silent);
             }
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Sends updates to one more member, or a comparison where copies were seen to differ a short while ago.
+    /// Sends updates to one more member, or a comparison if copies were recently found to differ.
     fn gossip(&mut self, now: Micros) {
         let differs = self.differs_until > now && !mutant::is(Mutant::NoRepair);
         if self.next_gossip > now || !differs && self.updates.is_empty() {
             return;
         }
-        // A comparison is answered by as many bytes: it takes the place of two messages.
+        // A comparison is answered with as many bytes, so it takes the place of two messages.
         let slots = if differs { 2 } else { 1 };
         self.next_gossip = now + slots * self.config.period / GOSSIPS_PER_PERIOD;
         if self.congested {
@@ -72,7 +72,7 @@
             self.compare_with_anyone(now, LONGEST);
         } else {
             let bytes = write_header(&self.header(MessageKind::Gossip, 0, now));
-            self.send_with_updates(To::Anyone, bytes, LONGEST, now);
+            self.send_with_updates(Destination::Anyone, bytes, LONGEST, now);
         }
     }
 }
--- a/crates/millethook-replica/src/replica/update_queue.rs
+++ b/crates/millethook-replica/src/replica/update_queue.rs
@@ -1,23 +1,23 @@
-//! Entries that are still to be told to others, the least told first.
+//! Entries that are still to be sent to others, the least sent first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::entry::Key;
 
-/// Keys of entries that are on their way, each with the number of messages that carried it.
+/// Keys of entries to disseminate, each with the number of messages that carried it.
 ///
-/// Of two that were sent equally often the one that was added earlier comes first.
+/// Among keys that were sent equally often, the one that was added earlier comes first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdateQueue {
-    /// Transmissions, number and key.
+    /// Transmissions, sequence number and key.
     by_transmissions: BTreeSet<(u32, u64, Key)>,
-    /// Transmissions and number of each key.
+    /// Transmissions and sequence number of each key.
     positions: BTreeMap<Key, (u32, u64)>,
     next_number: u64,
 }
 
 impl UpdateQueue {
-    /// Puts a key in its place after `transmissions`; beyond `most` transmissions it is not kept.
+    /// Inserts a key after `transmissions`; from `most` transmissions on it is dropped.
     pub fn insert(&mut self, key: Key, transmissions: u32, most: u32) {
         if let Some((before, number)) = self.positions.remove(&key) {
             self.by_transmissions.remove(&(before, number, key));
@@ -39,13 +39,13 @@
         self.by_transmissions.is_empty()
     }
 
-    /// Drops all: everybody has them.
+    /// Drops all updates, because all members have them.
     pub fn clear(&mut self) {
         self.by_transmissions.clear();
         self.positions.clear();
     }
 
-    /// Keys in the order of sending, and keys with a position; the two have to be the same.
+    /// The number of ordered keys, and of keys with a position; the two must be equal.
     pub fn lengths(&self) -> (usize, usize) {
         (self.by_transmissions.len(), self.positions.len())
     }
--- a/crates/millethook-replica/src/store.rs
+++ b/crates/millethook-replica/src/store.rs
@@ -1,4 +1,4 @@
-//! The entries of one copy, bounded in number and age, with hashes of ranges of keys.
+//! The entries of one copy, bounded in number and age, with hashes of key ranges.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -10,13 +10,13 @@
 use crate::message::RANGES;
 use crate::{Micros, entry::EntryValue};
 
-/// The most entries of evidence, some 200 bytes each. Of more, the oldest are dropped.
+/// The maximum number of evidence entries, some 200 bytes each. Beyond it, the oldest are dropped.
 pub const MAX_EVIDENCE: usize = 2048;
-/// The most departures. Of more, the oldest are dropped.
+/// The maximum number of departures. Beyond it, the oldest are dropped.
 pub const MAX_DEPARTURES: usize = 1024;
-/// The most jobs. Of more, the oldest are dropped.
+/// The maximum number of jobs. Beyond it, the oldest are dropped.
 pub const MAX_JOBS: usize = 512;
-/// The most stores of kept writes. Of more, the oldest are dropped.
+/// The maximum number of edge stores. Beyond it, the oldest are dropped.
 pub const MAX_EDGES: usize = 1024;
 /// Entries that expire within this time, in microseconds, are left out of hashes, because copies do not drop an entry
 /// at the same time.
@@ -26,18 +26,18 @@
 #[derive(Clone, Copy, Debug)]
 struct StoredEntry {
     entry: Entry,
-    /// When it was received; its age counts from there.
+    /// When it was received; its age increases from then on.
     received_at: Micros,
 }
 
 impl StoredEntry {
-    /// Its age now.
+    /// Its current age.
     fn age(&self, now: Micros) -> Micros {
         self.entry.age.saturating_add(now.saturating_sub(self.received_at))
     }
 }
 
-/// The entries that one process holds.
+/// The entries of one process.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
     entries: BTreeMap<Key, StoredEntry>,
@@ -45,11 +45,11 @@
     counts: [usize; 4],
     /// Entries that were dropped to make room.
     pub crowded_out: u64,
-    /// The hashes, and until when they are right if nothing changes.
+    /// The hashes, and until when they are valid if nothing changes.
     hashes: Cell<Option<(Micros, Hashes)>>,
 }
 
-/// The hash of all shared entries, and of each range of keys.
+/// The hash of all shared entries, and of each key range.
 type Hashes = (u32, [u32; RANGES]);
 
 impl Store {
@@ -58,23 +58,23 @@
         self.entries.len()
     }
 
-    /// The number of entries of each kind, as it is kept.
+    /// The number of entries of each kind, as maintained incrementally.
     pub fn counts(&self) -> [usize; 4] {
         self.counts
     }
 
-    /// The number of entries of each kind, counted anew.
+    /// The number of entries of each kind, counted again.
     pub fn recount(&self) -> [usize; 4] {
         let mut counts = [0; 4];
         self.entries.keys().for_each(|key| counts[kind_index(*key)] += 1);
         counts
     }
 
-    /// The entry of a key with its present age, unless it has expired.
+    /// The entry of a key with its current age, unless it has expired.
     pub fn get(&self, key: Key, now: Micros) -> Option<Entry> {
         let stored = self.entries.get(&key)?;
         let age = stored.age(now);
-        (age < key.life()).then_some(Entry { age, ..stored.entry })
+        (age < key.lifetime()).then_some(Entry { age, ..stored.entry })
     }
 
     /// All entries that have not expired.
@@ -86,16 +86,16 @@
     pub fn evidence(&self, server: u64, now: Micros) -> impl Iterator<Item = (u16, EntryValue)> {
         let all = Key::Evidence { server, author: 0 }..=Key::Evidence { server, author: u16::MAX };
         self.entries.range(all).filter_map(move |(key, stored)| match key {
-            Key::Evidence { author, .. } if stored.age(now) < key.life() => {
+            Key::Evidence { author, .. } if stored.age(now) < key.lifetime() => {
                 Some((*author, stored.entry.value))
             }
             _ => None,
         })
     }
 
-    /// Merges an entry; true: its content is new here.
+    /// Merges an entry. Returns whether its content is new here.
     pub fn merge(&mut self, key: Key, entry: &Entry, now: Micros) -> bool {
-        if entry.age >= key.life() {
+        if entry.age >= key.lifetime() {
             return false;
         }
         if let Some(stored) = self.entries.get_mut(&key) {
@@ -114,14 +114,14 @@
         true
     }
 
-    /// Drops the oldest entries of the kind of this key, if there are too many.
+    /// Drops the oldest entries of this key's kind, if there are too many.
     fn make_room(&mut self, key: Key, now: Micros) {
         let alike = |k: &Key| std::mem::discriminant(k) == std::mem::discriminant(&key);
         let most = [MAX_EVIDENCE, MAX_DEPARTURES, MAX_JOBS, MAX_EDGES];
         if self.counts[kind_index(key)] < most[kind_index(key)] {
             return;
         }
-        // A sixteenth is dropped at once, so that a flood does not cost a search for each entry.
+        // Drops a sixteenth at once, so that a flood does not cost a search for each entry.
         let mut ages: Vec<(Micros, Key)> = self
             .entries
             .iter()
@@ -142,10 +142,10 @@
         }
     }
 
-    /// Drops entries that have expired; the servers that they were about.
+    /// Drops entries that have expired, and returns the servers that they concerned.
     pub fn expire(&mut self, now: Micros) -> Vec<u64> {
         let old: Vec<Key> = (self.entries.iter())
-            .filter(|(key, stored)| stored.age(now) >= key.life())
+            .filter(|(key, stored)| stored.age(now) >= key.lifetime())
             .map(|(key, _)| *key)
             .collect();
         old.iter().for_each(|key| self.remove(*key));
@@ -155,19 +155,19 @@
     /// When the next entry expires.
     pub fn next_expiry(&self) -> Option<Micros> {
         let ends = self.entries.iter().map(|(key, stored)| {
-            stored.received_at.saturating_add(key.life().saturating_sub(stored.entry.age))
+            stored.received_at.saturating_add(key.lifetime().saturating_sub(stored.entry.age))
         });
         ends.min()
     }
 
-    /// The hashes; equal for all that hold the same shared contents.
+    /// The hashes, equal for all that hold the same shared contents.
     pub fn hashes(&self, now: Micros) -> Hashes {
         if let Some((_, known)) = self.hashes.get().filter(|(until, _)| now < *until) {
             return known;
         }
         let (mut all, mut ranges, mut until) = (0u32, [0u32; RANGES], Micros::MAX);
         for (key, stored) in self.entries.iter().filter(|(key, _)| key.is_shared()) {
-            let left = key.life().saturating_sub(EXPIRY_MARGIN + stored.age(now));
+            let left = key.lifetime().saturating_sub(EXPIRY_MARGIN + stored.age(now));
             if left > 0 {
                 let hash = hash_of(*key, &stored.entry.value);
                 all = all.wrapping_add(hash as u32);
@@ -181,7 +181,7 @@
     }
 }
 
-/// The place of a key's kind in counts.
+/// The index of a key's kind in the counts.
 fn kind_index(key: Key) -> usize {
     match key {
         Key::Evidence { .. } => 0,
--- a/crates/millethook-replica/tests/it/common/mod.rs
+++ b/crates/millethook-replica/tests/it/common/mod.rs
@@ -1,6 +1,6 @@
 //! Many replicas on the common virtual clock.
 
-// Each program that includes this uses a part of it.
+// Each program that includes this module uses a part of it.
 #![allow(dead_code)]
 
 use std::ops::{Deref, DerefMut};
@@ -10,13 +10,13 @@
 use millethook_machine::sim::{Fleet, Machine};
 use millethook_replica::{Micros, ObservedOutcome, Replica, ReplicaConfig, ServerStatus};
 
-/// Servers are numbered from 1 on; this is the process of each that is listed at first.
-pub const BORN: u64 = 1_700_000_000_000;
+/// The epoch of each server's process that is listed at first. Servers are numbered from 1 on.
+pub const SERVER_EPOCH: u64 = 1_700_000_000_000;
 
-/// A replica as the fleet drives it.
-pub struct Held(pub Replica);
+/// A replica as the virtual fleet drives it.
+pub struct SimReplica(pub Replica);
 
-impl Machine for Held {
+impl Machine for SimReplica {
     fn handle(&mut self, now: Micros, from: u16, content: &[u8]) {
         self.0.handle(now, from, content).expect("a message");
     }
@@ -40,29 +40,29 @@
 }
 
 pub struct Sim {
-    fleet: Fleet<Held>,
+    fleet: Fleet<SimReplica>,
     servers: u64,
-    /// Of the process that was started last.
+    /// The epoch of the process that was started last.
     pub epoch: u64,
 }
 
 impl Deref for Sim {
-    type Target = Fleet<Held>;
-    fn deref(&self) -> &Fleet<Held> {
+    type Target = Fleet<SimReplica>;
+    fn deref(&self) -> &Fleet<SimReplica> {
         &self.fleet
     }
 }
 
 impl DerefMut for Sim {
-    fn deref_mut(&mut self) -> &mut Fleet<Held> {
+    fn deref_mut(&mut self) -> &mut Fleet<SimReplica> {
         &mut self.fleet
     }
 }
 
 impl Sim {
-    /// Processes that have all listed the same servers.
+    /// A fleet whose processes have all listed the same servers.
     pub fn new(count: u16, servers: u64, seed: u64) -> Sim {
-        let mut sim = Sim { fleet: Fleet::new(count, seed), servers, epoch: BORN };
+        let mut sim = Sim { fleet: Fleet::new(count, seed), servers, epoch: SERVER_EPOCH };
         (0..count).for_each(|n| sim.start(n));
         sim
     }
@@ -81,12 +81,12 @@
         let servers = self.servers;
         self.fleet.start(number, |now| {
             let mut replica = Replica::new(config, now);
-            (1..=servers).for_each(|server| replica.on_server_listed(now, server, BORN));
-            Held(replica)
+            (1..=servers).for_each(|server| replica.on_server_listed(now, server, SERVER_EPOCH));
+            SimReplica(replica)
         });
     }
 
-    /// A restart that the view has seen: three others tell it what they hold.
+    /// Restarts a member as the view has seen it: three others send it their state.
     pub fn restart(&mut self, number: u16) {
         self.start(number);
         let count = self.nodes.len() as u16;
@@ -99,11 +99,11 @@
     }
 
     pub fn with(&mut self, number: u16, act: impl FnOnce(&mut Replica, Micros)) {
-        self.sound();
-        self.fleet.with(number, |held, now| act(&mut held.0, now));
+        self.assert_no_violation();
+        self.fleet.with(number, |simulated, now| act(&mut simulated.0, now));
     }
 
-    /// Two attempts of a sidecar, one after the other, have this outcome.
+    /// Ends two consecutive attempts of a sidecar with this outcome.
     pub fn end_two_attempts(&mut self, number: u16, server: u64, outcome: ObservedOutcome) {
         for _ in 0..2 {
             self.run(1_000);
@@ -113,13 +113,14 @@
         }
     }
 
-    /// Runs until something holds, looked at every hundredth of a second; how long it took, or None: not in time.
-    pub fn run_until(&mut self, most: Micros, good: impl Fn(&Sim) -> bool) -> Option<Micros> {
+    /// Runs until the condition holds, checked every hundredth of a second. Returns how long it took; None: not in
+    /// time.
+    pub fn run_until(&mut self, limit: Micros, condition: impl Fn(&Sim) -> bool) -> Option<Micros> {
         let begin = self.now;
-        self.sound();
-        while !good(self) {
-            self.sound();
-            if self.now >= begin + most {
+        self.assert_no_violation();
+        while !condition(self) {
+            self.assert_no_violation();
+            if self.now >= begin + limit {
                 return None;
             }
             self.run(SECOND / 100);
@@ -128,15 +129,15 @@
     }
 
     pub fn replica(&self, number: u16) -> &Replica {
-        &self.nodes[usize::from(number)].machine.as_ref().expect("it runs").0
+        &self.nodes[usize::from(number)].machine.as_ref().expect("the member is running").0
     }
 
     pub fn replicas(&self) -> impl Iterator<Item = &Replica> {
-        self.machines().map(|held| &held.0)
+        self.machines().map(|simulated| &simulated.0)
     }
 
-    /// No machine has found a rule broken so far.
-    pub fn sound(&self) {
+    /// Asserts that no machine has found a violated invariant so far.
+    pub fn assert_no_violation(&self) {
         assert_eq!(self.violation, None);
     }
 
@@ -147,8 +148,8 @@
         hashes.all(|h| Some(h) == first)
     }
 
-    /// How many take a server for this.
-    pub fn stand(&self, server: u64, status: ServerStatus) -> usize {
+    /// The number of members at which a server has this status.
+    pub fn count_with_status(&self, server: u64, status: ServerStatus) -> usize {
         self.replicas().filter(|r| r.server_status(server) == status).count()
     }
 }
--- a/crates/millethook-replica/tests/it/golden.rs
+++ b/crates/millethook-replica/tests/it/golden.rs
@@ -1,22 +1,22 @@
-//! The bytes of every message of a fixed fleet, as an earlier build wrote them.
+//! Compares the bytes of every message of a fixed fleet with those that an earlier build wrote.
 //!
-//! A change of code that is not meant to change behaviour leaves `golden/messages.txt` as it is.
+//! A change that is not meant to alter behaviour leaves `golden/messages.txt` unchanged.
 
-use crate::common::{BORN, SECOND, Sim};
+use crate::common::{SECOND, SERVER_EPOCH, Sim};
 use millethook_lease::Token;
 use millethook_machine::sim::Transcript;
 use millethook_replica::{
     Departure, EntryValue, Key, Malformed, ObservedOutcome, Replica, ReplicaConfig,
 };
 
-/// Kinds of messages in `src/message.rs`.
+/// The number of message kinds in `src/message.rs`.
 const KINDS: u8 = 5;
 
 fn token(counter: u32, owner: u16) -> Token {
-    Token { epoch: BORN, counter, owner }
+    Token { epoch: SERVER_EPOCH, counter, owner }
 }
 
-/// Every kind of entry, with losses, a cut, restarts, departures and a word in another's name.
+/// Plays every kind of entry, with losses, a partition, restarts, departures and a removed server.
 fn play(sim: &mut Sim) {
     for server in 1..=6 {
         sim.end_two_attempts(1, server, ObservedOutcome::TimedOut);
@@ -25,8 +25,8 @@
     }
     sim.run(2 * SECOND);
     sim.end_two_attempts(4, 1, ObservedOutcome::Answered);
-    sim.with(5, |replica, now| replica.on_departure(now, 7, BORN, Departure::Leaving));
-    sim.with(6, |replica, now| replica.on_departure(now, 8, BORN, Departure::Gone));
+    sim.with(5, |replica, now| replica.on_departure(now, 7, SERVER_EPOCH, Departure::Leaving));
+    sim.with(6, |replica, now| replica.on_departure(now, 8, SERVER_EPOCH, Departure::Gone));
     sim.with(6, |replica, now| replica.on_attempt_sent(now, 9));
     sim.with(0, |replica, now| {
         let value = EntryValue::Job { token: token(3, 0), said: 9 };
@@ -51,13 +51,13 @@
     sim.run(2 * SECOND);
     sim.restart(3);
     sim.run(3 * SECOND);
-    sim.with(1, |replica, now| replica.on_server_listed(now, 1, BORN + 5));
+    sim.with(1, |replica, now| replica.on_server_listed(now, 1, SERVER_EPOCH + 5));
     sim.with(1, |replica, _| replica.on_server_unlisted(2));
     sim.run(20 * SECOND);
 }
 
 #[test]
-fn every_message_is_that_of_the_build_that_wrote_the_file() {
+fn messages_match_the_golden_file() {
     let mut sim = Sim::new(8, 12, 7);
     sim.transcript = Some(Transcript::default());
     play(&mut sim);
@@ -71,21 +71,21 @@
     let config = ReplicaConfig {
         me: 0,
         members: 8,
-        epoch: BORN,
+        epoch: SERVER_EPOCH,
         zone: 0,
         period: SECOND,
         silence: SECOND / 2,
         seed: 1,
     };
     let mut replica = Replica::new(config, SECOND);
-    (1..=12).for_each(|server| replica.on_server_listed(SECOND, server, BORN));
+    (1..=12).for_each(|server| replica.on_server_listed(SECOND, server, SERVER_EPOCH));
     replica
 }
 
-/// An entry of each kind, first at full length and then without its last byte.
+/// An entry of each kind: whole, without its last byte, and twice.
 fn each_entry() -> Vec<Vec<u8>> {
     let head = [1u8, 0, 0, 1, 2, 3, 4];
-    let epoch = &BORN.to_be_bytes()[2..];
+    let epoch = &SERVER_EPOCH.to_be_bytes()[2..];
     let (number, token) = (9u64.to_be_bytes(), [epoch, &[0, 0, 0, 5, 0, 3]].concat());
     let verdicts = (0x10..=0x15u8).map(|kind| {
         [&[kind][..], &number, &[0, 3], epoch, &[0, 0, 0, 7], epoch, &[0, 1, 2]].concat()
@@ -113,9 +113,9 @@
     .collect()
 }
 
-/// What is read of each entry, and of the messages in the file.
+/// Checks what is read of each entry, and of the messages in the file.
 #[test]
-fn every_entry_is_read_as_by_the_build_that_wrote_the_file() {
+fn entries_are_read_as_in_the_golden_file() {
     let mut outcomes = String::new();
     for content in each_entry() {
         let mut replica = replica();
--- a/crates/millethook-replica/tests/it/laws.rs
+++ b/crates/millethook-replica/tests/it/laws.rs
@@ -1,7 +1,7 @@
-//! The laws of the join, and that the copies of a fleet become equal; with `--features mutants`, that each rule taken
-//! out is missed.
+//! The laws of the join, and convergence of the copies of a fleet; with `--features mutants`, that each disabled rule
+//! is detected.
 
-use crate::common::{BORN, SECOND, Sim};
+use crate::common::{SECOND, SERVER_EPOCH, Sim};
 use millethook_lease::Token;
 use millethook_replica::{
     Departure, Entry, EntryValue, Key, ObservedOutcome, Replica, ReplicaConfig, Verdict,
@@ -27,18 +27,18 @@
 }
 
 fn token() -> impl Strategy<Value = Token> {
-    let part = (0u64..3, 0u32..3, 0u16..2);
-    part.prop_map(|(epoch, counter, owner)| Token { epoch, counter, owner })
+    let parts = (0u64..3, 0u32..3, 0u16..2);
+    parts.prop_map(|(epoch, counter, owner)| Token { epoch, counter, owner })
 }
 
 fn job() -> impl Strategy<Value = Entry> {
-    let part = (token(), 0u16..4, 0u64..3);
-    part.prop_map(|(token, said, age)| Entry { value: EntryValue::Job { token, said }, age })
+    let parts = (token(), 0u16..4, 0u64..3);
+    parts.prop_map(|(token, said, age)| Entry { value: EntryValue::Job { token, said }, age })
 }
 
 fn edge() -> impl Strategy<Value = Entry> {
-    let part = (token(), 0u64..4, 0u64..4, 0u16..2, 0u64..3);
-    part.prop_map(|(token, upto, beyond, left, age)| Entry {
+    let parts = (token(), 0u64..4, 0u64..4, 0u16..2, 0u64..3);
+    parts.prop_map(|(token, upto, beyond, left, age)| Entry {
         value: EntryValue::Edge { token, upto, beyond, failed: [0; 3], left },
         age,
     })
@@ -50,17 +50,18 @@
     joined
 }
 
-fn laws(a: Entry, b: Entry, c: Entry) -> Result<(), TestCaseError> {
+fn check_join_laws(a: Entry, b: Entry, c: Entry) -> Result<(), TestCaseError> {
     prop_assert_eq!(joined(a, b), joined(b, a), "commutative");
     prop_assert_eq!(joined(joined(a, b), c), joined(a, joined(b, c)), "associative");
     prop_assert_eq!(joined(a, a), a, "idempotent");
     prop_assert_eq!(joined(joined(a, b), b), joined(a, b), "absorbing");
-    // Monotone: nothing that is merged makes a value earlier, and a restart of its author or server counts before all.
+    // Monotone: no merge makes a value earlier, and a restart of its author or server takes precedence over all older
+    // values.
     prop_assert!(joined(a, b).value >= a.value);
     Ok(())
 }
 
-fn restart_counts(early: Entry, late: Entry) -> Result<(), TestCaseError> {
+fn check_restart_precedence(early: Entry, late: Entry) -> Result<(), TestCaseError> {
     let epoch = |e: Entry| match e.value {
         EntryValue::Evidence { author_epoch, .. } => author_epoch,
         EntryValue::Departure { server_epoch, .. } => server_epoch,
@@ -75,32 +76,33 @@
 
 proptest! {
     #[test]
-    fn evidence_joins_by_law((a, b, c) in (evidence(), evidence(), evidence())) {
-        laws(a, b, c)?;
-        restart_counts(a, b)?;
+    fn evidence_join_obeys_the_laws((a, b, c) in (evidence(), evidence(), evidence())) {
+        check_join_laws(a, b, c)?;
+        check_restart_precedence(a, b)?;
     }
 
     #[test]
-    fn departures_join_by_law((a, b, c) in (departure(), departure(), departure())) {
-        laws(a, b, c)?;
-        restart_counts(a, b)?;
+    fn departure_join_obeys_the_laws((a, b, c) in (departure(), departure(), departure())) {
+        check_join_laws(a, b, c)?;
+        check_restart_precedence(a, b)?;
     }
 
     #[test]
-    fn what_goes_by_a_token_joins_by_law((a, b, c) in prop_oneof![(job(), job(), job()), (edge(), edge(), edge())]) {
-        laws(a, b, c)?;
-        restart_counts(a, b)?;
+    fn token_ordered_join_obeys_the_laws((a, b, c) in prop_oneof![(job(), job(), job()), (edge(), edge(), edge())]) {
+        check_join_laws(a, b, c)?;
+        check_restart_precedence(a, b)?;
     }
 
-    /// Whatever comes, a replica takes no harm, answers with no more bytes than came, and stays bounded.
+    /// Arbitrary content must not crash a replica or be answered with more bytes than it has; the replica stays
+    /// bounded.
     #[test]
-    fn no_content_crashes_a_replica_or_is_answered_by_more(
+    fn arbitrary_content_causes_no_panic_and_no_amplification(
         contents in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 1..40),
         kinds in proptest::collection::vec(0u8..6, 40),
     ) {
-        let config = ReplicaConfig { me: 0, members: 4, epoch: BORN, zone: 0, period: SECOND, silence: SECOND / 2, seed: 1 };
+        let config = ReplicaConfig { me: 0, members: 4, epoch: SERVER_EPOCH, zone: 0, period: SECOND, silence: SECOND / 2, seed: 1 };
         let mut replica = Replica::new(config, SECOND);
-        replica.on_server_listed(SECOND, 1, BORN);
+        replica.on_server_listed(SECOND, 1, SERVER_EPOCH);
         for (mut content, kind) in contents.into_iter().zip(kinds) {
             if let Some(first) = content.first_mut() {
                 *first = kind;
@@ -115,8 +117,8 @@
     }
 }
 
-/// Two of four are cut off from the others; each side learns other things of the same servers; then all meet.
-fn cut_and_heal(seed: u64) -> Option<(u64, Vec<(Key, Entry)>)> {
+/// Partitions a fleet of eight into two halves that learn different things about the same servers, then heals it.
+fn partition_and_heal(seed: u64) -> Option<(u64, Vec<(Key, Entry)>)> {
     let mut sim = Sim::new(8, 3, seed);
     sim.passes = Box::new(|a, b| (a < 4) == (b < 4));
     for n in 0..2 {
@@ -124,10 +126,10 @@
         sim.end_two_attempts(n + 4, 1, ObservedOutcome::Broken);
         sim.end_two_attempts(n + 6, 2, ObservedOutcome::Error);
     }
-    sim.with(0, |r, now| r.on_departure(now, 3, BORN, Departure::Gone));
-    sim.with(5, |r, now| r.on_departure(now, 3, BORN, Departure::Leaving));
+    sim.with(0, |r, now| r.on_departure(now, 3, SERVER_EPOCH, Departure::Gone));
+    sim.with(5, |r, now| r.on_departure(now, 3, SERVER_EPOCH, Departure::Leaving));
     sim.run(4 * SECOND);
-    // Later words of the same authors, which the other side has not heard.
+    // Later reports of the same authors, which the other side has not received.
     sim.end_two_attempts(0, 1, ObservedOutcome::Answered);
     sim.run(3 * SECOND);
     assert!(!sim.agree());
@@ -137,30 +139,30 @@
     sim.replicas().next().map(|r| (took, r.entries(now)))
 }
 
-fn cuts_heal() -> bool {
+fn partitions_heal() -> bool {
     (0..6).all(|seed| {
-        let Some((took, entries)) = cut_and_heal(seed) else { return false };
+        let Some((took, entries)) = partition_and_heal(seed) else { return false };
         let value = |key| entries.iter().find(|e| e.0 == key).map(|e| e.1.value);
-        let says = |server, author, verdict| {
+        let reports = |server, author, verdict| {
             matches!(value(Key::Evidence { server, author }), Some(EntryValue::Evidence { verdict: v, .. }) if v == verdict)
         };
         let gone = value(Key::Departure { server: 3 });
         took <= 2 * SECOND
-            && says(1, 0, Verdict::Well)
-            && says(1, 1, Verdict::Silent)
-            && says(1, 4, Verdict::Refusing)
-            && says(2, 6, Verdict::Erring)
-            && gone == Some(EntryValue::Departure { server_epoch: BORN, departure: Departure::Gone })
+            && reports(1, 0, Verdict::Well)
+            && reports(1, 1, Verdict::Silent)
+            && reports(1, 4, Verdict::Refusing)
+            && reports(2, 6, Verdict::Erring)
+            && gone == Some(EntryValue::Departure { server_epoch: SERVER_EPOCH, departure: Departure::Gone })
     })
 }
 
 #[test]
-fn after_a_cut_all_copies_are_equal_and_each_entry_is_the_one_that_the_rule_says() {
-    assert!(cuts_heal());
+fn copies_converge_to_the_greatest_entries_after_a_partition() {
+    assert!(partitions_heal());
 }
 
-/// One wakes after 20 s with what it held then, and one's author has restarted meanwhile.
-fn old_news_overrides_nothing() -> bool {
+/// One member resumes after 20 s with the entries that it held then, and the author of some has restarted meanwhile.
+fn stale_entries_override_nothing() -> bool {
     let mut sim = Sim::new(6, 2, 9);
     sim.end_two_attempts(0, 1, ObservedOutcome::TimedOut);
     sim.end_two_attempts(1, 1, ObservedOutcome::TimedOut);
@@ -171,27 +173,29 @@
     sim.restart(0);
     sim.end_two_attempts(0, 1, ObservedOutcome::Answered);
     sim.run(21 * SECOND);
-    // Whatever the one that slept holds is older than its life by now.
+    // The entries of the paused member have exceeded their lifetime by now.
     let now = sim.now;
     sim.agree() && sim.replicas().all(|r| r.entries(now).is_empty())
 }
 
 #[test]
-fn one_that_slept_overrides_nothing_newer() {
-    assert!(old_news_overrides_nothing());
+fn resumed_member_overrides_no_newer_entry() {
+    assert!(stale_entries_override_nothing());
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn each_rule_that_is_taken_out_is_missed() {
+fn each_mutant_is_detected() {
     use millethook_replica::{Mutant, become_mutant};
     use proptest::test_runner::TestRunner;
-    let lawful = || {
+    let laws_hold = || {
         let mut runner = TestRunner::deterministic();
         let values = (evidence(), evidence(), evidence());
-        let evidence = runner.run(&values, |(a, b, c)| laws(a, b, c).and(restart_counts(a, b)));
+        let evidence = runner
+            .run(&values, |(a, b, c)| check_join_laws(a, b, c).and(check_restart_precedence(a, b)));
         let values = (departure(), departure(), departure());
-        let departures = runner.run(&values, |(a, b, c)| laws(a, b, c).and(restart_counts(a, b)));
+        let departures = runner
+            .run(&values, |(a, b, c)| check_join_laws(a, b, c).and(check_restart_precedence(a, b)));
         evidence.is_ok() && departures.is_ok()
     };
     let all = [
@@ -201,12 +205,12 @@
         Mutant::FirstDepartureHolds,
         Mutant::NoRepair,
     ];
-    assert!(lawful() && cuts_heal());
+    assert!(laws_hold() && partitions_heal());
     for mutant in all {
         become_mutant(Some(mutant));
         assert!(
-            !(lawful() && cuts_heal() && old_news_overrides_nothing()),
-            "{mutant:?} is not missed"
+            !(laws_hold() && partitions_heal() && stale_entries_override_nothing()),
+            "{mutant:?} is not detected"
         );
         become_mutant(None);
     }
--- a/crates/millethook-replica/tests/it/main.rs
+++ b/crates/millethook-replica/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Replicated evidence on the virtual clock, in one program.
+//! Tests of replicated evidence on the virtual clock.
 
 mod common;
 mod fleet;
