--- a/crates/millethook-view/examples/beside_foca.rs
+++ b/crates/millethook-view/examples/beside_foca.rs
@@ -1,4 +1,5 @@
-//! The same trials for `foca`'s SWIM, set for a LAN, in packets of 241 bytes, and for this package's views.
+//! Compares `foca`'s SWIM, configured for a LAN with packets of 241 bytes, with this package's views in the same
+//! scenarios.
 //!
 //!     cargo run --release -p millethook-view --example beside_foca
 
@@ -10,7 +11,7 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-use common::{OVERHEAD, S, Sim};
+use common::{OVERHEAD, SECOND, Sim};
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, OwnedNotification, PeriodicParams, PostcardCodec,
     Timer,
@@ -42,8 +43,8 @@
     }
 }
 
-enum Due {
-    Arrives(u16, Vec<u8>),
+enum Pending {
+    Delivery(u16, Vec<u8>),
     Timer(u16, Timer<Id>),
 }
 
@@ -53,19 +54,19 @@
     now: u64,
     nodes: Vec<Option<Node>>,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
-    due: Vec<Option<Due>>,
+    due: Vec<Option<Pending>>,
     random: SmallRng,
     loss: f64,
     cut: u16,
     bytes: u64,
-    /// Running members that somebody called down.
+    /// Reports that a running member is down.
     false_alarms: u64,
 }
 
 impl Fleet {
     fn new(count: u16, seed: u64) -> Fleet {
         let mut fleet = Fleet {
-            now: S,
+            now: SECOND,
             nodes: (0..count).map(|_| None).collect(),
             queue: BinaryHeap::new(),
             due: Vec::new(),
@@ -84,7 +85,7 @@
         let mut config = Config::new_lan(NonZeroU32::new(u32::from(count)).expect("some"));
         config.max_packet_size = NonZeroUsize::new(241).expect("some");
         config.periodic_announce_to_down_members = Some(PeriodicParams {
-            // As often as this package's views ask their dead.
+            // As often as this package's views probe dead members.
             frequency: Duration::from_secs(2),
             num_members: NonZeroUsize::new(1).expect("some"),
         });
@@ -99,28 +100,28 @@
             }
         }
         self.nodes[usize::from(number)] = Some(node);
-        self.carry_out(number, runtime);
+        self.process_output(number, runtime);
     }
 
-    fn push(&mut self, at: u64, due: Due) {
+    fn push(&mut self, at: u64, due: Pending) {
         self.due.push(Some(due));
         self.queue.push(Reverse((at, self.due.len() - 1)));
     }
 
-    fn carry_out(&mut self, from: u16, mut runtime: AccumulatingRuntime<Id>) {
+    fn process_output(&mut self, from: u16, mut runtime: AccumulatingRuntime<Id>) {
         while let Some((to, data)) = runtime.to_send() {
             self.bytes += data.len() as u64 + OVERHEAD;
             let cut = (from < self.cut) != (to.number < self.cut);
             if !cut && self.random.random::<f64>() >= self.loss {
                 let at = self.now + self.random.random_range(1_000..4_000);
-                self.push(at, Due::Arrives(to.number, data.to_vec()));
+                self.push(at, Pending::Delivery(to.number, data.to_vec()));
             }
         }
         while let Some((after, timer)) = runtime.to_schedule() {
-            self.push(self.now + after.as_micros() as u64, Due::Timer(from, timer));
+            self.push(self.now + after.as_micros() as u64, Pending::Timer(from, timer));
         }
-        while let Some(said) = runtime.to_notify() {
-            if let OwnedNotification::MemberDown(id) = said {
+        while let Some(notification) = runtime.to_notify() {
+            if let OwnedNotification::MemberDown(id) = notification {
                 self.false_alarms += u64::from(self.nodes[usize::from(id.number)].is_some());
             }
         }
@@ -134,26 +135,26 @@
             let Some(due) = self.due[n].take() else { continue };
             let mut runtime = AccumulatingRuntime::new();
             let number = match &due {
-                Due::Arrives(number, _) | Due::Timer(number, _) => *number,
+                Pending::Delivery(number, _) | Pending::Timer(number, _) => *number,
             };
             let Some(node) = &mut self.nodes[usize::from(number)] else { continue };
-            // What is out of date is an error there, and no harm.
+            // Stale messages and timers are errors in `foca`, and harmless.
             let _ = match due {
-                Due::Arrives(_, data) => node.handle_data(&data, &mut runtime),
-                Due::Timer(_, timer) => node.handle_timer(timer, &mut runtime),
+                Pending::Delivery(_, data) => node.handle_data(&data, &mut runtime),
+                Pending::Timer(_, timer) => node.handle_timer(timer, &mut runtime),
             };
-            self.carry_out(number, runtime);
+            self.process_output(number, runtime);
         }
         self.now = end;
     }
 
-    fn until(&mut self, most: u64, good: impl Fn(&Fleet) -> bool) -> Option<u64> {
+    fn run_until(&mut self, limit: u64, condition: impl Fn(&Fleet) -> bool) -> Option<u64> {
         let begin = self.now;
-        while !good(self) {
-            if self.now >= begin + most {
+        while !condition(self) {
+            if self.now >= begin + limit {
                 return None;
             }
-            self.run(S / 10);
+            self.run(SECOND / 10);
         }
         Some(self.now - begin)
     }
@@ -166,7 +167,7 @@
 
 fn seconds(of: &mut [Option<u64>]) -> String {
     of.sort_by_key(|t| t.unwrap_or(u64::MAX));
-    of[of.len() / 2].map_or("-".into(), |t| format!("{:.1}", t as f64 / S as f64))
+    of[of.len() / 2].map_or("-".into(), |t| format!("{:.1}", t as f64 / SECOND as f64))
 }
 
 const SEEDS: u64 = 9;
@@ -182,57 +183,57 @@
         let mut alarms = String::from("-");
         for seed in 0..SEEDS {
             let mut fleet = Fleet::new(size, seed);
-            start.push(fleet.until(300 * S, Fleet::agree));
-            fleet.run(30 * S);
+            start.push(fleet.run_until(300 * SECOND, Fleet::agree));
+            fleet.run(30 * SECOND);
             fleet.bytes = 0;
-            fleet.run(20 * S);
+            fleet.run(20 * SECOND);
             quiet += fleet.bytes as f64 / f64::from(size) / 20.0 / SEEDS as f64;
             fleet.nodes[usize::from(size / 3)] = None;
-            crash.push(fleet.until(120 * S, Fleet::agree));
+            crash.push(fleet.run_until(120 * SECOND, Fleet::agree));
             fleet.start(size / 3);
-            fleet.run(30 * S);
+            fleet.run(30 * SECOND);
             fleet.cut = size / 3;
-            fleet.run(30 * S);
+            fleet.run(30 * SECOND);
             fleet.cut = 0;
-            heal.push(fleet.until(300 * S, Fleet::agree));
+            heal.push(fleet.run_until(300 * SECOND, Fleet::agree));
             if size == 8 && seed == 0 {
                 (fleet.loss, fleet.false_alarms) = (0.3, 0);
-                fleet.run(3_600 * S);
-                // Each alarm is told by each of the others.
+                fleet.run(3_600 * SECOND);
+                // Each of the other members reports each alarm.
                 alarms = (fleet.false_alarms / u64::from(size - 1)).to_string();
             }
         }
         let (start, crash, heal) = (seconds(&mut start), seconds(&mut crash), seconds(&mut heal));
         println!("| {size} | foca 1.0 | {start} | {crash} | {heal} | {quiet:.0} | {alarms} |");
-        ours(size);
+        measure_views(size);
     }
 }
 
-fn ours(size: u16) {
+fn measure_views(size: u16) {
     let (mut start, mut crash, mut heal, mut quiet) = (Vec::new(), Vec::new(), Vec::new(), 0.0);
     let mut alarms = String::from("-");
     for seed in 0..SEEDS {
         let mut sim = Sim::new(size, seed);
         (0..size).for_each(|n| sim.start(n));
-        start.push(sim.run_until(300 * S, Sim::agree));
-        sim.run(30 * S);
+        start.push(sim.run_until(300 * SECOND, Sim::agree));
+        sim.run(30 * SECOND);
         sim.nodes.iter_mut().for_each(|n| n.bytes = 0);
-        sim.run(20 * S);
+        sim.run(20 * SECOND);
         let all: u64 = sim.nodes.iter().map(|n| n.bytes).sum();
         quiet += all as f64 / f64::from(size) / 20.0 / SEEDS as f64;
         sim.kill(size / 3);
-        crash.push(sim.run_until(120 * S, Sim::agree));
+        crash.push(sim.run_until(120 * SECOND, Sim::agree));
         sim.start(size / 3);
-        sim.run(30 * S);
+        sim.run(30 * SECOND);
         let side = size / 3;
         sim.passes = Box::new(move |a, b| (a < side) == (b < side));
-        sim.run(30 * S);
+        sim.run(30 * SECOND);
         sim.passes = Box::new(|_, _| true);
-        heal.push(sim.run_until(300 * S, Sim::agree));
+        heal.push(sim.run_until(300 * SECOND, Sim::agree));
         if size == 8 && seed == 0 {
             sim.loss = 0.3;
             sim.events.clear();
-            sim.run(3_600 * S);
+            sim.run(3_600 * SECOND);
             let dead = sim.events.iter().filter(|e| e.2.new_status == Status::Dead).count();
             alarms = (dead / usize::from(size - 1)).to_string();
         }
--- a/crates/millethook-view/src/fact.rs
+++ b/crates/millethook-view/src/fact.rs
@@ -1,4 +1,4 @@
-//! Facts about members, and the order that decides which of two facts holds.
+//! Facts about members, and the order that decides which of two facts is kept.
 
 use crate::mutant::{self, Mutant};
 
@@ -6,28 +6,28 @@
 /// milliseconds, unless the fleet has seen a higher one of the same member.
 pub type Epoch = u64;
 
-/// The highest epoch that is believed, in the year 2109. A forged epoch beyond would leave the member none to follow
-/// it with.
+/// The highest epoch that is accepted, in the year 2109. After a forged epoch above it the member could not take a
+/// higher one.
 pub(crate) const HIGHEST_EPOCH: Epoch = 1 << 42;
 
-/// What is believed of a member.
+/// The status of a member, as one view sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Status {
-    /// Nothing was ever heard of it.
+    /// No message of the member was ever received.
     #[default]
     Unknown,
-    /// It answers.
+    /// The member answers.
     Alive,
     /// A probe had no answer. The member can still refute the suspicion.
     Suspect,
-    /// It has not refuted a suspicion in time. It is probed now and then, and may come back.
+    /// The member has not refuted a suspicion in time. It is still probed occasionally, and may come back.
     Dead,
-    /// It has said that it leaves. Only a later process of the member comes back.
+    /// The member has announced that it leaves. Only a later process of the member comes back.
     Left,
 }
 
 impl Status {
-    /// The status with this number on the wire; None: there is none.
+    /// The status with this number on the wire. None: there is none.
     pub(crate) fn from_wire(byte: u8) -> Option<Status> {
         Some(match byte {
             1 => Status::Alive,
@@ -56,19 +56,20 @@
     pub number: u16,
     /// The epoch of its process.
     pub epoch: Epoch,
-    /// How often that process has refuted statements of others (SWIM, section 4.2).
+    /// How often that process has refuted reports of others (SWIM, section 4.2).
     pub incarnation: u16,
     /// Its status.
     pub status: Status,
-    /// The member that stated it first.
-    pub by: u16,
+    /// The member that reported it first.
+    pub reported_by: u16,
 }
 
-/// The order of facts. Of two that differ the greater one holds, whichever comes first, so that all members come to
-/// believe the same: a later process; then that a process has left; then its later incarnation; then the worse status.
+/// The order of facts. Of two facts that differ the greater one is kept, whichever comes first, so that all members
+/// converge. The order is: a later process; then that a process has left; then its later incarnation; then the worse
+/// status.
 pub(crate) type Rank = (Epoch, bool, u16, Status);
 
-/// The rank of a statement.
+/// The rank of a fact.
 pub(crate) fn rank(epoch: Epoch, incarnation: u16, status: Status) -> Rank {
     let left = status == Status::Left;
     let epoch = if mutant::is(Mutant::EpochsDoNotCount) { 0 } else { epoch };
--- a/crates/millethook-view/src/lib.rs
+++ b/crates/millethook-view/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which sidecars of a fleet are alive, as the sidecars find out by themselves.
+//! Membership of a fleet of sidecars, maintained by the sidecars themselves: which of them are alive.
 //!
 //! Failure detection and dissemination follow SWIM (Das, Gupta and Motivala, DSN 2002), with the local health and the
-//! suspicion times of Lifeguard (Dadgar, Phillips and Currey, DSN 2018). The differences are explained in
-//! `docs/design/view.md`: processes have epochs, dead members are probed for ever, views that differ are found by a
-//! hash and repaired by ranges, and no answer is longer than the message that it answers.
+//! suspicion timeouts of Lifeguard (Dadgar, Phillips and Currey, DSN 2018). The differences are explained in
+//! `docs/design/view.md`: processes have epochs, dead members are probed indefinitely, views that differ are detected
+//! by a hash and repaired by ranges, and no answer is longer than the message that it answers.
 //!
-//! [`View`] has no socket and no clock. Contents of datagrams and the time, in microseconds, are handed in; messages,
-//! events and the time of the next call come out. The same calls give the same results.
+//! [`View`] performs no I/O and reads no clock. The caller passes in datagram contents and the time in microseconds,
+//! and polls messages, events and the time of the next call. The same calls give the same results.
 #![forbid(unsafe_code)]
 
 mod fact;
@@ -25,5 +25,5 @@
 pub use table::{Counts, Member};
 pub use view::{Event, Figures, View, ViewConfig};
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
--- a/crates/millethook-view/src/message/tests.rs
+++ b/crates/millethook-view/src/message/tests.rs
@@ -1,12 +1,12 @@
-//! The form of messages, as fixed bytes.
+//! Tests of the encoding, as fixed bytes.
 
 use millethook_machine::codec::{read_message, write_header};
 
 use super::*;
 
-/// What a build of another day wrote has to be read: the form is fixed by bytes.
+/// Messages of other builds must be readable, so the encoding is fixed by bytes.
 #[test]
-fn the_form_is_that_of_the_table() {
+fn encoding_matches_the_table() {
     let header = MessageHeader {
         kind: MessageKind::PullReply,
         sequence: 0x0102,
@@ -21,8 +21,10 @@
     assert_eq!((read, rest.remaining()), (header, &[][..]));
     assert_eq!(read_message::<MessageHeader>(&bytes[..16]).err(), Some(Malformed::Length));
     let from = 1_000;
-    let near = Fact { number: 1, epoch: 990, incarnation: 0, status: Status::Alive, by: 1 };
-    let far = Fact { number: 2, epoch: 1 << 40, incarnation: 3, status: Status::Dead, by: 9 };
+    let near =
+        Fact { number: 1, epoch: 990, incarnation: 0, status: Status::Alive, reported_by: 1 };
+    let far =
+        Fact { number: 2, epoch: 1 << 40, incarnation: 3, status: Status::Dead, reported_by: 9 };
     let mut facts = Vec::new();
     assert!(write_fact(&mut facts, &near, from, 241));
     assert!(!write_fact(&mut facts, &far, from, 19));
--- a/crates/millethook-view/src/mutant.rs
+++ b/crates/millethook-view/src/mutant.rs
@@ -1,20 +1,20 @@
-//! Rules that tests remove one by one, to show that each is needed (`--features mutants`, `tests/it/explore.rs`).
+//! Rules that tests disable one by one, to show that each is needed (`--features mutants`, `tests/it/explore.rs`).
 
 millethook_machine::mutants! {
-    /// A later process does not count before an earlier one.
+    /// The epoch of a process is ignored.
     EpochsDoNotCount,
-    /// What left can be called alive again.
+    /// A member that has left can become alive again.
     LeftComesBack,
-    /// A contradiction has the incarnation that was already there.
+    /// A refutation keeps the incarnation that it refutes.
     SameIncarnation,
-    /// Nobody contradicts.
+    /// Reports are not refuted.
     NoContradiction,
-    /// The dead are not asked.
+    /// Dead members are not probed.
     DeadAreForgotten,
-    /// A process does not go above a later one of its number.
+    /// A process does not raise its epoch above that of a later process with its number.
     NeverAbove,
-    /// Views that differ are not mended.
+    /// Views that differ are not repaired.
     NoRepair,
-    /// A suspicion does not end.
+    /// A suspicion does not expire.
     SuspectForEver,
 }
--- a/crates/millethook-view/src/table.rs
+++ b/crates/millethook-view/src/table.rs
@@ -4,19 +4,19 @@
 
 use crate::fact::{Epoch, Fact, Rank, Status, rank};
 
-/// What is believed of a member.
+/// The state of a member, as one view sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Member {
     /// The epoch of its latest known process; 0: none.
     pub epoch: Epoch,
-    /// How often that process has refuted statements of others.
+    /// How often that process has refuted reports of others.
     pub incarnation: u16,
     /// Its status.
     pub status: Status,
-    /// The member that stated the status first, if it is suspect or dead.
-    pub(crate) by: u16,
+    /// The member that reported the status first, if it is suspect or dead.
+    pub(crate) reported_by: u16,
     /// When its last message came, in milliseconds. It wraps after 49 days, which costs one needless notice.
-    pub(crate) heard: u32,
+    pub(crate) last_message_ms: u32,
 }
 
 impl Member {
@@ -26,8 +26,8 @@
 
     /// The fact about the member with this number.
     pub(crate) fn fact(&self, number: u16) -> Fact {
-        let Member { epoch, incarnation, status, by, .. } = *self;
-        Fact { number, epoch, incarnation, status, by }
+        let Member { epoch, incarnation, status, reported_by, .. } = *self;
+        Fact { number, epoch, incarnation, status, reported_by }
     }
 
     /// Its part of the hash: process and presence. Suspicions are left out, because members need not agree on them.
@@ -45,7 +45,7 @@
 /// The number of members with each status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Members that were never heard of.
+    /// Members of which no message was ever received.
     pub unknown: usize,
     /// Members that are alive.
     pub alive: usize,
@@ -107,42 +107,48 @@
         Some(member.fact(number))
     }
 
-    /// Notes that a message of the member came now.
-    pub fn note_heard(&mut self, number: u16, now_ms: u32) {
+    /// Records that a message of the member came now.
+    pub fn record_message(&mut self, number: u16, now_ms: u32) {
         if let Some(member) = self.members.get_mut(usize::from(number)) {
-            member.heard = now_ms;
+            member.last_message_ms = now_ms;
         }
     }
 
-    /// The sum of the parts of some members of the hash.
+    /// The sum of the hash parts of a range of members.
     pub fn range_hash(&self, range: std::ops::Range<usize>) -> u32 {
         let members = self.members.iter().enumerate().take(range.end).skip(range.start);
         members.fold(0, |sum, (n, member)| sum.wrapping_add(member.hash(n)))
     }
 
-    /// Enters a fact, whatever was believed before.
+    /// Stores a fact, whatever the table held before.
     pub fn set(&mut self, fact: &Fact) {
         let number = usize::from(fact.number);
         let Some(member) = self.members.get_mut(number) else { return };
         self.hash = self.hash.wrapping_sub(member.hash(number));
         *self.counts.of(member.status) -= 1;
-        let Fact { epoch, incarnation, status, by, .. } = *fact;
-        *member = Member { epoch, incarnation, status, by, heard: member.heard };
+        let Fact { epoch, incarnation, status, reported_by, .. } = *fact;
+        *member = Member {
+            epoch,
+            incarnation,
+            status,
+            reported_by,
+            last_message_ms: member.last_message_ms,
+        };
         self.hash = self.hash.wrapping_add(member.hash(number));
         *self.counts.of(status) += 1;
     }
 
-    /// Facts in the order of numbers, from `first` to the end and from the beginning up to it.
-    pub fn from(&self, first: u16) -> impl Iterator<Item = Fact> {
+    /// Facts in the order of numbers, from `first` to the end and then from the start up to it.
+    pub fn facts_from(&self, first: u16) -> impl Iterator<Item = Fact> {
         let first = usize::from(first).min(self.len());
         (first..self.len()).chain(0..first).filter_map(|n| self.fact(n as u16))
     }
 
-    /// The first member with a property, searched from `first` to the end and from the beginning up to it.
-    pub fn find(&self, first: usize, good: impl Fn(u16, &Member) -> bool) -> Option<u16> {
+    /// The first member that satisfies a predicate, searched from `first` to the end and then from the start up to it.
+    pub fn find(&self, first: usize, predicate: impl Fn(u16, &Member) -> bool) -> Option<u16> {
         let all = (first..self.len()).chain(0..first.min(self.len()));
         let mut all = all.map(|n| (n as u16, &self.members[n]));
-        all.find(|(n, m)| good(*n, m)).map(|found| found.0)
+        all.find(|(n, m)| predicate(*n, m)).map(|found| found.0)
     }
 
     /// Members that take part.
--- a/crates/millethook-view/src/view.rs
+++ b/crates/millethook-view/src/view.rs
@@ -5,7 +5,7 @@
 mod event;
 mod facts;
 mod figures;
-mod own;
+mod own_facts;
 mod probing;
 mod pull;
 mod receive;
@@ -20,7 +20,7 @@
 
 use crate::Micros;
 use crate::fact::{Epoch, HIGHEST_EPOCH, Status};
-use crate::probe::{Order, Probe, Relayed, Suspicion, below, pick};
+use crate::probe::{Probe, ProbeOrder, RelayedProbe, Suspicion, below, pick_random};
 use crate::table::{Counts, Member, Table};
 use crate::updates::UpdateQueue;
 use probing::ABSENT_PROBE_PERIODS;
@@ -31,22 +31,22 @@
 pub use event::Event;
 pub use figures::Figures;
 
-/// While there are updates, they are sent to so many members in a period.
+/// Messages with updates per period, each to another member.
 const GOSSIPS_PER_PERIOD: u64 = 5;
-/// A process that has started asks for the table after this part of a period, and after each failure half as often.
-/// After an answer it asks another member for the next part once the time of one gossip has passed.
+/// A started process requests the table after this fraction of a period, and after each failure half as often. After an
+/// answer it requests the next part from another member once the time of one gossip has passed.
 const PULLS_PER_PERIOD: u64 = 20;
-/// The most messages that wait to be sent; more are dropped.
+/// The maximum number of queued outgoing messages; more are dropped.
 const MAX_OUTGOING: usize = 64;
-/// The most events that wait to be fetched; of more the oldest are dropped.
+/// The maximum number of queued events; beyond it the oldest are dropped.
 const MAX_EVENTS: usize = 1024;
-/// The most probes on behalf of others; of more the oldest are forgotten.
+/// The maximum number of probes on behalf of others; beyond it the oldest are dropped.
 const MAX_RELAYED: usize = 64;
 
 /// The view of one process.
 ///
-/// [`View::handle`] takes messages of other members, and [`View::tick`] has to be called at [`View::poll_timeout`].
-/// After each call [`View::poll_transmit`] and [`View::poll_event`] are read until they return None.
+/// [`View::handle`] processes messages of other members, and [`View::tick`] must be called at [`View::poll_timeout`].
+/// After each call, call [`View::poll_transmit`] and [`View::poll_event`] until they return None.
 #[derive(Clone)]
 pub struct View {
     config: ViewConfig,
@@ -54,30 +54,30 @@
     /// Facts that are still to be sent.
     updates: UpdateQueue,
     /// The order of probes.
-    order: Order,
+    order: ProbeOrder,
     random: Pcg32,
     sequence: u16,
     /// The probe of this period.
     probe: Option<Probe>,
     /// Probes on behalf of others.
-    relayed: VecDeque<Relayed>,
-    /// Suspicions that have not ended.
+    relayed: VecDeque<RelayedProbe>,
+    /// Suspicions that have not expired.
     suspicions: BTreeMap<u16, Suspicion>,
     /// Lifeguard's local health: 0 is good.
     health: u32,
     next_period: Micros,
     next_gossip: Micros,
     next_absent_probe: Micros,
-    /// The table that is being fetched after the start, or after a stall.
+    /// The table transfer in progress after the start, or after a stall.
     pull: Option<Pull>,
     agreement: Agreement,
-    /// Members that were told in this period that they are suspected.
+    /// The number of members that were notified in this period that they are suspected.
     notices: usize,
     next_epoch_raise: Micros,
     epoch_raise_interval: Micros,
-    /// The epoch to be taken next, because another process of the own number was met; 0: none.
-    wanted_epoch: Epoch,
-    /// The budget for sending is short.
+    /// The epoch to take next, because another process with the own number was detected; 0: none.
+    pending_epoch: Epoch,
+    /// Whether the send budget is nearly used up.
     congested: bool,
     outgoing: VecDeque<(u16, Vec<u8>)>,
     events: VecDeque<Event>,
@@ -85,14 +85,14 @@
 }
 
 impl View {
-    /// The view of a process that has just started and knows of no other member.
+    /// Creates the view of a process that has just started and knows of no other member.
     ///
-    /// `config.me` has to be below `config.members`. `config.period` is at least 1 ms.
+    /// `config.me` must be below `config.members`. `config.period` is at least 1 ms.
     pub fn new(config: ViewConfig, now: Micros) -> View {
         let period = config.period.max(1_000);
         let config = ViewConfig { period, epoch: config.epoch.clamp(1, HIGHEST_EPOCH), ..config };
         let members = usize::from(config.members);
-        // Pcg's second number is the stream: two processes of one seed draw differently.
+        // Pcg's second parameter selects the stream: two processes with the same seed draw differently.
         let mut random = Pcg32::new(config.seed, u64::from(config.me));
         let spread = |random: &mut Pcg32, over: u64| below(random, over as usize) as u64;
         let first = now + spread(&mut random, period);
@@ -105,7 +105,7 @@
             config,
             table: Table::new(members),
             updates: UpdateQueue::new(members),
-            order: Order::default(),
+            order: ProbeOrder::default(),
             sequence: 0,
             probe: None,
             relayed: VecDeque::new(),
@@ -119,7 +119,7 @@
             notices: 0,
             next_epoch_raise: now,
             epoch_raise_interval: period,
-            wanted_epoch: 0,
+            pending_epoch: 0,
             congested: false,
             outgoing: VecDeque::new(),
             events: VecDeque::new(),
@@ -135,12 +135,12 @@
         self.config.me
     }
 
-    /// The epoch of this process, as it stands in frames.
+    /// The epoch of this process, as sent in frames.
     pub fn epoch(&self) -> Epoch {
         self.config.epoch
     }
 
-    /// What is believed of a member; None: there is no such number.
+    /// The state of a member. None: there is no such number.
     pub fn member(&self, number: u16) -> Option<&Member> {
         self.table.get(number)
     }
@@ -150,19 +150,19 @@
         self.table.counts
     }
 
-    /// A hash that is equal for all members that believe the same of each member's process and presence.
+    /// A hash that is equal for all members that agree on each member's process and presence.
     pub fn hash(&self) -> u32 {
         self.table.hash
     }
 
-    /// A random other member that is present; None: there is none.
+    /// A random other member that is present. None: there is none.
     pub fn any_present(&mut self) -> Option<u16> {
         let me = self.config.me;
-        pick(&self.table, &mut self.random, |n, status| status.is_present() && n != me)
+        pick_random(&self.table, &mut self.random, |n, status| status.is_present() && n != me)
     }
 
-    /// The place of this process among the next `most` present members after `number`, if it is one of them. It lets a
-    /// few of many members do something for that member, and all agree on which.
+    /// The position of this process among the next `most` present members after `number`, if it is one of them. It
+    /// selects a few of many members to do something for that member, and all agree on which.
     pub fn place_after(&self, number: u16, most: usize) -> Option<usize> {
         let after = usize::from(number) + 1;
         let around = (after..self.table.len()).chain(0..usize::from(number));
@@ -175,18 +175,18 @@
         self.figures
     }
 
-    /// Tells whether the budget for sending is short. While it is, only probes and short answers are sent. Without
-    /// this, probes would wait behind updates, late answers would cause suspicions, and suspicions cause more updates.
+    /// Sets whether the send budget is nearly used up. While it is, only probes and short answers are sent. Otherwise
+    /// probes would wait behind updates, late answers would cause suspicions, and suspicions would cause more updates.
     pub fn set_congested(&mut self, congested: bool) {
         self.congested = congested;
     }
 
-    /// The next event, in order. If more than 1,024 wait, the oldest are lost.
+    /// Returns the next event, in order. If more than 1,024 are queued, the oldest are lost.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// The next message: the number of its receiver, and its content of at most 241 bytes.
+    /// Returns the next message: the number of its receiver, and its content of at most 241 bytes.
     pub fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)> {
         self.outgoing.pop_front()
     }
--- a/crates/millethook-view/src/view/check.rs
+++ b/crates/millethook-view/src/view/check.rs
@@ -9,12 +9,12 @@
     /// Checks every invariant of this view.
     ///
     /// # Errors
-    /// The first invariant that does not hold, with the values that break it.
+    /// Returns the first violated invariant, with the values that violate it.
     pub fn check(&self) -> Result<(), Violation> {
         let (rule, within) = (Violation::unless, Violation::unless_within);
-        within(self.outgoing.len(), MAX_OUTGOING, "messages that wait are bounded")?;
-        within(self.events.len(), MAX_EVENTS, "events that wait are bounded")?;
-        within(self.relayed.len(), MAX_RELAYED, "probes for others are bounded")?;
+        within(self.outgoing.len(), MAX_OUTGOING, "queued messages are bounded")?;
+        within(self.events.len(), MAX_EVENTS, "queued events are bounded")?;
+        within(self.relayed.len(), MAX_RELAYED, "relayed probes are bounded")?;
         let counts = self.table.counts;
         let sum = counts.unknown + counts.alive + counts.suspect + counts.dead + counts.left;
         rule(sum == self.table.len(), "each member is counted once", &|| format!("{counts:?}"))?;
@@ -25,7 +25,7 @@
         let own = self.table.status(self.me());
         rule(
             matches!(own, Status::Alive | Status::Left),
-            "nobody takes himself for dead",
+            "no member believes itself dead",
             &|| format!("{own:?}"),
         )?;
         rule((1..=HIGHEST_EPOCH).contains(&self.epoch()), "an epoch has 48 bits", &|| {
@@ -33,7 +33,7 @@
         })?;
         for number in self.suspicions.keys() {
             let status = self.table.status(*number);
-            rule(status == Status::Suspect, "who is waited for is a suspect", &|| {
+            rule(status == Status::Suspect, "members with a suspicion are suspect", &|| {
                 format!("{number}: {status:?}")
             })?;
         }
--- a/crates/millethook-view/src/view/event.rs
+++ b/crates/millethook-view/src/view/event.rs
@@ -1,8 +1,8 @@
-//! Events: changes of what is believed of other members.
+//! Events: changes of the state of other members.
 
 use crate::fact::{Epoch, Status};
 
-/// A change of what is believed of another member.
+/// A change of another member's status or process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
     /// The number of the member.
--- a/crates/millethook-view/src/view/figures.rs
+++ b/crates/millethook-view/src/view/figures.rs
@@ -5,12 +5,12 @@
 pub struct Figures {
     /// Probes without any answer, direct or indirect.
     pub probes_failed: u64,
-    /// Statements that this process is suspect, dead or has left, which it has refuted.
+    /// Reports that this process is suspect, dead or has left, which it has refuted.
     pub refuted: u64,
-    /// Times at which another process of the own number was met.
+    /// How often another process with the own number was detected.
     pub superseded: u64,
-    /// Contents that were no message, and facts about members that do not exist.
+    /// Contents that were not a message, and facts about members that do not exist.
     pub malformed: u64,
-    /// Times at which this process had not run for long.
+    /// How often this process was found not to have run for long.
     pub stalls: u64,
 }
--- a/crates/millethook-view/src/view/own.rs
+++ b/crates/millethook-view/src/view/own_facts.rs
@@ -1,5 +1,5 @@
-//! Statements of a process about itself: that it is alive, that it leaves, and that it is a later process than another
-//! of its number.
+//! Facts of a process about itself: that it is alive, that it leaves, and that it is a later process than another one
+//! with its number.
 
 use super::probing::{INDIRECT_PROBERS, WORST_HEALTH};
 use super::{GOSSIPS_PER_PERIOD, View};
@@ -7,12 +7,12 @@
 use crate::fact::{Fact, HIGHEST_EPOCH, Status};
 use crate::mutant::{self, Mutant};
 
-/// The longest wait, in periods, before a process that meets another of its number raises its epoch. The wait begins
-/// at one period and doubles each time.
+/// The longest wait, in periods, before a process that detects another one with its number raises its epoch. The wait
+/// starts at one period and doubles each time.
 const MAX_EPOCH_RAISE_PERIODS: u64 = 64;
 
 impl View {
-    /// Takes a fact about this process: a statement that it is not alive is refuted.
+    /// Applies a fact about this process: a report that it is not alive is refuted.
     pub(super) fn apply_fact_about_self(&mut self, fact: &Fact, now: Micros) {
         let Some(own) = self.table.get(self.config.me).copied() else { return };
         if fact.rank() <= own.rank() {
@@ -24,10 +24,10 @@
         if fact.epoch > own.epoch && mutant::is(Mutant::NeverAbove) {
             return;
         }
-        if fact.epoch > own.epoch || (fact.status == Status::Left && !self.left()) {
-            // A later process under this number, or a clock that was set back before this one started. What left
-            // cannot come back but as another process.
-            self.wanted_epoch = self.wanted_epoch.max(fact.epoch + 1);
+        if fact.epoch > own.epoch || (fact.status == Status::Left && !self.has_left()) {
+            // A later process with this number, or a clock that was set back before this one started. A member that has
+            // left can only come back as another process.
+            self.pending_epoch = self.pending_epoch.max(fact.epoch + 1);
             return;
         }
         match fact.status {
@@ -40,17 +40,17 @@
                 let step = u16::from(!mutant::is(Mutant::SameIncarnation));
                 match fact.incarnation.checked_add(step) {
                     Some(next) => self.set_own_status(own.status, next),
-                    None => self.wanted_epoch = self.wanted_epoch.max(own.epoch + 1),
+                    None => self.pending_epoch = self.pending_epoch.max(own.epoch + 1),
                 }
             }
         }
         self.next_gossip = self.next_gossip.min(now);
     }
 
-    /// Takes a higher epoch than the other process of this number. Each time the wait doubles; otherwise two processes
-    /// that run under one number would raise their epochs without end.
+    /// Takes a higher epoch than the other process with this number. The wait doubles each time; otherwise two
+    /// processes that run under one number would raise their epochs without end.
     pub(super) fn raise_epoch(&mut self, now: Micros) {
-        let epoch = std::mem::take(&mut self.wanted_epoch).min(HIGHEST_EPOCH);
+        let epoch = std::mem::take(&mut self.pending_epoch).min(HIGHEST_EPOCH);
         if epoch <= self.config.epoch {
             return;
         }
@@ -64,10 +64,10 @@
             (self.epoch_raise_interval * 2).min(MAX_EPOCH_RAISE_PERIODS * self.config.period);
     }
 
-    /// States something about this process, and sends it before all other updates.
+    /// Sets this process's own status, and sends it before all other updates.
     pub(super) fn set_own_status(&mut self, status: Status, incarnation: u16) {
         let (number, epoch) = (self.config.me, self.config.epoch);
-        self.table.set(&Fact { number, epoch, incarnation, status, by: number });
+        self.table.set(&Fact { number, epoch, incarnation, status, reported_by: number });
         self.updates.add_first(number);
     }
 
@@ -82,8 +82,8 @@
         self.next_gossip = now + self.config.period / GOSSIPS_PER_PERIOD;
     }
 
-    /// Whether this process has said that it leaves.
-    pub(super) fn left(&self) -> bool {
+    /// Whether this process has announced that it leaves.
+    pub(super) fn has_left(&self) -> bool {
         self.table.status(self.config.me) == Status::Left
     }
 }
--- a/crates/millethook-view/src/view/receive.rs
+++ b/crates/millethook-view/src/view/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other members.
+//! Processing of messages of other members.
 
 use millethook_machine::codec::{Malformed, Reader, read_message};
 
@@ -8,13 +8,13 @@
 use crate::message::{
     DIGEST_BYTES, HEADER_BYTES, LONGEST_FACT, MessageHeader, MessageKind, NO_MEMBER, read_fact,
 };
-use crate::probe::Relayed;
+use crate::probe::RelayedProbe;
 
 impl View {
-    /// Takes a message of the member `from`, whose frame names the epoch of its process.
+    /// Processes a message of the member `from`, whose frame carries the epoch of its process.
     ///
     /// # Errors
-    /// The content is no message; nothing of it was used, and it is counted in
+    /// The content is not a message. Nothing of it was used, and it is counted in
     /// [`Figures::malformed`](super::Figures::malformed).
     pub fn handle(
         &mut self,
@@ -37,28 +37,29 @@
             return Ok(());
         }
         let incarnation = header.incarnation;
-        let alive = Fact { number: from, epoch, incarnation, status: Status::Alive, by: from };
+        let alive =
+            Fact { number: from, epoch, incarnation, status: Status::Alive, reported_by: from };
         self.apply_fact(&alive, now);
         let current = self.table.get(from).is_some_and(|m| m.epoch == epoch);
         if current {
-            self.table.note_heard(from, (now / 1_000) as u32);
+            self.table.record_message(from, (now / 1_000) as u32);
         }
         let facts = if header.kind == MessageKind::Compare {
             body.get(DIGEST_BYTES..).unwrap_or(&[])
         } else {
             body
         };
-        let mut better: Vec<u16> = Vec::new();
+        let mut higher_ranked: Vec<u16> = Vec::new();
         for fact in Reader::new(facts).records(|reader| read_fact(reader, header.epoch)) {
             let differ = header.kind == MessageKind::Differences
                 || matches!(fact.status, Status::Suspect | Status::Dead);
             if differ && self.table.get(fact.number).is_some_and(|m| m.rank() > fact.rank()) {
-                better.push(fact.number);
+                higher_ranked.push(fact.number);
             }
             self.apply_fact(&fact, now);
         }
         if matches!(header.kind, MessageKind::Differences | MessageKind::Gossip) {
-            self.send_better_facts(from, &better, content.len());
+            self.send_higher_ranked_facts(from, &higher_ranked, content.len());
         }
         self.note_agreement(now, &header);
         self.respond(now, from, current, &header, body);
@@ -90,8 +91,8 @@
                     .iter()
                     .position(|r| (r.sequence, r.target) == (header.sequence, from));
                 if let Some(relayed) = asked.and_then(|n| self.relayed.remove(n)) {
-                    let Relayed { asked_by, their_sequence, target, .. } = relayed;
-                    self.send(asked_by, MessageKind::Ack, their_sequence, target, length);
+                    let RelayedProbe { requested_by, their_sequence, target, .. } = relayed;
+                    self.send(requested_by, MessageKind::Ack, their_sequence, target, length);
                 }
             }
             MessageKind::PingReq => {
@@ -100,10 +101,10 @@
                     return;
                 }
                 let (sequence, until) = (self.next_sequence(), now + 2 * self.config.period);
-                let asked = Relayed {
+                let asked = RelayedProbe {
                     sequence,
                     target,
-                    asked_by: from,
+                    requested_by: from,
                     their_sequence: header.sequence,
                     until,
                 };
@@ -119,10 +120,12 @@
                     probe.acknowledged = true;
                 }
             }
-            MessageKind::Pull => self.send_piece(from, header.sequence, header.subject, length),
+            MessageKind::Pull => {
+                self.send_table_part(from, header.sequence, header.subject, length)
+            }
             MessageKind::PullReply => {
                 let Some(pull) = &mut self.pull else { return };
-                // A part that does not continue the table was asked for before a stall, and is ignored.
+                // A part that does not continue the table was requested before a stall, and is ignored.
                 if header.subject != NO_MEMBER && header.subject > pull.cursor {
                     pull.cursor = header.subject;
                     pull.wait = self.config.period / PULLS_PER_PERIOD;
@@ -134,8 +137,8 @@
             MessageKind::Compare | MessageKind::Refine => self.compare(from, header, body),
             MessageKind::Gossip | MessageKind::Differences => {}
         }
-        // A sender that is believed dead has to learn it, even from a message that needs no answer.
-        let silent = matches!(
+        // A sender that is believed dead has to learn it, even if its message needs no answer.
+        let needs_no_answer = matches!(
             header.kind,
             MessageKind::Ack
                 | MessageKind::Gossip
@@ -143,9 +146,9 @@
                 | MessageKind::PullReply
                 | MessageKind::PingReqAck
         );
-        let wrong =
+        let sender_absent =
             !self.table.status(from).is_present() && self.table.status(from) != Status::Left;
-        if silent && wrong && length >= HEADER_BYTES + LONGEST_FACT {
+        if needs_no_answer && sender_absent && length >= HEADER_BYTES + LONGEST_FACT {
             self.send(from, MessageKind::Gossip, 0, NO_MEMBER, HEADER_BYTES + LONGEST_FACT);
         }
     }
--- a/crates/millethook-view/src/view/repair.rs
+++ b/crates/millethook-view/src/view/repair.rs
@@ -12,23 +12,23 @@
 use crate::probe::below;
 use crate::table::Member;
 
-/// A range of so many members is sent whole, from a random one on.
+/// Ranges of up to this many members are sent whole, starting from a random member.
 const MAX_WHOLE_RANGE: usize = 64;
 /// If more ranges than this differ, some of them are sent whole, however long they are.
 const MAX_REFINED_RANGES: usize = 8;
-/// After so many messages in a row with the own hash, all members are taken to have the updates.
+/// After this many consecutive messages with the own hash, all members are assumed to have the updates.
 const AGREEMENTS_UNTIL_QUIET: u32 = 4;
 /// Views are compared once they have differed for a period divided by this.
 const DIFFERENCE_SHARE: u64 = 5;
 
-/// Whether others believe the same.
+/// Whether other views agree with the own one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Agreement {
     /// The own hash at the last message.
     hash: u32,
-    /// Messages in a row with the same hash.
+    /// Consecutive messages with the same hash.
     equal: u32,
-    /// Since when messages had another hash; None: the last one had the same.
+    /// Since when messages had another hash. None: the last one had the same.
     differs_since: Option<Micros>,
 }
 
@@ -50,7 +50,7 @@
             self.agreement.equal += 1;
             self.agreement.differs_since = None;
             if self.agreement.equal == AGREEMENTS_UNTIL_QUIET {
-                // Suspicions and refutations are not part of the hash, so that others have them is not known.
+                // Suspicions and refutations are not part of the hash, so it is not known whether others have them.
                 let table = &self.table;
                 let open = |m: &Member| m.status == Status::Suspect || m.incarnation > 0;
                 self.updates.drop_where(|n| !table.get(n).is_some_and(open));
@@ -103,7 +103,7 @@
             return self.send_digest(from, MessageKind::Compare, part, length);
         }
         if usize::from(span.width) > MAX_WHOLE_RANGE && differ.len() <= MAX_REFINED_RANGES {
-            // The other member has to ask for a part. If this one compared the parts, the facts would come from the
+            // The other member has to request a part. If this one compared the parts, the facts would come from the
             // member that lacks them.
             return self.send_digest(from, MessageKind::Refine, part, length);
         }
@@ -111,7 +111,7 @@
         let epoch = self.config.epoch;
         let mut bytes = write_header(&self.header(MessageKind::Differences, sequence, NO_MEMBER));
         let mut facts: Vec<Fact> = differ.iter().flat_map(|part| part.facts(&self.table)).collect();
-        // Where not all facts have room, another part is sent each time.
+        // If not all facts fit, a different part is sent each time.
         let count = facts.len();
         facts.rotate_left(below(&mut self.random, count).min(count));
         let (alive, others): (Vec<Fact>, Vec<Fact>) =
@@ -124,14 +124,19 @@
         self.send_with_updates(from, MessageKind::Differences, bytes, length);
     }
 
-    /// Answers facts with those that rank higher here, in `length` bytes at most.
-    pub(super) fn send_better_facts(&mut self, to: u16, better: &[u16], length: usize) {
-        if better.is_empty() || self.congested {
+    /// Answers facts with those that rank higher here, in at most `length` bytes.
+    pub(super) fn send_higher_ranked_facts(
+        &mut self,
+        to: u16,
+        higher_ranked: &[u16],
+        length: usize,
+    ) {
+        if higher_ranked.is_empty() || self.congested {
             return;
         }
         let epoch = self.config.epoch;
         let mut bytes = write_header(&self.header(MessageKind::Gossip, 0, NO_MEMBER));
-        for fact in better.iter().filter_map(|number| self.table.fact(*number)) {
+        for fact in higher_ranked.iter().filter_map(|number| self.table.fact(*number)) {
             write_fact(&mut bytes, &fact, epoch, length);
         }
         self.enqueue_message(to, bytes);
--- a/crates/millethook-view/src/view/send.rs
+++ b/crates/millethook-view/src/view/send.rs
@@ -1,4 +1,4 @@
-//! Writing of messages: a header, what the receiver has to refute, and updates as far as they fit.
+//! Writing of messages: a header, facts that the receiver has to refute, and as many updates as fit.
 
 use millethook_machine::codec::write_header;
 
@@ -8,9 +8,9 @@
 use crate::message::{
     HEADER_BYTES, LONGEST, LONGEST_FACT, MessageHeader, MessageKind, NO_MEMBER, write_fact,
 };
-use crate::probe::pick;
+use crate::probe::pick_random;
 
-/// Facts in a message while the budget is short.
+/// The maximum number of facts in a message while congested.
 const FACTS_WHILE_CONGESTED: usize = 2;
 
 impl View {
@@ -23,7 +23,7 @@
     pub(super) fn gossip(&mut self, now: Micros) {
         let me = self.config.me;
         let present = |n: u16, s: Status| s.is_present() && n != me;
-        if let Some(number) = pick(&self.table, &mut self.random, present) {
+        if let Some(number) = pick_random(&self.table, &mut self.random, present) {
             match self.differs(now) {
                 true => self.request_comparison(number),
                 false => self.send(number, MessageKind::Gossip, 0, NO_MEMBER, LONGEST),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sends a message of at most `longest` bytes: first what its receiver has to refute, then updates.
+    /// Sends a message of at most `longest` bytes: first the fact that its receiver has to refute, then updates.
     pub(super) fn send(
         &mut self,
         to: u16,
@@ -69,7 +69,7 @@
         self.send_with_updates(to, kind, bytes, longest);
     }
 
-    /// Adds what the receiver has to refute and updates to a message, and queues it.
+    /// Appends the fact that the receiver has to refute and updates to a message, and queues it.
     pub(super) fn send_with_updates(
         &mut self,
         to: u16,
@@ -98,7 +98,7 @@
         self.enqueue_message(to, bytes);
     }
 
-    /// Queues a message, unless too many wait.
+    /// Queues a message, unless the queue is full.
     pub(super) fn enqueue_message(&mut self, to: u16, bytes: Vec<u8>) {
         if self.outgoing.len() < MAX_OUTGOING {
             self.outgoing.push_back((to, bytes));
--- a/crates/millethook-view/src/view/span.rs
+++ b/crates/millethook-view/src/view/span.rs
@@ -6,7 +6,7 @@
 use crate::message::DIGEST_BYTES;
 use crate::table::Table;
 
-/// Ranges that are compared at once.
+/// The number of ranges that are compared at once.
 pub(super) const RANGES: usize = 64;
 
 /// [`RANGES`] ranges of `width` members each, from the member `first` on; or a single one of these ranges.
@@ -33,7 +33,7 @@
         (usize::from(self.first)..end).filter_map(|n| table.fact(n as u16))
     }
 
-    /// The hash of a single range in one byte. Two that are equal by chance differ with another `salt`.
+    /// The hash of a single range in one byte. Hashes that collide by chance differ with another `salt`.
     pub fn digest(self, table: &Table, salt: u16) -> u8 {
         let end = (usize::from(self.first) + usize::from(self.width)).min(table.len());
         let sum = table.range_hash(usize::from(self.first)..end);
@@ -42,7 +42,7 @@
         mix(u64::from(sum) << 16 | u64::from(salt)) as u8
     }
 
-    /// Adds the width (2 bytes) and the hashes (1 byte each).
+    /// Appends the width (2 bytes) and the hashes (1 byte each).
     pub fn write(self, table: &Table, salt: u16, bytes: &mut Vec<u8>) {
         bytes.extend_from_slice(&self.width.to_be_bytes());
         let mut digests: Vec<u8> =
@@ -51,7 +51,7 @@
         bytes.extend_from_slice(&digests);
     }
 
-    /// The span and its hashes at the beginning of a body; None: there are too few bytes, or the width is 0.
+    /// Reads the span and its hashes at the start of a body. None: there are too few bytes, or the width is 0.
     pub fn read(first: u16, body: &[u8]) -> Option<(Span, impl Iterator<Item = u8> + use<'_>)> {
         let (digest, _) = body.split_first_chunk::<DIGEST_BYTES>()?;
         let (width, hashes) = digest.split_first_chunk::<2>()?;
--- a/crates/millethook-view/src/view/tick.rs
+++ b/crates/millethook-view/src/view/tick.rs
@@ -1,4 +1,4 @@
-//! Timers: what is done when time has passed, and when that is next.
+//! Timers: work that is due, and when the next is due.
 
 use super::probing::{ABSENT_PROBE_PERIODS, STALL_PENALTY, WORST_HEALTH};
 use super::{GOSSIPS_PER_PERIOD, View};
@@ -8,7 +8,7 @@
 use crate::probe::Suspicion;
 
 impl View {
-    /// When [`View::tick`] has to be called next, in microseconds.
+    /// When [`View::tick`] must be called next, in microseconds.
     pub fn poll_timeout(&self) -> Micros {
         let mut next = self.next_period.min(self.next_absent_probe);
         if let Some(probe) = self.probe.filter(|p| !p.answered) {
@@ -20,36 +20,39 @@
         if let Some(pull) = self.pull {
             next = next.min(pull.next);
         }
-        if self.wanted_epoch > 0 {
+        if self.pending_epoch > 0 {
             next = next.min(self.next_epoch_raise);
         }
         let ends = self.suspicions.values().map(|s| self.suspicion_ends(s));
         ends.fold(next, Micros::min)
     }
 
-    /// When a suspicion ends, for the present size of the fleet.
+    /// When a suspicion expires, for the current size of the fleet.
     pub(super) fn suspicion_ends(&self, suspicion: &Suspicion) -> Micros {
         let counts = self.table.counts;
-        suspicion.ends(self.config.period, counts.alive + counts.suspect)
+        suspicion.ends_at(self.config.period, counts.alive + counts.suspect)
     }
 
-    /// Does what is due at `now`.
+    /// Does the work that is due at `now`.
     pub fn tick(&mut self, now: Micros) {
-        // Only the own pace shows a stall: a suspicion that is confirmed may end in the past at once.
+        // Only the periodic timers show a stall: a suspicion that is confirmed may expire in the past at once.
         let late = now.saturating_sub(self.next_period.min(self.next_absent_probe));
         if late > self.config.period {
             self.stalled(now, late);
         }
         self.repeat_suspicions(now);
-        let over: Vec<u16> = (self.suspicions.iter())
+        let expired: Vec<u16> = (self.suspicions.iter())
             .filter(|(_, s)| self.suspicion_ends(s) <= now)
             .map(|(number, _)| *number)
             .collect();
-        for number in over.into_iter().filter(|_| !mutant::is(Mutant::SuspectForEver)) {
+        for number in expired.into_iter().filter(|_| !mutant::is(Mutant::SuspectForEver)) {
             let Some(fact) = self.table.fact(number) else { continue };
-            self.apply_fact(&Fact { status: Status::Dead, by: self.config.me, ..fact }, now);
+            self.apply_fact(
+                &Fact { status: Status::Dead, reported_by: self.config.me, ..fact },
+                now,
+            );
         }
-        if self.wanted_epoch > 0 && self.next_epoch_raise <= now {
+        if self.pending_epoch > 0 && self.next_epoch_raise <= now {
             self.raise_epoch(now);
         }
         if self.probe.is_some_and(|p| p.indirect_at.is_some_and(|at| at <= now)) {
@@ -58,14 +61,14 @@
         if self.next_period <= now {
             self.start_period(now);
         } else if self.probe.is_some_and(|p| !p.answered && p.repeat_at <= now) {
-            self.probe_again(now);
+            self.repeat_probe(now);
         }
         if self.next_absent_probe <= now {
             self.next_absent_probe = now + ABSENT_PROBE_PERIODS * self.config.period;
             self.probe_absent_member();
         }
         if self.next_gossip <= now && self.has_gossip(now) {
-            // A comparison is answered by as many bytes: it takes the place of two messages.
+            // A comparison is answered with as many bytes, so it takes the place of two messages.
             let slots = if self.differs(now) { 2 } else { 1 };
             self.next_gossip = now + slots * self.config.period / GOSSIPS_PER_PERIOD;
             if !self.congested {
@@ -77,14 +80,14 @@
         }
     }
 
-    /// Sends each suspicion once more after half of its time. A member that has missed a refutation cannot know, and
-    /// those that have it answer.
+    /// Sends each suspicion once more after half of its time. A member that has missed a refutation cannot know that,
+    /// and those that have the refutation answer.
     pub(super) fn repeat_suspicions(&mut self, now: Micros) {
         let (period, counts) = (self.config.period, self.table.counts);
         for (number, suspicion) in &mut self.suspicions {
-            let end = suspicion.ends(period, counts.alive + counts.suspect);
+            let end = suspicion.ends_at(period, counts.alive + counts.suspect);
             if !suspicion.repeated
-                && now >= suspicion.begun + end.saturating_sub(suspicion.begun) / 2
+                && now >= suspicion.started_at + end.saturating_sub(suspicion.started_at) / 2
             {
                 suspicion.repeated = true;
                 self.updates.add_first(*number);
@@ -92,14 +95,14 @@
         }
     }
 
-    /// This process did not run for a while. Answers may have come meanwhile, and others may believe it dead, so it
-    /// drops its own probe, extends its suspicions, and fetches what has changed.
+    /// Handles a stall: this process did not run for a while. Answers may have come meanwhile, and others may believe
+    /// it dead, so it drops its own probe, extends its suspicions, and fetches changes.
     pub(super) fn stalled(&mut self, now: Micros, late: Micros) {
         self.figures.stalls += 1;
         self.health = (self.health + STALL_PENALTY).min(WORST_HEALTH);
         self.probe = None;
         self.next_period = now;
-        self.suspicions.values_mut().for_each(|s| s.begun += late);
+        self.suspicions.values_mut().for_each(|s| s.started_at += late);
         self.start_pull(now);
     }
 }
--- a/crates/millethook-view/tests/it/common/mod.rs
+++ b/crates/millethook-view/tests/it/common/mod.rs
@@ -1,6 +1,6 @@
-//! Many views on a virtual clock, with a network between them that loses, delays, doubles and cuts.
+//! Many views on a virtual clock, with a network between them that loses, delays, duplicates and partitions.
 
-// Each program that includes this uses a part of it.
+// Each program that includes this module uses a part of it.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -11,46 +11,46 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 /// Time between two probes.
-pub const PERIOD: Micros = S;
-/// What a datagram costs beside its content: the frame's header and the record's.
+pub const PERIOD: Micros = SECOND;
+/// Overhead of a datagram beside its content, in bytes: the frame's header and the record's.
 pub const OVERHEAD: u64 = 15;
 
-/// Each view of a fleet of up to this size is looked at after each step.
-const SMALL: usize = 64;
+/// In fleets of up to this size, each view is checked after each step.
+const MAX_CHECKED_FLEET: usize = 64;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Arrives { to: u16, from: u16, epoch: u64, content: Vec<u8> },
+enum Pending {
+    Delivery { to: u16, from: u16, epoch: u64, content: Vec<u8> },
     Tick(u16),
 }
 
 pub struct Node {
     pub view: Option<View>,
-    /// It does not run until then.
+    /// The member does not run before this time.
     pub paused_until: Micros,
-    /// What came while it was paused.
+    /// Messages that came while it was paused.
     inbox: Vec<(u16, u64, Vec<u8>)>,
-    /// When it last went, and whether planned.
+    /// Bytes that the member has sent.
     pub bytes: u64,
     pub datagrams: u64,
     ticking: Option<Micros>,
-    /// Bytes of the budget that are left, and when they were counted.
-    left: (f64, Micros),
+    /// The remaining send budget in bytes, and when it was computed.
+    send_budget: (f64, Micros),
 }
 
-/// The budget of one process in bytes a second, and what it may save up, as the daemon has them.
+/// The send budget of one process in bytes per second, and its maximum burst, as in the daemon.
 const RATE: f64 = 1_500.0;
 const BURST: f64 = 3_000.0;
 
 impl Node {
-    /// Tells the view whether the budget is short, as the channel does.
-    fn budget(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.left.1) as f64 / S as f64;
-        self.left = ((self.left.0 + passed * RATE).min(BURST), now);
+    /// Tells the view whether the budget is nearly used up, as the channel does.
+    fn update_budget(&mut self, now: Micros) {
+        let passed = now.saturating_sub(self.send_budget.1) as f64 / SECOND as f64;
+        self.send_budget = ((self.send_budget.0 + passed * RATE).min(BURST), now);
         if let Some(view) = &mut self.view {
-            view.set_congested(self.left.0 < BURST / 3.0);
+            view.set_congested(self.send_budget.0 < BURST / 3.0);
         }
     }
 }
@@ -58,20 +58,20 @@
 pub struct Sim {
     pub now: Micros,
     pub nodes: Vec<Node>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Due)>>,
+    queue: BinaryHeap<Reverse<(Micros, u64, Pending)>>,
     next: u64,
     random: Pcg64Mcg,
     pub loss: f64,
     pub duplicates: f64,
-    /// Delay of datagrams, from and to.
+    /// The minimum and maximum delay of datagrams.
     pub delay: (Micros, Micros),
-    /// Whether a datagram from the one to the other gets through.
+    /// Whether a datagram from the first member to the second gets through.
     pub passes: Box<dyn Fn(u16, u16) -> bool>,
-    /// What views said, with the time and by whom.
+    /// The events of views, with the time and the member.
     pub events: Vec<(Micros, u16, Event)>,
     epoch: u64,
-    pub keeps_events: bool,
-    /// Every message, where a test asks for it.
+    pub record_events: bool,
+    /// Every message, if a test asks for it.
     pub transcript: Option<Transcript>,
 }
 
@@ -84,10 +84,10 @@
             bytes: 0,
             datagrams: 0,
             ticking: None,
-            left: (BURST, 0),
+            send_budget: (BURST, 0),
         };
         Sim {
-            now: S,
+            now: SECOND,
             nodes: (0..count).map(node).collect(),
             queue: BinaryHeap::new(),
             next: 0,
@@ -98,29 +98,30 @@
             passes: Box::new(|_, _| true),
             events: Vec::new(),
             epoch: 1_800_000_000_000,
-            keeps_events: true,
+            record_events: true,
             transcript: None,
         }
     }
 
-    /// All started at once and left alone until they agree.
-    pub fn settled(count: u16, seed: u64) -> Sim {
+    /// A fleet of members that were started at once and have converged.
+    pub fn converged(count: u16, seed: u64) -> Sim {
         let mut sim = Sim::new(count, seed);
         (0..count).for_each(|n| sim.start(n));
-        sim.run_until(200 * S, |sim| sim.agree()).expect("a fleet that starts agrees");
+        sim.run_until(200 * SECOND, |sim| sim.agree()).expect("a fleet that starts agrees");
         sim.events.clear();
         sim
     }
 
-    /// All know all: for fleets so large that their start would take this program an hour. Each is handed the table
-    /// in pieces, as a newcomer gets it, and then hears from some that believe the same.
-    pub fn told(count: u16, seed: u64) -> Sim {
+    /// A fleet in which all members know all others, for fleets so large that their start would take this program an
+    /// hour. Each member receives the table in parts, as a new member does, and then messages with the same hash from
+    /// some others.
+    pub fn with_full_tables(count: u16, seed: u64) -> Sim {
         let mut sim = Sim::new(count, seed);
-        sim.keeps_events = false;
+        sim.record_events = false;
         let epoch = sim.epoch;
         let numbers: Vec<u16> = (0..count).collect();
         let message = |what: u8, hash: u32, numbers: &[u16]| {
-            // See src/message.rs: a head whose epoch is all zeros but `epoch`, and facts at that epoch.
+            // See src/message.rs: a header that is zero except for the epoch, and facts with that epoch.
             let mut bytes = vec![what, 0, 0];
             bytes.extend_from_slice(&hash.to_be_bytes());
             bytes.extend_from_slice(&[0, 0, 0xff, 0xff]);
@@ -156,7 +157,7 @@
     }
 
     pub fn start(&mut self, number: u16) {
-        // Clocks of hosts are not alike, but processes of one are in order.
+        // Clocks of hosts differ, but the processes of one host are in order.
         self.epoch += 1 + self.random.next_u64() % 1_000;
         self.start_at(number, self.epoch);
     }
@@ -169,7 +170,7 @@
         node.view = Some(View::new(config, self.now));
         node.inbox.clear();
         node.paused_until = 0;
-        self.after(number);
+        self.flush(number);
     }
 
     pub fn kill(&mut self, number: u16) {
@@ -178,7 +179,7 @@
 
     pub fn pause(&mut self, number: u16, length: Micros) {
         self.nodes[usize::from(number)].paused_until = self.now + length;
-        self.push(self.now + length, Due::Tick(number));
+        self.push(self.now + length, Pending::Tick(number));
     }
 
     pub fn leave(&mut self, number: u16) {
@@ -186,22 +187,22 @@
         if let Some(view) = &mut self.nodes[usize::from(number)].view {
             view.leave(now);
         }
-        self.after(number);
+        self.flush(number);
         self.kill(number);
     }
 
-    fn push(&mut self, at: Micros, due: Due) {
+    fn push(&mut self, at: Micros, due: Pending) {
         self.next += 1;
         self.queue.push(Reverse((at, self.next, due)));
     }
 
-    /// Sends what a view has to send, and has it called in time.
-    fn after(&mut self, number: u16) {
+    /// Sends the queued messages of a view, and schedules its next call.
+    fn flush(&mut self, number: u16) {
         let (now, count) = (self.now, self.nodes.len());
         let mut out = Vec::new();
         let node = &mut self.nodes[usize::from(number)];
         let Some(view) = &mut node.view else { return };
-        if count <= SMALL {
+        if count <= MAX_CHECKED_FLEET {
             assert_eq!(view.check(), Ok(()), "member {number}");
         }
         let epoch = view.epoch();
@@ -209,7 +210,7 @@
             out.push(message);
         }
         while let Some(event) = view.poll_event() {
-            if self.keeps_events {
+            if self.record_events {
                 self.events.push((now, number, event));
             }
         }
@@ -218,11 +219,12 @@
         if sooner {
             node.ticking = Some(at);
         }
-        node.left.0 -= out.iter().map(|(_, c)| c.len() as f64 + OVERHEAD as f64).sum::<f64>();
+        node.send_budget.0 -=
+            out.iter().map(|(_, c)| c.len() as f64 + OVERHEAD as f64).sum::<f64>();
         node.bytes += out.iter().map(|(_, c)| c.len() as u64 + OVERHEAD).sum::<u64>();
         node.datagrams += out.len() as u64;
         if sooner {
-            self.push(at, Due::Tick(number));
+            self.push(at, Pending::Tick(number));
         }
         for (to, content) in out {
             assert!(content.len() <= millethook_view::LONGEST);
@@ -234,10 +236,10 @@
             }
             let copies = 1 + usize::from(self.chance() < self.duplicates);
             for _ in 0..copies {
-                let (from, to_) = self.delay;
-                let delay = from + self.random.next_u64() % (to_ - from).max(1);
+                let (min_delay, max_delay) = self.delay;
+                let delay = min_delay + self.random.next_u64() % (max_delay - min_delay).max(1);
                 let content = content.clone();
-                self.push(now + delay, Due::Arrives { to, from: number, epoch, content });
+                self.push(now + delay, Pending::Delivery { to, from: number, epoch, content });
             }
         }
     }
@@ -247,18 +249,18 @@
         self.now = self.now.max(at);
         let now = self.now;
         match due {
-            Due::Arrives { to, from, epoch, content } => {
+            Pending::Delivery { to, from, epoch, content } => {
                 let node = &mut self.nodes[usize::from(to)];
                 if node.paused_until > now {
                     node.inbox.push((from, epoch, content));
                     return true;
                 }
-                node.budget(now);
+                node.update_budget(now);
                 let Some(view) = &mut node.view else { return true };
                 view.handle(now, from, epoch, &content).expect("a message");
-                self.after(to);
+                self.flush(to);
             }
-            Due::Tick(number) => {
+            Pending::Tick(number) => {
                 let node = &mut self.nodes[usize::from(number)];
                 if node.paused_until > now {
                     return true;
@@ -267,7 +269,7 @@
                 if node.ticking.is_some_and(|t| t <= now) {
                     node.ticking = None;
                 }
-                node.budget(now);
+                node.update_budget(now);
                 let Some(view) = &mut node.view else { return true };
                 if view.poll_timeout() <= now {
                     view.tick(now);
@@ -275,7 +277,7 @@
                 for (from, epoch, content) in inbox {
                     view.handle(now, from, epoch, &content).expect("a message");
                 }
-                self.after(number);
+                self.flush(number);
             }
         }
         true
@@ -289,14 +291,14 @@
         self.now = end;
     }
 
-    /// Runs until something holds, looked at every tenth of a second; how long it took, or None: not in time.
-    pub fn run_until(&mut self, most: Micros, good: impl Fn(&Sim) -> bool) -> Option<Micros> {
+    /// Runs until the condition holds, checked every tenth of a second. Returns how long it took; None: not in time.
+    pub fn run_until(&mut self, limit: Micros, condition: impl Fn(&Sim) -> bool) -> Option<Micros> {
         let begin = self.now;
-        while !good(self) {
-            if self.now >= begin + most {
+        while !condition(self) {
+            if self.now >= begin + limit {
                 return None;
             }
-            self.run(S / 10);
+            self.run(SECOND / 10);
         }
         Some(self.now - begin)
     }
@@ -305,7 +307,7 @@
         self.nodes.iter().filter_map(|n| n.view.as_ref())
     }
 
-    /// Whether all that run believe the same, and that just those that run are alive.
+    /// Whether all running members agree, and believe exactly the running members alive.
     pub fn agree(&self) -> bool {
         let mut hashes = self.views().map(View::hash);
         let first = hashes.next();
@@ -319,8 +321,8 @@
         })
     }
 
-    /// How many times a running process was called dead by another.
-    pub fn called_dead(&self, running: impl Fn(u16) -> bool) -> usize {
+    /// How many times a running process was declared dead by another.
+    pub fn count_declared_dead(&self, running: impl Fn(u16) -> bool) -> usize {
         let dead =
             |e: &&(Micros, u16, Event)| e.2.new_status == Status::Dead && running(e.2.number);
         self.events.iter().filter(dead).count()
--- a/crates/millethook-view/tests/it/explore.rs
+++ b/crates/millethook-view/tests/it/explore.rs
@@ -1,9 +1,9 @@
 //! Bounded exploration of three views: every order of delivery, loss, duplicate, crash, restart and leave up to a
-//! depth, from a settled fleet. At each state no epoch goes back and nobody that left is revived; from each
-//! leaf that is looked at, a network without faults brings all to the same, right view.
+//! depth, from a converged fleet. In each state no epoch decreases and no member that left is revived. From each
+//! sampled leaf, a network without faults brings all members to the same, correct view.
 //!
-//! `cargo test -p millethook-view --release --features mutants --test explore` also takes one check out at a time,
-//! and sees that each is missed.
+//! `cargo test -p millethook-view --release --features mutants --test it explore` also disables one rule at a time, and
+//! checks that each is detected.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,21 +11,21 @@
 use millethook_view::{Micros, Status, View, ViewConfig};
 
 const COUNT: u16 = 3;
-const S: Micros = 1_000_000;
-/// Messages that are under way at once; of more the oldest is lost.
-const UNDER_WAY: usize = 6;
-/// A fleet without faults has so long to agree: a suspicion, and ten periods.
-const SETTLES: Micros = 40 * S;
-/// A cut of one of three lasts so long.
-const CUT: Micros = 25 * S;
+const SECOND: Micros = 1_000_000;
+/// The maximum number of messages in flight; beyond it the oldest is lost.
+const MAX_IN_FLIGHT: usize = 6;
+/// The time in which a fleet without faults has to agree: a suspicion, and ten periods.
+const SETTLE_TIME: Micros = 40 * SECOND;
+/// The duration of a partition of one of three members.
+const CUT_DURATION: Micros = 25 * SECOND;
 
 #[derive(Clone)]
 struct World {
     now: Micros,
     views: Vec<Option<View>>,
-    /// To, from, epoch, content.
-    under_way: Vec<(u16, u16, u64, Vec<u8>)>,
-    /// Faults that are left.
+    /// Receiver, sender, epoch, content.
+    in_flight: Vec<(u16, u16, u64, Vec<u8>)>,
+    /// The remaining number of faults.
     faults: u32,
     next_epoch: u64,
 }
@@ -34,29 +34,29 @@
 enum Step {
     Deliver(usize),
     Lose(usize),
-    Twice(usize),
+    Duplicate(usize),
     Time,
     Crash(u16),
     Restart(u16),
-    /// Its clock was set back.
+    /// A restart after the clock was set back.
     RestartBack(u16),
     Leave(u16),
-    /// Nobody hears of it, nor it of anybody, for long enough to be called dead.
+    /// Nobody receives from the member, nor it from anybody, for long enough to be declared dead.
     Cut(u16),
 }
 
 fn view(me: u16, epoch: u64, now: Micros) -> View {
-    View::new(ViewConfig { me, members: COUNT, epoch, period: S, seed: 7 }, now)
+    View::new(ViewConfig { me, members: COUNT, epoch, period: SECOND, seed: 7 }, now)
 }
 
 impl World {
     fn settled() -> World {
-        let views = (0..COUNT).map(|n| Some(view(n, 1_000 + u64::from(n), S))).collect();
+        let views = (0..COUNT).map(|n| Some(view(n, 1_000 + u64::from(n), SECOND))).collect();
         let mut world =
-            World { now: S, views, under_way: Vec::new(), faults: 2, next_epoch: 5_000 };
+            World { now: SECOND, views, in_flight: Vec::new(), faults: 2, next_epoch: 5_000 };
         world.collect();
         assert!(world.settles(), "a fleet without faults agrees");
-        world.under_way.clear();
+        world.in_flight.clear();
         world
     }
 
@@ -66,24 +66,24 @@
             assert_eq!(view.check(), Ok(()), "member {n}");
             while let Some((to, content)) = view.poll_transmit() {
                 let message = (to, view.me(), view.epoch(), content);
-                self.under_way.push(message);
+                self.in_flight.push(message);
             }
             while view.poll_event().is_some() {}
         }
-        let over = self.under_way.len().saturating_sub(UNDER_WAY);
-        self.under_way.drain(..over);
+        let excess = self.in_flight.len().saturating_sub(MAX_IN_FLIGHT);
+        self.in_flight.drain(..excess);
     }
 
-    fn steps(&self) -> Vec<Step> {
+    fn possible_steps(&self) -> Vec<Step> {
         let mut steps = vec![Step::Time];
-        steps.extend((0..self.under_way.len()).map(Step::Deliver));
+        steps.extend((0..self.in_flight.len()).map(Step::Deliver));
         if self.faults == 0 {
             return steps;
         }
-        for n in 0..self.under_way.len() {
-            steps.extend([Step::Lose(n), Step::Twice(n)]);
+        for n in 0..self.in_flight.len() {
+            steps.extend([Step::Lose(n), Step::Duplicate(n)]);
         }
-        // The members are alike: faults of two of the three tell as much.
+        // The members are symmetric, so faults of two of the three suffice.
         for n in 0..COUNT - 1 {
             match &self.views[usize::from(n)] {
                 Some(_) => steps.extend([Step::Crash(n), Step::Leave(n), Step::Cut(n)]),
@@ -101,20 +101,20 @@
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Deliver(n) => {
-                let message = self.under_way.remove(n);
+                let message = self.in_flight.remove(n);
                 self.deliver(&message);
             }
-            Step::Twice(n) => {
+            Step::Duplicate(n) => {
                 self.faults -= 1;
-                let message = self.under_way[n].clone();
+                let message = self.in_flight[n].clone();
                 self.deliver(&message);
             }
             Step::Lose(n) => {
                 self.faults -= 1;
-                self.under_way.remove(n);
+                self.in_flight.remove(n);
             }
             Step::Time => self.pass_time(),
             Step::Crash(n) => {
@@ -132,7 +132,7 @@
             }
             Step::Cut(n) => {
                 self.faults -= 1;
-                self.run(CUT, |to, from| to != n && from != n);
+                self.run(CUT_DURATION, |to, from| to != n && from != n);
             }
             Step::Restart(n) => {
                 self.next_epoch += 1;
@@ -154,12 +154,12 @@
         }
     }
 
-    /// Runs for a time, with messages that pass delivered in order and at once.
+    /// Runs for a time. Messages that pass are delivered in order and without delay.
     fn run(&mut self, length: Micros, passes: impl Fn(u16, u16) -> bool) {
         let end = self.now + length;
         while self.now < end {
-            while !self.under_way.is_empty() {
-                let message = self.under_way.remove(0);
+            while !self.in_flight.is_empty() {
+                let message = self.in_flight.remove(0);
                 if passes(message.0, message.1) {
                     self.deliver(&message);
                     self.collect();
@@ -168,28 +168,28 @@
             let before = self.now;
             self.pass_time();
             self.collect();
-            // The clock moves on also where a view has more to do at once.
+            // Advances the clock also if a view has more to do at the same time.
             self.now = self.now.max(before + 1);
         }
     }
 
-    /// Runs without faults; whether all that run have the same view, and it is right.
+    /// Runs without faults. Returns whether all running members have the same, correct view.
     fn settles(&mut self) -> bool {
-        self.run(SETTLES, |_, _| true);
+        self.run(SETTLE_TIME, |_, _| true);
         let running: Vec<&View> = self.views.iter().flatten().collect();
         let right = |view: &&View| {
-            let as_it_is = |n: u16| {
+            let is_correct = |n: u16| {
                 let present = view.member(n).is_some_and(|m| m.status.is_present());
                 present == self.views[usize::from(n)].is_some()
             };
-            view.hash() == running[0].hash() && (0..COUNT).all(as_it_is)
+            view.hash() == running[0].hash() && (0..COUNT).all(is_correct)
         };
         running.iter().all(right)
     }
 
     fn digest(&self) -> u64 {
         let mut hash = DefaultHasher::new();
-        self.under_way.hash(&mut hash);
+        self.in_flight.hash(&mut hash);
         (self.now, self.faults).hash(&mut hash);
         for view in &self.views {
             let Some(view) = view else {
@@ -206,8 +206,8 @@
     }
 }
 
-/// What is wrong with the step from one world to the next.
-fn wrong(before: &World, after: &World) -> Option<String> {
+/// Finds a violation in the step from one world to the next.
+fn find_violation(before: &World, after: &World) -> Option<String> {
     for (old, new) in before.views.iter().zip(&after.views) {
         let (Some(old), Some(new)) = (old, new) else { continue };
         if new.epoch() < old.epoch() {
@@ -232,48 +232,48 @@
 struct Explorer {
     seen: HashSet<u64>,
     depth: usize,
-    /// One leaf in so many is run on to its end.
-    every: u64,
-    most: usize,
+    /// One leaf in this many is run until it settles.
+    leaf_interval: u64,
+    max_states: usize,
     leaves: u64,
     settled: u64,
 }
 
 impl Explorer {
-    fn new(depth: usize, every: u64, most: usize) -> Explorer {
-        Explorer { seen: HashSet::new(), depth, every, most, leaves: 0, settled: 0 }
+    fn new(depth: usize, leaf_interval: u64, max_states: usize) -> Explorer {
+        Explorer { seen: HashSet::new(), depth, leaf_interval, max_states, leaves: 0, settled: 0 }
     }
 
-    fn explore(&mut self, world: &World, way: &mut Vec<Step>) -> Result<(), String> {
-        if self.seen.len() >= self.most || !self.seen.insert(world.digest()) {
+    fn explore(&mut self, world: &World, path: &mut Vec<Step>) -> Result<(), String> {
+        if self.seen.len() >= self.max_states || !self.seen.insert(world.digest()) {
             return Ok(());
         }
-        if way.len() == self.depth {
+        if path.len() == self.depth {
             self.leaves += 1;
-            if self.leaves.is_multiple_of(self.every) {
+            if self.leaves.is_multiple_of(self.leaf_interval) {
                 self.settled += 1;
                 if !world.clone().settles() {
-                    return Err(format!("not settled after {way:?}"));
+                    return Err(format!("not settled after {path:?}"));
                 }
             }
             return Ok(());
         }
-        for step in world.steps() {
+        for step in world.possible_steps() {
             let mut next = world.clone();
-            next.take(step);
-            way.push(step);
-            if let Some(wrong) = wrong(world, &next) {
-                return Err(format!("{wrong} after {way:?}"));
+            next.apply(step);
+            path.push(step);
+            if let Some(violation) = find_violation(world, &next) {
+                return Err(format!("{violation} after {path:?}"));
             }
-            self.explore(&next, way)?;
-            way.pop();
+            self.explore(&next, path)?;
+            path.pop();
         }
         Ok(())
     }
 }
 
 #[test]
-fn no_order_of_faults_up_to_a_depth_breaks_a_promise() {
+fn bounded_exploration_finds_no_violation() {
     let mut explorer = Explorer::new(6, 29, 100_000);
     let found = explorer.explore(&World::settled(), &mut Vec::new());
     assert_eq!(found, Ok(()));
@@ -288,7 +288,7 @@
 
 #[test]
 #[ignore = "minutes: the long form of the exploration"]
-fn no_order_of_faults_up_to_a_greater_depth_breaks_a_promise() {
+fn deep_exploration_finds_no_violation() {
     let mut explorer = Explorer::new(10, 499, 5_000_000);
     assert_eq!(explorer.explore(&World::settled(), &mut Vec::new()), Ok(()));
     println!(
@@ -301,7 +301,7 @@
 
 #[cfg(feature = "mutants")]
 #[test]
-fn each_check_that_is_taken_out_is_missed() {
+fn each_mutant_is_detected() {
     use millethook_view::{Mutant, become_mutant};
     for mutant in [
         Mutant::EpochsDoNotCount,
@@ -314,8 +314,8 @@
         Mutant::SuspectForEver,
     ] {
         become_mutant(Some(mutant));
-        let begun = std::panic::catch_unwind(World::settled);
-        let found = match begun {
+        let initial = std::panic::catch_unwind(World::settled);
+        let found = match initial {
             Ok(world) => Explorer::new(7, 7, 400_000).explore(&world, &mut Vec::new()).err(),
             Err(_) => Some("a fleet without faults does not agree".into()),
         };
--- a/crates/millethook-view/tests/it/main.rs
+++ b/crates/millethook-view/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Views of the members on the virtual clock, in one program.
+//! Tests of membership views on the virtual clock.
 
 mod common;
 mod explore;
