--- a/crates/millethook-lease/src/lease/check.rs
+++ b/crates/millethook-lease/src/lease/check.rs
@@ -34,7 +34,7 @@
                 "an acceptor that has just started has granted nothing",
                 &|| {
                     format!(
-                        "{job:?}: {token} until {until}, silent until {}",
+                        "{job:?}: {token} until {until}, no grants until {}",
                         self.acceptor.silent_until
                     )
                 },
@@ -48,7 +48,7 @@
             rule(owned.token <= wanted.highest_token, "an owner knows its token", details)?;
             rule(
                 owned.until <= now.saturating_add(wanted.lease),
-                "a lease is no longer than it was asked for",
+                "a lease is no longer than requested",
                 details,
             )?;
             rule(
--- a/crates/millethook-lease/tests/it/fleet.rs
+++ b/crates/millethook-lease/tests/it/fleet.rs
@@ -269,7 +269,7 @@
     late.extend(deliver_all(now, &mut members, |from, _| from != OWNER));
     assert!(
         members[successor].holds(now, JobId(1)).is_none(),
-        "the acceptors have heard of the release"
+        "the acceptors have already received the release"
     );
     for (from, to, content) in late {
         members[usize::from(to)].handle(now, from, &content);
--- a/crates/millethook-view/src/view/receive.rs
+++ b/crates/millethook-view/src/view/receive.rs
@@ -86,11 +86,11 @@
                     probe.answered = true;
                     probe.indirect_at = None;
                 }
-                let asked = self
+                let position = self
                     .relayed
                     .iter()
                     .position(|r| (r.sequence, r.target) == (header.sequence, from));
-                if let Some(relayed) = asked.and_then(|n| self.relayed.remove(n)) {
+                if let Some(relayed) = position.and_then(|n| self.relayed.remove(n)) {
                     let RelayedProbe { requested_by, their_sequence, target, .. } = relayed;
                     self.send(requested_by, MessageKind::Ack, their_sequence, target, length);
                 }
@@ -101,14 +101,14 @@
                     return;
                 }
                 let (sequence, until) = (self.next_sequence(), now + 2 * self.config.period);
-                let asked = RelayedProbe {
+                let relayed = RelayedProbe {
                     sequence,
                     target,
                     requested_by: from,
                     their_sequence: header.sequence,
                     until,
                 };
-                self.relayed.push_back(asked);
+                self.relayed.push_back(relayed);
                 if self.relayed.len() > MAX_RELAYED {
                     self.relayed.pop_front();
                 }
--- a/crates/millethook-view/tests/it/fleet.rs
+++ b/crates/millethook-view/tests/it/fleet.rs
@@ -78,8 +78,8 @@
     let before = sent(&sim);
     sim.run(100 * PERIOD);
     // A ping and its answer in a period of each of the 99 members, and the probes of the dead one.
-    let asked = sent(&sim) - before - 99 * 200;
-    assert!((200..800).contains(&asked), "{asked} in 100 periods");
+    let probes = sent(&sim) - before - 99 * 200;
+    assert!((200..800).contains(&probes), "{probes} in 100 periods");
 }
 
 #[test]
