--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -34,7 +34,7 @@
         let Some((head, attempt_request)) = self.build_request(*write) else {
             return Outcome::NotRun;
         };
-        self.driver.current_list().await;
+        self.driver.wait_for_current_list().await;
         // Last check of the lease. If the process stalls after it, the write is already marked, and the
         // next owner does not send it.
         if self.fleet.holds(replay_job(store.edge)) != Some(store.token) || store.fenced.get() {
@@ -81,7 +81,7 @@
         let (parts, ()) = request.into_parts();
         let request_head = RequestHead {
             class: class.index,
-            repeatable: class.repeat != coppercart::settings::Repeat::Unsafe,
+            repeatable: class.repeat != coppercart::settings::RetrySafety::Unsafe,
             streaming: false,
             aim: class.aim,
             tenant,
--- a/crates/millethook-model/src/fleet/telling.rs
+++ b/crates/millethook-model/src/fleet/telling.rs
@@ -21,7 +21,7 @@
         own.unchecked += 1;
         if self.plan.check_every > 0 && own.unchecked >= self.plan.check_every {
             own.unchecked = 0;
-            if let Err(violation) = balancer.check() {
+            if let Err(violation) = balancer.check_invariants() {
                 let found = || format!("sidecar {sidecar}: {violation}");
                 self.judge.find(Rule::OwnCheck, self.now, found);
             }
@@ -130,7 +130,7 @@
         Ending::Full => Outcome::Full,
         Ending::ConnectFailed => Outcome::ConnectFailed,
         Ending::Reset => Outcome::Reset,
-        Ending::Moot => Outcome::Moot,
+        Ending::Moot => Outcome::NeverSent,
         Ending::TimedOut => Outcome::TimedOut,
         Ending::Cancelled => Outcome::Cancelled,
     }
--- a/crates/millethook/src/thread.rs
+++ b/crates/millethook/src/thread.rs
@@ -76,7 +76,7 @@
         names: config.names.clone(),
         seed: config.seed,
         discovery: config.discovery,
-        known: config.known.clone(),
+        initial_list: config.known.clone(),
         begins: config.begins,
         connections: config.connections,
         reuse: config.reuse,
@@ -88,7 +88,10 @@
         }),
         fleet: config.view.clone(),
         distribution: None,
-        keeper: config.keeper.clone().map(|keeper| (config.name.clone(), keeper)),
+        membership_store: config
+            .membership_store
+            .clone()
+            .map(|settings| (config.name.clone(), settings)),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     // The kernel cuts names of threads after fifteen bytes.
@@ -111,15 +114,15 @@
     mut queue: mpsc::UnboundedReceiver<Command>,
     life: &watch::Sender<Life>,
 ) {
-    let sockets = Rc::new(Sockets::of_servers(servers));
+    let sockets = Rc::new(Sockets::for_servers(servers));
     let engine = match Engine::start(config, sockets).await {
         Ok(engine) => Rc::new(engine),
         Err(e) => return tracing::error!(event = "engine_failed", "no engine: {e}"),
     };
     let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ready = async {
-        engine.discovery_tried().await;
-        engine.driver.first_listed().await;
+        engine.wait_for_discovery().await;
+        engine.driver.wait_for_first_list().await;
         life.send_replace(Life::Ready);
         std::future::pending::<()>().await;
     };
@@ -134,7 +137,7 @@
                     let view = engine.fleet.as_ref().map(|fleet| (fleet.counts(), fleet.hash()));
                     let _ = to.send(view);
                 }
-                Command::Servers(list) => engine.servers(&list),
+                Command::Servers(list) => engine.apply_list(&list),
                 Command::Stop => return,
             }
         }
@@ -146,8 +149,8 @@
     if let Some(fleet) = &engine.fleet {
         fleet.leave();
     }
-    if let Some(keeper) = &engine.keeper {
-        keeper.save().await;
+    if let Some(membership_store) = &engine.membership_store {
+        membership_store.save().await;
     }
 }
 
@@ -162,7 +165,7 @@
         return;
     };
     reservation.commit();
-    driver.current_list().await;
+    driver.wait_for_current_list().await;
     request_head.left = until.saturating_duration_since(Instant::now());
     let mut ticket = driver.request(request_head, attempt_request);
     tokio::select! {
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/follower.rs
@@ -81,7 +81,7 @@
         loop {
             let news = async {
                 match &distribution {
-                    Some(distribution) => distribution.news().await,
+                    Some(distribution) => distribution.wait_for_events().await,
                     None => std::future::pending().await,
                 }
             };
@@ -123,7 +123,7 @@
             "new configuration: discovery at {}",
             config.discovery
         );
-        self.engine.moved(config.discovery, config.peers, config.peers_all);
+        self.engine.update_addresses(config.discovery, config.peers, config.peers_all);
         self.whole = config.raw;
         self.source = config.source;
         Ok(())
@@ -131,7 +131,7 @@
 
     /// Puts settings into force, or nothing of them.
     fn apply(&self, tuned: Tuned) -> Result<(), String> {
-        let names = self.engine.retune(tuned.settings, &tuned.raw)?;
+        let names = self.engine.apply_settings(tuned.settings, &tuned.raw)?;
         if let Some(edge) = &self.edge {
             edge.set_names(names.clone());
         }
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use millethook_connect::pool::Limits;
-use millethook_engine::budget::{Bytes, Sockets};
+use millethook_engine::budget::{ByteBudget, Sockets};
 use millethook_engine::distribution::Distribution;
 use millethook_engine::product;
 use millethook_engine::{Engine, EngineConfig, PeerConfig};
@@ -90,8 +90,8 @@
     let place = config.inherited.and_then(|_| succession::Place::take(&config.name));
     let seat = place.as_ref().map(|place| place.seat.clone());
     let Config { peers, peers_all: all, .. } = config;
-    let keeper = product::keeper(&config.product, &config.name)?;
-    let connections = product::connections(&config.product, Limits::default());
+    let membership_store = product::membership_store_config(&config.product, &config.name)?;
+    let connections = product::connection_limits(&config.product, Limits::default());
     let peers = config.peer_listen.map(|listen| PeerConfig { listen, peers, all });
     let sockets = Rc::new(Sockets::new(config.sockets));
     let engine = EngineConfig {
@@ -99,17 +99,17 @@
         names: Arc::new(tuned.names),
         seed: config.seed,
         discovery: Some(config.discovery),
-        known: config.known,
+        initial_list: config.known,
         begins: config.begins,
         connections,
-        reuse: product::reuse(&config.product),
-        keeper: keeper.map(|keeper| (config.name.clone(), keeper)),
+        reuse: product::configured_reuse(&config.product),
+        membership_store: membership_store.map(|settings| (config.name.clone(), settings)),
         peers,
-        fleet: product::fleet(&config.product),
+        fleet: product::fleet_settings(&config.product),
         distribution,
     };
     let engine = Rc::new(Engine::start(engine, sockets).await?);
-    let bytes = Bytes::new((config.memory as f64 * BODIES) as usize);
+    let bytes = ByteBudget::new((config.memory as f64 * BODIES) as usize);
     let ids = RequestIdRegistry::new(engine.longest_deadline());
     let ingress = Ingress::new(
         engine.driver.clone(),
@@ -148,7 +148,7 @@
         // The process beside this one serves until this one can, and then until it hands over: the two do not know
         // which requests the other one has open.
         if shares_listener {
-            let _ = timeout(UNLISTED, driver.first_listed()).await;
+            let _ = timeout(UNLISTED, driver.wait_for_first_list()).await;
         }
         if let Some(turn) = turn {
             turn.await;
@@ -166,8 +166,8 @@
         fleet.leave();
     }
     // What is known at the end is kept, however the rest goes.
-    if let Some(keeper) = engine.keeper.clone() {
-        spawn_local(async move { keeper.save().await });
+    if let Some(membership_store) = engine.membership_store.clone() {
+        spawn_local(async move { membership_store.save().await });
     }
     if let Some(successor) = seat.and_then(|seat| seat.successor()) {
         tracing::info!(
@@ -187,8 +187,8 @@
         () = accepting => {}
         () = shutdown::drain(ingress, engine.longest_deadline()) => {}
     }
-    if let Some(keeper) = &engine.keeper {
-        let _ = timeout(LAST_WRITE, keeper.save()).await;
+    if let Some(membership_store) = &engine.membership_store {
+        let _ = timeout(LAST_WRITE, membership_store.save()).await;
     }
     if let Some(documents) = documents {
         let _ = timeout(LAST_WRITE, documents.save()).await;
@@ -242,7 +242,7 @@
 
 /// Marks the ingress ready when discovery has first been tried; never ends.
 async fn first_try(ingress: &Ingress, engine: &Engine) {
-    engine.discovery_tried().await;
+    engine.wait_for_discovery().await;
     ingress.mark_discovery_tried();
     std::future::pending().await
 }
