--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -100,7 +100,7 @@
     /// Sends a part of the shared entries to a member that has joined or returned, if this process is one of the
     /// senders.
     pub fn on_joined(&self, now: Micros, number: u16, view: &View) {
-        if let Some(part) = view.place_after(number, STATE_SENDERS) {
+        if let Some(part) = view.position_after(number, STATE_SENDERS) {
             self.replica.borrow_mut().send_state(now, number, part, STATE_SENDERS);
         }
     }
--- a/crates/millethook-hollow/src/sidecar.rs
+++ b/crates/millethook-hollow/src/sidecar.rs
@@ -141,7 +141,7 @@
         let (view, channel) = (&mut self.view, &mut self.channel);
         let Some(replica) = &mut self.replica else { return Micros::MAX };
         for number in joined {
-            if let Some(part) = view.place_after(*number, WELCOMING) {
+            if let Some(part) = view.position_after(*number, WELCOMING) {
                 replica.send_state(now, *number, part, WELCOMING);
             }
         }
--- a/crates/millethook-view/src/view.rs
+++ b/crates/millethook-view/src/view.rs
@@ -163,7 +163,7 @@
 
     /// The position of this process among the next `most` present members after `number`, if it is one of them. It
     /// selects a few of many members to do something for that member, and all agree on which.
-    pub fn place_after(&self, number: u16, most: usize) -> Option<usize> {
+    pub fn position_after(&self, number: u16, most: usize) -> Option<usize> {
         let after = usize::from(number) + 1;
         let around = (after..self.table.len()).chain(0..usize::from(number));
         let mut present = around.filter(|n| self.table.status(*n as u16).is_present()).take(most);
