--- a/crates/millethook-view/src/view/repair.rs
+++ b/crates/millethook-view/src/view/repair.rs
@@ -64,8 +64,9 @@
     /// Whether views have differed for longer than an update takes.
     pub(super) fn differs(&self, now: Micros) -> bool {
         let since = self.agreement.differs_since;
-        let lasts = since.is_some_and(|since| now >= since + self.config.period / DIFFERENCE_SHARE);
-        lasts && self.pull.is_none() && !mutant::is(Mutant::NoRepair)
+        let persists =
+            since.is_some_and(|since| now >= since + self.config.period / DIFFERENCE_SHARE);
+        persists && self.pull.is_none() && !mutant::is(Mutant::NoRepair)
     }
 
     /// Sends hashes of the whole table, and updates.
