--- a/crates/millethook-engine/tests/it/lease_budget.rs
+++ b/crates/millethook-engine/tests/it/lease_budget.rs
@@ -37,10 +37,10 @@
         let config = Config {
             me,
             epoch: 1_700_000_000_000 + now / 1_000,
-            seats: 5,
-            longest: MAX_LEASE,
-            change: 60 * S,
-            drift: 0.05,
+            acceptors: 5,
+            max_lease: MAX_LEASE,
+            change_timeout: 60 * S,
+            max_drift: 0.05,
             seed,
         };
         let mut lease = Lease::new(config, members, now);
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -58,10 +58,10 @@
         let config = Config {
             me: 0,
             epoch: 1,
-            seats: 1,
-            longest: LEASE_LENGTH,
-            change: SECOND,
-            drift: 0.01,
+            acceptors: 1,
+            max_lease: LEASE_LENGTH,
+            change_timeout: SECOND,
+            max_drift: 0.01,
             seed,
         };
         Sidecar {
