--- a/crates/millethook-engine/src/distribution/snapshot.rs
+++ b/crates/millethook-engine/src/distribution/snapshot.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use millethook_distribution::{Document, DocumentKind, Snapshot};
-use millethook_membership::whole_file::{self, ReadError};
+use millethook_membership::atomic_file::{self, ReadError};
 use tokio::task::spawn_blocking;
 
 use crate::server_lists::is_confirmation;
@@ -121,7 +121,7 @@
 }
 
 fn read_file(path: &Path) -> Result<Option<Snapshot>, Unusable> {
-    let Some(bytes) = whole_file::read(path, MAX_FILE_BYTES)? else { return Ok(None) };
+    let Some(bytes) = atomic_file::read(path, MAX_FILE_BYTES)? else { return Ok(None) };
     let (magic, rest) = bytes.split_at_checked(MAGIC.len()).ok_or(Unusable::Format)?;
     let (checksum, content) = rest.split_first_chunk().ok_or(Unusable::Format)?;
     if magic != MAGIC {
@@ -140,5 +140,5 @@
     bytes.extend_from_slice(MAGIC);
     bytes.extend_from_slice(&crc32fast::hash(&content).to_be_bytes());
     bytes.extend_from_slice(&content);
-    whole_file::replace(path, &bytes).map_err(|e| e.to_string())
+    atomic_file::replace(path, &bytes).map_err(|e| e.to_string())
 }
--- a/crates/millethook-membership/src/lib.rs
+++ b/crates/millethook-membership/src/lib.rs
@@ -4,16 +4,16 @@
 //! product's file, and from the application's own code. [`Membership`] keeps for each server its source and the time
 //! at which it was last confirmed, estimates from that whether it is still there ([`History`]), and returns what the
 //! balancer may use. It has no socket, no file and no clock: times are handed in, and requests to test a server (a
-//! [`Trial`]) come out. [`store`] and [`whole_file`] are the only modules with I/O.
+//! [`Trial`]) come out. [`store`] and [`atomic_file`] are the only modules with I/O.
 #![forbid(unsafe_code)]
 
+pub mod atomic_file;
 mod history;
 pub mod list;
 mod membership;
 pub mod mutant;
 pub mod snapshot;
 pub mod store;
-pub mod whole_file;
 
 pub use history::History;
 pub use membership::{
--- a/crates/millethook-membership/src/store.rs
+++ b/crates/millethook-membership/src/store.rs
@@ -6,8 +6,8 @@
 
 use thiserror::Error;
 
+use crate::atomic_file::{self, ReadError};
 use crate::snapshot::{Invalid, LARGEST, Snapshot};
-use crate::whole_file::{self, ReadError};
 
 /// Why a snapshot could not be read or written.
 #[derive(Debug, Error)]
@@ -76,7 +76,7 @@
     pub fn save(&self, snapshot: &Snapshot) -> Result<(), Error> {
         let bytes =
             snapshot.encode().map_err(|cause| Error::Invalid { path: self.path.clone(), cause })?;
-        whole_file::replace(&self.path, &bytes)
+        atomic_file::replace(&self.path, &bytes)
             .map_err(|cause| Error::Io { path: self.path.clone(), cause })
     }
 }
@@ -92,7 +92,7 @@
 }
 
 fn read(path: &Path) -> Result<Option<Vec<u8>>, Error> {
-    whole_file::read(path, LARGEST).map_err(|e| {
+    atomic_file::read(path, LARGEST).map_err(|e| {
         let path = path.to_owned();
         match e {
             ReadError::Io(cause) => Error::Io { path, cause },
--- a/crates/plankvale/src/distribution/command.rs
+++ b/crates/plankvale/src/distribution/command.rs
@@ -7,7 +7,7 @@
 
 use clap::Subcommand;
 use millethook_engine::distribution::MOST_CONTENT;
-use millethook_membership::whole_file;
+use millethook_membership::atomic_file;
 
 use super::files;
 use super::patch::Patch;
@@ -92,7 +92,7 @@
 /// Reads a document, and looks whether it can be one.
 fn document(path: &Path) -> Result<String, String> {
     let wrong = |e: String| format!("{}: {e}", path.display());
-    let bytes = whole_file::read(path, MOST_CONTENT).map_err(|e| wrong(e.to_string()))?;
+    let bytes = atomic_file::read(path, MOST_CONTENT).map_err(|e| wrong(e.to_string()))?;
     let bytes = bytes.ok_or_else(|| wrong("a file expected, there is none".into()))?;
     Patch::read(&bytes).map_err(|e| wrong(e.to_string()))?;
     String::from_utf8(bytes).map_err(|e| wrong(e.to_string()))
--- a/crates/plankvale/src/distribution/files.rs
+++ b/crates/plankvale/src/distribution/files.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write as _};
 use std::path::Path;
 
-use millethook_membership::whole_file;
+use millethook_membership::atomic_file;
 
 use super::request::{LARGEST, Request};
 use super::status::{self, Status};
@@ -51,7 +51,7 @@
 
 fn read(folder: &Path, name: &str) -> Result<Request, String> {
     let path = folder.join(format!("{name}{EXTENSION}"));
-    let bytes = whole_file::read(&path, LARGEST).map_err(|e| e.to_string())?;
+    let bytes = atomic_file::read(&path, LARGEST).map_err(|e| e.to_string())?;
     let bytes = bytes.ok_or("it is gone")?;
     serde_json::from_slice(&bytes).map_err(|e| format!("a request expected: {e}"))
 }
@@ -97,7 +97,7 @@
 pub fn read_status(folder: &Path, name: &str) -> Result<Option<Status>, String> {
     let path = status::path(folder, name);
     let wrong = |e: String| format!("{}: {e}", path.display());
-    let Some(bytes) = whole_file::read(&path, LARGEST).map_err(|e| wrong(e.to_string()))? else {
+    let Some(bytes) = atomic_file::read(&path, LARGEST).map_err(|e| wrong(e.to_string()))? else {
         return Ok(None);
     };
     serde_json::from_slice(&bytes).map(Some).map_err(|e| wrong(e.to_string()))
