--- a/crates/millethook-distribution/src/chunks.rs
+++ b/crates/millethook-distribution/src/chunks.rs
@@ -1,10 +1,10 @@
 //! Pieces of a long content.
 
 use crate::document::MOST_CONTENT;
-use crate::{LONGEST, Version};
+use crate::{MAX_MESSAGE_BYTES, Version};
 
 /// Bytes of a content in one chunk; the last one may be shorter.
-pub(crate) const CHUNK: usize = LONGEST - 1 - Version::LENGTH - 4;
+pub(crate) const CHUNK: usize = MAX_MESSAGE_BYTES - 1 - Version::LENGTH - 4;
 /// Chunks of the longest content.
 pub(crate) const MOST_CHUNKS: usize = MOST_CONTENT.div_ceil(CHUNK);
 /// A content of so many chunks at most is sent to a sidecar together with its head; a longer one once it is asked for. A
--- a/crates/millethook-distribution/src/lib.rs
+++ b/crates/millethook-distribution/src/lib.rs
@@ -34,7 +34,7 @@
 pub use control::{ControlEvent, ControlFigures, ControlNode, PublishError};
 pub use document::{ContentHash, Document, MOST_CONTENT};
 pub use millethook_lease::Token;
-pub use millethook_machine::{LONGEST, Micros, Violation};
+pub use millethook_machine::{MAX_MESSAGE_BYTES, Micros, Violation};
 pub use report::{DocumentId, MOST_NAMED, MOST_REASON, Refusal, Rollout};
 pub use scope::{DocumentKey, DocumentKind, Identity, Scope};
 pub use sidecar::{NotOffered, Subscriber, SubscriberEvent, SubscriberFigures};
--- a/crates/millethook-distribution/src/message.rs
+++ b/crates/millethook-distribution/src/message.rs
@@ -11,7 +11,7 @@
 use millethook_machine::codec::{self, BufMut};
 
 use crate::chunks::Wanted;
-use crate::{DocumentId, DocumentKey, LONGEST, Rollout, Version};
+use crate::{DocumentId, DocumentKey, MAX_MESSAGE_BYTES, Rollout, Version};
 pub(crate) use fields::{Delta, Digest, Listed, Lists, Offer, Role, Stage, State, Status, Told};
 pub(crate) use lists::{DELTA_PART, MOST_DELTA_PARTS, in_messages};
 use lists::{read_delta, read_lists, write_delta, write_lists};
@@ -27,13 +27,13 @@
 /// Bytes of an offer before an inline content.
 const OFFER: usize = 40;
 /// The longest content that travels within a committed offer.
-pub(crate) const MOST_INLINE: usize = LONGEST - OFFER;
+pub(crate) const MOST_INLINE: usize = MAX_MESSAGE_BYTES - OFFER;
 /// Bytes of an entry of a list: key, committed and accepted version.
 const LISTED: usize = 37;
 /// Entries of a list in one message.
-pub(crate) const MOST_LISTED: usize = (LONGEST - 7) / LISTED;
+pub(crate) const MOST_LISTED: usize = (MAX_MESSAGE_BYTES - 7) / LISTED;
 /// Members that are named in one message.
-pub(crate) const MOST_MOVED: usize = (LONGEST - 1) / 2;
+pub(crate) const MOST_MOVED: usize = (MAX_MESSAGE_BYTES - 1) / 2;
 const FOR_SIDECAR: u8 = 0x80;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -134,11 +134,11 @@
 impl Message {
     /// The content, for that part of the receiver.
     pub fn write(&self, to: Role) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(LONGEST);
+        let mut bytes = Vec::with_capacity(MAX_MESSAGE_BYTES);
         let flag = if to == Role::Sidecar { FOR_SIDECAR } else { 0 };
         bytes.put_u8(flag | self.number());
         self.write_fields(&mut bytes);
-        debug_assert!(bytes.len() <= LONGEST, "{} bytes: {self:?}", bytes.len());
+        debug_assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{} bytes: {self:?}", bytes.len());
         bytes
     }
 
--- a/crates/millethook-distribution/src/message/lists.rs
+++ b/crates/millethook-distribution/src/message/lists.rs
@@ -7,14 +7,14 @@
 use super::{Delta, Lists, State, Told};
 use crate::lists::{ListStatus, ListStatuses};
 use crate::report::MOST_REASON;
-use crate::{ContentHash, LONGEST, MOST_CONTENT, Version};
+use crate::{ContentHash, MAX_MESSAGE_BYTES, MOST_CONTENT, Version};
 
 /// Bytes of a message about lists before the first status.
 const LISTS: usize = 1 + 8 + 1;
 /// Bytes of a part of a delta before its content.
 const DELTA: usize = 1 + 21 + 16 + 16 + 3 + 1 + 1;
 /// Bytes of a delta in one message; the last part may be shorter.
-pub(crate) const DELTA_PART: usize = LONGEST - DELTA;
+pub(crate) const DELTA_PART: usize = MAX_MESSAGE_BYTES - DELTA;
 /// Parts of the longest delta. A delta comes unasked, as does a content of so many chunks at most.
 pub(crate) const MOST_DELTA_PARTS: usize = crate::chunks::MOST_AT_ONCE;
 /// The state of a list that is wanted and not there.
@@ -29,7 +29,7 @@
         put_status(&mut bytes, service, status);
         if bytes.len() > room {
             messages.push(Vec::new());
-            room = LONGEST - LISTS;
+            room = MAX_MESSAGE_BYTES - LISTS;
         }
         room -= bytes.len();
         if let Some(last) = messages.last_mut() {
--- a/crates/millethook-distribution/src/message/parts.rs
+++ b/crates/millethook-distribution/src/message/parts.rs
@@ -4,7 +4,9 @@
 
 use super::{BUCKETS, Buckets, Digest, Offer, Stage, State, Status};
 use crate::report::{MOST_NAMED, MOST_REASON};
-use crate::{ContentHash, DocumentId, DocumentKey, Identity, LONGEST, Refusal, Rollout, Version};
+use crate::{
+    ContentHash, DocumentId, DocumentKey, Identity, MAX_MESSAGE_BYTES, Refusal, Rollout, Version,
+};
 
 pub(super) fn put_buckets(bytes: &mut Vec<u8>, buckets: &Buckets) {
     buckets.iter().for_each(|hash| bytes.put_u64(*hash));
@@ -58,7 +60,7 @@
         if let State::Refused(refusal) = &status.state {
             // Those that follow need at most so much.
             let behind = (statuses.len() - n - 1) * (Version::LENGTH + 4) + 2;
-            put_refusal(bytes, refusal, LONGEST.saturating_sub(bytes.len() + behind));
+            put_refusal(bytes, refusal, MAX_MESSAGE_BYTES.saturating_sub(bytes.len() + behind));
         }
     }
 }
--- a/crates/millethook-lease/src/lib.rs
+++ b/crates/millethook-lease/src/lib.rs
@@ -22,7 +22,7 @@
 mod token;
 
 pub use lease::{Config, Event, Figures, Lease, MAX_WANTED};
-pub use millethook_machine::{LONGEST, Micros, Violation};
+pub use millethook_machine::{MAX_MESSAGE_BYTES, Micros, Violation};
 pub use owner::Standing;
 pub use seat::MAX_JOBS;
 pub use seats::{Member, Members};
--- a/crates/millethook-lease/tests/it/fleet.rs
+++ b/crates/millethook-lease/tests/it/fleet.rs
@@ -373,7 +373,7 @@
             lease.handle(now + n as u64, (n % 4) as u16, &content);
             prop_assert_eq!(lease.check(now + n as u64), Ok(()));
             while let Some((_, content)) = lease.poll_transmit() {
-                prop_assert!(content.len() <= millethook_lease::LONGEST);
+                prop_assert!(content.len() <= millethook_lease::MAX_MESSAGE_BYTES);
             }
         }
     }
--- a/crates/millethook-machine/src/codec.rs
+++ b/crates/millethook-machine/src/codec.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of messages of at most [`LONGEST`](crate::LONGEST) bytes.
+//! Reading and writing of messages of at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) bytes.
 //!
 //! A message is a fixed header ([`Header`], see [`message_header!`](crate::message_header)) and, behind it, records that are written one behind another for as long as
 //! they fit ([`push_within`]) and read up to the first that makes no sense or is padding ([`Reader::records`]). Numbers
@@ -54,12 +54,12 @@
     uint(bytes, EPOCH_BYTES)
 }
 
-/// Adds what `write` writes, if the whole then has at most `longest` and at most [`LONGEST`](crate::LONGEST) bytes;
+/// Adds what `write` writes, if the whole then has at most `longest` and at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) bytes;
 /// false: it would have more, and nothing has changed.
 pub fn push_within(bytes: &mut Vec<u8>, longest: usize, write: impl FnOnce(&mut Vec<u8>)) -> bool {
     let before = bytes.len();
     write(bytes);
-    let fits = bytes.len() <= longest.min(crate::LONGEST);
+    let fits = bytes.len() <= longest.min(crate::MAX_MESSAGE_BYTES);
     if !fits {
         bytes.truncate(before);
     }
--- a/crates/millethook-machine/src/codec/malformed.rs
+++ b/crates/millethook-machine/src/codec/malformed.rs
@@ -20,7 +20,7 @@
                 write!(
                     f,
                     "a message that ends too early, or has more than {} bytes",
-                    crate::LONGEST
+                    crate::MAX_MESSAGE_BYTES
                 )
             }
             Malformed::Kind => f.write_str("a message or record of a kind that is not known"),
--- a/crates/millethook-machine/src/lib.rs
+++ b/crates/millethook-machine/src/lib.rs
@@ -21,7 +21,7 @@
 pub type Micros = u64;
 
 /// Bytes of the longest content of a record, so that a datagram with it has at most 256 (see `millethook-frames`).
-pub const LONGEST: usize = 241;
+pub const MAX_MESSAGE_BYTES: usize = 241;
 
 /// An invariant that does not hold, as found by a machine's own `check()`.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/millethook-machine/src/send_queue.rs
+++ b/crates/millethook-machine/src/send_queue.rs
@@ -31,7 +31,7 @@
     pub fn append(&mut self, to: To, record: &[u8]) {
         let last = self.waiting.iter_mut().rev().find(|(whom, _)| *whom == to);
         match last {
-            Some((_, content)) if content.len() + record.len() <= crate::LONGEST => {
+            Some((_, content)) if content.len() + record.len() <= crate::MAX_MESSAGE_BYTES => {
                 content.extend_from_slice(record);
             }
             _ => self.push(to, record.to_vec()),
--- a/crates/millethook-machine/src/sim.rs
+++ b/crates/millethook-machine/src/sim.rs
@@ -232,7 +232,7 @@
             self.push(at, Due::Tick(number));
         }
         for (to, content) in out {
-            assert!(content.len() <= crate::LONGEST, "{} bytes", content.len());
+            assert!(content.len() <= crate::MAX_MESSAGE_BYTES, "{} bytes", content.len());
             let to = to.unwrap_or_else(|| {
                 let other = self.random.next_u64() % (count - 1).max(1);
                 ((u64::from(number) + 1 + other) % count) as u16
--- a/crates/millethook-machine/tests/codec.rs
+++ b/crates/millethook-machine/tests/codec.rs
@@ -1,6 +1,6 @@
 //! The reader and writer of messages that the state machines share.
 
-use millethook_machine::LONGEST;
+use millethook_machine::MAX_MESSAGE_BYTES;
 use millethook_machine::codec::{
     BufMut, Header, Malformed, Reader, U48, push_within, read_message, write_header,
 };
@@ -78,8 +78,8 @@
     let refused = |bytes: &[u8]| read_message::<Example>(bytes).err();
     assert_eq!(refused(&bytes[..2]), Some(Malformed::Length));
     assert_eq!(refused(&[3, 0, 0]), Some(Malformed::Kind));
-    assert_eq!(refused(&[1; LONGEST]), None);
-    assert_eq!(refused(&[1; LONGEST + 1]), Some(Malformed::Length));
+    assert_eq!(refused(&[1; MAX_MESSAGE_BYTES]), None);
+    assert_eq!(refused(&[1; MAX_MESSAGE_BYTES + 1]), Some(Malformed::Length));
 }
 
 #[test]
@@ -126,7 +126,7 @@
     assert_eq!(bytes, [1, 2]);
     assert!(push_within(&mut bytes, 6, |bytes| bytes.put_u32(0)));
     assert_eq!(bytes.len(), 6);
-    let mut full = vec![0; LONGEST];
+    let mut full = vec![0; MAX_MESSAGE_BYTES];
     assert!(!push_within(&mut full, usize::MAX, |bytes| bytes.put_u8(0)));
-    assert_eq!(full.len(), LONGEST);
+    assert_eq!(full.len(), MAX_MESSAGE_BYTES);
 }
--- a/crates/millethook-replica/src/message.rs
+++ b/crates/millethook-replica/src/message.rs
@@ -22,7 +22,7 @@
 use crate::entry::{Departure, Entry, EntryValue, Key, Verdict};
 
 /// The longest content, in bytes.
-pub const LONGEST: usize = millethook_machine::LONGEST;
+pub const LONGEST: usize = millethook_machine::MAX_MESSAGE_BYTES;
 /// Bytes of the header.
 pub(crate) const HEADER_BYTES: usize = MessageHeader::LENGTH;
 /// Bytes of a query for a store: as many as its answer, so that nobody can have a third party sent more than was asked
--- a/crates/millethook-view/src/message.rs
+++ b/crates/millethook-view/src/message.rs
@@ -18,7 +18,7 @@
 use crate::fact::{Epoch, Fact, HIGHEST_EPOCH, Status};
 
 /// The longest content, in bytes.
-pub const LONGEST: usize = millethook_machine::LONGEST;
+pub const LONGEST: usize = millethook_machine::MAX_MESSAGE_BYTES;
 /// Bytes of the header.
 pub(crate) const HEADER_BYTES: usize = MessageHeader::LENGTH;
 /// Bytes of the hashes before the facts of a comparison: a width, and 64 hashes.
