--- a/crates/millethook-frames/src/channel.rs
+++ b/crates/millethook-frames/src/channel.rs
@@ -69,7 +69,7 @@
 impl Channel {
     /// One with a full budget.
     pub fn new(config: &ChannelConfig, now: Micros) -> Channel {
-        let burst = f64::from(config.burst.max(crate::LONGEST as u32));
+        let burst = f64::from(config.burst.max(crate::MAX_FRAME_BYTES as u32));
         let queue = |kind: &Kind| Queue { kind: *kind, waiting: VecDeque::new(), spent: 0.0 };
         Channel {
             rate: f64::from(config.rate.max(1)),
@@ -125,7 +125,7 @@
     pub fn poll(&mut self, now: Micros, header: Header) -> Option<(u16, Vec<u8>)> {
         self.count(now);
         // What is sent may be as long as a whole frame.
-        if self.left + ROUNDING < crate::LONGEST as f64 {
+        if self.left + ROUNDING < crate::MAX_FRAME_BYTES as f64 {
             return None;
         }
         let waiting = |q: &&mut Queue| !q.waiting.is_empty();
@@ -175,7 +175,7 @@
         })?;
         let Counts { datagrams, bytes, .. } = self.counts;
         rule(
-            bytes <= datagrams * crate::LONGEST as u64,
+            bytes <= datagrams * crate::MAX_FRAME_BYTES as u64,
             "a datagram has 256 bytes at most",
             &|| format!("{bytes} bytes in {datagrams}"),
         )
@@ -186,7 +186,7 @@
         if self.queues.iter().all(|q| q.waiting.is_empty()) {
             return None;
         }
-        let lacking = (crate::LONGEST as f64 - self.left).max(0.0);
+        let lacking = (crate::MAX_FRAME_BYTES as f64 - self.left).max(0.0);
         Some(self.counted + (lacking / self.rate * 1e6).ceil() as Micros)
     }
 }
--- a/crates/millethook-frames/src/frame.rs
+++ b/crates/millethook-frames/src/frame.rs
@@ -11,13 +11,13 @@
 use millethook_machine::codec::{self, BufMut};
 
 /// The longest datagram, as the platform bounds it.
-pub const LONGEST: usize = 256;
+pub const MAX_FRAME_BYTES: usize = 256;
 /// The version that is spoken.
 pub const VERSION: u8 = 1;
 const HEADER: usize = 13;
 const RECORD_HEADER: usize = 2;
 /// The longest content of a record.
-pub const MAX_RECORD: usize = LONGEST - HEADER - RECORD_HEADER;
+pub const MAX_RECORD: usize = MAX_FRAME_BYTES - HEADER - RECORD_HEADER;
 
 /// Who says it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// Longer than a frame may be, or shorter than a header.
-    #[error("{0} bytes: {HEADER} to {LONGEST} expected")]
+    #[error("{0} bytes: {HEADER} to {MAX_FRAME_BYTES} expected")]
     Length(usize),
     /// Another version.
     #[error("version {0}: {VERSION} expected")]
@@ -63,7 +63,7 @@
     /// # Errors
     /// It is no frame of this version; nothing of it may be used.
     pub fn parse(bytes: &'b [u8]) -> Result<Frame<'b>, FrameError> {
-        if !(HEADER..=LONGEST).contains(&bytes.len()) {
+        if !(HEADER..=MAX_FRAME_BYTES).contains(&bytes.len()) {
             return Err(FrameError::Length(bytes.len()));
         }
         let mut records = bytes;
@@ -100,7 +100,7 @@
 impl FrameWriter {
     /// An empty one.
     pub fn new(header: Header) -> FrameWriter {
-        let mut bytes = Vec::with_capacity(LONGEST);
+        let mut bytes = Vec::with_capacity(MAX_FRAME_BYTES);
         bytes.put_u8(VERSION);
         bytes.put_u32(header.fleet);
         bytes.put_u16(header.from);
@@ -110,13 +110,13 @@
 
     /// The longest content that still fits.
     pub fn room(&self) -> usize {
-        LONGEST.saturating_sub(self.0.len() + RECORD_HEADER)
+        MAX_FRAME_BYTES.saturating_sub(self.0.len() + RECORD_HEADER)
     }
 
     /// Adds a record; false: it does not fit, and nothing has changed.
     pub fn push(&mut self, kind: u8, content: &[u8]) -> bool {
         // Danger: where not even a record's head has room, an empty one would go beyond the end.
-        let fits = self.0.len() + RECORD_HEADER + content.len() <= LONGEST;
+        let fits = self.0.len() + RECORD_HEADER + content.len() <= MAX_FRAME_BYTES;
         if fits {
             // What fits is shorter than 256.
             self.0.extend_from_slice(&[kind, content.len() as u8]);
--- a/crates/millethook-frames/src/lib.rs
+++ b/crates/millethook-frames/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod frame;
 
 pub use channel::{Channel, ChannelConfig, Kind};
-pub use frame::{Frame, FrameError, FrameWriter, Header, LONGEST, MAX_RECORD, fleet_id};
+pub use frame::{Frame, FrameError, FrameWriter, Header, MAX_FRAME_BYTES, MAX_RECORD, fleet_id};
--- a/crates/millethook-frames/tests/frames.rs
+++ b/crates/millethook-frames/tests/frames.rs
@@ -1,7 +1,8 @@
 //! Frames of any bytes, and a budget that is kept and shared.
 
 use millethook_frames::{
-    Channel, ChannelConfig, Frame, FrameError, FrameWriter, Header, Kind, LONGEST, MAX_RECORD,
+    Channel, ChannelConfig, Frame, FrameError, FrameWriter, Header, Kind, MAX_FRAME_BYTES,
+    MAX_RECORD,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -22,7 +23,7 @@
         let mut writer = FrameWriter::new(ME);
         let taken: Vec<_> = records.into_iter().filter(|(kind, c)| writer.push(*kind, c)).collect();
         let bytes = writer.finish();
-        prop_assert!(bytes.len() <= LONGEST);
+        prop_assert!(bytes.len() <= MAX_FRAME_BYTES);
         let frame = Frame::parse(&bytes).unwrap();
         prop_assert_eq!(frame.header, ME);
         let read: Vec<_> = frame.records().map(|(kind, c)| (kind, c.to_vec())).collect();
--- a/crates/millethook-hollow/src/host/mod.rs
+++ b/crates/millethook-hollow/src/host/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use millethook_frames::LONGEST;
+use millethook_frames::MAX_FRAME_BYTES;
 use millethook_machine::hash::mix;
 use mio::Poll;
 
@@ -166,7 +166,7 @@
         if self.slots.get(slot).is_none_or(|one| one.paused) {
             return;
         }
-        let mut buffer = [0; LONGEST + 1];
+        let mut buffer = [0; MAX_FRAME_BYTES + 1];
         let now = self.now();
         let mut taken = 0;
         while taken < TURN {
--- a/crates/millethook-hollow/src/host/sockets.rs
+++ b/crates/millethook-hollow/src/host/sockets.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::io::ErrorKind;
 
-use millethook_frames::LONGEST;
+use millethook_frames::MAX_FRAME_BYTES;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
 use socket2::SockRef;
@@ -68,11 +68,11 @@
     pub fn receive<'b>(
         &self,
         slot: usize,
-        buffer: &'b mut [u8; LONGEST + 1],
+        buffer: &'b mut [u8; MAX_FRAME_BYTES + 1],
     ) -> Option<(u16, &'b [u8])> {
         loop {
             match self.sockets.get(slot)?.recv_from(buffer) {
-                Ok((length, from)) if length <= LONGEST => {
+                Ok((length, from)) if length <= MAX_FRAME_BYTES => {
                     if let Some(number) = self.addresses.number(from) {
                         return Some((number, &buffer[..length]));
                     }
