--- a/crates/millethook-distribution/src/message.rs
+++ b/crates/millethook-distribution/src/message.rs
@@ -247,7 +247,7 @@
     /// It makes no sense; nothing of it may be used.
     pub fn read(bytes: &[u8]) -> Result<(Role, Message), Malformed> {
         let mut rest = bytes;
-        let first = codec::byte(&mut rest).ok_or(Malformed)?;
+        let first = codec::take_u8(&mut rest).ok_or(Malformed)?;
         let to = if first & FOR_SIDECAR > 0 { Role::Sidecar } else { Role::ControlNode };
         let message = read_fields(first & !FOR_SIDECAR, &mut rest).ok_or(Malformed)?;
         Ok((to, message))
@@ -257,35 +257,37 @@
 fn read_fields(number: u8, bytes: &mut &[u8]) -> Option<Message> {
     Some(match number {
         1 => Message::Digest(read_digest(bytes)?),
-        2 => Message::Agree { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
+        2 => {
+            Message::Agree { hash: codec::take_uint(bytes, 8)?, known: codec::take_u8(bytes)? > 0 }
+        }
         3 => Message::Offer(read_offer(bytes)?),
         4 => {
             let version = Version::read(bytes)?;
-            let (index, count) = (codec::short(bytes)?, codec::short(bytes)?);
+            let (index, count) = (codec::take_u16(bytes)?, codec::take_u16(bytes)?);
             Message::Chunk { version, index, count, bytes: bytes.to_vec() }
         }
         5 => {
-            let flags = codec::byte(bytes)?;
+            let flags = codec::take_u8(bytes)?;
             let of = if flags & 1 > 0 { Role::Sidecar } else { Role::ControlNode };
             let key = if flags & KEYED > 0 { Some(DocumentKey::read(bytes)?) } else { None };
             let version = Version::read(bytes)?;
             Message::Missing { of, key, version, wanted: Wanted::read(bytes) }
         }
-        6 => Message::Accepted { id: id(bytes)?, round: codec::word(bytes)? },
-        7 => Message::Announce { token: Token::read(bytes)?, round: codec::word(bytes)? },
+        6 => Message::Accepted { id: id(bytes)?, round: codec::take_u32(bytes)? },
+        7 => Message::Announce { token: Token::read(bytes)?, round: codec::take_u32(bytes)? },
         8 => {
-            let (token, round) = (Token::read(bytes)?, codec::word(bytes)?);
+            let (token, round) = (Token::read(bytes)?, codec::take_u32(bytes)?);
             Message::Promise { token, round, buckets: buckets(bytes)? }
         }
         9 => Message::Stale { highest: Token::read(bytes)? },
         10 => Message::Compare { highest: Token::read(bytes)?, buckets: buckets(bytes)? },
         11 => {
-            let (bucket, round) = (codec::byte(bytes)?, codec::word(bytes)?);
+            let (bucket, round) = (codec::take_u8(bytes)?, codec::take_u32(bytes)?);
             Message::List { bucket, round, after: DocumentKey::read(bytes) }
         }
         12 => {
-            let (bucket, round) = (codec::byte(bytes)?, codec::word(bytes)?);
-            let more = codec::byte(bytes)? > 0;
+            let (bucket, round) = (codec::take_u8(bytes)?, codec::take_u32(bytes)?);
+            let more = codec::take_u8(bytes)? > 0;
             let entries = codec::records(bytes, |bytes| {
                 let key = DocumentKey::read(bytes)?;
                 let (committed, accepted) = (Version::read(bytes)?, Version::read(bytes)?);
@@ -293,16 +295,19 @@
             });
             Message::Entries { bucket, more, round, entries: entries.collect() }
         }
-        13 => Message::Recover { round: codec::word(bytes)? },
+        13 => Message::Recover { round: codec::take_u32(bytes)? },
         14 => {
-            let (round, recovering) = (codec::word(bytes)?, codec::byte(bytes)? > 0);
+            let (round, recovering) = (codec::take_u32(bytes)?, codec::take_u8(bytes)? > 0);
             let highest = Token::read(bytes)?;
             Message::Recovered { round, recovering, highest, buckets: buckets(bytes)? }
         }
         15 => Message::Report { id: id(bytes)?, rollout: read_rollout(bytes)? },
-        16 => Message::Moved { members: codec::records(bytes, codec::short).collect() },
+        16 => Message::Moved { members: codec::records(bytes, codec::take_u16).collect() },
         17 => Message::Lists(read_lists(bytes)?),
-        18 => Message::AgreeLists { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
+        18 => Message::AgreeLists {
+            hash: codec::take_uint(bytes, 8)?,
+            known: codec::take_u8(bytes)? > 0,
+        },
         19 => Message::Delta(read_delta(bytes)?),
         _ => return None,
     })
--- a/crates/millethook-distribution/src/message/lists.rs
+++ b/crates/millethook-distribution/src/message/lists.rs
@@ -53,7 +53,7 @@
 }
 
 fn read_status(bytes: &mut &[u8]) -> Option<(u32, ListStatus)> {
-    let (service, number) = (codec::word(bytes)?, codec::byte(bytes)?);
+    let (service, number) = (codec::take_u32(bytes)?, codec::take_u8(bytes)?);
     if number == NONE {
         return Some((service, ListStatus { version: Version::default(), state: State::InForce }));
     }
@@ -79,7 +79,7 @@
 }
 
 pub(super) fn read_lists(bytes: &mut &[u8]) -> Option<Lists> {
-    let (hash, number) = (codec::uint(bytes, 8)?, codec::byte(bytes)?);
+    let (hash, number) = (codec::take_uint(bytes, 8)?, codec::take_u8(bytes)?);
     let mut statuses = Vec::new();
     while !bytes.is_empty() {
         statuses.push(read_status(bytes)?);
@@ -107,9 +107,9 @@
     let id = id(bytes)?;
     let (hash, rest) = bytes.split_first_chunk::<16>()?;
     *bytes = rest;
-    let length = codec::uint(bytes, 3)? as usize;
+    let length = codec::take_uint(bytes, 3)? as usize;
     let base = Version::read(bytes)?;
-    let (index, count) = (codec::byte(bytes)?, codec::byte(bytes)?);
+    let (index, count) = (codec::take_u8(bytes)?, codec::take_u8(bytes)?);
     let is_last = index.checked_add(1)? == count;
     let sound = index < count
         && usize::from(count) <= MOST_DELTA_PARTS
--- a/crates/millethook-distribution/src/message/parts.rs
+++ b/crates/millethook-distribution/src/message/parts.rs
@@ -15,7 +15,7 @@
 pub(super) fn buckets(bytes: &mut &[u8]) -> Option<Buckets> {
     let mut buckets = [0; BUCKETS];
     for hash in &mut buckets {
-        *hash = codec::uint(bytes, 8)?;
+        *hash = codec::take_uint(bytes, 8)?;
     }
     Some(buckets)
 }
@@ -38,7 +38,7 @@
 }
 
 pub(super) fn refusal(bytes: &mut &[u8]) -> Option<Refusal> {
-    let (code, length) = (codec::byte(bytes)?, usize::from(codec::byte(bytes)?));
+    let (code, length) = (codec::take_u8(bytes)?, usize::from(codec::take_u8(bytes)?));
     let (reason, rest) = bytes.split_at_checked(length)?;
     *bytes = rest;
     Some(Refusal { code, reason: String::from_utf8_lossy(reason).into_owned() })
@@ -66,19 +66,19 @@
 }
 
 pub(super) fn read_digest(bytes: &mut &[u8]) -> Option<Digest> {
-    let (region, zone) = (codec::word(bytes)?, codec::word(bytes)?);
-    let (service, number) = (codec::word(bytes)?, codec::short(bytes)?);
+    let (region, zone) = (codec::take_u32(bytes)?, codec::take_u32(bytes)?);
+    let (service, number) = (codec::take_u32(bytes)?, codec::take_u16(bytes)?);
     let who = Identity { region, zone, service, number };
-    let rank = codec::byte(bytes)?;
-    let hash = codec::uint(bytes, 8)?;
-    let statuses = match codec::byte(bytes) {
+    let rank = codec::take_u8(bytes)?;
+    let hash = codec::take_uint(bytes, 8)?;
+    let statuses = match codec::take_u8(bytes) {
         None => None,
         Some(count) => {
             let mut statuses = Vec::new();
             for _ in 0..count {
-                let key = DocumentKey::from_short(codec::byte(bytes)?, &who)?;
+                let key = DocumentKey::from_short(codec::take_u8(bytes)?, &who)?;
                 let version = Version::read(bytes)?;
-                let state = match codec::byte(bytes)? {
+                let state = match codec::take_u8(bytes)? {
                     0 => State::InForce,
                     1 => State::Offered,
                     2 => State::Refused(refusal(bytes)?),
@@ -119,21 +119,21 @@
 }
 
 pub(super) fn read_offer(bytes: &mut &[u8]) -> Option<Offer> {
-    let flags = codec::byte(bytes)?;
+    let flags = codec::take_u8(bytes)?;
     let id = id(bytes)?;
     let (hash, rest) = bytes.split_first_chunk::<16>()?;
     *bytes = rest;
     let stage = match flags & 0x0f {
-        0 => Stage::Proposed(codec::word(bytes)?),
+        0 => Stage::Proposed(codec::take_u32(bytes)?),
         1 => Stage::Accepted,
         2 => Stage::Committed,
         _ => return None,
     };
     let (length, inline) = if flags & INLINE > 0 {
-        let length = usize::from(codec::byte(bytes)?);
+        let length = usize::from(codec::take_u8(bytes)?);
         (length, Some(bytes.get(..length)?.to_vec()))
     } else {
-        (codec::uint(bytes, 3)? as usize, None)
+        (codec::take_uint(bytes, 3)? as usize, None)
     };
     let retracted = flags & RETRACTED > 0;
     let sound = length <= crate::MOST_CONTENT && (!retracted || length == 0);
@@ -165,10 +165,10 @@
 }
 
 pub(super) fn read_rollout(bytes: &mut &[u8]) -> Option<Rollout> {
-    let mut count = || codec::short(bytes).map(u32::from);
+    let mut count = || codec::take_u16(bytes).map(u32::from);
     let (expected, in_force, refused, not_heard) = (count()?, count()?, count()?, count()?);
-    let flags = codec::byte(bytes)?;
-    let moving = if flags & MOVING > 0 { codec::short(bytes)?.into() } else { 0 };
+    let flags = codec::take_u8(bytes)?;
+    let moving = if flags & MOVING > 0 { codec::take_u16(bytes)?.into() } else { 0 };
     let kept = u32::from(flags & KEPT > 0);
     let named = usize::from(flags & !(MOVING | KEPT));
     if named > MOST_NAMED {
@@ -176,9 +176,9 @@
     }
     let mut not_heard_members = Vec::with_capacity(named);
     for _ in 0..named {
-        not_heard_members.push(codec::short(bytes)?);
+        not_heard_members.push(codec::take_u16(bytes)?);
     }
-    let first_refusal = match codec::short(bytes) {
+    let first_refusal = match codec::take_u16(bytes) {
         Some(member) => Some((member, refusal(bytes)?)),
         None => None,
     };
--- a/crates/millethook-distribution/src/scope.rs
+++ b/crates/millethook-distribution/src/scope.rs
@@ -135,8 +135,8 @@
 
     /// Takes it from a message; None: there is less, or no such key.
     pub(crate) fn read(bytes: &mut &[u8]) -> Option<DocumentKey> {
-        let short = codec::byte(bytes)?;
-        let number = codec::word(bytes)?;
+        let short = codec::take_u8(bytes)?;
+        let number = codec::take_u32(bytes)?;
         let scope = match short & 0x0f {
             0 => Scope::All,
             1 => Scope::Region(number),
--- a/crates/millethook-distribution/src/version.rs
+++ b/crates/millethook-distribution/src/version.rs
@@ -25,7 +25,7 @@
 
     /// Takes it from a message; None: there is less.
     pub(crate) fn read(bytes: &mut &[u8]) -> Option<Version> {
-        Some(Version { token: Token::read(bytes)?, counter: codec::word(bytes)? })
+        Some(Version { token: Token::read(bytes)?, counter: codec::take_u32(bytes)? })
     }
 }
 
--- a/crates/millethook-frames/src/frame.rs
+++ b/crates/millethook-frames/src/frame.rs
@@ -67,7 +67,7 @@
             return Err(FrameError::Length(bytes.len()));
         }
         let mut records = bytes;
-        let mut take = |width| codec::uint(&mut records, width).ok_or(FrameError::Truncated);
+        let mut take = |width| codec::take_uint(&mut records, width).ok_or(FrameError::Truncated);
         let version = take(1)? as u8;
         if version != VERSION {
             return Err(FrameError::Version(version));
--- a/crates/millethook-lease/src/token.rs
+++ b/crates/millethook-lease/src/token.rs
@@ -37,8 +37,8 @@
 
     /// Takes a token from the front of a message; None: there are fewer than [`Token::LENGTH`] bytes.
     pub fn read(bytes: &mut &[u8]) -> Option<Token> {
-        let (epoch, counter) = (codec::epoch(bytes)?, codec::word(bytes)?);
-        Some(Token { epoch, counter, owner: codec::short(bytes)? })
+        let (epoch, counter) = (codec::take_epoch(bytes)?, codec::take_u32(bytes)?);
+        Some(Token { epoch, counter, owner: codec::take_u16(bytes)? })
     }
 }
 
--- a/crates/millethook-machine/src/codec.rs
+++ b/crates/millethook-machine/src/codec.rs
@@ -25,22 +25,22 @@
 const EPOCH_MASK: u64 = (1 << (8 * EPOCH_BYTES)) - 1;
 
 /// Takes an unsigned number of 1 to 8 bytes from the front; None: there is less, and nothing was taken.
-pub fn uint(bytes: &mut &[u8], width: usize) -> Option<u64> {
+pub fn take_uint(bytes: &mut &[u8], width: usize) -> Option<u64> {
     bytes.try_get_uint(width).ok()
 }
 
 /// Takes a number of one byte; None: there is none.
-pub fn byte(bytes: &mut &[u8]) -> Option<u8> {
+pub fn take_u8(bytes: &mut &[u8]) -> Option<u8> {
     bytes.try_get_u8().ok()
 }
 
 /// Takes a number of two bytes; None: there are fewer.
-pub fn short(bytes: &mut &[u8]) -> Option<u16> {
+pub fn take_u16(bytes: &mut &[u8]) -> Option<u16> {
     bytes.try_get_u16().ok()
 }
 
 /// Takes a number of four bytes; None: there are fewer.
-pub fn word(bytes: &mut &[u8]) -> Option<u32> {
+pub fn take_u32(bytes: &mut &[u8]) -> Option<u32> {
     bytes.try_get_u32().ok()
 }
 
@@ -50,8 +50,8 @@
 }
 
 /// Takes an epoch of 48 bits; None: there are fewer bytes.
-pub fn epoch(bytes: &mut &[u8]) -> Option<u64> {
-    uint(bytes, EPOCH_BYTES)
+pub fn take_epoch(bytes: &mut &[u8]) -> Option<u64> {
+    take_uint(bytes, EPOCH_BYTES)
 }
 
 /// Adds what `write` writes, if the whole then has at most `longest` and at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) bytes;
