--- a/crates/millethook-handover/src/incumbent.rs
+++ b/crates/millethook-handover/src/active_process.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use crate::seat::line;
+use crate::endpoint::line;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream as AsyncStream;
 use tokio::time::timeout;
@@ -16,27 +16,27 @@
 const SILENCE: Duration = Duration::from_secs(2);
 
 /// The process that holds the seat.
-pub struct Incumbent {
+pub struct ActiveProcess {
     stream: AsyncStream,
 }
 
-impl Incumbent {
+impl ActiveProcess {
     /// The process that holds the seat at `path`; None: nobody does. To be asked before the seat is taken. Must be called
     /// within a runtime.
-    pub fn at(path: &Path) -> Option<Incumbent> {
+    pub fn connect(path: &Path) -> Option<ActiveProcess> {
         let stream = UnixStream::connect(path).ok()?;
         stream.set_nonblocking(true).ok()?;
-        Some(Incumbent { stream: AsyncStream::from_std(stream).ok()? })
+        Some(ActiveProcess { stream: AsyncStream::from_std(stream).ok()? })
     }
 
     /// The process that stands in line for the seat at `path`, or that holds it by now. For one that a later one has
     /// overtaken in line.
-    pub fn overtaking(path: &Path) -> Option<Incumbent> {
-        Incumbent::at(&line(path)).or_else(|| Incumbent::at(path))
+    pub fn connect_next(path: &Path) -> Option<ActiveProcess> {
+        ActiveProcess::connect(&line(path)).or_else(|| ActiveProcess::connect(path))
     }
 
     /// Waits until it has ended, or says nothing.
-    pub async fn ended(mut self) {
+    pub async fn wait_until_ended(mut self) {
         while let Ok(Ok(_)) = timeout(SILENCE, self.answer()).await {
             // Nothing comes unasked but the end.
             if let Ok(Err(_)) = timeout(INTERVAL, self.stream.read_u8()).await {
--- a/crates/millethook-handover/src/seat.rs
+++ b/crates/millethook-handover/src/endpoint.rs
@@ -24,7 +24,7 @@
 use crate::request_ids::{self, Claim};
 
 /// The seat, held. Dropped, it is given up unless somebody else holds it by now.
-pub struct Seat {
+pub struct HandoverEndpoint {
     listener: UnixListener,
     path: PathBuf,
     /// The file's number, by which to tell one's own seat from a successor's.
@@ -33,25 +33,25 @@
     had: Cell<bool>,
 }
 
-impl Seat {
+impl HandoverEndpoint {
     /// Takes the seat at `path` from whoever holds it. Must be called within a runtime.
     ///
     /// # Errors
     /// The folder cannot be written to, or the path is too long for a socket (107 bytes).
-    pub fn take(path: &Path) -> io::Result<Seat> {
-        Seat::at(path, path)
+    pub fn bind(path: &Path) -> io::Result<HandoverEndpoint> {
+        HandoverEndpoint::bind_at(path, path)
     }
 
     /// Stands in line for the seat at `path`, before any other that does. Must be called within a runtime.
     ///
     /// # Errors
-    /// As [`Seat::take`].
-    pub fn stand_in_line(path: &Path) -> io::Result<Seat> {
-        Seat::at(path, &line(path))
+    /// As [`HandoverEndpoint::bind`].
+    pub fn bind_as_next(path: &Path) -> io::Result<HandoverEndpoint> {
+        HandoverEndpoint::bind_at(path, &line(path))
     }
 
     /// Binds a socket and has it found at `place`.
-    fn at(path: &Path, place: &Path) -> io::Result<Seat> {
+    fn bind_at(path: &Path, place: &Path) -> io::Result<HandoverEndpoint> {
         let own = path.with_extension(std::process::id().to_string());
         // One that a process of the same number left behind.
         let _ = std::fs::remove_file(&own);
@@ -63,7 +63,7 @@
         match taken {
             Ok(inode) => {
                 let had = Cell::new(path == place);
-                Ok(Seat { listener, path: path.to_owned(), inode, had })
+                Ok(HandoverEndpoint { listener, path: path.to_owned(), inode, had })
             }
             Err(e) => {
                 let _ = std::fs::remove_file(&own);
@@ -75,7 +75,7 @@
     /// The next process that has connections to pass on. Cancel safe.
     ///
     /// Danger: a connection taken from another user could be anything, so only one's own user is heard.
-    pub async fn predecessor(&self) -> io::Result<Predecessor> {
+    pub async fn accept_predecessor(&self) -> io::Result<Predecessor> {
         loop {
             let (stream, _) = self.listener.accept().await?;
             if stream.peer_cred()?.uid() == rustix::process::getuid().as_raw() {
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// The folder cannot be written to.
-    pub fn take_turn(&self) -> io::Result<bool> {
+    pub fn promote(&self) -> io::Result<bool> {
         if self.is_at(&self.path) {
             return Ok(true);
         }
@@ -117,7 +117,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for HandoverEndpoint {
     fn drop(&mut self) {
         let line = line(&self.path);
         // Danger: whoever is in line may take the seat between a look at it and its removal. What is left of a process
@@ -260,15 +260,15 @@
     #[tokio::test]
     async fn connections_go_to_whoever_took_the_seat_last_with_their_unread_bytes() {
         let path = path("passes");
-        let old = Seat::take(&path).unwrap();
+        let old = HandoverEndpoint::bind(&path).unwrap();
         assert!(old.successor().is_none(), "it holds the seat itself");
-        let new = Seat::take(&path).unwrap();
+        let new = HandoverEndpoint::bind(&path).unwrap();
         let successor = old.successor().expect("a successor");
         let (mut client, served) = pair();
         client.write_all(b"unread").unwrap();
         successor.pass(&served, 7).unwrap();
         drop((served, successor));
-        let predecessor = new.predecessor().await.unwrap();
+        let predecessor = new.accept_predecessor().await.unwrap();
         let Some(Passed::Connection(mut passed, byte)) = predecessor.next().await.unwrap() else {
             panic!("a connection expected");
         };
@@ -290,8 +290,8 @@
     #[tokio::test]
     async fn a_successor_that_died_takes_nothing() {
         let path = path("died");
-        let old = Seat::take(&path).unwrap();
-        let new = Seat::take(&path).unwrap();
+        let old = HandoverEndpoint::bind(&path).unwrap();
+        let new = HandoverEndpoint::bind(&path).unwrap();
         let successor = old.successor().expect("a successor");
         drop(new);
         let (_client, served) = pair();
@@ -302,8 +302,8 @@
     #[tokio::test]
     async fn a_full_way_refuses_and_loses_nothing() {
         let path = path("full");
-        let old = Seat::take(&path).unwrap();
-        let new = Seat::take(&path).unwrap();
+        let old = HandoverEndpoint::bind(&path).unwrap();
+        let new = HandoverEndpoint::bind(&path).unwrap();
         let successor = old.successor().expect("a successor");
         let (_client, served) = pair();
         let mut passed = 0;
@@ -316,7 +316,7 @@
         };
         assert!(passed > 0, "{full}");
         drop(successor);
-        let predecessor = new.predecessor().await.unwrap();
+        let predecessor = new.accept_predecessor().await.unwrap();
         for _ in 0..passed {
             assert!(predecessor.next().await.unwrap().is_some());
         }
--- a/crates/millethook-handover/tests/request_ids.rs
+++ b/crates/millethook-handover/tests/request_ids.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use millethook_handover::incumbent::Incumbent;
-use millethook_handover::seat::{Passed, Predecessor, Seat, Successor};
+use millethook_handover::active_process::ActiveProcess;
+use millethook_handover::endpoint::{HandoverEndpoint, Passed, Predecessor, Successor};
 use tokio::time::timeout;
 
 fn path(name: &str) -> PathBuf {
@@ -12,12 +12,12 @@
 }
 
 /// A process that hands over, and the one that follows it.
-async fn handing_over(name: &str) -> (Successor, Predecessor, [Seat; 2]) {
+async fn handing_over(name: &str) -> (Successor, Predecessor, [HandoverEndpoint; 2]) {
     let path = path(name);
-    let old = Seat::take(&path).unwrap();
-    let new = Seat::take(&path).unwrap();
+    let old = HandoverEndpoint::bind(&path).unwrap();
+    let new = HandoverEndpoint::bind(&path).unwrap();
     let successor = old.successor().expect("a successor");
-    let predecessor = new.predecessor().await.unwrap();
+    let predecessor = new.accept_predecessor().await.unwrap();
     (successor, predecessor, [old, new])
 }
 
@@ -56,16 +56,19 @@
 #[tokio::test]
 async fn an_incumbent_is_waited_for_until_it_ends_or_says_nothing() {
     let path = path("incumbent");
-    assert!(Incumbent::at(&path).is_none(), "nobody is there");
-    let old = Seat::take(&path).unwrap();
-    let ended = tokio::spawn(Incumbent::at(&path).expect("an incumbent").ended());
-    let asking = old.predecessor().await.unwrap();
+    assert!(ActiveProcess::connect(&path).is_none(), "nobody is there");
+    let old = HandoverEndpoint::bind(&path).unwrap();
+    let ended =
+        tokio::spawn(ActiveProcess::connect(&path).expect("an incumbent").wait_until_ended());
+    let asking = old.accept_predecessor().await.unwrap();
     // It answers for as long as it is read, three questions here.
     assert!(timeout(Duration::from_millis(2500), asking.next()).await.is_err());
     assert!(!ended.is_finished());
     drop(asking);
     ended.await.unwrap();
-    let silent = Incumbent::at(&path).expect("an incumbent");
-    timeout(Duration::from_secs(10), silent.ended()).await.expect("its silence has an end");
+    let silent = ActiveProcess::connect(&path).expect("an incumbent");
+    timeout(Duration::from_secs(10), silent.wait_until_ended())
+        .await
+        .expect("its silence has an end");
     drop(old);
 }
--- a/crates/plankvale/src/succession.rs
+++ b/crates/plankvale/src/succession.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use millethook_engine::names::stable_hash;
-use millethook_handover::incumbent::Incumbent;
-use millethook_handover::seat::{Passed, Predecessor, Seat, Successor};
+use millethook_handover::active_process::ActiveProcess;
+use millethook_handover::endpoint::{HandoverEndpoint, Passed, Predecessor, Successor};
 use millethook_http::guard::RequestIdRegistry;
 use millethook_http::ingress::{self, Ingress};
 use tokio::net::TcpStream;
@@ -23,11 +23,11 @@
 /// The place of this process among those of one sidecar.
 pub struct Place {
     /// The seat, from which the next process can be found.
-    pub seat: Rc<Seat>,
+    pub seat: Rc<HandoverEndpoint>,
     /// Where that is.
     path: PathBuf,
     /// Who held it before.
-    incumbent: Option<Incumbent>,
+    incumbent: Option<ActiveProcess>,
     /// Whether the process before this one has begun to hand over.
     begun: watch::Sender<bool>,
 }
@@ -40,10 +40,10 @@
         // A name may hold what no file's name can, and a socket's path is short.
         let file = format!("plankvale-{:016x}.seat", stable_hash(name.as_bytes()));
         let path = PathBuf::from(folder).join(file);
-        let incumbent = Incumbent::at(&path);
+        let incumbent = ActiveProcess::connect(&path);
         let seat = match incumbent {
-            Some(_) => Seat::stand_in_line(&path),
-            None => Seat::take(&path),
+            Some(_) => HandoverEndpoint::bind_as_next(&path),
+            None => HandoverEndpoint::bind(&path),
         };
         match seat {
             Ok(seat) => {
@@ -75,11 +75,11 @@
             while let Some(before) = incumbent {
                 let handed_over = tokio::select! {
                     _ = turn.wait_for(|begun| *begun) => true,
-                    () = before.ended() => false,
+                    () = before.wait_until_ended() => false,
                 };
-                incumbent = match seat.take_turn() {
+                incumbent = match seat.promote() {
                     // One that came later is next, and this one waits for that.
-                    Ok(false) if !handed_over => Incumbent::overtaking(&path),
+                    Ok(false) if !handed_over => ActiveProcess::connect_next(&path),
                     Ok(_) => None,
                     Err(e) => {
                         tracing::warn!(event = "handover_off", "{}: {e}", path.display());
@@ -93,13 +93,13 @@
 
 /// Goes on with what processes before this one pass on.
 async fn adopt(
-    seat: Rc<Seat>,
+    seat: Rc<HandoverEndpoint>,
     ingress: Rc<Ingress>,
     ids: Rc<RequestIdRegistry>,
     begun: watch::Sender<bool>,
 ) {
     loop {
-        match seat.predecessor().await {
+        match seat.accept_predecessor().await {
             Ok(predecessor) => {
                 let taking = take_over(predecessor, ingress.clone(), ids.clone(), begun.clone());
                 drop(spawn_local(taking));
