--- a/crates/millethook-handover/src/endpoint.rs
+++ b/crates/millethook-handover/src/endpoint.rs
@@ -21,7 +21,7 @@
 use tokio::net::{UnixListener, UnixStream as AsyncStream};
 
 use crate::inherited::receive;
-use crate::request_ids::{self, Claim};
+use crate::request_ids::{self, ReservationRequest};
 
 /// The seat, held. Dropped, it is given up unless somebody else holds it by now.
 pub struct HandoverEndpoint {
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// Tells the successor which ids are in use here. From then on it is asked by [`Successor::claim`] for others.
+    /// Tells the successor which ids are in use here. From then on it is asked by [`Successor::reserve_id`] for others.
     ///
     /// # Errors
     /// As for a connection; or there is no memory for the ids.
@@ -174,13 +174,13 @@
         self.pass(request_ids::written(ids)?, request_ids::IDS)
     }
 
-    /// Asks the successor to take an id for this process. The answer is [`request_ids::Asked::granted`].
+    /// Asks the successor to take an id for this process. The answer is [`request_ids::PendingReservation::granted`].
     ///
     /// # Errors
     /// As for a connection.
-    pub fn claim(&self, id: u64) -> io::Result<request_ids::Asked> {
-        let (asked, theirs) = request_ids::Asked::new(id)?;
-        self.pass(theirs, request_ids::CLAIM)?;
+    pub fn reserve_id(&self, id: u64) -> io::Result<request_ids::PendingReservation> {
+        let (asked, theirs) = request_ids::PendingReservation::new(id)?;
+        self.pass(theirs, request_ids::RESERVATION)?;
         Ok(asked)
     }
 }
@@ -192,13 +192,13 @@
 
 /// What a process passes on.
 #[derive(Debug)]
-pub enum Passed {
+pub enum HandoverItem {
     /// A connection, not blocking, and its byte.
     Connection(TcpStream, u8),
     /// The ids of requests that are open there.
     Ids(Vec<u64>),
     /// It wants to take one more id.
-    Claim(Claim),
+    Reservation(ReservationRequest),
 }
 
 impl Predecessor {
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     /// The way to the other process broke.
-    pub async fn next(&self) -> io::Result<Option<Passed>> {
+    pub async fn next(&self) -> io::Result<Option<HandoverItem>> {
         loop {
             self.stream.readable().await?;
             let got = self.stream.try_io(Interest::READABLE, || {
@@ -221,12 +221,16 @@
                     let socket = Socket::from(fd);
                     let tcp = socket.peer_addr().is_ok_and(|peer| peer.as_socket().is_some());
                     if tcp && socket.set_nonblocking(true).is_ok() {
-                        return Ok(Some(Passed::Connection(socket.into(), byte)));
+                        return Ok(Some(HandoverItem::Connection(socket.into(), byte)));
                     }
                     let passed = match byte {
                         _ if tcp => None,
-                        request_ids::IDS => request_ids::read(socket.into()).map(Passed::Ids).ok(),
-                        request_ids::CLAIM => Claim::read(socket.into()).map(Passed::Claim).ok(),
+                        request_ids::IDS => {
+                            request_ids::read(socket.into()).map(HandoverItem::Ids).ok()
+                        }
+                        request_ids::RESERVATION => ReservationRequest::read(socket.into())
+                            .map(HandoverItem::Reservation)
+                            .ok(),
                         _ => None,
                     };
                     if passed.is_some() {
@@ -269,7 +273,8 @@
         successor.pass(&served, 7).unwrap();
         drop((served, successor));
         let predecessor = new.accept_predecessor().await.unwrap();
-        let Some(Passed::Connection(mut passed, byte)) = predecessor.next().await.unwrap() else {
+        let Some(HandoverItem::Connection(mut passed, byte)) = predecessor.next().await.unwrap()
+        else {
             panic!("a connection expected");
         };
         assert_eq!(byte, 7);
--- a/crates/millethook-handover/src/request_ids.rs
+++ b/crates/millethook-handover/src/request_ids.rs
@@ -19,7 +19,7 @@
 /// The byte that goes with a file of ids.
 pub(crate) const IDS: u8 = 2;
 /// The byte that goes with a claim.
-pub(crate) const CLAIM: u8 = 3;
+pub(crate) const RESERVATION: u8 = 3;
 /// The most ids that are taken over. More are not in use at any process.
 const MAX_IDS: u64 = 1 << 17;
 /// How long a claim waits for its answer.
@@ -50,15 +50,15 @@
 
 /// A claim that waits for its answer.
 #[derive(Debug)]
-pub struct Asked(UnixStream);
+pub struct PendingReservation(UnixStream);
 
-impl Asked {
+impl PendingReservation {
     /// A claim for an id, and what goes to the process that is asked.
-    pub(crate) fn new(id: u64) -> io::Result<(Asked, UnixStream)> {
+    pub(crate) fn new(id: u64) -> io::Result<(PendingReservation, UnixStream)> {
         let (mut ours, theirs) = UnixStream::pair()?;
         ours.write_all(&id.to_le_bytes())?;
         ours.set_nonblocking(true)?;
-        Ok((Asked(ours), theirs))
+        Ok((PendingReservation(ours), theirs))
     }
 
     /// Whether the id may be used. It may as well where the process that is asked has ended or keeps no ids: nobody
@@ -72,20 +72,20 @@
 
 /// A claim of another process.
 #[derive(Debug)]
-pub struct Claim {
+pub struct ReservationRequest {
     /// The id that it wants to take.
     pub id: u64,
     stream: UnixStream,
 }
 
-impl Claim {
+impl ReservationRequest {
     /// The claim at this end of a socket pair.
-    pub(crate) fn read(end: OwnedFd) -> io::Result<Claim> {
+    pub(crate) fn read(end: OwnedFd) -> io::Result<ReservationRequest> {
         let mut stream = UnixStream::from(end);
         stream.set_nonblocking(true)?;
         let mut id = [0; ID_BYTES];
         stream.read_exact(&mut id)?;
-        Ok(Claim { id: u64::from_le_bytes(id), stream })
+        Ok(ReservationRequest { id: u64::from_le_bytes(id), stream })
     }
 
     /// Answers it. Who has asked may have gone.
--- a/crates/millethook-handover/tests/request_ids.rs
+++ b/crates/millethook-handover/tests/request_ids.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use millethook_handover::active_process::ActiveProcess;
-use millethook_handover::endpoint::{HandoverEndpoint, Passed, Predecessor, Successor};
+use millethook_handover::endpoint::{HandoverEndpoint, HandoverItem, Predecessor, Successor};
 use tokio::time::timeout;
 
 fn path(name: &str) -> PathBuf {
@@ -26,12 +26,12 @@
     let (successor, predecessor, _seats) = handing_over("order").await;
     let ids: Vec<u64> = (0..30_000).map(|n| n * 0x9e37_79b9).collect();
     successor.pass_ids(&ids).unwrap();
-    let claims = [7, 8].map(|id| successor.claim(id).unwrap());
+    let claims = [7, 8].map(|id| successor.reserve_id(id).unwrap());
     drop(successor);
-    let Some(Passed::Ids(passed)) = predecessor.next().await.unwrap() else { panic!("ids") };
+    let Some(HandoverItem::Ids(passed)) = predecessor.next().await.unwrap() else { panic!("ids") };
     assert_eq!(passed, ids);
     for (id, granted) in [(7, true), (8, false)] {
-        let Some(Passed::Claim(claim)) = predecessor.next().await.unwrap() else {
+        let Some(HandoverItem::Reservation(claim)) = predecessor.next().await.unwrap() else {
             panic!("a claim")
         };
         assert_eq!(claim.id, id);
@@ -45,9 +45,9 @@
 #[tokio::test]
 async fn a_claim_is_granted_by_a_process_that_ends_and_waits_for_no_other_for_long() {
     let (successor, predecessor, _seats) = handing_over("claim").await;
-    let unread = successor.claim(1).unwrap();
+    let unread = successor.reserve_id(1).unwrap();
     assert_eq!(unread.granted().await, None, "nobody has answered");
-    let claim = successor.claim(2).unwrap();
+    let claim = successor.reserve_id(2).unwrap();
     drop(predecessor);
     assert_eq!(claim.granted().await, Some(true));
 }
--- a/crates/plankvale/src/succession.rs
+++ b/crates/plankvale/src/succession.rs
@@ -9,7 +9,7 @@
 
 use millethook_engine::names::stable_hash;
 use millethook_handover::active_process::ActiveProcess;
-use millethook_handover::endpoint::{HandoverEndpoint, Passed, Predecessor, Successor};
+use millethook_handover::endpoint::{HandoverEndpoint, HandoverItem, Predecessor, Successor};
 use millethook_http::guard::RequestIdRegistry;
 use millethook_http::ingress::{self, Ingress};
 use tokio::net::TcpStream;
@@ -129,13 +129,13 @@
             begun.send_replace(true);
         }
         match passed {
-            Ok(Some(Passed::Connection(socket, asked))) => {
+            Ok(Some(HandoverItem::Connection(socket, asked))) => {
                 let Ok(socket) = TcpStream::from_std(socket) else { continue };
                 ingress.adopt(socket, asked != 0).await;
                 taken += 1;
             }
-            Ok(Some(Passed::Ids(open))) => ids.add_in_use(open),
-            Ok(Some(Passed::Claim(claim))) => {
+            Ok(Some(HandoverItem::Ids(open))) => ids.add_in_use(open),
+            Ok(Some(HandoverItem::Reservation(claim))) => {
                 let granted = ids.reserve_hash(claim.id);
                 claim.answer(granted);
             }
@@ -165,7 +165,7 @@
     }
 
     fn reserve_id(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>> {
-        match self.0.claim(id) {
+        match self.0.reserve_id(id) {
             Ok(asked) => Box::pin(asked.granted()),
             // So much is under way to it that no more fits.
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Box::pin(ready(None)),
