--- a/crates/millethook-admin/src/lib.rs
+++ b/crates/millethook-admin/src/lib.rs
@@ -39,7 +39,7 @@
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// What operators may ask of a process.
-pub trait Operator {
+pub trait ProcessStatus {
     /// Whether it serves.
     fn is_ready(&self) -> bool;
     /// Its figures, as StatsD lines.
@@ -47,7 +47,7 @@
 }
 
 /// Answers operators for as long as it is polled. Must run within a `LocalSet`.
-pub async fn serve(listener: TcpListener, operator: Rc<dyn Operator>) {
+pub async fn serve(listener: TcpListener, operator: Rc<dyn ProcessStatus>) {
     let callers: Rc<RefCell<VecDeque<AbortHandle>>> = Rc::default();
     loop {
         let socket = match listener.accept().await {
@@ -70,7 +70,7 @@
     }
 }
 
-async fn call(socket: TcpStream, operator: Rc<dyn Operator>) {
+async fn call(socket: TcpStream, operator: Rc<dyn ProcessStatus>) {
     let service = service_fn(|request| {
         let answer = answer(&request, &*operator);
         async move { Ok::<_, Infallible>(answer) }
@@ -84,7 +84,7 @@
     let _ = timeout(PATIENCE, connection).await;
 }
 
-fn answer<B>(request: &Request<B>, operator: &dyn Operator) -> Response<Full<Bytes>> {
+fn answer<B>(request: &Request<B>, operator: &dyn ProcessStatus) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     match request.uri().path() {
         "/v1/readyz" | "/v1/metrics" if request.method() != Method::GET => {
--- a/crates/millethook-admin/src/statsd.rs
+++ b/crates/millethook-admin/src/statsd.rs
@@ -7,11 +7,11 @@
 /// What stands before each name.
 const PREFIX: &str = "sidecar";
 
-/// Lines of figures.
+/// StatsdLines of figures.
 #[derive(Debug, Default)]
-pub struct Lines(String);
+pub struct StatsdLines(String);
 
-impl Lines {
+impl StatsdLines {
     /// A count since the start.
     pub fn count(&mut self, name: impl Display, value: u64) {
         let _ = writeln!(self.0, "{PREFIX}.{name}:{value}|c");
@@ -29,7 +29,7 @@
 }
 
 /// The figures of an engine.
-pub fn engine(lines: &mut Lines, engine: &Engine) {
+pub fn write_engine_metrics(lines: &mut StatsdLines, engine: &Engine) {
     for (class, of) in engine.figures.by_class() {
         let class = Name(&class);
         lines.count(format_args!("succeeded.{class}"), of.succeeded);
@@ -63,7 +63,7 @@
 
     #[test]
     fn lines_read_as_statsd_does() {
-        let mut lines = Lines::default();
+        let mut lines = StatsdLines::default();
         lines.count(format_args!("succeeded.{}", Name("log-page")), 812);
         lines.gauge("outstanding", 14);
         lines.count(Name("a:1|c\nb @x#y"), 0);
--- a/crates/plankvale/src/distribution/figures.rs
+++ b/crates/plankvale/src/distribution/figures.rs
@@ -1,12 +1,12 @@
 //! Figures of distribution, at the operators' address.
 
-use millethook_admin::statsd::Lines;
+use millethook_admin::statsd::StatsdLines;
 use millethook_engine::distribution::{Distribution, Scope};
 use millethook_engine::server_lists::ListRole;
 
 /// Adds the figures.
 pub fn write(
-    lines: &mut Lines,
+    lines: &mut StatsdLines,
     distribution: &Distribution,
     committed_to_in_force_ms: Option<u64>,
 ) {
@@ -48,7 +48,7 @@
 }
 
 /// Adds the figures of the list of servers that comes by distribution.
-pub fn write_list(lines: &mut Lines, role: &ListRole) {
+pub fn write_list(lines: &mut StatsdLines, role: &ListRole) {
     match role {
         ListRole::Publisher(publisher) => {
             let figures = publisher.figures();
--- a/crates/plankvale/src/operated.rs
+++ b/crates/plankvale/src/operated.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use millethook_admin::{Operator, statsd};
+use millethook_admin::{ProcessStatus, statsd};
 use millethook_engine::Engine;
 use millethook_engine::fleet::Fleet;
 use millethook_http::edge::Edge;
@@ -12,7 +12,7 @@
 use crate::distribution::{Spool, write_figures, write_list_figures};
 
 /// What `plankvale fleet` reads.
-fn view(lines: &mut statsd::Lines, fleet: &Fleet, strangers: u64) {
+fn view(lines: &mut statsd::StatsdLines, fleet: &Fleet, strangers: u64) {
     let (counts, figures) = (fleet.counts(), fleet.figures());
     lines.gauge("fleet.unknown", counts.unknown);
     lines.gauge("fleet.alive", counts.alive);
@@ -97,14 +97,14 @@
     }
 }
 
-impl Operator for Operated {
+impl ProcessStatus for Operated {
     fn is_ready(&self) -> bool {
         !self.stopping.get() && self.ingress.is_ready()
     }
 
     fn metrics(&self) -> String {
-        let mut lines = statsd::Lines::default();
-        statsd::engine(&mut lines, &self.engine);
+        let mut lines = statsd::StatsdLines::default();
+        statsd::write_engine_metrics(&mut lines, &self.engine);
         if let Some(membership_store) = &self.engine.membership_store {
             let (counts, writes) = (membership_store.counts(), membership_store.writes());
             lines.gauge("membership.live", counts.live);
