--- a/crates/millethook-config/src/lib.rs
+++ b/crates/millethook-config/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// The whole file. A section that is not there is None: what it configures is off.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Product {
+pub struct ProductConfig {
     /// `[log]`
     pub log: Log,
     /// `[membership]`
@@ -235,12 +235,12 @@
     lines.join("\n")
 }
 
-impl Product {
+impl ProductConfig {
     /// Reads a file.
     ///
     /// # Errors
     /// The file cannot be read, or has faults; all of them are told.
-    pub fn from_file(path: &Path) -> Result<Product, Error> {
+    pub fn from_file(path: &Path) -> Result<ProductConfig, Error> {
         let io = |cause| Error::Io { path: path.to_owned(), cause };
         let size = std::fs::metadata(path).map_err(io)?.len();
         if size > LARGEST {
@@ -249,16 +249,16 @@
         }
         let text = std::fs::read_to_string(path).map_err(io)?;
         let faults = |faults| Error::Faults { path: path.to_owned(), faults };
-        Product::from_toml(&text).map_err(faults)
+        ProductConfig::from_toml(&text).map_err(faults)
     }
 
     /// Reads the file's text.
     ///
     /// # Errors
     /// All faults, by line.
-    pub fn from_toml(text: &str) -> Result<Product, Vec<Fault>> {
+    pub fn from_toml(text: &str) -> Result<ProductConfig, Vec<Fault>> {
         let mut r = Reader::parse(text)?;
-        let mut product = Product::default();
+        let mut product = ProductConfig::default();
         r.section("log", |r| {
             let format = r.word("format", &["text", "json"]);
             product.log.format = match format.as_deref() {
--- a/crates/millethook-config/tests/file.rs
+++ b/crates/millethook-config/tests/file.rs
@@ -1,30 +1,30 @@
 //! The file as people write it, with and without mistakes.
 
-use millethook_config::{Failover, Fault, Fleet, LogFormat, Membership, Product, Reuse};
+use millethook_config::{Failover, Fault, Fleet, LogFormat, Membership, ProductConfig, Reuse};
 use proptest::prelude::*;
 
 /// The reference that is shipped.
 const REFERENCE: &str = include_str!("../../../deploy/millethook.toml");
 
 fn faults(text: &str) -> Vec<String> {
-    Product::from_toml(text).expect_err("unsound").iter().map(Fault::to_string).collect()
+    ProductConfig::from_toml(text).expect_err("unsound").iter().map(Fault::to_string).collect()
 }
 
 #[test]
 fn an_empty_file_turns_nothing_on() {
-    assert_eq!(Product::from_toml("").expect("sound"), Product::default());
+    assert_eq!(ProductConfig::from_toml("").expect("sound"), ProductConfig::default());
 }
 
 /// The reference shows each key with its default; uncommented, it is what an empty section means.
 #[test]
 fn the_reference_is_sound_and_shows_the_defaults() {
-    assert_eq!(Product::from_toml(REFERENCE).expect("sound"), Product::default());
+    assert_eq!(ProductConfig::from_toml(REFERENCE).expect("sound"), ProductConfig::default());
     let uncommented: String = REFERENCE
         .lines()
         .filter_map(|l| l.strip_prefix("#~ ").or((!l.starts_with('#')).then_some(l)))
         .flat_map(|line| [line, "\n"])
         .collect();
-    let product = Product::from_toml(&uncommented).expect("sound");
+    let product = ProductConfig::from_toml(&uncommented).expect("sound");
     let membership = product.membership.expect("a section");
     assert!(membership.snapshot.is_some() && membership.identity_header.is_some());
     let usual = Membership { snapshot: None, identity_header: None, ..membership };
@@ -32,7 +32,7 @@
     assert_eq!(product.failover, Some(Failover { copy_at_aim: true, slow_exponent: 6.0 }));
     assert_eq!(product.log.format, LogFormat::Text);
     assert_eq!(product.connections.reuse, Some(Reuse::Proven));
-    let empty = Product::from_toml("[fleet]\n").expect("sound").fleet;
+    let empty = ProductConfig::from_toml("[fleet]\n").expect("sound").fleet;
     let second = std::time::Duration::from_secs(1);
     let usual = Fleet {
         name: "millethook".into(),
@@ -100,7 +100,7 @@
     /// Whatever stands in a file, it is read or told; nothing else happens.
     #[test]
     fn no_text_brings_the_reader_down(text in "\\PC{0,200}") {
-        let _ = Product::from_toml(&text);
+        let _ = ProductConfig::from_toml(&text);
     }
 
     #[test]
@@ -112,7 +112,7 @@
         let mut text: String = plain.chars().filter(char::is_ascii).collect();
         let at = at.index(text.len());
         text.replace_range(at..at + 1, &with);
-        if let Err(faults) = Product::from_toml(&text) {
+        if let Err(faults) = ProductConfig::from_toml(&text) {
             prop_assert!(!faults.is_empty() && faults.iter().all(|f| f.line >= 1));
         }
     }
@@ -121,7 +121,7 @@
 #[test]
 fn leases_need_a_fleet_and_an_odd_number_of_seats() {
     let fleet = "[fleet]\nshare_evidence = true\n";
-    assert!(Product::from_toml(&format!("{fleet}[lease]\ndead_servers = true\n")).is_ok());
+    assert!(ProductConfig::from_toml(&format!("{fleet}[lease]\ndead_servers = true\n")).is_ok());
     assert_eq!(faults("[lease]"), ["line 1: lease: a section [fleet] expected beside it"]);
     let alone = faults("[fleet]\n[lease]\ndead_servers = true");
     assert_eq!(
@@ -138,7 +138,7 @@
 fn kept_writes_need_a_folder_classes_and_leases() {
     let rest = "[fleet]\n[lease]\n[edge]\n";
     let whole = format!("{rest}folder = \"/var/edge\"\nclasses = [\"log-upload\"]\n");
-    let product = Product::from_toml(&whole).expect("sound");
+    let product = ProductConfig::from_toml(&whole).expect("sound");
     assert_eq!(product.edge.map(|e| e.classes), Some(vec!["log-upload".to_owned()]));
     let lacking = faults(rest);
     assert_eq!(
@@ -168,7 +168,7 @@
 
 #[test]
 fn distribution_names_where_a_sidecar_stands_and_its_control_nodes() {
-    let product = Product::from_toml(DISTRIBUTED).expect("sound");
+    let product = ProductConfig::from_toml(DISTRIBUTED).expect("sound");
     let of = product.distribution.expect("a section");
     assert_eq!(
         (of.region.as_str(), of.zone.as_str(), of.service.as_str()),
@@ -226,7 +226,8 @@
             "line 12: distribution.list: a section [membership] expected beside it: the list is one of its sources"
         ]
     );
-    let sound = |more: &str| Product::from_toml(&format!("{DISTRIBUTED}{more}")).expect("sound");
+    let sound =
+        |more: &str| ProductConfig::from_toml(&format!("{DISTRIBUTED}{more}")).expect("sound");
     let taker = sound("list = \"orders\"\n[membership]\n").distribution.expect("a section");
     assert_eq!((taker.list.as_deref(), taker.list_from_discovery), (Some("orders"), false));
     let source = sound("list = \"orders\"\nlist_from_discovery = true\n");
--- a/crates/millethook-engine/src/distribution/settings.rs
+++ b/crates/millethook-engine/src/distribution/settings.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use millethook_config::{ControlNode, Distribution, Product};
+use millethook_config::{ControlNode, Distribution, ProductConfig};
 use millethook_distribution::{ControlMember, DistributionConfig, DocumentKey, Identity, Limits};
 
 use super::{DistributionSettings, ListSettings, name_number};
@@ -15,7 +15,7 @@
 /// # Errors
 /// Names the invalid key.
 pub fn settings(
-    product: &Product,
+    product: &ProductConfig,
     (me, members): (u32, usize),
     seed: u64,
 ) -> Result<Option<DistributionSettings>, String> {
--- a/crates/millethook-engine/src/product.rs
+++ b/crates/millethook-engine/src/product.rs
@@ -3,7 +3,7 @@
 
 use coppercart::settings::{Failover, Settings};
 use http::{HeaderName, Uri};
-use millethook_config::{Membership, Product};
+use millethook_config::{Membership, ProductConfig};
 use millethook_connect::pool::{Limits, Reuse};
 use millethook_membership::store::Store;
 
@@ -17,7 +17,7 @@
 /// # Errors
 /// Names the key whose value is no valid path or header name.
 pub fn membership_store_config(
-    product: &Product,
+    product: &ProductConfig,
     name: &str,
 ) -> Result<Option<MembershipStoreConfig>, String> {
     let Some(section) = &product.membership else { return Ok(None) };
@@ -47,7 +47,7 @@
 }
 
 /// Applies the file's settings of decisions to `settings`.
-pub fn apply_decision_settings(product: &Product, settings: &mut Settings) {
+pub fn apply_decision_settings(product: &ProductConfig, settings: &mut Settings) {
     if let Some(section) = &product.failover {
         settings.failover =
             Failover { copy_at_aim: section.copy_at_aim, slow_exponent: section.slow_exponent };
@@ -55,7 +55,7 @@
 }
 
 /// Returns the limits on connections to one server; `defaults` where the file sets none.
-pub fn connection_limits(product: &Product, defaults: Limits) -> Limits {
+pub fn connection_limits(product: &ProductConfig, defaults: Limits) -> Limits {
     let configured = &product.connections;
     Limits {
         per_server: configured.per_server.unwrap_or(defaults.per_server),
@@ -66,7 +66,7 @@
 }
 
 /// Returns for how many requests a connection is reused, where the file sets it.
-pub fn configured_reuse(product: &Product) -> Option<Reuse> {
+pub fn configured_reuse(product: &ProductConfig) -> Option<Reuse> {
     product.connections.reuse.map(|configured| match configured {
         millethook_config::Reuse::Unlimited => Reuse::Unlimited,
         millethook_config::Reuse::Proven => Reuse::Proven,
@@ -81,7 +81,7 @@
 }
 
 /// Returns the settings of the fleet, if the file has a fleet section.
-pub fn fleet_settings(product: &Product) -> Option<FleetSettings> {
+pub fn fleet_settings(product: &ProductConfig) -> Option<FleetSettings> {
     let section = product.fleet.as_ref()?;
     Some(FleetSettings {
         name: section.name.clone(),
--- a/crates/millethook/src/config.rs
+++ b/crates/millethook/src/config.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use coppercart::settings::Settings;
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_connect::Begins;
 use millethook_connect::pool::{Limits, Reuse};
 use millethook_engine::fleet::FleetSettings;
@@ -175,7 +175,7 @@
     /// # Errors
     /// Names the file, and each key that is wrong with its line.
     pub fn with_product(mut self, path: impl AsRef<Path>) -> Result<FleetConfig, OpenError> {
-        let product = Product::from_file(path.as_ref());
+        let product = ProductConfig::from_file(path.as_ref());
         let product = product.map_err(|e| OpenError::Config(e.to_string()))?;
         let membership_store =
             product::membership_store_config(&product, &self.name).map_err(OpenError::Config)?;
--- a/crates/plankvale/src/cli.rs
+++ b/crates/plankvale/src/cli.rs
@@ -5,7 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use clap::{Parser, Subcommand};
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_membership::store;
 
 use crate::distribution::command::ConfigCommand;
@@ -94,7 +94,7 @@
 }
 
 fn check(file: &Path) -> Result<String, String> {
-    let product = Product::from_file(file).map_err(|e| e.to_string())?;
+    let product = ProductConfig::from_file(file).map_err(|e| e.to_string())?;
     let filter = product.log.filter.as_deref().unwrap_or("info");
     let wrong = |e| format!("{}: log.filter: {e}", file.display());
     filter.parse::<tracing_subscriber::EnvFilter>().map_err(wrong)?;
--- a/crates/plankvale/src/config.rs
+++ b/crates/plankvale/src/config.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use coppercart::settings::Settings;
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_connect::Begins;
 use millethook_engine::list::List;
 use serde::Deserialize;
@@ -53,7 +53,7 @@
     /// What settings in force are made of.
     pub(crate) source: SettingsSource,
     /// The product's own configuration, beside it.
-    pub product: Rc<Product>,
+    pub product: Rc<ProductConfig>,
 }
 
 /// What a file may lack though the one before it had it.
@@ -89,14 +89,14 @@
     /// Names the variable or the file, the key and what was expected.
     pub fn from_env(product: Option<&Path>) -> Result<Config, String> {
         let product = match product {
-            Some(path) => Product::from_file(path).map_err(|e| e.to_string())?,
-            None => Product::default(),
+            Some(path) => ProductConfig::from_file(path).map_err(|e| e.to_string())?,
+            None => ProductConfig::default(),
         };
         Config::of_platform(product.into())
     }
 
     /// Reads the platform's configuration.
-    fn of_platform(product: Rc<Product>) -> Result<Config, String> {
+    fn of_platform(product: Rc<ProductConfig>) -> Result<Config, String> {
         let var = |key: &str| match std::env::var(key) {
             Ok(value) if !value.is_empty() => Ok(Some(value)),
             Ok(_) | Err(std::env::VarError::NotPresent) => Ok(None),
@@ -128,7 +128,7 @@
     pub fn from_json(
         text: &[u8],
         env: [Option<String>; 3],
-        product: Rc<Product>,
+        product: Rc<ProductConfig>,
     ) -> Result<Config, String> {
         let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         let raw: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
--- a/crates/plankvale/src/follower.rs
+++ b/crates/plankvale/src/follower.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_engine::Engine;
 use millethook_engine::distribution::{Distribution, Document, DocumentKey};
 use millethook_http::edge::Edge;
@@ -26,7 +26,7 @@
     memory: usize,
     sockets: usize,
     peer_listen: Option<SocketAddr>,
-    product: Product,
+    product: ProductConfig,
 }
 
 impl Inert {
@@ -37,7 +37,7 @@
             sockets: config.sockets,
             peer_listen: config.peer_listen,
             // Settings follow the file at once; the rest of it is read at the start.
-            product: Product { failover: None, ..Product::clone(&config.product) },
+            product: ProductConfig { failover: None, ..ProductConfig::clone(&config.product) },
         }
     }
 
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -39,7 +39,7 @@
 use config::Config;
 use distribution::{Begun, Spool};
 use follower::{Follower, Inert};
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use operated::Operated;
 
 /// Connections that may wait to be accepted: a crowd comes within a second.
@@ -198,7 +198,7 @@
 
 /// Publishes what lies in the folder that the product's file names.
 fn take_requests(
-    product: &Product,
+    product: &ProductConfig,
     engine: &Engine,
     documents: Option<&Rc<Distribution>>,
 ) -> Result<Option<Rc<Spool>>, String> {
@@ -211,7 +211,7 @@
 
 /// Keeps writes where the product's file says so.
 fn keep_writes(
-    product: &Product,
+    product: &ProductConfig,
     engine: &Engine,
     ingress: &Ingress,
     storage: impl Storage,
--- a/crates/plankvale/src/tuning.rs
+++ b/crates/plankvale/src/tuning.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use coppercart::settings::Settings;
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_engine::names::Names;
 use millethook_engine::product::apply_decision_settings;
 use millethook_http::edge::add_replay_classes;
@@ -19,7 +19,7 @@
     settings: Value,
     /// Addresses of peers in the file.
     peers: usize,
-    product: Rc<Product>,
+    product: Rc<ProductConfig>,
 }
 
 /// Settings that were checked.
@@ -34,7 +34,7 @@
 
 impl SettingsSource {
     /// Those of a file that names so many peers.
-    pub fn new(settings: Value, peers: usize, product: Rc<Product>) -> SettingsSource {
+    pub fn new(settings: Value, peers: usize, product: Rc<ProductConfig>) -> SettingsSource {
         SettingsSource { settings, peers, product }
     }
 
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_http::edge::disk::Storage;
 use millethook_http::edge::folder::StoreFile;
 use millethook_testkit::*;
@@ -274,7 +274,7 @@
     storage: impl Storage,
     stop: impl Future<Output = ()>,
 ) {
-    let product = Rc::new(Product::from_file(product).expect("a product"));
+    let product = Rc::new(ProductConfig::from_file(product).expect("a product"));
     let config = Config::from_json(config.as_bytes(), [const { None }; 3], product);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let (_reload, reloads) = mpsc::channel(1);
