--- a/crates/millethook-engine/src/membership_store/tests.rs
+++ b/crates/millethook-engine/src/membership_store/tests.rs
@@ -16,7 +16,7 @@
         site: String::new(),
         class: String::new(),
         block: 0,
-        health: crate::list::Listed::Active,
+        health: crate::list::ListedState::Active,
         share: 1.0,
         born_ms: 0,
     };
--- a/crates/millethook-engine/src/server_lists/published.rs
+++ b/crates/millethook-engine/src/server_lists/published.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::position::ListPosition;
-use crate::list::{Host, Listed};
+use crate::list::{Host, ListedState};
 
 /// The format byte of a list.
 const LIST_FORMAT: u8 = 1;
@@ -75,9 +75,9 @@
             class: host.class.clone(),
             block: host.block,
             state: match host.health {
-                Listed::Active => 0,
-                Listed::Leaving => 1,
-                Listed::Left | Listed::Unknown => 2,
+                ListedState::Active => 0,
+                ListedState::Leaving => 1,
+                ListedState::Left | ListedState::Unknown => 2,
             },
             share: host.share,
             born_ms: host.born_ms,
@@ -86,9 +86,9 @@
 
     fn into_host(self) -> Result<Host, BodyError> {
         let health = match self.state {
-            0 => Listed::Active,
-            1 => Listed::Leaving,
-            2 => Listed::Unknown,
+            0 => ListedState::Active,
+            1 => ListedState::Leaving,
+            2 => ListedState::Unknown,
             other => return Err(BodyError::State(other)),
         };
         let Entry { host, dial, site, class, block, share, born_ms, .. } = self;
--- a/crates/millethook-engine/tests/server_lists.rs
+++ b/crates/millethook-engine/tests/server_lists.rs
@@ -4,13 +4,13 @@
 use std::time::{Duration, Instant};
 
 use millethook_engine::discovery::call_timing::fleet_spread_delay;
-use millethook_engine::list::{Host, List, Listed};
+use millethook_engine::list::{Host, List, ListedState};
 use millethook_engine::server_lists::*;
 use proptest::prelude::*;
 
 const FLEET: u32 = 60;
 
-fn host(n: usize, health: Listed) -> Host {
+fn host(n: usize, health: ListedState) -> Host {
     Host {
         host: format!("s-{n}"),
         dial: Some(([127, 0, 0, 1], 8000 + n as u16).into()),
@@ -24,7 +24,7 @@
 }
 
 fn hosts(count: usize) -> Vec<Host> {
-    (0..count).map(|n| host(n, Listed::Active)).collect()
+    (0..count).map(|n| host(n, ListedState::Active)).collect()
 }
 
 /// Returns a whole list of `count` servers.
@@ -57,7 +57,8 @@
 
 #[test]
 fn a_body_keeps_all_fields_of_the_servers() {
-    let states = [Listed::Active, Listed::Leaving, Listed::Unknown, Listed::Left];
+    let states =
+        [ListedState::Active, ListedState::Leaving, ListedState::Unknown, ListedState::Left];
     let hosts: Vec<Host> = states.into_iter().enumerate().map(|(n, s)| host(n, s)).collect();
     let list = PublishedList { position: position(2, 41), hosts };
     let body = list.encode().expect("encodes");
@@ -105,7 +106,7 @@
     let first = list_of(source.poll(now, ready_writer(None))).expect("published");
     assert_eq!(first.position, position(0, 4));
     assert_eq!(source.poll(now, ready_writer(None)), None, "a list is published only once");
-    source.on_list(false, &List { seq: 5, whole: false, hosts: vec![host(1, Listed::Left)] });
+    source.on_list(false, &List { seq: 5, whole: false, hosts: vec![host(1, ListedState::Left)] });
     let second = list_of(source.poll(now, ready_writer(Some(&first)))).expect("published");
     assert_eq!((second.position, second.hosts.len()), (position(0, 5), 1));
 }
@@ -231,13 +232,13 @@
     assert!(follower.watches_discovery());
     follower.on_discovered(
         false,
-        &List { seq: 9, whole: false, hosts: vec![host(0, Listed::Leaving)] },
+        &List { seq: 9, whole: false, hosts: vec![host(0, ListedState::Leaving)] },
     );
     assert_eq!(follower.on_published(fallback_at, &published(0, 8, 3)), Freshness::Older);
     assert!(!follower.on_confirmation(fallback_at, position(0, 8)));
     assert!(follower.watches_discovery(), "the control nodes are behind discovery");
     let mut newer = published(0, 10, 3);
-    newer.hosts[0].health = Listed::Leaving;
+    newer.hosts[0].health = ListedState::Leaving;
     assert_eq!(follower.on_published(fallback_at, &newer), Freshness::Newer);
     assert_eq!(follower.poll(fallback_at, FLEET, 0.0), Some(FollowerStep::StopWatching));
     // Discovery restarted while this sidecar watched it: the list of the control nodes from before is older.
--- a/crates/millethook-membership/src/list.rs
+++ b/crates/millethook-membership/src/list.rs
@@ -44,7 +44,7 @@
     #[serde(default)]
     pub block: u16,
     /// The state of its process.
-    pub health: Listed,
+    pub health: ListedState,
     /// Its relative capacity, as the settings define it.
     #[serde(default = "one")]
     pub share: f32,
@@ -56,7 +56,7 @@
 /// The state of a server's process in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Listed {
+pub enum ListedState {
     /// It takes requests.
     Active,
     /// It finishes the requests that it has and takes no new ones.
@@ -89,14 +89,14 @@
     /// The state of its process in the balancer's terms.
     pub fn state(&self) -> Health {
         match self.health {
-            Listed::Active => Health::Ready,
-            Listed::Leaving | Listed::Unknown => Health::Draining,
-            Listed::Left => Health::Gone,
+            ListedState::Active => Health::Ready,
+            ListedState::Leaving | ListedState::Unknown => Health::Draining,
+            ListedState::Left => Health::Gone,
         }
     }
 
     /// Whether it has left.
     pub fn is_gone(&self) -> bool {
-        matches!(self.health, Listed::Left)
+        matches!(self.health, ListedState::Left)
     }
 }
--- a/crates/millethook-membership/src/membership.rs
+++ b/crates/millethook-membership/src/membership.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 
-use crate::list::{List, Listed};
+use crate::list::{List, ListedState};
 use crate::mutant::{self, Mutant};
 use crate::{History, UnixMs};
 
@@ -83,7 +83,8 @@
     /// trials ten times rarer.
     fn usable(&self) -> impl Iterator<Item = &Knowledge> {
         let believed = self.servers.values().filter(|k| k.trust != Trust::Doubtful);
-        believed.filter(|k| k.host.health == Listed::Active || mutant::is(Mutant::DrainingUsable))
+        believed
+            .filter(|k| k.host.health == ListedState::Active || mutant::is(Mutant::DrainingUsable))
     }
 
     /// A random number below `n`; 0 if `n` is 0.
--- a/crates/millethook-membership/src/membership/check.rs
+++ b/crates/millethook-membership/src/membership/check.rs
@@ -4,7 +4,7 @@
 
 use super::{Knowledge, Membership, Source, Trust};
 use crate::UnixMs;
-use crate::list::Listed;
+use crate::list::ListedState;
 use crate::membership::trials::TRIALS_WITHOUT_ANSWER;
 use crate::snapshot::MAX_SERVERS;
 
@@ -30,7 +30,8 @@
         let not_live = self.servers.values().filter(|k| k.trust != Trust::Live).count();
         within(not_live, 2 * MAX_SERVERS, "what is remembered is bounded")?;
         rule(
-            self.usable().all(|k| k.trust != Trust::Doubtful && k.host.health == Listed::Active),
+            self.usable()
+                .all(|k| k.trust != Trust::Doubtful && k.host.health == ListedState::Active),
             "only active servers that are believed in are usable",
             &|| format!("{:?}", self.usable().map(|k| &k.host.host).collect::<Vec<_>>()),
         )?;
--- a/crates/millethook-membership/src/membership/lists.rs
+++ b/crates/millethook-membership/src/membership/lists.rs
@@ -6,7 +6,7 @@
 
 use super::{Knowledge, Membership, Source, Trust, Update};
 use crate::UnixMs;
-use crate::list::{List, Listed};
+use crate::list::{List, ListedState};
 use crate::mutant::{self, Mutant};
 
 /// Lists are never suspect while fewer servers than this are usable.
@@ -100,7 +100,7 @@
             return false;
         }
         let believed = self.usable().count();
-        let listed = list.hosts.iter().filter(|host| host.health == Listed::Active).count();
+        let listed = list.hosts.iter().filter(|host| host.health == ListedState::Active).count();
         believed >= GUARDED_FROM && (listed as f64) < self.config.suspect_share * believed as f64
     }
 
--- a/crates/millethook-membership/src/membership/remembered.rs
+++ b/crates/millethook-membership/src/membership/remembered.rs
@@ -2,7 +2,7 @@
 
 use super::{Knowledge, Membership, Source, Trust, Update};
 use crate::UnixMs;
-use crate::list::Listed;
+use crate::list::ListedState;
 use crate::mutant::{self, Mutant};
 use crate::snapshot::{Remembered, Snapshot};
 
@@ -18,7 +18,7 @@
         self.seq = self.seq.max(snapshot.seq);
         let mut usable = Vec::new();
         for Remembered { confirmed_ms, host } in snapshot.servers {
-            if host.health != Listed::Active || host.dial.is_none() {
+            if host.health != ListedState::Active || host.dial.is_none() {
                 continue;
             }
             let known = self.servers.get(&host.host);
@@ -62,7 +62,7 @@
     /// What is to be written to disk: all active servers.
     pub fn snapshot(&self, fleet: &str, now: UnixMs) -> Snapshot {
         let live_ms = self.lost_since.unwrap_or(now).min(now);
-        let kept = self.servers.values().filter(|k| k.host.health == Listed::Active);
+        let kept = self.servers.values().filter(|k| k.host.health == ListedState::Active);
         let mut servers: Vec<Remembered> = kept
             .map(|k| {
                 let live = k.trust == Trust::Live && k.source.is_live();
--- a/crates/millethook-membership/tests/common/script.rs
+++ b/crates/millethook-membership/tests/common/script.rs
@@ -1,14 +1,14 @@
 //! Random scripts of lists, snapshots, trials and time.
 
 use millethook_membership::TrialOutcome;
-use millethook_membership::list::Listed;
+use millethook_membership::list::ListedState;
 use proptest::prelude::*;
 
 /// Servers of a script.
 pub const SERVERS: usize = 14;
 
 /// An entry of a list: a server by number, its state, and when it last started.
-pub type Entry = (usize, Listed, u64);
+pub type Entry = (usize, ListedState, u64);
 
 /// A snapshot, by ages in seconds; an age below 0 is a time to come.
 #[derive(Clone, Debug)]
@@ -59,12 +59,12 @@
     Jump(u16),
 }
 
-fn health() -> impl Strategy<Value = Listed> {
+fn health() -> impl Strategy<Value = ListedState> {
     prop_oneof![
-        6 => Just(Listed::Active),
-        2 => Just(Listed::Leaving),
-        2 => Just(Listed::Left),
-        1 => Just(Listed::Unknown),
+        6 => Just(ListedState::Active),
+        2 => Just(ListedState::Leaving),
+        2 => Just(ListedState::Left),
+        1 => Just(ListedState::Unknown),
     ]
 }
 
--- a/crates/millethook-membership/tests/common/world.rs
+++ b/crates/millethook-membership/tests/common/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use millethook_membership::list::{Host, List, Listed};
+use millethook_membership::list::{Host, List, ListedState};
 use millethook_membership::snapshot::{Remembered, Snapshot};
 use millethook_membership::{
     Config, History, Membership, Source, Trial, TrialOutcome, Trust, UnixMs, Update,
@@ -29,9 +29,9 @@
     /// A live list has come.
     live: bool,
     /// What the balancer was told.
-    told: BTreeMap<String, Listed>,
+    told: BTreeMap<String, ListedState>,
     /// What it should know.
-    expected: BTreeMap<String, Listed>,
+    expected: BTreeMap<String, ListedState>,
     /// Servers of a list that is suspect, with the changes since, and until when it waits.
     held: Option<(BTreeSet<String>, UnixMs)>,
     trials: Vec<Trial>,
@@ -95,10 +95,10 @@
 }
 
 /// Sets what entries say of their servers, one after another.
-fn overlay(list: &mut BTreeMap<String, Listed>, hosts: &[Host]) {
+fn overlay(list: &mut BTreeMap<String, ListedState>, hosts: &[Host]) {
     for host in hosts {
         match host.health {
-            Listed::Left => list.remove(&host.host),
+            ListedState::Left => list.remove(&host.host),
             health => list.insert(host.host.clone(), health),
         };
     }
@@ -179,7 +179,7 @@
         history.observe(HOUR_MS, 20, old.departed);
         let remembered = |(n, age_s): &(usize, i64)| Remembered {
             confirmed_ms: at(*age_s),
-            host: host(&(*n, Listed::Active, 0)),
+            host: host(&(*n, ListedState::Active, 0)),
         };
         let snapshot = Snapshot {
             fleet: "f".into(),
@@ -216,11 +216,11 @@
 
     /// Usable servers, as they are believed in now.
     fn usable(&self) -> usize {
-        self.expected.values().filter(|health| **health == Listed::Active).count()
+        self.expected.values().filter(|health| **health == ListedState::Active).count()
     }
 
     fn whole(&mut self, list: &List) {
-        let active = list.hosts.iter().filter(|host| host.health == Listed::Active).count();
+        let active = list.hosts.iter().filter(|host| host.health == ListedState::Active).count();
         let usable = self.usable();
         let few = (active as f64) < self.config.suspect_share * usable as f64;
         let waits = self.held.as_ref().is_none_or(|(_, until)| self.now < *until);
@@ -246,7 +246,7 @@
         let hosts = self.expected.iter().map(|(name, health)| Host {
             host: name.clone(),
             health: *health,
-            ..host(&(0, Listed::Active, 0))
+            ..host(&(0, ListedState::Active, 0))
         });
         let list = List { seq: self.seq, whole: true, hosts: hosts.collect() };
         self.whole(&list);
@@ -264,7 +264,7 @@
         let Some((listed, _)) = &mut self.held else { return };
         for host in &list.hosts {
             match host.health {
-                Listed::Left => listed.remove(&host.host),
+                ListedState::Left => listed.remove(&host.host),
                 _ => listed.insert(host.host.clone()),
             };
         }
@@ -337,7 +337,7 @@
             *silent = 0;
         }
         if expected == Some(Trust::Live) && before == Some(Trust::Doubtful) {
-            self.expected.insert(name.clone(), Listed::Active);
+            self.expected.insert(name.clone(), ListedState::Active);
         }
         rule(after == expected, "a trial changes what it has shown", &|| {
             format!("{name}: {before:?}, {outcome:?}, {after:?}")
@@ -351,13 +351,13 @@
             format!("{:?}, expected {:?}", self.told, self.expected)
         })?;
         let believed = self.membership.servers().filter(|known| known.trust != Trust::Doubtful);
-        let believed: BTreeMap<String, Listed> =
+        let believed: BTreeMap<String, ListedState> =
             believed.map(|known| (known.host.host.clone(), known.host.health)).collect();
         rule(believed == self.told, "what is believed in is what the balancer was told", &|| {
             format!("{believed:?}, told {:?}", self.told)
         })?;
         let snapshot = self.membership.snapshot("f", self.now);
-        let active = |kept: &Remembered| kept.host.health == Listed::Active;
+        let active = |kept: &Remembered| kept.host.health == ListedState::Active;
         rule(snapshot.servers.iter().all(active), "only active servers are kept", &|| {
             format!("{:?}", snapshot.servers)
         })
--- a/crates/millethook-membership/tests/membership.rs
+++ b/crates/millethook-membership/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use millethook_membership::list::{Host, List, Listed};
+use millethook_membership::list::{Host, List, ListedState};
 use millethook_membership::snapshot::Snapshot;
 use millethook_membership::{Config, Membership, Source, TrialOutcome, Trust, UnixMs};
 
@@ -18,7 +18,7 @@
         site: "a".into(),
         class: String::new(),
         block: 0,
-        health: Listed::Active,
+        health: ListedState::Active,
         share: 1.0,
         born_ms: 0,
     }
@@ -28,7 +28,7 @@
     List { seq, whole, hosts: hosts.into_iter().collect() }
 }
 
-fn with(n: usize, health: Listed) -> Host {
+fn with(n: usize, health: ListedState) -> Host {
     Host { health, ..host(n) }
 }
 
@@ -126,7 +126,7 @@
     let told = m.apply_list(NOW + S, Source::Discovery, &list(6, true, []));
     assert!(told.is_empty() && m.counts().held && m.counts().live == 50);
     // One of 50 is too few as well; what it says in so many words holds at once.
-    let few = [with(7, Listed::Leaving), host(99)];
+    let few = [with(7, ListedState::Leaving), host(99)];
     let told = m.apply_list(NOW + 2 * S, Source::Discovery, &list(7, true, few));
     assert_eq!((names(&told.hosts), told.whole), (vec!["s-7", "s-99"], false));
     assert_eq!(m.on_time(NOW + 30 * S), None);
@@ -151,7 +151,7 @@
     let mut m = Membership::new(Config::default(), 1);
     m.apply_list(NOW, Source::Discovery, &list(5, true, (0..50).map(host)));
     m.apply_list(NOW + S, Source::Discovery, &list(6, true, []));
-    let gone = [with(3, Listed::Left), with(4, Listed::Leaving)];
+    let gone = [with(3, ListedState::Left), with(4, ListedState::Leaving)];
     let told = m.apply_list(NOW + 2 * S, Source::Discovery, &list(7, false, gone.clone()));
     assert_eq!(told.hosts, gone);
     assert_eq!(m.counts().live, 49);
@@ -199,7 +199,7 @@
 #[test]
 fn only_servers_that_serve_are_kept() {
     let mut m = Membership::new(Config::default(), 1);
-    let hosts = [host(1), with(2, Listed::Leaving), with(3, Listed::Left)];
+    let hosts = [host(1), with(2, ListedState::Leaving), with(3, ListedState::Left)];
     m.apply_list(NOW, Source::Discovery, &list(1, true, hosts));
     let kept = m.snapshot("f", NOW);
     let kept: Vec<_> = kept.servers.iter().map(|s| s.host.host.as_str()).collect();
@@ -256,16 +256,16 @@
     let mut m = Membership::new(Config::default(), 1);
     m.apply_list(NOW, Source::Discovery, &list(5, true, (0..50).map(host)));
     m.apply_list(NOW + S, Source::Discovery, &list(6, true, [host(3), host(4)]));
-    let later = [with(3, Listed::Left), with(4, Listed::Leaving), host(60)];
+    let later = [with(3, ListedState::Left), with(4, ListedState::Leaving), host(60)];
     m.apply_list(NOW + 2 * S, Source::Discovery, &list(7, false, later));
     let told = m.on_time(NOW + 31 * S).expect("nobody took it back");
     let health = |n: usize| {
         let mut entries = told.hosts.iter().filter(|h| h.host == format!("s-{n}"));
         (entries.next().map(|h| h.health), entries.count())
     };
-    assert_eq!(health(3), (Some(Listed::Left), 0), "what has left stays away");
-    assert_eq!(health(4), (Some(Listed::Leaving), 0), "what drains gets nothing more");
-    assert_eq!(health(60), (Some(Listed::Active), 0), "what has come stays");
+    assert_eq!(health(3), (Some(ListedState::Left), 0), "what has left stays away");
+    assert_eq!(health(4), (Some(ListedState::Leaving), 0), "what drains gets nothing more");
+    assert_eq!(health(60), (Some(ListedState::Active), 0), "what has come stays");
     assert_eq!(m.counts().live, 2);
 }
 
@@ -273,10 +273,11 @@
 fn changes_of_an_earlier_version_change_nothing() {
     let mut m = Membership::new(Config::default(), 1);
     m.apply_list(NOW, Source::Discovery, &list(5, true, (0..5).map(host)));
-    m.apply_list(NOW, Source::Discovery, &list(7, false, [with(1, Listed::Leaving)]));
+    m.apply_list(NOW, Source::Discovery, &list(7, false, [with(1, ListedState::Leaving)]));
     let late = m.apply_list(NOW, Source::Discovery, &list(6, false, [host(1)]));
     assert!(late.is_empty(), "it drains on: {late:?}");
-    let again = m.apply_list(NOW, Source::Discovery, &list(7, false, [with(1, Listed::Leaving)]));
+    let again =
+        m.apply_list(NOW, Source::Discovery, &list(7, false, [with(1, ListedState::Leaving)]));
     assert_eq!(again.hosts.len(), 1, "the same version may come again");
     let anew = m.apply_list(NOW, Source::Discovery, &list(1, true, (0..5).map(host)));
     assert!(anew.whole, "a whole list begins anew");
@@ -288,8 +289,8 @@
 fn what_has_left_or_drains_makes_no_trial_rarer() {
     let old = NOW + 20 * DAY;
     let mut m = Membership::new(Config { spread_ms: 0, ..Config::default() }, 1);
-    let hosts = (20..25).map(|n| with(n, Listed::Leaving));
-    let hosts = hosts.chain((25..30).map(|n| with(n, Listed::Left)));
+    let hosts = (20..25).map(|n| with(n, ListedState::Leaving));
+    let hosts = hosts.chain((25..30).map(|n| with(n, ListedState::Left)));
     m.apply_list(old, Source::Known, &list(1, true, hosts));
     m.load_snapshot(old, snapshot(3, 0));
     assert_eq!(m.counts().remembered, 5, "one that has left is not remembered");
--- a/crates/millethook-membership/tests/snapshot.rs
+++ b/crates/millethook-membership/tests/snapshot.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use millethook_membership::History;
-use millethook_membership::list::{Host, Listed};
+use millethook_membership::list::{Host, ListedState};
 use millethook_membership::snapshot::{Invalid, Remembered, Snapshot};
 use millethook_membership::store::{Error, Store, show};
 use proptest::prelude::*;
@@ -45,7 +45,7 @@
             site: "eindhoven".into(),
             class: "m1".into(),
             block: 3,
-            health: Listed::Active,
+            health: ListedState::Active,
             share: 1.5,
             born_ms: 7,
         },
--- a/crates/millethook/src/member.rs
+++ b/crates/millethook/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use millethook_engine::list::{Host, List, Listed};
+use millethook_engine::list::{Host, List, ListedState};
 
 use crate::fleet::Fleet;
 use crate::thread::Command;
@@ -27,7 +27,7 @@
         self
     }
 
-    fn entry(self, health: Listed) -> Host {
+    fn entry(self, health: ListedState) -> Host {
         Host {
             host: self.name,
             dial: Some(self.address),
@@ -62,7 +62,7 @@
     /// # Errors
     /// The fleet has been closed.
     pub fn update(&self, members: impl IntoIterator<Item = Member>) -> Result<(), Closed> {
-        let hosts = members.into_iter().map(|m| m.entry(Listed::Active)).collect();
+        let hosts = members.into_iter().map(|m| m.entry(ListedState::Active)).collect();
         self.tell(true, hosts)
     }
 
@@ -71,7 +71,7 @@
     /// # Errors
     /// The fleet has been closed.
     pub fn insert(&self, member: Member) -> Result<(), Closed> {
-        self.tell(false, vec![member.entry(Listed::Active)])
+        self.tell(false, vec![member.entry(ListedState::Active)])
     }
 
     /// Sends nothing new to a server, as it is about to end. It stays on the list.
@@ -79,7 +79,7 @@
     /// # Errors
     /// The fleet has been closed.
     pub fn drain_member(&self, member: Member) -> Result<(), Closed> {
-        self.tell(false, vec![member.entry(Listed::Leaving)])
+        self.tell(false, vec![member.entry(ListedState::Leaving)])
     }
 
     /// Takes a server off the list by its name.
@@ -88,7 +88,7 @@
     /// The fleet has been closed.
     pub fn remove(&self, name: &str) -> Result<(), Closed> {
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        self.tell(false, vec![Member::new(name, nowhere).entry(Listed::Left)])
+        self.tell(false, vec![Member::new(name, nowhere).entry(ListedState::Left)])
     }
 
     fn tell(&self, whole: bool, hosts: Vec<Host>) -> Result<(), Closed> {
