--- a/crates/millethook-engine/src/membership_store.rs
+++ b/crates/millethook-engine/src/membership_store.rs
@@ -87,7 +87,7 @@
             hosts = membership_store
                 .membership
                 .borrow_mut()
-                .apply_list(now, Source::Known, known)
+                .apply_list(now, Source::PlatformConfig, known)
                 .hosts;
         }
         hosts.extend(membership_store.load());
@@ -171,7 +171,7 @@
                 () = self.schedule_changed.notified() => continue,
             }
             let now = self.clock.now();
-            let accepted = self.membership.borrow_mut().on_time(now);
+            let accepted = self.membership.borrow_mut().apply_due_list(now);
             if let Some(update) = accepted {
                 tracing::warn!(
                     event = "suspect_list_taken",
--- a/crates/millethook-engine/src/upstream/probe.rs
+++ b/crates/millethook-engine/src/upstream/probe.rs
@@ -62,7 +62,7 @@
         let Ok(AttemptOutcome::End { outcome, answer, .. }) =
             timeout(2 * connect_timeout, attempt).await
         else {
-            return TrialOutcome::Silent;
+            return TrialOutcome::NoAnswer;
         };
         match (outcome, answer) {
             (Outcome::Served, Some((head, _))) if head.status == StatusCode::OK => {
@@ -71,17 +71,17 @@
                     Some(Some(name)) if name.as_bytes() == host.host.as_bytes() => {
                         TrialOutcome::Answered
                     }
-                    Some(_) => TrialOutcome::Stranger,
+                    Some(_) => TrialOutcome::OtherProgram,
                     None => TrialOutcome::Answered,
                 }
             }
             // A handshake that times out ends like one that is refused, only later.
             (Outcome::ConnectFailed, _) if started.elapsed() >= connect_timeout => {
-                TrialOutcome::Silent
+                TrialOutcome::NoAnswer
             }
             (Outcome::ConnectFailed, _) => TrialOutcome::Refused,
-            (Outcome::Moot | Outcome::TimedOut | Outcome::Cancelled, _) => TrialOutcome::Silent,
-            _ => TrialOutcome::Stranger,
+            (Outcome::Moot | Outcome::TimedOut | Outcome::Cancelled, _) => TrialOutcome::NoAnswer,
+            _ => TrialOutcome::OtherProgram,
         }
     }
 }
--- a/crates/millethook-membership/src/lib.rs
+++ b/crates/millethook-membership/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use history::History;
 pub use membership::{
-    Config, Counts, Knowledge, Membership, Source, Trial, TrialOutcome, Trust, Update,
+    Config, Counts, KnownServer, Membership, Source, Trial, TrialOutcome, Trust, Update,
 };
 
 /// Unix time in milliseconds. Lists outlive processes, so their times are those of the wall clock.
--- a/crates/millethook-membership/src/membership.rs
+++ b/crates/millethook-membership/src/membership.rs
@@ -19,7 +19,7 @@
 
 pub use config::Config;
 pub use counts::Counts;
-pub use knowledge::{Knowledge, Source, Trust};
+pub use knowledge::{KnownServer, Source, Trust};
 pub use trials::{Trial, TrialOutcome};
 pub use update::Update;
 
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Membership {
     config: Config,
-    servers: FxHashMap<String, Knowledge>,
+    servers: FxHashMap<String, KnownServer>,
     history: History,
     seq: u64,
     /// The live source that has sent the last list, of version `seq`; once there is one, a snapshot is not used any
@@ -64,7 +64,7 @@
         }
     }
 
-    /// When [`Membership::on_time`] or [`Membership::poll_trial`] has to be called next; None: not before another call.
+    /// When [`Membership::apply_due_list`] or [`Membership::poll_trial`] has to be called next; None: not before another call.
     pub fn next_due(&self) -> Option<UnixMs> {
         let held = self.held.as_ref().map(|held| held.2);
         let room = self.trials_open < self.config.trials_at_once;
@@ -75,13 +75,13 @@
     }
 
     /// All servers that are known.
-    pub fn servers(&self) -> impl Iterator<Item = &Knowledge> {
+    pub fn servers(&self) -> impl Iterator<Item = &KnownServer> {
         self.servers.values()
     }
 
     /// Servers that may get requests. Without the look at their health, servers that drain would count as enough to make
     /// trials ten times rarer.
-    fn usable(&self) -> impl Iterator<Item = &Knowledge> {
+    fn usable(&self) -> impl Iterator<Item = &KnownServer> {
         let believed = self.servers.values().filter(|k| k.trust != Trust::Doubtful);
         believed
             .filter(|k| k.host.health == ListedState::Active || mutant::is(Mutant::DrainingUsable))
--- a/crates/millethook-membership/src/membership/check.rs
+++ b/crates/millethook-membership/src/membership/check.rs
@@ -2,7 +2,7 @@
 
 use millethook_machine::Violation;
 
-use super::{Knowledge, Membership, Source, Trust};
+use super::{KnownServer, Membership, Source, Trust};
 use crate::UnixMs;
 use crate::list::ListedState;
 use crate::membership::trials::TRIALS_WITHOUT_ANSWER;
@@ -79,7 +79,7 @@
     }
 }
 
-impl Knowledge {
+impl KnownServer {
     /// Checks what holds of one server.
     fn check(&self, now: UnixMs) -> Result<(), Violation> {
         let rule = Violation::unless;
@@ -87,8 +87,8 @@
             format!("{:?} by {:?}", self.trust, self.source)
         })?;
         let may = match self.trust {
-            Trust::Live => self.source != Source::Known,
-            Trust::Remembered => matches!(self.source, Source::Known | Source::Snapshot),
+            Trust::Live => self.source != Source::PlatformConfig,
+            Trust::Remembered => matches!(self.source, Source::PlatformConfig | Source::Snapshot),
             Trust::Doubtful => self.source == Source::Snapshot,
         };
         rule(may, "a trust is one that the source can give", &|| {
--- a/crates/millethook-membership/src/membership/knowledge.rs
+++ b/crates/millethook-membership/src/membership/knowledge.rs
@@ -11,7 +11,7 @@
     /// Control nodes, which have it from discovery.
     Distribution,
     /// The list in the platform's configuration.
-    Known,
+    PlatformConfig,
     /// The snapshot on disk.
     Snapshot,
     /// The list in the product's configuration file.
@@ -40,7 +40,7 @@
 
 /// One server.
 #[derive(Clone, Debug)]
-pub struct Knowledge {
+pub struct KnownServer {
     /// Its entry.
     pub host: Host,
     /// Where the entry came from.
@@ -54,9 +54,9 @@
     pub(super) on_trial: bool,
 }
 
-impl Knowledge {
-    pub(super) fn new(host: Host, source: Source, now: UnixMs) -> Knowledge {
-        Knowledge {
+impl KnownServer {
+    pub(super) fn new(host: Host, source: Source, now: UnixMs) -> KnownServer {
+        KnownServer {
             host,
             source,
             confirmed_ms: now,
--- a/crates/millethook-membership/src/membership/lists.rs
+++ b/crates/millethook-membership/src/membership/lists.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashSet;
 
-use super::{Knowledge, Membership, Source, Trust, Update};
+use super::{KnownServer, Membership, Source, Trust, Update};
 use crate::UnixMs;
 use crate::list::{List, ListedState};
 use crate::mutant::{self, Mutant};
@@ -16,7 +16,7 @@
     /// Applies a list, or changes of one; returns what has changed for the balancer.
     pub fn apply_list(&mut self, now: UnixMs, source: Source, list: &List) -> Update {
         if !source.is_live() {
-            return self.take_known(now, list);
+            return self.apply_platform_list(now, list);
         }
         self.lost_since = None;
         if self.is_old(source, list) {
@@ -56,7 +56,7 @@
     }
 
     /// Applies the suspect list if its time is over; None: there is none, or it still waits.
-    pub fn on_time(&mut self, now: UnixMs) -> Option<Update> {
+    pub fn apply_due_list(&mut self, now: UnixMs) -> Option<Update> {
         let (.., until) = self.held.as_ref()?;
         if now < *until {
             return None;
@@ -67,7 +67,7 @@
 
     /// Applies the list of the platform's configuration. It may be old and has no time, so it is used only until a live
     /// source sends a list.
-    pub(super) fn take_known(&mut self, now: UnixMs, list: &List) -> Update {
+    pub(super) fn apply_platform_list(&mut self, now: UnixMs, list: &List) -> Update {
         if self.live.is_some() && !mutant::is(Mutant::KnownAfterLive) {
             return Update::changes(Vec::new());
         }
@@ -77,9 +77,9 @@
                 self.servers.remove(&host.host);
                 continue;
             }
-            let known = Knowledge {
+            let known = KnownServer {
                 trust: Trust::Remembered,
-                ..Knowledge::new(host.clone(), Source::Known, now)
+                ..KnownServer::new(host.clone(), Source::PlatformConfig, now)
             };
             self.servers.insert(host.host.clone(), known);
         }
@@ -122,7 +122,7 @@
                 departed += usize::from(self.servers.remove(&host.host).is_some());
                 continue;
             }
-            let fresh = Knowledge::new(host.clone(), source, now);
+            let fresh = KnownServer::new(host.clone(), source, now);
             match self.servers.entry(host.host.clone()) {
                 Entry::Occupied(mut known) => {
                     // A restart under the same name counts as a departure.
--- a/crates/millethook-membership/src/membership/remembered.rs
+++ b/crates/millethook-membership/src/membership/remembered.rs
@@ -1,6 +1,6 @@
 //! The snapshot on disk: what is used of it at the start, and what is written to it.
 
-use super::{Knowledge, Membership, Source, Trust, Update};
+use super::{KnownServer, Membership, Source, Trust, Update};
 use crate::UnixMs;
 use crate::list::ListedState;
 use crate::mutant::{self, Mutant};
@@ -48,11 +48,11 @@
                 continue;
             }
             let next_trial_ms = now + self.below(self.config.spread_ms);
-            let knowledge = Knowledge {
+            let knowledge = KnownServer {
                 confirmed_ms,
                 trust,
                 next_trial_ms,
-                ..Knowledge::new(host, Source::Snapshot, now)
+                ..KnownServer::new(host, Source::Snapshot, now)
             };
             self.servers.insert(knowledge.host.host.clone(), knowledge);
         }
--- a/crates/millethook-membership/src/membership/trials.rs
+++ b/crates/millethook-membership/src/membership/trials.rs
@@ -1,6 +1,6 @@
 //! Trials: harmless requests to doubtful servers; when they are sent, and what an outcome changes.
 
-use super::{Knowledge, Membership, Trust, Update};
+use super::{KnownServer, Membership, Trust, Update};
 use crate::UnixMs;
 use crate::list::Host;
 use crate::mutant::{self, Mutant};
@@ -29,9 +29,9 @@
     /// The connection was refused.
     Refused,
     /// Another program has answered.
-    Stranger,
+    OtherProgram,
     /// There was no answer in time.
-    Silent,
+    NoAnswer,
 }
 
 impl Membership {
@@ -44,7 +44,7 @@
         let due = self.servers.values_mut().filter(|k| k.awaits_trial() && k.next_trial_ms <= now);
         // The name decides between two that are due at the same time, so that runs can be repeated.
         let next = due.min_by(|a, b| {
-            let key = |k: &Knowledge| (k.next_trial_ms, k.host.id().0);
+            let key = |k: &KnownServer| (k.next_trial_ms, k.host.id().0);
             key(a).cmp(&key(b))
         })?;
         next.on_trial = true;
@@ -71,7 +71,7 @@
         if known.trust != Trust::Doubtful {
             return Update::changes(Vec::new());
         }
-        let trusted = outcome == TrialOutcome::Stranger && mutant::is(Mutant::StrangerTrusted);
+        let trusted = outcome == TrialOutcome::OtherProgram && mutant::is(Mutant::StrangerTrusted);
         match if trusted { TrialOutcome::Answered } else { outcome } {
             TrialOutcome::Answered => {
                 (known.trust, known.confirmed_ms) = (Trust::Live, now);
@@ -79,12 +79,12 @@
                 self.totals.confirmed += 1;
                 return Update::changes(vec![host]);
             }
-            TrialOutcome::Silent
+            TrialOutcome::NoAnswer
                 if known.trials < TRIALS_WITHOUT_ANSWER || mutant::is(Mutant::TrialsWithoutEnd) =>
             {
                 known.next_trial_ms = now + (TRIAL_AGAIN_MS << known.trials.min(8));
             }
-            TrialOutcome::Silent | TrialOutcome::Refused | TrialOutcome::Stranger => {
+            TrialOutcome::NoAnswer | TrialOutcome::Refused | TrialOutcome::OtherProgram => {
                 self.servers.remove(host);
                 self.totals.dropped += 1;
             }
--- a/crates/millethook-membership/src/store.rs
+++ b/crates/millethook-membership/src/store.rs
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// As [`Store::load`]; a missing file is an error.
-pub fn show(path: &Path) -> Result<Snapshot, Error> {
+pub fn read_any_fleet(path: &Path) -> Result<Snapshot, Error> {
     let missing = || io::Error::from(io::ErrorKind::NotFound);
     let bytes = read(path)?.ok_or_else(|| Error::Io { path: path.to_owned(), cause: missing() })?;
     Snapshot::decode(&bytes).map_err(|cause| Error::Invalid { path: path.to_owned(), cause })
--- a/crates/millethook-membership/tests/common/world.rs
+++ b/crates/millethook-membership/tests/common/world.rs
@@ -136,7 +136,7 @@
                 for _ in 0..*times {
                     self.now = self.now.max(self.membership.next_due().unwrap_or(self.now));
                     self.due()?;
-                    self.trial_ends(0, TrialOutcome::Silent)?;
+                    self.trial_ends(0, TrialOutcome::NoAnswer)?;
                 }
             }
             Step::ContentLost(times, gap) => {
@@ -164,7 +164,7 @@
 
     fn known(&mut self, hosts: &[Entry]) {
         let list = list(1, true, hosts);
-        let update = self.membership.apply_list(self.now, Source::Known, &list);
+        let update = self.membership.apply_list(self.now, Source::PlatformConfig, &list);
         self.tell(&update);
         if !self.live {
             overlay(&mut self.expected, &list.hosts);
@@ -273,7 +273,7 @@
     /// Does what the keeper of a membership does when something is due.
     fn due(&mut self) -> Result<(), String> {
         let waited = self.held.as_ref().is_some_and(|(_, until)| *until <= self.now);
-        let update = self.membership.on_time(self.now);
+        let update = self.membership.apply_due_list(self.now);
         rule(update.is_some() == waited, "a suspect list takes effect in time", &|| {
             format!("{:?}, now {}", self.held, self.now)
         })?;
@@ -325,8 +325,8 @@
         self.tell(&update);
         let after = trust_of(&self.membership);
         let silent = self.silent.entry(name.clone()).or_default();
-        *silent += usize::from(outcome == TrialOutcome::Silent);
-        let kept = outcome == TrialOutcome::Silent && *silent < TRIALS_WITHOUT_ANSWER;
+        *silent += usize::from(outcome == TrialOutcome::NoAnswer);
+        let kept = outcome == TrialOutcome::NoAnswer && *silent < TRIALS_WITHOUT_ANSWER;
         let expected = match (before, outcome) {
             (Some(Trust::Doubtful), TrialOutcome::Answered) => Some(Trust::Live),
             (Some(Trust::Doubtful), _) if kept => Some(Trust::Doubtful),
--- a/crates/millethook-membership/tests/membership.rs
+++ b/crates/millethook-membership/tests/membership.rs
@@ -89,8 +89,8 @@
         let outcome = match trial.host.host.as_str() {
             "s-0" => TrialOutcome::Answered,
             "s-1" => TrialOutcome::Refused,
-            "s-2" => TrialOutcome::Stranger,
-            _ => TrialOutcome::Silent,
+            "s-2" => TrialOutcome::OtherProgram,
+            _ => TrialOutcome::NoAnswer,
         };
         let told = m.trial_ended(now, &trial.host.host, outcome);
         used.extend(told.hosts.iter().map(|h| h.host.clone()));
@@ -114,7 +114,7 @@
     assert!(late.is_empty());
     assert_eq!((m.counts().live, m.counts().doubtful), (2, 0));
     assert!(m.load_snapshot(now, snapshot(3, 0)).is_empty(), "it was too late for that");
-    assert!(m.apply_list(now, Source::Known, &list(1, true, [host(0)])).is_empty());
+    assert!(m.apply_list(now, Source::PlatformConfig, &list(1, true, [host(0)])).is_empty());
     assert_eq!(m.counts().live, 2);
 }
 
@@ -129,9 +129,9 @@
     let few = [with(7, ListedState::Leaving), host(99)];
     let told = m.apply_list(NOW + 2 * S, Source::Discovery, &list(7, true, few));
     assert_eq!((names(&told.hosts), told.whole), (vec!["s-7", "s-99"], false));
-    assert_eq!(m.on_time(NOW + 30 * S), None);
+    assert_eq!(m.apply_due_list(NOW + 30 * S), None);
     assert_eq!(m.next_due(), Some(NOW + 31 * S), "counted from the first");
-    let told = m.on_time(NOW + 31 * S).expect("nobody took it back");
+    let told = m.apply_due_list(NOW + 31 * S).expect("nobody took it back");
     assert_eq!((names(&told.hosts), told.whole), (vec!["s-7", "s-99"], true));
     assert_eq!((m.counts().live, m.counts().suspect_lists), (2, 1));
 }
@@ -258,7 +258,7 @@
     m.apply_list(NOW + S, Source::Discovery, &list(6, true, [host(3), host(4)]));
     let later = [with(3, ListedState::Left), with(4, ListedState::Leaving), host(60)];
     m.apply_list(NOW + 2 * S, Source::Discovery, &list(7, false, later));
-    let told = m.on_time(NOW + 31 * S).expect("nobody took it back");
+    let told = m.apply_due_list(NOW + 31 * S).expect("nobody took it back");
     let health = |n: usize| {
         let mut entries = told.hosts.iter().filter(|h| h.host == format!("s-{n}"));
         (entries.next().map(|h| h.health), entries.count())
@@ -291,7 +291,7 @@
     let mut m = Membership::new(Config { spread_ms: 0, ..Config::default() }, 1);
     let hosts = (20..25).map(|n| with(n, ListedState::Leaving));
     let hosts = hosts.chain((25..30).map(|n| with(n, ListedState::Left)));
-    m.apply_list(old, Source::Known, &list(1, true, hosts));
+    m.apply_list(old, Source::PlatformConfig, &list(1, true, hosts));
     m.load_snapshot(old, snapshot(3, 0));
     assert_eq!(m.counts().remembered, 5, "one that has left is not remembered");
     assert!(m.poll_trial(old).is_some());
@@ -311,7 +311,7 @@
 fn a_server_of_the_platforms_list_does_not_become_doubtful_by_a_snapshot() {
     let mut m = Membership::new(Config::default(), 1);
     let before = NOW - DAY;
-    m.apply_list(before, Source::Known, &list(1, true, [host(0)]));
+    m.apply_list(before, Source::PlatformConfig, &list(1, true, [host(0)]));
     m.load_snapshot(before, snapshot(2, 0));
     assert_eq!((m.counts().remembered, m.counts().doubtful), (1, 1));
 }
--- a/crates/millethook-membership/tests/snapshot.rs
+++ b/crates/millethook-membership/tests/snapshot.rs
@@ -9,7 +9,7 @@
 use millethook_membership::History;
 use millethook_membership::list::{Host, ListedState};
 use millethook_membership::snapshot::{Invalid, Remembered, Snapshot};
-use millethook_membership::store::{Error, Store, show};
+use millethook_membership::store::{Error, Store, read_any_fleet};
 use proptest::prelude::*;
 
 /// A folder of the test's own, gone with it.
@@ -69,7 +69,7 @@
     }
     let left: Vec<_> = fs::read_dir(&folder.0).expect("a folder").collect();
     assert_eq!(left.len(), 1, "nothing else is left there");
-    assert_eq!(show(folder.store().path()).expect("read"), snapshot(2, 5));
+    assert_eq!(read_any_fleet(folder.store().path()).expect("read"), snapshot(2, 5));
 }
 
 #[test]
--- a/crates/plankvale/src/cli.rs
+++ b/crates/plankvale/src/cli.rs
@@ -107,7 +107,7 @@
 }
 
 fn show(file: &Path) -> Result<String, String> {
-    let kept = store::show(file).map_err(|e| e.to_string())?;
+    let kept = store::read_any_fleet(file).map_err(|e| e.to_string())?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     let age = |at: u64| now.checked_sub(at).map_or("in the future".to_owned(), ago);
     let mut lines = vec![format!(
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -8,7 +8,7 @@
 use millethook_membership::History;
 use millethook_membership::list::Host;
 use millethook_membership::snapshot::{Remembered, Snapshot};
-use millethook_membership::store::{Store, show};
+use millethook_membership::store::{Store, read_any_fleet};
 use millethook_testkit::*;
 use serde_json::{Value, json};
 
@@ -216,7 +216,7 @@
     assert_eq!(old_seen.count(), 0);
     // The kept list is the live one from now on.
     within("written", || {
-        show(&kept.snapshot())
+        read_any_fleet(&kept.snapshot())
             .is_ok_and(|s| s.servers.len() == 1 && s.servers[0].host.host == "s-new")
     });
 }
@@ -273,7 +273,7 @@
     let mut sidecar = kept.launch(&config);
     served_within(&sidecar, "s-a");
     assert_eq!(sidecar.ends(), Some(0));
-    let kept = show(&kept.snapshot()).expect("written anew");
+    let kept = read_any_fleet(&kept.snapshot()).expect("written anew");
     assert_eq!((kept.fleet.as_str(), kept.servers.len()), ("n0", 1));
 }
 
