--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -249,7 +249,7 @@
     fn pump(&self) -> Micros {
         let now = self.now();
         let (mut view, mut channel) = (self.view.borrow_mut(), self.channel.borrow_mut());
-        let congested = channel.is_short(now);
+        let congested = channel.is_congested(now);
         view.set_congested(congested);
         if view.poll_timeout() <= now {
             view.tick(now);
--- a/crates/millethook-engine/tests/it/lease_budget.rs
+++ b/crates/millethook-engine/tests/it/lease_budget.rs
@@ -54,7 +54,7 @@
     }
 
     fn pump(&mut self, now: Micros) {
-        let congested = self.channel.is_short(now);
+        let congested = self.channel.is_congested(now);
         while self.loaded && self.load_at <= now {
             self.load_at += LOAD_INTERVAL;
             let bytes = (RATE * OVERLOAD) as usize / (S / LOAD_INTERVAL) as usize;
--- a/crates/millethook-frames/src/channel.rs
+++ b/crates/millethook-frames/src/channel.rs
@@ -110,7 +110,7 @@
 
     /// Whether less than a third of the burst is left, or something waits: who has something to say that can wait
     /// or be left out does so.
-    pub fn is_short(&mut self, now: Micros) -> bool {
+    pub fn is_congested(&mut self, now: Micros) -> bool {
         self.count(now);
         self.left < self.burst / 3.0 || self.queues.iter().any(|q| !q.waiting.is_empty())
     }
--- a/crates/millethook-hollow/src/sidecar.rs
+++ b/crates/millethook-hollow/src/sidecar.rs
@@ -223,7 +223,7 @@
     }
 
     fn pump(&mut self, now: Micros, send: &mut dyn FnMut(u16, Vec<u8>)) -> Micros {
-        let short = self.channel.is_short(now);
+        let short = self.channel.is_congested(now);
         self.view.set_congested(short);
         let joined = self.pump_view(now);
         let mut next = self.view.poll_timeout();
