--- a/crates/millethook-distribution/examples/scale/main.rs
+++ b/crates/millethook-distribution/examples/scale/main.rs
@@ -9,7 +9,7 @@
     ControlEvent, ControlMember, ControlNode, DistributionConfig, DocumentKey, Identity, Limits,
     Micros, Scope, Subscriber, SubscriberEvent, Token, Version,
 };
-use millethook_machine::sim::{Fleet, Machine, OVERHEAD, SECOND as S};
+use millethook_machine::sim::{Fleet, Machine, OVERHEAD_BYTES, SECOND as S};
 
 const CONTROL: u16 = 36;
 const ZONES: u32 = 6;
@@ -37,7 +37,7 @@
         match self {
             Member::Control(node) => node.handle(now, from, content),
             Member::Sidecar(sidecar, received) => {
-                *received += content.len() as u64 + OVERHEAD;
+                *received += content.len() as u64 + OVERHEAD_BYTES;
                 sidecar.handle(now, from, content);
             }
         }
--- a/crates/millethook-distribution/tests/it/common/mod.rs
+++ b/crates/millethook-distribution/tests/it/common/mod.rs
@@ -380,7 +380,7 @@
                 }
             }
             Act::Heal => self.fleet.heal(),
-            Act::Loss(hundredths) => self.fleet.lose(hundredths),
+            Act::Loss(hundredths) => self.fleet.set_loss_percent(hundredths),
             Act::Drift(n, thousandths) => self.fleet.set_drift(n, DRIFT, thousandths),
             Act::Jump(n, seconds) => {
                 // The clock of a control node that does not vote yet may not jump: see the design note.
--- a/crates/millethook-lease/tests/it/common/mod.rs
+++ b/crates/millethook-lease/tests/it/common/mod.rs
@@ -238,7 +238,7 @@
             Act::Cut(side) => self.fleet.cut(side.into()),
             Act::CutOneWay(from, to) => self.fleet.cut_one_way(from.into(), to.into()),
             Act::Heal => self.fleet.heal(),
-            Act::Loss(hundredths) => self.fleet.lose(hundredths),
+            Act::Loss(hundredths) => self.fleet.set_loss_percent(hundredths),
             Act::Drift(n, thousandths) => self.fleet.set_drift(n, DRIFT, thousandths),
             Act::List(n, step) => {
                 // A file is not taken back, and none is passed over.
--- a/crates/millethook-machine/src/sim.rs
+++ b/crates/millethook-machine/src/sim.rs
@@ -19,7 +19,7 @@
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
 /// Bytes that a datagram has beside its content: the headers of frame and record.
-pub const OVERHEAD: u64 = 15;
+pub const OVERHEAD_BYTES: u64 = 15;
 /// The sending budget of one process in bytes a second, as the daemon has it.
 const RATE: f64 = 1_500.0;
 /// The bytes that a process may save up.
@@ -225,7 +225,7 @@
         if sooner {
             node.ticking = Some(at);
         }
-        let bytes: u64 = out.iter().map(|(_, c)| c.len() as u64 + OVERHEAD).sum();
+        let bytes: u64 = out.iter().map(|(_, c)| c.len() as u64 + OVERHEAD_BYTES).sum();
         node.left.0 -= bytes as f64;
         node.sent = (node.sent.0 + bytes, node.sent.1 + out.len() as u64);
         if sooner && at < Micros::MAX / 2 {
--- a/crates/millethook-machine/src/sim/faults.rs
+++ b/crates/millethook-machine/src/sim/faults.rs
@@ -24,7 +24,7 @@
     }
 
     /// Loses so many hundredths of all datagrams; a tenth arrives twice.
-    pub fn lose(&mut self, hundredths: u8) {
+    pub fn set_loss_percent(&mut self, hundredths: u8) {
         self.loss = f64::from(hundredths) / 100.0;
         self.duplicates = DUPLICATES;
     }
