--- a/crates/millethook-machine/src/codec/field.rs
+++ b/crates/millethook-machine/src/codec/field.rs
@@ -1,29 +1,29 @@
-//! Fields of headers: numbers of a fixed width.
+//! Header fields: numbers of a fixed width.
 
 use bytes::BufMut;
 
 use super::{EPOCH_BYTES, Malformed, Reader, put_epoch};
 
-/// How a value is written, always in the same number of bytes.
+/// The encoding of a value in a fixed number of bytes.
 pub trait Field {
-    /// What is written.
+    /// The type of the value.
     type Value;
 
-    /// Its bytes.
+    /// The length of the encoding in bytes.
     const LENGTH: usize;
 
-    /// Adds the bytes of a value.
+    /// Appends the encoding of a value.
     fn put(value: Self::Value, bytes: &mut Vec<u8>);
 
-    /// Takes a value.
+    /// Reads a value.
     ///
     /// # Errors
-    /// There are fewer bytes, or they are no such value.
+    /// There are fewer bytes, or they do not encode a value.
     fn take(reader: &mut Reader<'_>) -> Result<Self::Value, Malformed>;
 }
 
-/// Numbers that take all bytes of their type, big-endian.
-macro_rules! whole_numbers {
+/// Implements [`Field`] for numbers that use all bytes of their type, big-endian.
+macro_rules! full_width_numbers {
     ($($number:ident $put:ident,)+) => {
         $(impl Field for $number {
             type Value = $number;
@@ -41,14 +41,14 @@
     };
 }
 
-whole_numbers! {
+full_width_numbers! {
     u8 put_u8,
     u16 put_u16,
     u32 put_u32,
     u64 put_u64,
 }
 
-/// The lowest 48 bits of a number: the form of epochs.
+/// The encoding of the lowest 48 bits of a number, as used for epochs.
 pub enum U48 {}
 
 impl Field for U48 {
--- a/crates/millethook-machine/src/codec/malformed.rs
+++ b/crates/millethook-machine/src/codec/malformed.rs
@@ -1,15 +1,15 @@
-//! Why bytes are no message.
+//! The error for malformed messages.
 
 use std::fmt;
 
-/// Why a content is no message, or a record in it is none.
+/// Why bytes are not a valid message, or not a valid record of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Malformed {
-    /// Too short, or too long.
+    /// The message or record is too short or too long.
     Length,
-    /// Of no kind that is known.
+    /// The kind of the message or record is unknown.
     Kind,
-    /// A number that its field cannot have.
+    /// A number is out of range for its field.
     Value,
 }
 
@@ -17,14 +17,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Malformed::Length => {
-                write!(
-                    f,
-                    "a message that ends too early, or has more than {} bytes",
-                    crate::MAX_MESSAGE_BYTES
-                )
+                write!(f, "message is truncated, or longer than {} bytes", crate::MAX_MESSAGE_BYTES)
             }
-            Malformed::Kind => f.write_str("a message or record of a kind that is not known"),
-            Malformed::Value => f.write_str("a number that its field cannot have"),
+            Malformed::Kind => f.write_str("unknown kind of message or record"),
+            Malformed::Value => f.write_str("number is out of range for its field"),
         }
     }
 }
--- a/crates/millethook-machine/src/codec/message_header.rs
+++ b/crates/millethook-machine/src/codec/message_header.rs
@@ -1,15 +1,15 @@
-//! Headers that are their fields, one behind another.
+//! Headers that consist of consecutive fields.
 
-/// Declares a header as a struct, with its [`Header`](crate::codec::Header). Fields are written in their order; the
-/// form of one is its type, or what stands behind `as`.
+/// Declares a header as a struct and implements [`Header`](crate::codec::Header) for it. Fields are written in their
+/// order. The encoding of a field is that of its type, or the one given after `as`.
 ///
 /// ```
 /// use millethook_machine::codec::{U48, write_header};
 ///
 /// millethook_machine::message_header! {
-///     /// What stands at the beginning of each message.
+///     /// The header of each message.
 ///     pub struct MessageHeader {
-///         /// A number by which an answer is known.
+///         /// The number that matches an answer to its request.
 ///         pub sequence: u16,
 ///         /// The epoch of the sender.
 ///         pub epoch: u64 as U48,
@@ -20,12 +20,12 @@
 /// ```
 #[macro_export]
 macro_rules! message_header {
-    (@form $value:ty) => { $value };
-    (@form $value:ty, $form:ty) => { $form };
+    (@encoding $value:ty) => { $value };
+    (@encoding $value:ty, $encoding:ty) => { $encoding };
     (
         $(#[$meta:meta])*
         $visibility:vis struct $name:ident {
-            $($(#[$doc:meta])* $field_visibility:vis $field:ident: $value:ty $(as $form:ty)?,)+
+            $($(#[$doc:meta])* $field_visibility:vis $field:ident: $value:ty $(as $encoding:ty)?,)+
         }
     ) => {
         $(#[$meta])*
@@ -36,10 +36,10 @@
 
         impl $crate::codec::Header for $name {
             const LENGTH: usize = 0
-                $(+ <$crate::message_header!(@form $value $(, $form)?) as $crate::codec::Field>::LENGTH)+;
+                $(+ <$crate::message_header!(@encoding $value $(, $encoding)?) as $crate::codec::Field>::LENGTH)+;
 
             fn write(&self, bytes: &mut Vec<u8>) {
-                $(<$crate::message_header!(@form $value $(, $form)?) as $crate::codec::Field>::put(
+                $(<$crate::message_header!(@encoding $value $(, $encoding)?) as $crate::codec::Field>::put(
                     self.$field,
                     bytes,
                 );)+
@@ -49,7 +49,7 @@
                 reader: &mut $crate::codec::Reader<'_>,
             ) -> Result<Self, $crate::codec::Malformed> {
                 Ok(Self {
-                    $($field: <$crate::message_header!(@form $value $(, $form)?) as $crate::codec::Field>::take(
+                    $($field: <$crate::message_header!(@encoding $value $(, $encoding)?) as $crate::codec::Field>::take(
                         reader,
                     )?,)+
                 })
--- a/crates/millethook-machine/src/codec/wire_enum.rs
+++ b/crates/millethook-machine/src/codec/wire_enum.rs
@@ -1,15 +1,15 @@
 //! Enumerations that are sent as one byte.
 
-/// Declares an enumeration whose variants have numbers on the wire, with `from_wire` and `to_wire`. It is a
-/// [`Field`](crate::codec::Field) of one byte.
+/// Declares an enumeration whose variants have numbers on the wire, with `from_wire` and `to_wire`, and implements
+/// [`Field`](crate::codec::Field) for it, with one byte.
 ///
 /// ```
 /// millethook_machine::wire_enum! {
-///     /// What a message is.
+///     /// The kind of a message.
 ///     pub enum Kind {
-///         /// A question.
+///         /// A request.
 ///         Ping = 1,
-///         /// Its answer.
+///         /// The answer to a ping.
 ///         Ack = 2,
 ///     }
 /// }
@@ -32,7 +32,7 @@
         }
 
         impl $name {
-            /// The variant with this number, if there is one.
+            /// Returns the variant with this number, if there is one.
             $visibility const fn from_wire(number: u8) -> Option<$name> {
                 match number {
                     $($number => Some($name::$variant),)+
@@ -40,7 +40,7 @@
                 }
             }
 
-            /// Its number on the wire.
+            /// Returns the number of the variant on the wire.
             $visibility const fn to_wire(self) -> u8 {
                 self as u8
             }
--- a/crates/millethook-machine/src/lib.rs
+++ b/crates/millethook-machine/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the state machines between sidecars share.
+//! Shared parts of the state machines that run between sidecars.
 //!
-//! A state machine has neither a clock nor a socket: contents of datagrams and the time are handed in, messages and
-//! events come out, and the same calls give the same results. [`codec`] reads and writes messages, [`send_queue`]
-//! gathers them by receiver, [`mutants!`] declares rules that tests can remove, `sim` (feature `sim`) runs many machines
-//! on one virtual clock, and `search` (feature `search`) plays random scripts.
+//! A state machine does no I/O and reads no clock. The caller passes in received messages and the time, and takes out
+//! messages and events. The same calls give the same results. [`codec`] reads and writes messages, [`send_queue`]
+//! batches them by receiver, [`mutants!`] declares rules that tests can disable, `sim` (feature `sim`) runs many machines
+//! on one virtual clock, and `search` (feature `search`) runs random scripts.
 #![forbid(unsafe_code)]
 
 pub mod codec;
@@ -17,23 +17,23 @@
 
 pub use send_queue::SendQueue;
 
-/// A time or a length of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Bytes of the longest content of a record, so that a datagram with it has at most 256 (see `millethook-frames`).
+/// The longest message in bytes. With its headers, a datagram then has at most 256 bytes (see `millethook-frames`).
 pub const MAX_MESSAGE_BYTES: usize = 241;
 
-/// An invariant that does not hold, as found by a machine's own `check()`.
+/// A violated invariant, as found by a machine's own `check()`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The invariant.
     pub rule: &'static str,
-    /// The values that break it.
+    /// The values that violate it.
     pub found: String,
 }
 
 impl Violation {
-    /// Checks an invariant; `found` is called only if it does not hold.
+    /// Checks an invariant. `found` is called only if it does not hold.
     ///
     /// # Errors
     /// The invariant does not hold.
@@ -45,10 +45,10 @@
         if holds { Ok(()) } else { Err(Violation { rule, found: found() }) }
     }
 
-    /// Checks that a number is `most` at the most.
+    /// Checks that `count` is at most `most`.
     ///
     /// # Errors
-    /// It is greater.
+    /// `count` is greater.
     pub fn unless_within(count: usize, most: usize, rule: &'static str) -> Result<(), Violation> {
         Violation::unless(count <= most, rule, &|| count.to_string())
     }
--- a/crates/millethook-machine/src/search.rs
+++ b/crates/millethook-machine/src/search.rs
@@ -1,4 +1,4 @@
-//! Random search over scripts, on several threads: the long form of the tests that play scripts.
+//! Random search with scripts on several threads: the long form of the tests that run scripts.
 
 use std::process::ExitCode;
 use std::thread;
@@ -7,23 +7,23 @@
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 
-/// Runs of a search that the command line does not say otherwise of.
+/// The number of runs if the command line gives none.
 const DEFAULT_RUNS: u32 = 10_000;
 
-/// How long a search is, and where it begins.
+/// The size and the first seed of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Search {
-    /// Scripts that are played, all threads together.
+    /// Number of scripts that are run, over all threads.
     pub runs: u32,
-    /// The seed of the first thread; each further thread has the next one.
+    /// The seed of the first thread. Each further thread uses the next seed.
     pub first_seed: u32,
-    /// Threads.
+    /// Number of threads.
     pub threads: u32,
 }
 
 impl Search {
-    /// The search that the command line asks for: its first argument is the number of runs, its second the first seed.
-    /// There are as many threads as processors.
+    /// Reads the number of runs and the first seed from the first and second argument of the command line. Uses as many
+    /// threads as there are processors.
     pub fn from_args() -> Search {
         Search {
             runs: argument(1).unwrap_or(DEFAULT_RUNS),
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Plays scripts, each with a seed. Each thread ends with the first script that `play` refuses, or with its share
-    /// of the runs.
+    /// Runs scripts, each with a seed. Each thread stops at the first script for which `play` fails, or after its share of
+    /// the runs.
     ///
-    /// Returns a line for each thread that found something: the seed that finds it again, and the shortest script.
+    /// Returns a line for each thread that found a failure: the seed that reproduces it, and the shortest script.
     ///
     /// # Panics
-    /// `play` has panicked.
+    /// `play` panicked.
     pub fn run<S: Strategy>(
         &self,
         script: impl Fn() -> S + Sync,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The part of the search that is one thread's; None: it has found nothing.
+    /// One thread's part of the search. None: it found no failure.
     fn search<S: Strategy>(
         &self,
         thread: u32,
@@ -74,7 +74,7 @@
         found.err().map(|found| format!("search {seed}: {found}"))
     }
 
-    /// Prints the number of runs, a summary of them, and what was found. The exit code is 1 if something was.
+    /// Prints the number of runs, their summary and the failures. The exit code is 1 if there are failures.
     pub fn report(&self, summary: &str, found: &[String]) -> ExitCode {
         println!("{} runs: {summary}, {} findings", self.runs, found.len());
         found.iter().for_each(|found| println!("{found}"));
@@ -82,7 +82,7 @@
     }
 }
 
-/// The `n`th argument of the command line, if it is a number.
+/// Returns the `n`th argument of the command line, if it is a number.
 pub fn argument(n: usize) -> Option<u32> {
     std::env::args().nth(n)?.parse().ok()
 }
--- a/crates/millethook-machine/src/sim.rs
+++ b/crates/millethook-machine/src/sim.rs
@@ -1,5 +1,6 @@
-//! Many state machines on one virtual clock. The network between them loses, delays, duplicates and cuts, and each
-//! process has a clock of its own that drifts and jumps. After each step the machine's own `check()` has to hold.
+//! A simulation of many state machines on one virtual clock. The network between them drops, delays and duplicates
+//! datagrams and can be partitioned. Each process has its own clock, which can drift and jump. After each step the
+//! machine's own `check()` must pass.
 
 mod faults;
 mod script;
@@ -18,24 +19,24 @@
 
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
-/// Bytes that a datagram has beside its content: the headers of frame and record.
+/// Bytes of a datagram in addition to its content: the headers of the frame and the record.
 pub const OVERHEAD_BYTES: u64 = 15;
-/// The sending budget of one process in bytes a second, as the daemon has it.
-const RATE: f64 = 1_500.0;
-/// The bytes that a process may save up.
-const BURST: f64 = 3_000.0;
+/// The sending budget of one process in bytes per second, as in the daemon.
+const BUDGET_RATE: f64 = 1_500.0;
+/// The maximum of unused budget that a process accumulates, in bytes.
+const BUDGET_BURST: f64 = 3_000.0;
 
 /// A state machine that exchanges messages with others of its kind.
 pub trait Machine {
-    /// Takes a message of a member.
+    /// Handles a message from a member.
     fn handle(&mut self, now: Micros, from: u16, content: &[u8]);
-    /// Does what is due at `now`.
+    /// Carries out the actions that are due at `now`.
     fn tick(&mut self, now: Micros);
     /// When `tick` has to be called next.
     fn poll_timeout(&self) -> Micros;
-    /// The next message and its receiver; None as the receiver: any other process.
+    /// Takes the next message and its receiver. None as the receiver: any other process.
     fn poll_transmit(&mut self) -> Option<(Option<u16>, Vec<u8>)>;
-    /// Tells whether the sending budget is short.
+    /// Tells the machine whether the sending budget is running short.
     fn set_congested(&mut self, _congested: bool) {}
     /// Checks the invariants of the machine.
     ///
@@ -46,82 +47,83 @@
     }
 }
 
-/// What happens next to a process.
+/// A queued event.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Arrives { to: u16, from: u16, content: Vec<u8> },
+enum Event {
+    Arrival { to: u16, from: u16, content: Vec<u8> },
     Tick(u16),
 }
 
-/// One process.
+/// A simulated process.
 pub struct Node<M> {
-    /// Its state machine; None: it does not run.
+    /// The state machine. None: the process does not run.
     pub machine: Option<M>,
-    /// Bytes and datagrams that it has sent.
+    /// Bytes and datagrams that the process has sent.
     pub sent: (u64, u64),
-    /// It is suspended until then; datagrams that arrive meanwhile wait.
+    /// The time until which the process is suspended. Datagrams that arrive before then are queued.
     pub paused_until: Micros,
-    /// Its clock: a time of the fleet, what the clock showed then, and its rate.
+    /// The process's clock: a fleet time, the reading of the clock at that time, and its rate.
     clock: (Micros, Micros, f64),
-    /// When its next tick is queued.
-    ticking: Option<Micros>,
-    /// Bytes of its budget that are left, and when they were counted.
-    left: (f64, Micros),
-    /// Datagrams that arrived while it was suspended.
+    /// The fleet time of the next queued tick.
+    next_tick: Option<Micros>,
+    /// Remaining bytes of the sending budget, and the time of that count.
+    budget: (f64, Micros),
+    /// Datagrams that arrived while the process was suspended.
     inbox: Vec<(u16, Vec<u8>)>,
 }
 
 impl<M> Node<M> {
-    /// What its clock shows at a time of the fleet.
+    /// The reading of the process's clock at a fleet time.
     pub fn local(&self, now: Micros) -> Micros {
         let (at, shown, rate) = self.clock;
         shown + (now.saturating_sub(at) as f64 * rate) as Micros
     }
 
-    /// When its clock will show a time.
+    /// The fleet time at which the process's clock will show `local`.
     fn global(&self, local: Micros) -> Micros {
         let (at, shown, rate) = self.clock;
         at.saturating_add((local.saturating_sub(shown) as f64 / rate).ceil() as Micros)
     }
 }
 
-/// Whether a datagram from one process to another gets through.
+/// Tells whether a datagram from one process reaches another.
 pub type Passes = Box<dyn Fn(u16, u16) -> bool + Send>;
 
-/// Many processes and the network between them.
+/// A simulated fleet: processes and the network between them.
 pub struct Fleet<M> {
-    /// The time of the fleet, which no process sees.
+    /// The fleet time, which no process can read.
     pub now: Micros,
-    /// Processes by number.
+    /// The processes, indexed by their number.
     pub nodes: Vec<Node<M>>,
-    /// The source of all random choices.
+    /// The random number generator for all random choices.
     pub random: Pcg64Mcg,
     /// The share of datagrams that are lost.
     pub loss: f64,
     /// The share of datagrams that arrive twice.
     pub duplicates: f64,
-    /// The least time on the way, and how much longer it may be at most, in microseconds.
+    /// The minimum network delay and the maximum random addition to it, in microseconds.
     pub delay: (Micros, Micros),
-    /// Which datagrams get through.
+    /// Which process can reach which other.
     pub passes: Passes,
-    /// A record of all messages, if a test asks for it.
+    /// A record of all messages, if a test needs it.
     pub transcript: Option<Transcript>,
-    /// The first invariant that was found broken, and by which process.
+    /// The first violated invariant, and the process that violated it.
     pub violation: Option<(u16, Violation)>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Due)>>,
-    next: u64,
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    /// The sequence number of the last queued event, which orders events of the same time.
+    next_sequence: u64,
 }
 
 impl<M: Machine> Fleet<M> {
-    /// `count` processes, none of which runs.
+    /// Creates a fleet of `count` processes, none of which runs.
     pub fn new(count: u16, seed: u64) -> Fleet<M> {
         let node = |_| Node {
             machine: None,
             sent: (0, 0),
             paused_until: 0,
             clock: (0, 0, 1.0),
-            ticking: None,
-            left: (BURST, 0),
+            next_tick: None,
+            budget: (BUDGET_BURST, 0),
             inbox: Vec::new(),
         };
         Fleet {
@@ -135,21 +137,21 @@
             transcript: None,
             violation: None,
             queue: BinaryHeap::new(),
-            next: 0,
+            next_sequence: 0,
         }
     }
 
-    /// A random number below `most`; 0 if that is 0.
-    pub fn below(&mut self, most: u64) -> u64 {
-        self.random.next_u64() % most.max(1)
+    /// Returns a random number below `limit`, or 0 if `limit` is 0.
+    pub fn below(&mut self, limit: u64) -> u64 {
+        self.random.next_u64() % limit.max(1)
     }
 
-    /// True with this probability.
-    pub fn chance(&mut self, of: f64) -> bool {
-        ((self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64) < of
+    /// Returns true with this probability.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        ((self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64) < probability
     }
 
-    /// What the clock of a process shows.
+    /// The current reading of a process's clock.
     pub fn local(&self, number: u16) -> Micros {
         self.nodes[usize::from(number)].local(self.now)
     }
@@ -159,21 +161,21 @@
         let now = self.now;
         let node = &mut self.nodes[usize::from(number)];
         node.clock = (now, node.local(now) + ahead, rate);
-        node.ticking = None;
-        self.after(number);
+        node.next_tick = None;
+        self.check_and_send(number);
     }
 
-    /// Starts a process; `make` is given what its clock shows.
+    /// Starts a process. `make` gets the reading of its clock.
     pub fn start(&mut self, number: u16, make: impl FnOnce(Micros) -> M) {
         let now = self.now;
         let node = &mut self.nodes[usize::from(number)];
         let machine = make(node.local(now));
-        (node.machine, node.ticking, node.paused_until) = (Some(machine), None, 0);
+        (node.machine, node.next_tick, node.paused_until) = (Some(machine), None, 0);
         node.inbox.clear();
-        self.after(number);
+        self.check_and_send(number);
     }
 
-    /// Ends a process at once.
+    /// Kills a process.
     pub fn kill(&mut self, number: u16) {
         let node = &mut self.nodes[usize::from(number)];
         node.machine = None;
@@ -186,28 +188,28 @@
         node.machine.is_some() && node.paused_until <= self.now
     }
 
-    /// Calls a function on the machine of a process, and sends what it has to send; None: the process does not run.
-    pub fn with<R>(&mut self, number: u16, act: impl FnOnce(&mut M, Micros) -> R) -> Option<R> {
+    /// Calls a function on the machine of a process and sends the machine's messages. None: the process does not run.
+    pub fn with<R>(&mut self, number: u16, action: impl FnOnce(&mut M, Micros) -> R) -> Option<R> {
         let node = &mut self.nodes[usize::from(number)];
         let now = node.local(self.now);
-        let done = node.machine.as_mut().map(|machine| act(machine, now));
-        self.after(number);
-        done
+        let result = node.machine.as_mut().map(|machine| action(machine, now));
+        self.check_and_send(number);
+        result
     }
 
-    /// The machines of all processes that run.
+    /// The machines of all running processes.
     pub fn machines(&self) -> impl Iterator<Item = &M> {
         self.nodes.iter().filter_map(|n| n.machine.as_ref())
     }
 
-    /// Queues what happens at a time.
-    fn push(&mut self, at: Micros, due: Due) {
-        self.next += 1;
-        self.queue.push(Reverse((at, self.next, due)));
+    /// Queues an event for a fleet time.
+    fn push(&mut self, at: Micros, event: Event) {
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at, self.next_sequence, event)));
     }
 
     /// Checks the machine of a process, sends its messages, and queues its next tick.
-    fn after(&mut self, number: u16) {
+    fn check_and_send(&mut self, number: u16) {
         let (now, count) = (self.now, self.nodes.len() as u64);
         let node = &mut self.nodes[usize::from(number)];
         let local = node.local(now);
@@ -215,23 +217,24 @@
         if let (Err(violation), None) = (machine.check(local), &self.violation) {
             self.violation = Some((number, violation));
         }
-        let mut out = Vec::new();
+        let mut messages = Vec::new();
         while let Some(message) = machine.poll_transmit() {
-            out.push(message);
+            messages.push(message);
         }
         let due = machine.poll_timeout();
         let at = node.global(due).max(now + 1);
-        let sooner = node.ticking.is_none_or(|t| at < t || t <= now);
+        let sooner = node.next_tick.is_none_or(|t| at < t || t <= now);
         if sooner {
-            node.ticking = Some(at);
+            node.next_tick = Some(at);
         }
-        let bytes: u64 = out.iter().map(|(_, c)| c.len() as u64 + OVERHEAD_BYTES).sum();
-        node.left.0 -= bytes as f64;
-        node.sent = (node.sent.0 + bytes, node.sent.1 + out.len() as u64);
+        let bytes: u64 =
+            messages.iter().map(|(_, content)| content.len() as u64 + OVERHEAD_BYTES).sum();
+        node.budget.0 -= bytes as f64;
+        node.sent = (node.sent.0 + bytes, node.sent.1 + messages.len() as u64);
         if sooner && at < Micros::MAX / 2 {
-            self.push(at, Due::Tick(number));
+            self.push(at, Event::Tick(number));
         }
-        for (to, content) in out {
+        for (to, content) in messages {
             assert!(content.len() <= crate::MAX_MESSAGE_BYTES, "{} bytes", content.len());
             let to = to.unwrap_or_else(|| {
                 let other = self.random.next_u64() % (count - 1).max(1);
@@ -248,78 +251,85 @@
             }
             for _ in 0..1 + usize::from(self.chance(self.duplicates)) {
                 let delay = self.delay.0 + self.below(self.delay.1);
-                self.push(now + delay, Due::Arrives { to, from: number, content: content.clone() });
+                self.push(
+                    now + delay,
+                    Event::Arrival { to, from: number, content: content.clone() },
+                );
             }
         }
     }
 
-    /// Lets the next thing happen.
+    /// Processes the next event.
     fn step(&mut self) {
-        let Some(Reverse((at, _, due))) = self.queue.pop() else { return };
+        let Some(Reverse((at, _, event))) = self.queue.pop() else { return };
         self.now = self.now.max(at);
         let now = self.now;
-        let (Due::Arrives { to: number, .. } | Due::Tick(number)) = due;
+        let (Event::Arrival { to: number, .. } | Event::Tick(number)) = event;
         let node = &mut self.nodes[usize::from(number)];
         let local = node.local(now);
-        let passed = now.saturating_sub(node.left.1) as f64 / SECOND as f64;
-        node.left = ((node.left.0 + passed * RATE).min(BURST), now);
+        let passed = now.saturating_sub(node.budget.1) as f64 / SECOND as f64;
+        node.budget = ((node.budget.0 + passed * BUDGET_RATE).min(BUDGET_BURST), now);
         let Some(machine) = &mut node.machine else { return };
         if node.paused_until > now {
-            match due {
-                Due::Arrives { from, content, .. } => node.inbox.push((from, content)),
-                Due::Tick(_) => {
+            match event {
+                Event::Arrival { from, content, .. } => node.inbox.push((from, content)),
+                Event::Tick(_) => {
                     let until = node.paused_until;
-                    self.push(until, Due::Tick(number));
+                    self.push(until, Event::Tick(number));
                 }
             }
             return;
         }
-        machine.set_congested(node.left.0 < BURST / 3.0);
+        machine.set_congested(node.budget.0 < BUDGET_BURST / 3.0);
         for (from, content) in std::mem::take(&mut node.inbox) {
             machine.handle(local, from, &content);
         }
-        match due {
-            Due::Arrives { from, content, .. } => machine.handle(local, from, &content),
-            Due::Tick(_) => {
-                if node.ticking.is_some_and(|t| t <= now) {
-                    node.ticking = None;
+        match event {
+            Event::Arrival { from, content, .. } => machine.handle(local, from, &content),
+            Event::Tick(_) => {
+                if node.next_tick.is_some_and(|t| t <= now) {
+                    node.next_tick = None;
                 }
                 if machine.poll_timeout() <= local {
                     machine.tick(local);
                 }
             }
         }
-        self.after(number);
+        self.check_and_send(number);
     }
 
-    /// When the next thing happens; None: nothing is queued.
+    /// The time of the next event. None: no event is queued.
     pub fn next_at(&self) -> Option<Micros> {
         self.queue.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Lets one thing happen, if it happens by `end`; false: nothing does, and the clock shows `end`.
+    /// Processes one event if it is due by `end`. False: there is none, and the fleet time is now `end`.
     pub fn step_until(&mut self, end: Micros) -> bool {
-        let more = self.next_at().is_some_and(|at| at <= end);
-        if more {
+        let event_due = self.next_at().is_some_and(|at| at <= end);
+        if event_due {
             self.step();
         } else {
             self.now = self.now.max(end);
         }
-        more
+        event_due
     }
 
-    /// Lets `length` microseconds pass.
-    pub fn run(&mut self, length: Micros) {
-        let end = self.now + length;
+    /// Lets `duration` microseconds pass.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.step_until(end) {}
     }
 
-    /// Runs until `good` returns true, which is asked every hundredth of a second; the time that it took, or None: it
-    /// was not within `most` microseconds.
-    pub fn run_until(&mut self, most: Micros, good: impl Fn(&Fleet<M>) -> bool) -> Option<Micros> {
+    /// Runs until `condition` returns true, which is checked every 10 ms. Returns the time that it took, or None if it took
+    /// longer than `timeout` microseconds.
+    pub fn run_until(
+        &mut self,
+        timeout: Micros,
+        condition: impl Fn(&Fleet<M>) -> bool,
+    ) -> Option<Micros> {
         let begin = self.now;
-        while !good(self) {
-            if self.now >= begin + most {
+        while !condition(self) {
+            if self.now >= begin + timeout {
                 return None;
             }
             self.run(SECOND / 100);
--- a/crates/millethook-machine/src/sim/script.rs
+++ b/crates/millethook-machine/src/sim/script.rs
@@ -1,26 +1,26 @@
-//! Scripts of load and faults, as random tests draw and shrink them.
+//! Scripts of load and faults that random tests generate and shrink.
 
 use std::fmt::Debug;
 
 use crate::Micros;
 
-/// Microseconds of the unit in which scripts have times.
+/// The time unit of scripts, in microseconds.
 const MILLISECOND: Micros = 1_000;
 
-/// Plays a script: its steps, each with the number of milliseconds after the one before.
+/// Runs a script: a list of actions, each with its delay in milliseconds after the action before.
 ///
-/// `step` lets so many microseconds pass, carries the step out, and returns the first rule that was found broken.
+/// `step` lets the given number of microseconds pass, carries out the action, and returns the first violated rule.
 ///
 /// # Errors
-/// A rule was found broken; it is named together with the step before.
-pub fn play_script<W, Act: Debug>(
+/// A rule was violated. The error names the rule and the action before it.
+pub fn play_script<W, Action: Debug>(
     world: &mut W,
-    script: &[(u64, Act)],
-    step: impl Fn(&mut W, Micros, &Act) -> Option<String>,
+    script: &[(u64, Action)],
+    step: impl Fn(&mut W, Micros, &Action) -> Option<String>,
 ) -> Result<(), String> {
-    for (gap, act) in script {
-        if let Some(broken) = step(world, gap * MILLISECOND, act) {
-            return Err(format!("{act:?}: {broken}"));
+    for (delay, action) in script {
+        if let Some(violation) = step(world, delay * MILLISECOND, action) {
+            return Err(format!("{action:?}: {violation}"));
         }
     }
     Ok(())
--- a/crates/millethook-machine/src/sim/transcript.rs
+++ b/crates/millethook-machine/src/sim/transcript.rs
@@ -7,12 +7,12 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// What a line of a message begins with.
-const KIND: &str = "kind ";
+/// The prefix of a line that holds a message.
+const KIND_PREFIX: &str = "kind ";
 
-/// A digest of all messages in the order in which they were sent, and the first message of each kind in full.
+/// A digest of all messages in sending order, and the full first message of each kind.
 ///
-/// The kind of a message is its first byte. [`fmt::Display`] writes one line for the number of messages, one for the
+/// The kind of a message is its first byte. [`fmt::Display`] writes one line with the number of messages, one with the
 /// digest and one for each kind, so that a test can compare a run with a file that an earlier build wrote.
 #[derive(Clone, Debug)]
 pub struct Transcript {
@@ -28,7 +28,7 @@
 }
 
 impl Transcript {
-    /// Notes a message with its sender, its receiver and the time at which it was sent, in microseconds.
+    /// Records a message with its sender, its receiver and the time at which it was sent.
     pub fn record(&mut self, now: crate::Micros, from: u16, to: u16, content: &[u8]) {
         self.messages += 1;
         let envelope = [now, u64::from(from), u64::from(to), content.len() as u64];
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The messages that stand in a text which [`Transcript`] has written.
+    /// Reads the messages from the [`fmt::Display`] output of a [`Transcript`].
     ///
     /// # Panics
     /// A line of a message is not in hexadecimal digits: the file is damaged.
     pub fn messages_in(text: &str) -> Vec<Vec<u8>> {
-        text.lines().filter_map(|line| line.strip_prefix(KIND)).map(message_in).collect()
+        text.lines().filter_map(|line| line.strip_prefix(KIND_PREFIX)).map(message_in).collect()
     }
 
     /// The first message of each kind, by kind.
@@ -60,7 +60,7 @@
         writeln!(f, "messages {}", self.messages)?;
         writeln!(f, "digest {:016x}", self.digest)?;
         for (kind, content) in &self.first_of_kind {
-            write!(f, "{KIND}{kind} ")?;
+            write!(f, "{KIND_PREFIX}{kind} ")?;
             content.iter().try_for_each(|byte| write!(f, "{byte:02x}"))?;
             writeln!(f)?;
         }
@@ -68,7 +68,7 @@
     }
 }
 
-/// The message in what follows `kind `: its kind in decimal digits, and all its bytes in hexadecimal ones.
+/// Parses a line after its prefix: the kind in decimal digits, then all bytes of the message in hexadecimal digits.
 fn message_in(line: &str) -> Vec<u8> {
     let hex = line.split_once(' ').map_or("", |(_, hex)| hex);
     let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
--- a/crates/millethook-machine/tests/codec.rs
+++ b/crates/millethook-machine/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The reader and writer of messages that the state machines share.
+//! Tests of the shared message codec.
 
 use millethook_machine::MAX_MESSAGE_BYTES;
 use millethook_machine::codec::{
@@ -6,11 +6,11 @@
 };
 
 millethook_machine::wire_enum! {
-    /// Kinds of the messages below.
+    /// Kinds of the messages in these tests.
     enum Kind {
-        /// A question.
+        /// A request.
         Ping = 1,
-        /// Its answer.
+        /// The answer to a ping.
         Ack = 2,
     }
 }
@@ -36,7 +36,7 @@
 }
 
 millethook_machine::message_header! {
-    /// The fields of [`Example`], and one of each other form.
+    /// The fields of [`Example`], and one field of each other encoding.
     struct Declared {
         kind: Kind,
         number: u16,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_declared_header_is_its_fields_in_their_order() {
+fn a_declared_header_consists_of_its_fields_in_order() {
     let header = Declared {
         kind: Kind::Ping,
         number: 0x0203,
@@ -62,28 +62,28 @@
     assert_eq!(write_header(&header), bytes);
     let (read, rest) = read_message::<Declared>(&bytes).expect("a message");
     assert_eq!((read, rest.remaining()), (header, &[][..]));
-    let refused = |bytes: &[u8]| read_message::<Declared>(bytes).err();
-    assert_eq!(refused(&bytes[1..]), Some(Malformed::Length));
-    assert_eq!(refused(&[9; 0x16]), Some(Malformed::Kind));
+    let error_of = |bytes: &[u8]| read_message::<Declared>(bytes).err();
+    assert_eq!(error_of(&bytes[1..]), Some(Malformed::Length));
+    assert_eq!(error_of(&[9; 0x16]), Some(Malformed::Kind));
 }
 
 #[test]
-fn a_header_is_read_as_it_was_written_and_refused_where_it_is_none() {
+fn a_written_header_is_read_back_and_an_invalid_one_is_rejected() {
     let header = Example { kind: Kind::Ack, number: 0x0102 };
     let mut bytes = write_header(&header);
     assert_eq!(bytes, [2, 1, 2]);
     bytes.push(9);
     let (read, rest) = read_message::<Example>(&bytes).expect("a message");
     assert_eq!((read, rest.remaining()), (header, &[9][..]));
-    let refused = |bytes: &[u8]| read_message::<Example>(bytes).err();
-    assert_eq!(refused(&bytes[..2]), Some(Malformed::Length));
-    assert_eq!(refused(&[3, 0, 0]), Some(Malformed::Kind));
-    assert_eq!(refused(&[1; MAX_MESSAGE_BYTES]), None);
-    assert_eq!(refused(&[1; MAX_MESSAGE_BYTES + 1]), Some(Malformed::Length));
+    let error_of = |bytes: &[u8]| read_message::<Example>(bytes).err();
+    assert_eq!(error_of(&bytes[..2]), Some(Malformed::Length));
+    assert_eq!(error_of(&[3, 0, 0]), Some(Malformed::Kind));
+    assert_eq!(error_of(&[1; MAX_MESSAGE_BYTES]), None);
+    assert_eq!(error_of(&[1; MAX_MESSAGE_BYTES + 1]), Some(Malformed::Length));
 }
 
 #[test]
-fn numbers_are_big_endian_and_taken_whole_or_not_at_all() {
+fn numbers_are_big_endian_and_short_input_consumes_nothing() {
     let bytes: Vec<u8> = (1..=27).collect();
     let mut reader = Reader::new(&bytes);
     assert_eq!(reader.u8(), Ok(1));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn records_end_with_the_first_that_makes_no_sense() {
+fn records_end_at_the_first_invalid_one() {
     let record = |reader: &mut Reader<'_>| match reader.u8()? {
         7 => reader.u16(),
         _ => Err(Malformed::Kind),
