--- a/crates/millethook-handover/src/inherited.rs
+++ b/crates/millethook-handover/src/inherited.rs
@@ -1,4 +1,4 @@
-//! A descriptor that was open when the process began.
+//! Descriptors that were open when the process started.
 
 use std::io::{self, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -10,51 +10,50 @@
 use sendfd::SendWithFd;
 use socket2::Socket;
 
-/// A descriptor of this process's own for what is open under `number`. The one under that number stays
-/// open: who left it there may have given it to others, too.
+/// Duplicates the descriptor that is open under `number`. The original stays open, because the process that left it may
+/// have given it to others, too.
 ///
-/// A number is no proof that its descriptor belongs to nobody else in this process, so making an owned
-/// one of it is `unsafe`. Sent through a socket pair it comes back as a new one that belongs to whoever
-/// received it.
+/// Another part of this process may own the descriptor under `number`, so turning the number into an owned descriptor is
+/// `unsafe`. Sending it through a socket pair gives a new descriptor that belongs to the receiver.
 ///
 /// # Errors
-/// Nothing is open under `number` (`EBADF`).
+/// No descriptor is open under `number` (`EBADF`).
 pub fn duplicate(number: RawFd) -> io::Result<OwnedFd> {
     let (from, to) = UnixStream::pair()?;
     from.send_with_fd(&[0], &[number])?;
     let (_, fd) = receive(&to)?;
-    fd.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no descriptor came"))
+    fd.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no descriptor received"))
 }
 
-/// One byte and the descriptor that came with it, if one did. None for the byte: the sender has ended.
+/// Receives one byte and the descriptor that came with it, if any. None for the byte: the sender has closed its end.
 pub(crate) fn receive(from: &UnixStream) -> io::Result<(Option<u8>, Option<OwnedFd>)> {
     let mut byte = [0];
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let mut buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = RecvAncillaryBuffer::new(&mut buffer);
     let mut bytes = [IoSliceMut::new(&mut byte)];
-    let got = recvmsg(from, &mut bytes, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    let received = recvmsg(from, &mut bytes, &mut control, RecvFlags::CMSG_CLOEXEC)?;
     let mut fd = None;
     for message in control.drain() {
         if let RecvAncillaryMessage::ScmRights(fds) = message {
             fd = fds.last();
         }
     }
-    Ok(((got.bytes > 0).then_some(byte[0]), fd))
+    Ok(((received.bytes > 0).then_some(byte[0]), fd))
 }
 
-/// The listening TCP socket under `number`, not blocking.
+/// Takes over the listening TCP socket under `number` and makes it non-blocking.
 ///
-/// Danger: the file status flags are shared by all processes that hold the socket. Each of them has to
-/// expect that an accept finds nothing, which is so for any that shares a listening socket.
+/// All processes that hold the socket share its file status flags, so it becomes non-blocking for them, too. Each has to
+/// handle an accept that finds no connection, as any process that shares a listening socket must.
 ///
 /// # Errors
-/// Nothing is open under `number`, or it is no listening TCP socket.
+/// No descriptor is open under `number`, or it is not a listening TCP socket.
 pub fn listener(number: RawFd) -> io::Result<TcpListener> {
     let socket = Socket::from(duplicate(number)?);
-    let listens = socket.is_listener()? && socket.r#type()? == socket2::Type::STREAM;
-    if !listens || socket.local_addr()?.as_socket().is_none() {
+    let is_tcp_listener = socket.is_listener()? && socket.r#type()? == socket2::Type::STREAM;
+    if !is_tcp_listener || socket.local_addr()?.as_socket().is_none() {
         let kind = io::ErrorKind::InvalidInput;
-        return Err(io::Error::new(kind, "a listening TCP socket expected"));
+        return Err(io::Error::new(kind, "not a listening TCP socket"));
     }
     socket.set_nonblocking(true)?;
     Ok(socket.into())
@@ -69,18 +68,18 @@
     #[test]
     fn a_listener_is_taken_over_and_both_accept() {
         let original = TcpListener::bind("127.0.0.1:0").unwrap();
-        let ours = listener(original.as_raw_fd()).unwrap();
-        assert_ne!(ours.as_raw_fd(), original.as_raw_fd());
-        assert_eq!(ours.local_addr().unwrap(), original.local_addr().unwrap());
-        assert_eq!(ours.accept().unwrap_err().kind(), io::ErrorKind::WouldBlock);
+        let inherited = listener(original.as_raw_fd()).unwrap();
+        assert_ne!(inherited.as_raw_fd(), original.as_raw_fd());
+        assert_eq!(inherited.local_addr().unwrap(), original.local_addr().unwrap());
+        assert_eq!(inherited.accept().unwrap_err().kind(), io::ErrorKind::WouldBlock);
         drop(original);
-        let _client = TcpStream::connect(ours.local_addr().unwrap()).unwrap();
-        ours.set_nonblocking(false).unwrap();
-        ours.accept().unwrap();
+        let _client = TcpStream::connect(inherited.local_addr().unwrap()).unwrap();
+        inherited.set_nonblocking(false).unwrap();
+        inherited.accept().unwrap();
     }
 
     #[test]
-    fn what_is_no_listener_is_turned_down() {
+    fn other_descriptors_are_rejected() {
         let stream = UnixStream::pair().unwrap().0;
         assert!(listener(stream.as_raw_fd()).is_err());
         let file = std::fs::File::open("/dev/null").unwrap();
--- a/crates/millethook-handover/src/lib.rs
+++ b/crates/millethook-handover/src/lib.rs
@@ -1,13 +1,13 @@
-//! Sockets on their way from one process to the next, on one machine and for one user.
+//! Passes sockets from a running process to the one that replaces it, on one machine and for one user.
 //!
 //! - [`inherited`] takes over a descriptor that the parent process left open under a known number.
-//! - [`endpoint`] is where the process that serves at present can be found: its successor takes the seat, and
-//!   passes clients' connections on to whoever holds it.
-//! - [`active_process`] is the process that serves until then.
-//! - [`request_ids`] goes with them: which ids are in use, so that no request runs at both processes.
+//! - [`endpoint`] is the socket at which the active process can be found. Its successor takes over the socket's path, and
+//!   a process passes its client connections on to whichever process holds that path.
+//! - [`active_process`] watches the process that serves until then.
+//! - [`request_ids`] passes on which request ids are in use, so that no request runs in both processes.
 //!
-//! Descriptors travel as `SCM_RIGHTS` (unix(7)). A connection passed on is the same one to its peer: bytes
-//! that nobody has read yet wait in it, so none is lost on the way.
+//! Descriptors are sent as `SCM_RIGHTS` (unix(7)). A connection that is passed on stays open for its peer: unread bytes
+//! remain in the socket buffer, so none are lost.
 #![forbid(unsafe_code)]
 
 pub mod active_process;
--- a/crates/millethook-handover/src/request_ids.rs
+++ b/crates/millethook-handover/src/request_ids.rs
@@ -1,8 +1,8 @@
-//! Ids of requests on their way from one process to the next: those that are in use, and claims for others.
+//! Request ids that one process passes to the next: the ids in use, and requests to reserve further ids.
 //!
-//! Both travel as descriptors, as connections do, so they keep their place among these. The ids that are in use are a
-//! file in memory, 8 bytes each, little-endian. A claim is one end of a socket pair with 8 bytes in it; one byte comes
-//! back. A process that knows neither passes over what is no connection, and closes it.
+//! Both are sent as descriptors, like connections, so they stay in order with these. The ids in use are sent as a memory
+//! file with 8 bytes for each id, little-endian. A reservation is one end of a socket pair with 8 bytes in it; the answer
+//! is one byte. A process whose version knows neither ignores and closes descriptors that are not connections.
 
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -16,70 +16,73 @@
 use tokio::net::UnixStream as AsyncStream;
 use tokio::time::timeout;
 
-/// The byte that goes with a file of ids.
+/// The byte that is sent with a file of ids.
 pub(crate) const IDS: u8 = 2;
-/// The byte that goes with a claim.
+/// The byte that is sent with a reservation.
 pub(crate) const RESERVATION: u8 = 3;
-/// The most ids that are taken over. More are not in use at any process.
+/// The maximum number of ids that are taken over. No process has more in use.
 const MAX_IDS: u64 = 1 << 17;
-/// How long a claim waits for its answer.
-const PATIENCE: Duration = Duration::from_millis(100);
+/// The timeout for the answer to a reservation.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 const ID_BYTES: usize = size_of::<u64>();
 const GRANTED: u8 = 1;
 const REFUSED: u8 = 0;
 
-/// A file with these ids.
-pub(crate) fn written(ids: &[u64]) -> io::Result<File> {
+/// Writes ids to a memory file.
+pub(crate) fn write_ids(ids: &[u64]) -> io::Result<File> {
     let mut file = File::from(memfd_create("request-ids", MemfdFlags::CLOEXEC)?);
     let bytes: Vec<u8> = ids.iter().flat_map(|id| id.to_le_bytes()).collect();
     file.write_all(&bytes)?;
     Ok(file)
 }
 
-/// The ids in such a file.
-pub(crate) fn read(file: OwnedFd) -> io::Result<Vec<u64>> {
+/// Reads the ids in such a file.
+pub(crate) fn read_ids(file: OwnedFd) -> io::Result<Vec<u64>> {
     let file = File::from(file);
     let length = file.metadata()?.len();
     if length % ID_BYTES as u64 != 0 || length / ID_BYTES as u64 > MAX_IDS {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, format!("{length} bytes of ids")));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("{length} bytes are not a list of request ids"),
+        ));
     }
     let mut bytes = vec![0; length as usize];
     file.read_exact_at(&mut bytes, 0)?;
     Ok(bytes.as_chunks().0.iter().map(|id| u64::from_le_bytes(*id)).collect())
 }
 
-/// A claim that waits for its answer.
+/// A reservation that waits for its answer.
 #[derive(Debug)]
 pub struct PendingReservation(UnixStream);
 
 impl PendingReservation {
-    /// A claim for an id, and what goes to the process that is asked.
+    /// Creates a reservation of an id, and the end of the socket pair that is sent to the other process.
     pub(crate) fn new(id: u64) -> io::Result<(PendingReservation, UnixStream)> {
-        let (mut ours, theirs) = UnixStream::pair()?;
-        ours.write_all(&id.to_le_bytes())?;
-        ours.set_nonblocking(true)?;
-        Ok((PendingReservation(ours), theirs))
+        let (mut local, remote) = UnixStream::pair()?;
+        local.write_all(&id.to_le_bytes())?;
+        local.set_nonblocking(true)?;
+        Ok((PendingReservation(local), remote))
     }
 
-    /// Whether the id may be used. It may as well where the process that is asked has ended or keeps no ids: nobody
-    /// else can have it then. None: there is no answer within 100 ms.
+    /// Waits for the answer and returns whether the id may be used. If the other process has ended or keeps no ids, it
+    /// may, because no other process can use it then. None: there was no answer within 100 ms.
     pub async fn granted(self) -> Option<bool> {
         let mut stream = AsyncStream::from_std(self.0).ok()?;
-        let answer = timeout(PATIENCE, stream.read_u8()).await.ok()?;
+        let answer = timeout(ANSWER_TIMEOUT, stream.read_u8()).await.ok()?;
         Some(answer.unwrap_or(GRANTED) == GRANTED)
     }
 }
 
-/// A claim of another process.
+/// A request of another process to reserve an id.
 #[derive(Debug)]
 pub struct ReservationRequest {
-    /// The id that it wants to take.
+    /// The id to be reserved.
     pub id: u64,
     stream: UnixStream,
 }
 
 impl ReservationRequest {
-    /// The claim at this end of a socket pair.
+    /// Reads the request from this end of a socket pair.
     pub(crate) fn read(end: OwnedFd) -> io::Result<ReservationRequest> {
         let mut stream = UnixStream::from(end);
         stream.set_nonblocking(true)?;
@@ -88,7 +91,7 @@
         Ok(ReservationRequest { id: u64::from_le_bytes(id), stream })
     }
 
-    /// Answers it. Who has asked may have gone.
+    /// Answers the request. The process that sent it may have ended.
     pub fn answer(mut self, granted: bool) {
         let _ = self.stream.write_all(&[if granted { GRANTED } else { REFUSED }]);
     }
