--- a/crates/millethook-frames/src/channel.rs
+++ b/crates/millethook-frames/src/channel.rs
@@ -1,6 +1,6 @@
-//! What goes out when: messages of several kinds wait, and a budget of bytes a second is shared among the kinds by
-//! weight, as in weighted fair queueing (Demers, Keshav and Shenker, 1989). Messages for one receiver travel
-//! together.
+//! Scheduling of outgoing messages. Messages of several kinds are queued, and the kinds share a budget of bytes per second
+//! by weight, as in weighted fair queueing (Demers, Keshav and Shenker, 1989). Messages for the same receiver are combined
+//! into one datagram.
 
 use std::collections::VecDeque;
 
@@ -8,185 +8,198 @@
 
 use crate::frame::{FrameWriter, Header, MAX_RECORD};
 
-/// Microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Messages of a kind that wait; of more the oldest goes first: news that waited has been overtaken by newer.
-const WAITING: usize = 64;
+/// The maximum number of queued messages of a kind. Beyond it the oldest is dropped, because newer messages supersede
+/// it.
+const MAX_QUEUED: usize = 64;
 
-/// A kind of message.
+/// A kind of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// Its number in frames.
+    /// The number of the kind in frames.
     pub number: u8,
-    /// Its part of the budget while others wait, too.
+    /// The kind's share of the budget, relative to the other kinds that have queued messages.
     pub weight: u32,
 }
 
-/// How a channel is set up.
+/// The settings of a channel.
 #[derive(Clone, Debug)]
 pub struct ChannelConfig {
-    /// Bytes a second.
+    /// The budget in bytes per second.
     pub rate: u32,
-    /// Bytes that may go out at once after silence; 256 at least.
+    /// Bytes that may be sent at once after an idle period; at least 256.
     pub burst: u32,
-    /// The kinds. Others are not taken.
+    /// The kinds of messages. Messages of other kinds are rejected.
     pub kinds: Vec<Kind>,
 }
 
-/// Bytes by which sums of parts may be short of the whole: at the time that [`Channel::poll_timeout`] named there has
-/// to be enough.
-const ROUNDING: f64 = 1e-3;
+/// Tolerance for rounding errors of the budget, in bytes. Without it, the budget could fall just short at the time that
+/// [`Channel::poll_timeout`] returned.
+const ROUNDING_BYTES: f64 = 1e-3;
 
 struct Queue {
     kind: Kind,
-    waiting: VecDeque<(u16, Vec<u8>)>,
-    /// Bytes sent over the weight: the least goes first.
-    spent: f64,
+    messages: VecDeque<(u16, Vec<u8>)>,
+    /// Bytes sent, divided by the weight. The kind with the lowest value is sent first.
+    weighted_bytes: f64,
 }
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams that went out.
+    /// Datagrams sent.
     pub datagrams: u64,
-    /// Bytes of them.
+    /// Bytes sent.
     pub bytes: u64,
-    /// Messages that were overtaken by newer ones while they waited.
+    /// Messages that were dropped because newer ones superseded them in the queue.
     pub dropped: u64,
 }
 
-/// The way out.
+/// Queues messages and sends them within the budget.
 pub struct Channel {
     rate: f64,
     burst: f64,
     queues: Vec<Queue>,
-    left: f64,
-    counted: Micros,
+    /// Remaining bytes of the budget.
+    budget: f64,
+    /// When `budget` was last updated.
+    updated: Micros,
     counts: Counts,
 }
 
 impl Channel {
-    /// One with a full budget.
+    /// Creates a channel with a full budget.
     pub fn new(config: &ChannelConfig, now: Micros) -> Channel {
         let burst = f64::from(config.burst.max(crate::MAX_FRAME_BYTES as u32));
-        let queue = |kind: &Kind| Queue { kind: *kind, waiting: VecDeque::new(), spent: 0.0 };
+        let queue =
+            |kind: &Kind| Queue { kind: *kind, messages: VecDeque::new(), weighted_bytes: 0.0 };
         Channel {
             rate: f64::from(config.rate.max(1)),
             burst,
             queues: config.kinds.iter().map(queue).collect(),
-            left: burst,
-            counted: now,
+            budget: burst,
+            updated: now,
             counts: Counts::default(),
         }
     }
 
-    /// Counts so far.
+    /// Counts since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Takes a message; false: of no kind that this channel has, or too long.
+    /// Queues a message. False: the channel does not have this kind, or the message is too long.
     pub fn offer(&mut self, to: u16, kind: u8, content: Vec<u8>) -> bool {
-        let least = self.queues.iter().filter(|q| !q.waiting.is_empty()).map(|q| q.spent);
-        let least = least.fold(f64::INFINITY, f64::min);
+        let lowest =
+            self.queues.iter().filter(|q| !q.messages.is_empty()).map(|q| q.weighted_bytes);
+        let lowest = lowest.fold(f64::INFINITY, f64::min);
         let Some(queue) = self.queues.iter_mut().find(|q| q.kind.number == kind) else {
             return false;
         };
         if content.len() > MAX_RECORD {
             return false;
         }
-        if queue.waiting.is_empty() && least.is_finite() {
-            // A kind that was silent has saved up nothing.
-            queue.spent = queue.spent.max(least);
+        if queue.messages.is_empty() && lowest.is_finite() {
+            // A kind accumulates no share of the budget while it is idle.
+            queue.weighted_bytes = queue.weighted_bytes.max(lowest);
         }
-        queue.waiting.push_back((to, content));
-        if queue.waiting.len() > WAITING {
-            queue.waiting.pop_front();
+        queue.messages.push_back((to, content));
+        if queue.messages.len() > MAX_QUEUED {
+            queue.messages.pop_front();
             self.counts.dropped += 1;
         }
         true
     }
 
-    /// Whether less than a third of the burst is left, or something waits: who has something to say that can wait
-    /// or be left out does so.
+    /// Whether less than a third of the burst is left, or messages are queued. Callers then delay or omit messages that are
+    /// not needed now.
     pub fn is_congested(&mut self, now: Micros) -> bool {
-        self.count(now);
-        self.left < self.burst / 3.0 || self.queues.iter().any(|q| !q.waiting.is_empty())
+        self.update_budget(now);
+        self.budget < self.burst / 3.0 || self.queues.iter().any(|q| !q.messages.is_empty())
     }
 
-    fn count(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.counted) as f64 / 1e6;
-        self.counted = self.counted.max(now);
-        self.left = (self.left + passed * self.rate).min(self.burst);
+    fn update_budget(&mut self, now: Micros) {
+        let elapsed_s = now.saturating_sub(self.updated) as f64 / 1e6;
+        self.updated = self.updated.max(now);
+        self.budget = (self.budget + elapsed_s * self.rate).min(self.burst);
     }
 
-    /// The next datagram and its receiver, if there is one and the budget allows it now.
+    /// Takes the next datagram and its receiver, if there is one and the budget allows it now.
     pub fn poll(&mut self, now: Micros, header: Header) -> Option<(u16, Vec<u8>)> {
-        self.count(now);
-        // What is sent may be as long as a whole frame.
-        if self.left + ROUNDING < crate::MAX_FRAME_BYTES as f64 {
+        self.update_budget(now);
+        // The datagram may have the length of a full frame.
+        if self.budget + ROUNDING_BYTES < crate::MAX_FRAME_BYTES as f64 {
             return None;
         }
-        let waiting = |q: &&mut Queue| !q.waiting.is_empty();
-        let first =
-            self.queues.iter_mut().filter(waiting).min_by(|a, b| a.spent.total_cmp(&b.spent))?;
-        let to = first.waiting.front()?.0;
+        let has_messages = |q: &&mut Queue| !q.messages.is_empty();
+        let first = self
+            .queues
+            .iter_mut()
+            .filter(has_messages)
+            .min_by(|a, b| a.weighted_bytes.total_cmp(&b.weighted_bytes))?;
+        let to = first.messages.front()?.0;
         let mut frame = FrameWriter::new(header);
         let mut order: Vec<usize> = (0..self.queues.len()).collect();
-        order.sort_by(|a, b| self.queues[*a].spent.total_cmp(&self.queues[*b].spent));
+        order.sort_by(|a, b| {
+            self.queues[*a].weighted_bytes.total_cmp(&self.queues[*b].weighted_bytes)
+        });
         for n in order {
             let queue = &mut self.queues[n];
-            let mut kept = VecDeque::with_capacity(queue.waiting.len());
-            for (whom, content) in queue.waiting.drain(..) {
-                if whom == to && frame.push(queue.kind.number, &content) {
-                    queue.spent +=
+            let mut kept = VecDeque::with_capacity(queue.messages.len());
+            for (receiver, content) in queue.messages.drain(..) {
+                if receiver == to && frame.push(queue.kind.number, &content) {
+                    queue.weighted_bytes +=
                         content.len().max(1) as f64 / f64::from(queue.kind.weight.max(1));
                 } else {
-                    kept.push_back((whom, content));
+                    kept.push_back((receiver, content));
                 }
             }
-            queue.waiting = kept;
+            queue.messages = kept;
         }
         let bytes = frame.finish();
-        self.left -= bytes.len() as f64;
+        self.budget -= bytes.len() as f64;
         self.counts.datagrams += 1;
         self.counts.bytes += bytes.len() as u64;
         Some((to, bytes))
     }
 
-    /// Looks at every rule of the channel.
+    /// Checks every invariant of the channel.
     ///
     /// # Errors
-    /// The first one that is broken, with the values.
+    /// The first invariant that does not hold, with the values.
     pub fn check(&self) -> Result<(), Violation> {
         let rule = Violation::unless;
         for queue in &self.queues {
-            let waits = queue.waiting.len();
-            rule(waits <= WAITING, "messages that wait are bounded", &|| waits.to_string())?;
-            let long = queue.waiting.iter().map(|(_, content)| content.len()).max().unwrap_or(0);
-            rule(long <= MAX_RECORD, "a message fits a datagram", &|| long.to_string())?;
+            let queued = queue.messages.len();
+            rule(queued <= MAX_QUEUED, "the number of queued messages is bounded", &|| {
+                queued.to_string()
+            })?;
+            let longest =
+                queue.messages.iter().map(|(_, content)| content.len()).max().unwrap_or(0);
+            rule(longest <= MAX_RECORD, "a message fits into a datagram", &|| longest.to_string())?;
         }
-        rule(self.left <= self.burst, "no more is saved up than the burst", &|| {
-            format!("{} of {}", self.left, self.burst)
+        rule(self.budget <= self.burst, "the unused budget is at most the burst", &|| {
+            format!("{} of {}", self.budget, self.burst)
         })?;
-        rule(self.left >= -ROUNDING, "no more goes out than the budget allows", &|| {
-            self.left.to_string()
+        rule(self.budget >= -ROUNDING_BYTES, "the bytes sent stay within the budget", &|| {
+            self.budget.to_string()
         })?;
         let Counts { datagrams, bytes, .. } = self.counts;
         rule(
             bytes <= datagrams * crate::MAX_FRAME_BYTES as u64,
-            "a datagram has 256 bytes at most",
+            "a datagram has at most 256 bytes",
             &|| format!("{bytes} bytes in {datagrams}"),
         )
     }
 
-    /// When the budget next allows what waits; None: nothing waits.
+    /// When the budget next allows a datagram. None: no message is queued.
     pub fn poll_timeout(&self) -> Option<Micros> {
-        if self.queues.iter().all(|q| q.waiting.is_empty()) {
+        if self.queues.iter().all(|q| q.messages.is_empty()) {
             return None;
         }
-        let lacking = (crate::MAX_FRAME_BYTES as f64 - self.left).max(0.0);
-        Some(self.counted + (lacking / self.rate * 1e6).ceil() as Micros)
+        let missing = (crate::MAX_FRAME_BYTES as f64 - self.budget).max(0.0);
+        Some(self.updated + (missing / self.rate * 1e6).ceil() as Micros)
     }
 }
--- a/crates/millethook-frames/src/frame.rs
+++ b/crates/millethook-frames/src/frame.rs
@@ -1,6 +1,6 @@
-//! The form of a datagram between sidecars. Numbers are big-endian.
+//! The format of a datagram between sidecars. Numbers are big-endian.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 1 | version |
 //! | 4 | the fleet: CRC-32 of its name |
@@ -10,60 +10,61 @@
 
 use millethook_machine::codec::{self, BufMut};
 
-/// The longest datagram, as the platform bounds it.
+/// The longest datagram that the platform allows, in bytes.
 pub const MAX_FRAME_BYTES: usize = 256;
-/// The version that is spoken.
+/// The version of the frame format.
 pub const VERSION: u8 = 1;
-const HEADER: usize = 13;
-const RECORD_HEADER: usize = 2;
-/// The longest content of a record.
-pub const MAX_RECORD: usize = MAX_FRAME_BYTES - HEADER - RECORD_HEADER;
+const HEADER_BYTES: usize = 13;
+const RECORD_HEADER_BYTES: usize = 2;
+/// The longest content of a record, in bytes.
+pub const MAX_RECORD: usize = MAX_FRAME_BYTES - HEADER_BYTES - RECORD_HEADER_BYTES;
 
-/// Who says it.
+/// The header of a frame: its fleet and its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The fleet; see [`fleet_id`].
+    /// The id of the fleet; see [`fleet_id`].
     pub fleet: u32,
-    /// The sender's number.
+    /// The sender's member number.
     pub from: u16,
-    /// The epoch of its process: 48 bits.
+    /// The epoch of the sender's process: 48 bits.
     pub epoch: u64,
 }
 
-/// Why bytes are no frame.
+/// Why bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than a frame may be, or shorter than a header.
-    #[error("{0} bytes: {HEADER} to {MAX_FRAME_BYTES} expected")]
+    /// The datagram is longer than a frame may be, or shorter than a header.
+    #[error("{0} bytes: {HEADER_BYTES} to {MAX_FRAME_BYTES} expected")]
     Length(usize),
-    /// Another version.
+    /// The frame has another version.
     #[error("version {0}: {VERSION} expected")]
     Version(u8),
-    /// A record that goes beyond the end.
-    #[error("a record ends behind the frame")]
+    /// A record extends beyond the end of the frame.
+    #[error("a record extends beyond the end of the frame")]
     Truncated,
 }
 
-/// A fleet's name as a number. Two names may share one by chance; it guards against mistakes, not malice.
+/// The id of a fleet, derived from its name. Two names may have the same id by chance: it protects against mistakes, not
+/// against attacks.
 pub fn fleet_id(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
-/// A frame that was read: its records are known to be whole.
+/// A parsed frame. Its records are known to be complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'b> {
-    /// Who says it.
+    /// The header of the frame.
     pub header: Header,
     records: &'b [u8],
 }
 
 impl<'b> Frame<'b> {
-    /// Reads a datagram.
+    /// Parses a datagram.
     ///
     /// # Errors
-    /// It is no frame of this version; nothing of it may be used.
+    /// The datagram is not a frame of this version. Nothing of it may be used.
     pub fn parse(bytes: &'b [u8]) -> Result<Frame<'b>, FrameError> {
-        if !(HEADER..=MAX_FRAME_BYTES).contains(&bytes.len()) {
+        if !(HEADER_BYTES..=MAX_FRAME_BYTES).contains(&bytes.len()) {
             return Err(FrameError::Length(bytes.len()));
         }
         let mut records = bytes;
@@ -74,20 +75,21 @@
         }
         let header = Header { fleet: take(4)? as u32, from: take(2)? as u16, epoch: take(6)? };
         let frame = Frame { header, records };
-        let read: usize = frame.records().map(|(_, content)| RECORD_HEADER + content.len()).sum();
-        if read != records.len() {
+        let length: usize =
+            frame.records().map(|(_, content)| RECORD_HEADER_BYTES + content.len()).sum();
+        if length != records.len() {
             return Err(FrameError::Truncated);
         }
         Ok(frame)
     }
 
-    /// Its records: kind and content.
+    /// The records of the frame: kind and content.
     pub fn records(&self) -> impl Iterator<Item = (u8, &'b [u8])> + use<'b> {
         let mut rest = self.records;
         std::iter::from_fn(move || {
-            let (&[kind, length], after) = rest.split_first_chunk()?;
-            let content = after.get(..usize::from(length))?;
-            rest = &after[content.len()..];
+            let (&[kind, length], remaining) = rest.split_first_chunk()?;
+            let content = remaining.get(..usize::from(length))?;
+            rest = &remaining[content.len()..];
             Some((kind, content))
         })
     }
@@ -98,7 +100,7 @@
 pub struct FrameWriter(Vec<u8>);
 
 impl FrameWriter {
-    /// An empty one.
+    /// Creates a frame without records.
     pub fn new(header: Header) -> FrameWriter {
         let mut bytes = Vec::with_capacity(MAX_FRAME_BYTES);
         bytes.put_u8(VERSION);
@@ -108,24 +110,24 @@
         FrameWriter(bytes)
     }
 
-    /// The longest content that still fits.
+    /// The longest content of a record that still fits, in bytes.
     pub fn room(&self) -> usize {
-        MAX_FRAME_BYTES.saturating_sub(self.0.len() + RECORD_HEADER)
+        MAX_FRAME_BYTES.saturating_sub(self.0.len() + RECORD_HEADER_BYTES)
     }
 
-    /// Adds a record; false: it does not fit, and nothing has changed.
+    /// Adds a record. False: it does not fit, and the frame is unchanged.
     pub fn push(&mut self, kind: u8, content: &[u8]) -> bool {
-        // Danger: where not even a record's head has room, an empty one would go beyond the end.
-        let fits = self.0.len() + RECORD_HEADER + content.len() <= MAX_FRAME_BYTES;
+        // Counting the record's header keeps an empty record from extending beyond the end.
+        let fits = self.0.len() + RECORD_HEADER_BYTES + content.len() <= MAX_FRAME_BYTES;
         if fits {
-            // What fits is shorter than 256.
+            // A content that fits is shorter than 256 bytes.
             self.0.extend_from_slice(&[kind, content.len() as u8]);
             self.0.extend_from_slice(content);
         }
         fits
     }
 
-    /// The datagram.
+    /// Returns the finished datagram.
     pub fn finish(self) -> Vec<u8> {
         self.0
     }
--- a/crates/millethook-frames/src/lib.rs
+++ b/crates/millethook-frames/src/lib.rs
@@ -1,12 +1,12 @@
-//! The channel for all that sidecars say to one another.
+//! The channel for all messages between sidecars.
 //!
-//! [`frame`] is the form of a datagram: at most 256 bytes, a header, and records of several kinds. [`channel`]
-//! decides what goes out when: a budget of bytes a second, fair between kinds by weight. Neither has a clock or a
-//! socket; time is handed in, in microseconds.
+//! [`frame`] defines the format of a datagram: at most 256 bytes, with a header and records of several kinds. [`channel`]
+//! schedules messages: it has a budget of bytes per second, which the kinds share by weight. Neither reads a clock or
+//! does I/O; the caller passes in the time in microseconds.
 //!
-//! **Versions.** Another version in the first byte is another language: such a frame is dropped. Within a version a
-//! reader skips kinds that it does not know, and of a record that is longer than it knows reads the part that it
-//! knows. So kinds may be added, and records may grow at their end.
+//! **Versions.** A frame with another version in its first byte is dropped. Within a version, a reader skips kinds that
+//! it does not know, and reads only the known part of a record that is longer than expected. So kinds may be added, and
+//! records may be extended at their end.
 #![forbid(unsafe_code)]
 
 pub mod channel;
--- a/crates/millethook-frames/tests/frames.rs
+++ b/crates/millethook-frames/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of any bytes, and a budget that is kept and shared.
+//! Tests that frames are parsed safely, and that the budget is kept and shared by weight.
 
 use millethook_frames::{
     Channel, ChannelConfig, Frame, FrameError, FrameWriter, Header, Kind, MAX_FRAME_BYTES,
@@ -7,11 +7,11 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-const ME: Header = Header { fleet: 7, from: 3, epoch: 0x1234_5678_9abc };
+const HEADER: Header = Header { fleet: 7, from: 3, epoch: 0x1234_5678_9abc };
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_turned_down(bytes in vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_parsed_or_rejected(bytes in vec(any::<u8>(), 0..400)) {
         if let Ok(frame) = Frame::parse(&bytes) {
             let read: usize = frame.records().map(|(_, c)| c.len() + 2).sum();
             prop_assert_eq!(read + 13, bytes.len());
@@ -19,23 +19,23 @@
     }
 
     #[test]
-    fn what_is_written_is_read(records in vec((any::<u8>(), vec(any::<u8>(), 0..120)), 0..6)) {
-        let mut writer = FrameWriter::new(ME);
-        let taken: Vec<_> = records.into_iter().filter(|(kind, c)| writer.push(*kind, c)).collect();
+    fn written_records_are_read_back(records in vec((any::<u8>(), vec(any::<u8>(), 0..120)), 0..6)) {
+        let mut writer = FrameWriter::new(HEADER);
+        let written: Vec<_> = records.into_iter().filter(|(kind, c)| writer.push(*kind, c)).collect();
         let bytes = writer.finish();
         prop_assert!(bytes.len() <= MAX_FRAME_BYTES);
         let frame = Frame::parse(&bytes).unwrap();
-        prop_assert_eq!(frame.header, ME);
+        prop_assert_eq!(frame.header, HEADER);
         let read: Vec<_> = frame.records().map(|(kind, c)| (kind, c.to_vec())).collect();
-        prop_assert_eq!(read, taken);
-        // Any cut within a record shows.
+        prop_assert_eq!(read, written);
+        // A truncated record is detected.
         if let Some(short) = bytes.get(..bytes.len() - 1).filter(|short| short.len() >= 13) {
             prop_assert_eq!(Frame::parse(short), Err(FrameError::Truncated));
         }
     }
 
     #[test]
-    fn the_budget_holds_over_any_time(
+    fn the_budget_is_kept_at_any_time(
         offers in vec((0u64..50_000, 0u16..5, 1u8..3, 0usize..240), 1..300),
     ) {
         let kinds = vec![Kind { number: 1, weight: 3 }, Kind { number: 2, weight: 1 }];
@@ -45,16 +45,16 @@
         for (gap, to, kind, length) in offers {
             now += gap;
             channel.offer(to, kind, vec![0; length]);
-            while let Some((_, bytes)) = channel.poll(now, ME) {
+            while let Some((_, bytes)) = channel.poll(now, HEADER) {
                 sent += bytes.len() as u64;
             }
             prop_assert_eq!(channel.check(), Ok(()));
             prop_assert!(sent as f64 <= 600.0 + now as f64 * 2e-3 + 2.0);
         }
-        // All that waits goes out once the budget allows it.
+        // All queued messages are sent once the budget allows it.
         while let Some(at) = channel.poll_timeout() {
             now = now.max(at);
-            prop_assert!(channel.poll(now, ME).is_some());
+            prop_assert!(channel.poll(now, HEADER).is_some());
         }
     }
 }
@@ -65,10 +65,10 @@
     let mut channel = Channel::new(&ChannelConfig { rate: 10_000, burst: 256, kinds }, 0);
     let mut sent = [0; 3];
     for n in 0..4_000 {
-        // Each goes to a receiver of its own, and both kinds always have some that wait.
+        // Each message has its own receiver, and both kinds always have queued messages.
         channel.offer(n, 1, vec![1; 100]);
         channel.offer(n + 5_000, 2, vec![2; 100]);
-        while let Some((_, bytes)) = channel.poll(u64::from(n) * 20_000, ME) {
+        while let Some((_, bytes)) = channel.poll(u64::from(n) * 20_000, HEADER) {
             let frame = Frame::parse(&bytes).unwrap();
             frame.records().for_each(|(kind, _)| sent[usize::from(kind)] += 1);
         }
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn messages_for_one_receiver_travel_together_and_unknown_kinds_are_skipped() {
+fn messages_for_one_receiver_share_a_datagram_and_unknown_kinds_are_skipped() {
     let kinds = vec![Kind { number: 1, weight: 1 }, Kind { number: 9, weight: 1 }];
     let mut channel = Channel::new(&ChannelConfig { rate: 1_000, burst: 512, kinds }, 0);
     assert!(channel.offer(4, 1, b"one".to_vec()));
     assert!(channel.offer(4, 9, b"of the future".to_vec()));
     assert!(!channel.offer(4, 2, b"not set up".to_vec()));
     assert!(!channel.offer(4, 1, vec![0; MAX_RECORD + 1]));
-    let (to, bytes) = channel.poll(0, ME).expect("a datagram");
+    let (to, bytes) = channel.poll(0, HEADER).expect("a datagram");
     let frame = Frame::parse(&bytes).unwrap();
     let known: Vec<_> = frame.records().filter(|(kind, _)| *kind == 1).collect();
     assert_eq!((to, frame.records().count(), known), (4, 2, vec![(1, b"one".as_slice())]));
