--- a/crates/millethook-config/src/distribution.rs
+++ b/crates/millethook-config/src/distribution.rs
@@ -1,67 +1,67 @@
-//! `[distribution]`: configuration that reaches every sidecar by control nodes.
+//! The section `[distribution]`: configuration that control nodes distribute to all sidecars.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use crate::reader::Reader;
 
-/// Members that can be control nodes, at most.
-const MOST_CONTROL_NODES: usize = 256;
+/// The maximum number of control nodes.
+const MAX_CONTROL_NODES: usize = 256;
 /// The highest member number.
-const HIGHEST_MEMBER: usize = u16::MAX as usize - 2;
+const MAX_MEMBER_NUMBER: usize = u16::MAX as usize - 2;
 
-/// Configuration that reaches every sidecar by control nodes. Needs `[fleet]`, and `[lease]` at control nodes.
+/// Settings of the distribution of configuration by control nodes. Needs `[fleet]`, and `[lease]` at control nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Distribution {
-    /// The region where this sidecar stands.
+    /// The region of this sidecar.
     pub region: String,
-    /// Its zone.
+    /// The zone of this sidecar.
     pub zone: String,
-    /// The service that it stands beside.
+    /// The service of this sidecar.
     pub service: String,
-    /// The members that are set aside as control nodes; the same at all members.
+    /// The members that are dedicated control nodes. The list is the same at all members.
     pub control_nodes: Vec<ControlNode>,
-    /// Where the documents in force are kept; None: they are lost at a restart, and fetched again.
+    /// The file for the documents in force. None: they are lost at a restart and fetched again.
     pub snapshot: Option<PathBuf>,
-    /// Where requests to publish are taken from, at control nodes; None: this member publishes nothing.
+    /// At control nodes, the folder from which requests to publish are read. None: this member publishes nothing.
     pub publish: Option<PathBuf>,
-    /// The name of the list of servers that this sidecar balances over, if it takes it from the control nodes or tells
-    /// them of it; None: it asks discovery, and tells nobody.
+    /// The name of this sidecar's server list, if it gets the list from the control nodes or publishes it to them. None:
+    /// the sidecar gets the list from discovery and does not publish it.
     pub list: Option<String>,
-    /// Whether this control node asks discovery and publishes what that says under the name in `list`.
+    /// Whether this control node gets the list from discovery and publishes it under the name in `list`.
     pub list_from_discovery: bool,
-    /// Time between two digests of a sidecar.
+    /// The interval between two digests that a sidecar sends.
     pub digest: Duration,
-    /// A control node that has started does not vote for so long.
+    /// How long a control node does not vote after its start.
     pub silence: Duration,
-    /// After a start a control node votes after so long though a majority has just started, too; 0: never.
+    /// After this time a control node votes even if a majority of the control nodes has just started, too. 0: never.
     pub give_up_after: Duration,
-    /// A document that more than this share refuses is stopped...
+    /// The rollout of a document is stopped if more than this share of the sidecars refuses it...
     pub refused_share: f64,
-    /// ...if so many refuse it, at least.
+    /// ...and at least this many sidecars refuse it.
     pub refused_least: usize,
-    /// Bytes a second that a control node sends, at most.
+    /// The maximum number of bytes per second that a control node sends.
     pub control_bytes_per_second: usize,
-    /// Bytes of the receive buffer that a control node asks the system for at its datagram socket.
+    /// The size of the receive buffer that a control node requests for its datagram socket, in bytes.
     pub receive_buffer_bytes: usize,
 }
 
-/// A member that is set aside as a control node.
+/// A member that is a dedicated control node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlNode {
-    /// Its number in `peers`.
+    /// The number of the member in `peers`.
     pub member: u16,
-    /// Its region.
+    /// The region of the member.
     pub region: String,
-    /// Its zone.
+    /// The zone of the member.
     pub zone: String,
 }
 
 pub(crate) fn read(r: &mut Reader<'_>) -> Distribution {
-    let seconds = |r: &mut Reader<'_>, key: &str, usual: f64, least: f64, most: f64| {
-        Duration::from_secs_f64(r.number(key, least..=most, "seconds").unwrap_or(usual))
+    let seconds = |r: &mut Reader<'_>, key: &str, default: f64, least: f64, most: f64| {
+        Duration::from_secs_f64(r.number(key, least..=most, "seconds").unwrap_or(default))
     };
-    r.note_start();
+    r.record_section_start();
     Distribution {
         region: r.required("region", "a name"),
         zone: r.required("zone", "a name"),
@@ -87,51 +87,54 @@
 
 fn control_node(r: &mut Reader<'_>, name: &str) -> Option<ControlNode> {
     let (region, zone) = (r.required("region", "a name"), r.required("zone", "a name"));
-    let Some(member) = r.count("member", 0..=HIGHEST_MEMBER) else {
-        r.missing(name, "member", "a member's number");
+    let Some(member) = r.count("member", 0..=MAX_MEMBER_NUMBER) else {
+        r.report_missing(name, "member", "a member's number");
         return None;
     };
     Some(ControlNode { member: member as u16, region, zone })
 }
 
-/// The sections that stand beside `[distribution]`.
+/// Which other sections that `[distribution]` needs are present.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Beside {
+pub(crate) struct OtherSections {
     pub fleet: bool,
     pub lease: bool,
     pub membership: bool,
 }
 
-/// What contradicts the rest of the file, or itself.
-pub(crate) fn check(of: &Distribution, beside: Beside, r: &mut Reader<'_>) {
-    let Beside { fleet, lease, membership } = beside;
+/// Reports settings that contradict each other or the rest of the file.
+pub(crate) fn check(distribution: &Distribution, others: OtherSections, r: &mut Reader<'_>) {
+    let OtherSections { fleet, lease, membership } = others;
     if !fleet {
-        r.fault_at("distribution", "", "a section [fleet] expected beside it".into());
+        r.report_at("distribution", "", "a section [fleet] expected beside it".into());
     }
-    if of.publish.is_some() && !lease {
+    if distribution.publish.is_some() && !lease {
         let text = "a section [lease] expected beside it: the writer is one by a lease";
-        r.fault_at("distribution", "publish", text.into());
+        r.report_at("distribution", "publish", text.into());
     }
-    if of.list_from_discovery && of.list.is_none() {
+    if distribution.list_from_discovery && distribution.list.is_none() {
         let text = "list expected beside it: the name of the list";
-        r.fault_at("distribution", "list_from_discovery", text.into());
+        r.report_at("distribution", "list_from_discovery", text.into());
     }
-    if of.list_from_discovery && of.publish.is_none() {
+    if distribution.list_from_discovery && distribution.publish.is_none() {
         let text = "publish expected beside it: the list is published by the writer";
-        r.fault_at("distribution", "list_from_discovery", text.into());
+        r.report_at("distribution", "list_from_discovery", text.into());
     }
-    if of.list.is_some() && !of.list_from_discovery && !membership {
+    if distribution.list.is_some() && !distribution.list_from_discovery && !membership {
         let text = "a section [membership] expected beside it: the list is one of its sources";
-        r.fault_at("distribution", "list", text.into());
+        r.report_at("distribution", "list", text.into());
     }
-    if of.control_nodes.len() > MOST_CONTROL_NODES {
-        let text = format!("{MOST_CONTROL_NODES} at most expected, not {}", of.control_nodes.len());
-        r.fault_at("distribution", "control_nodes", text);
+    if distribution.control_nodes.len() > MAX_CONTROL_NODES {
+        let text = format!(
+            "{MAX_CONTROL_NODES} at most expected, not {}",
+            distribution.control_nodes.len()
+        );
+        r.report_at("distribution", "control_nodes", text);
     }
-    for (place, node) in of.control_nodes.iter().enumerate() {
-        if of.control_nodes[..place].iter().any(|other| other.member == node.member) {
+    for (index, node) in distribution.control_nodes.iter().enumerate() {
+        if distribution.control_nodes[..index].iter().any(|other| other.member == node.member) {
             let text = format!("member {} stands there twice", node.member);
-            r.fault_at("distribution", "control_nodes", text);
+            r.report_at("distribution", "control_nodes", text);
         }
     }
 }
--- a/crates/millethook-config/src/lib.rs
+++ b/crates/millethook-config/src/lib.rs
@@ -1,9 +1,8 @@
 //! The product's own configuration file, in TOML.
 //!
-//! It holds what the platform's `LB_CONFIG` knows nothing of. Everything in it is off until it is written
-//! there. A file is read whole: all that is wrong with it is told at once, each with its line, its key and
-//! what was expected, and nothing of a file with an error is used. `deploy/millethook.toml` is the commented
-//! reference of every key.
+//! It configures features that the platform's `LB_CONFIG` does not cover. A feature is off until the file has a section
+//! for it. All errors of a file are reported together, each with its line, its key and what was expected, and a file with
+//! an error is not used at all. `deploy/millethook.toml` is the commented reference of all keys.
 #![forbid(unsafe_code)]
 
 mod distribution;
@@ -16,10 +15,10 @@
 pub use distribution::{ControlNode, Distribution};
 use reader::Reader;
 
-/// The largest file that is read.
-const LARGEST: u64 = 1 << 20;
+/// The largest file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// The whole file. A section that is not there is None: what it configures is off.
+/// The content of the file. A missing section is None, and its feature is off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProductConfig {
     /// `[log]`
@@ -40,49 +39,49 @@
     pub distribution: Option<Distribution>,
 }
 
-/// How log lines are written.
+/// The settings of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Log {
-    /// Text or JSON lines.
+    /// The format of log lines.
     pub format: LogFormat,
-    /// Directives of `tracing-subscriber`'s `EnvFilter`: a level, or levels by target.
+    /// Directives for `tracing-subscriber`'s `EnvFilter`: a level, or levels by target.
     pub filter: Option<String>,
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// A JSON object a line, for programs.
+    /// One JSON object per line, for programs.
     Json,
 }
 
-/// How the list of servers outlives the process.
+/// How the server list is kept across restarts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Membership {
-    /// Where the list is kept; None: nothing is written, but lists are still weighed.
+    /// The snapshot file of the list. None: no snapshot is written, but lists are still rated by age.
     pub snapshot: Option<PathBuf>,
-    /// The least time between two writes.
+    /// The minimum time between two writes.
     pub write_every: Duration,
-    /// A server of the kept list is used at once while the chance that it is still there is at least this.
+    /// A server of the snapshot is used at once while the probability that it still exists is at least this.
     pub usable_above: f64,
-    /// Below this chance it is not even tried.
+    /// Below this probability, a server of the snapshot is dropped without a trial.
     pub dropped_below: f64,
-    /// Trials of doubtful servers a second.
+    /// Trials of doubtful servers per second.
     pub trials_per_second: f64,
-    /// Trials at once.
+    /// The maximum number of concurrent trials.
     pub trials_at_once: usize,
-    /// The first trials fall at random into this time.
+    /// The first trials are spread at random over this time.
     pub trial_spread: Duration,
-    /// The page that a trial asks for.
+    /// The path that a trial requests.
     pub trial_page: String,
-    /// The header in which a server tells its name there.
+    /// The header of the answer to a trial in which a server gives its name.
     pub identity_header: Option<String>,
-    /// A whole list with less than this share of the known servers is held as suspect; 0: never.
+    /// A full list with less than this share of the known servers is held as suspect. 0: never.
     pub suspect_share: f64,
-    /// For how long it is held.
+    /// How long a suspect list is held.
     pub suspect_hold: Duration,
 }
 
@@ -104,98 +103,98 @@
     }
 }
 
-/// What bounds connections to one server, where it is not as usual.
+/// Limits of the connections to one server, where they differ from the defaults.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Connections {
-    /// Connections to one server, whatever they do.
+    /// The maximum number of connections to one server, in any state.
     pub per_server: Option<usize>,
-    /// Handshakes with one server at once.
+    /// The maximum number of concurrent handshakes with one server.
     pub opening: Option<usize>,
-    /// Connections opened ahead while use rises.
+    /// The number of connections that are opened in advance while the load rises.
     pub spare: Option<usize>,
-    /// For how many requests each is used.
+    /// For how many requests a connection is used.
     pub reuse: Option<Reuse>,
 }
 
 /// For how many requests a connection to a server is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// For any number: which request an answer was made for is not proven.
+    /// For any number of requests: it is not proven which request an answer belongs to.
     Unlimited,
-    /// For two, so that each answer is proven to be its request's own.
+    /// For two requests, so that each answer is proven to belong to its request.
     Proven,
 }
 
-/// What is done about slow and silent servers.
+/// How slow and unresponsive servers are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Failover {
-    /// Another attempt at the aim, where a server has said nothing.
+    /// Whether a hedge is sent when the request has reached its aim and the server has not answered.
     pub copy_at_aim: bool,
-    /// How steeply slow servers get less.
+    /// The exponent by which slow servers get fewer requests.
     pub slow_exponent: f64,
 }
 
 /// How sidecars keep a view of one another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// What another fleet says is not heard.
+    /// The name of the fleet. Messages of other fleets are ignored.
     pub name: String,
-    /// Time between two probes.
+    /// The interval between two probes.
     pub period: Duration,
-    /// Bytes a second that one process may send to others.
+    /// Bytes per second that one process may send to others.
     pub bytes_per_second: u32,
-    /// Whether sidecars tell one another what they meet at servers, and which servers go.
+    /// Whether sidecars share their evidence on servers, and which servers leave.
     pub share_evidence: bool,
 }
 
-/// One owner at a time for work of the fleet. Needs `[fleet]`.
+/// Leases, which give each job of the fleet one owner at a time. Needs `[fleet]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lease {
-    /// Members that grant a job: 3, 5 or 7.
+    /// The number of members that grant a lease: 3, 5 or 7.
     pub seats: usize,
-    /// The longest lease.
+    /// The maximum duration of a lease.
     pub longest: Duration,
-    /// How much faster or slower than true time any clock runs, at most.
+    /// The maximum drift of any clock from true time, as a share.
     pub drift: f64,
-    /// A list of peers that was replaced is heeded for so long at most.
+    /// How long a replaced list of peers still counts, at most.
     pub change: Duration,
-    /// Whether one sidecar of each zone tries a server that the fleet doubts.
+    /// Whether only one sidecar of each zone tries a server that the fleet suspects to be dead.
     pub dead_servers: bool,
 }
 
-/// Writes that are kept while no server can be reached. Needs `[lease]`.
+/// Writes that are stored while no server can be reached. Needs `[lease]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edge {
-    /// Where stores are; sidecars of one host may share it.
+    /// The folder of the stores. Sidecars of one host may share it.
     pub folder: PathBuf,
-    /// Classes whose writes may be kept.
+    /// Classes whose writes may be stored.
     pub classes: Vec<String>,
-    /// Megabytes that one process keeps at most.
+    /// The maximum size of the writes that one process stores, in megabytes.
     pub most_mb: usize,
-    /// Writes without an end that it keeps at most.
+    /// The maximum number of unfinished writes that one process stores.
     pub most_writes: usize,
-    /// What is kept for longer has expired.
+    /// How long a write is stored before it expires.
     pub keep: Duration,
-    /// For so long a write waits for one that it comes after.
+    /// How long a write waits for the write before it.
     pub forerunner: Duration,
-    /// Whether one whose forerunner failed, or never came, goes all the same.
+    /// Whether a write is sent even if the write before it failed or never arrived.
     pub go_on: bool,
-    /// Writes of one store that are out at once.
+    /// The maximum number of concurrently open writes of one store.
     pub at_once: usize,
-    /// Writes a second that all stores of the fleet send together, at most.
+    /// The maximum number of writes per second that all stores of the fleet send together.
     pub fleet_per_second: f64,
-    /// A disk that is busy for longer is slow.
+    /// A disk operation that takes longer than this counts as slow.
     pub slow: Duration,
 }
 
-/// One thing that is wrong with a file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Its line, from 1.
+    /// The line, starting at 1.
     pub line: usize,
-    /// The key, with its sections.
+    /// The key, with its sections. Empty if the file is not valid TOML.
     pub key: String,
-    /// What was expected there, or what is wrong.
+    /// What was expected, or what is wrong.
     pub text: String,
 }
 
@@ -209,42 +208,42 @@
     }
 }
 
-/// Why there is no configuration.
+/// Why a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
     #[error("{path}: {cause}")]
     Io {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The operating system's error.
         cause: std::io::Error,
     },
-    /// All that is wrong with it.
-    #[error("{}", lines(.path, .faults))]
+    /// The file has errors.
+    #[error("{}", format_faults(.path, .faults))]
     Faults {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// At least one, by line.
+        /// All errors, sorted by line. There is at least one.
         faults: Vec<Fault>,
     },
 }
 
-fn lines(path: &Path, faults: &[Fault]) -> String {
+fn format_faults(path: &Path, faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|f| format!("{}: {f}", path.display())).collect();
     lines.join("\n")
 }
 
 impl ProductConfig {
-    /// Reads a file.
+    /// Reads a configuration file.
     ///
     /// # Errors
-    /// The file cannot be read, or has faults; all of them are told.
+    /// The file cannot be read, or it has errors. All of them are reported.
     pub fn from_file(path: &Path) -> Result<ProductConfig, Error> {
         let io = |cause| Error::Io { path: path.to_owned(), cause };
         let size = std::fs::metadata(path).map_err(io)?.len();
-        if size > LARGEST {
-            let text = format!("{size} bytes, {LARGEST} at most expected");
+        if size > MAX_FILE_BYTES {
+            let text = format!("{size} bytes, {MAX_FILE_BYTES} at most expected");
             return Err(io(std::io::Error::other(text)));
         }
         let text = std::fs::read_to_string(path).map_err(io)?;
@@ -252,15 +251,15 @@
         ProductConfig::from_toml(&text).map_err(faults)
     }
 
-    /// Reads the file's text.
+    /// Reads the text of a configuration file.
     ///
     /// # Errors
-    /// All faults, by line.
+    /// All errors of the text, sorted by line.
     pub fn from_toml(text: &str) -> Result<ProductConfig, Vec<Fault>> {
         let mut r = Reader::parse(text)?;
         let mut product = ProductConfig::default();
         r.section("log", |r| {
-            let format = r.word("format", &["text", "json"]);
+            let format = r.one_of("format", &["text", "json"]);
             product.log.format = match format.as_deref() {
                 Some("json") => LogFormat::Json,
                 _ => LogFormat::Text,
@@ -268,27 +267,29 @@
             product.log.filter = r.string("filter", "levels, as \"info,millethook_engine=debug\"");
         });
         r.section("membership", |r| {
-            let usual = Membership::default();
-            let seconds = |r: &mut Reader<'_>, key: &str, usual: Duration, least: f64| {
+            let defaults = Membership::default();
+            let seconds = |r: &mut Reader<'_>, key: &str, default: Duration, least: f64| {
                 let given = r.number(key, least..=86_400.0, "seconds");
-                given.map_or(usual, Duration::from_secs_f64)
+                given.map_or(default, Duration::from_secs_f64)
             };
             product.membership = Some(Membership {
                 snapshot: r.string("snapshot", "a path").map(PathBuf::from),
-                write_every: seconds(r, "write_every_s", usual.write_every, 0.1),
-                usable_above: r.share("usable_above").unwrap_or(usual.usable_above),
-                dropped_below: r.share("dropped_below").unwrap_or(usual.dropped_below),
+                write_every: seconds(r, "write_every_s", defaults.write_every, 0.1),
+                usable_above: r.share("usable_above").unwrap_or(defaults.usable_above),
+                dropped_below: r.share("dropped_below").unwrap_or(defaults.dropped_below),
                 trials_per_second: r
                     .number("trials_per_second", 0.01..=1000.0, "trials")
-                    .unwrap_or(usual.trials_per_second),
-                trials_at_once: r.count("trials_at_once", 1..=256).unwrap_or(usual.trials_at_once),
-                trial_spread: seconds(r, "trial_spread_s", usual.trial_spread, 0.0),
+                    .unwrap_or(defaults.trials_per_second),
+                trials_at_once: r
+                    .count("trials_at_once", 1..=256)
+                    .unwrap_or(defaults.trials_at_once),
+                trial_spread: seconds(r, "trial_spread_s", defaults.trial_spread, 0.0),
                 trial_page: r
                     .string_that("trial_page", "a path that begins with /", |s| s.starts_with('/'))
-                    .unwrap_or(usual.trial_page),
+                    .unwrap_or(defaults.trial_page),
                 identity_header: r.string_that("identity_header", "a header's name", is_token),
-                suspect_share: r.share("suspect_share").unwrap_or(usual.suspect_share),
-                suspect_hold: seconds(r, "suspect_hold_s", usual.suspect_hold, 0.0),
+                suspect_share: r.share("suspect_share").unwrap_or(defaults.suspect_share),
+                suspect_hold: seconds(r, "suspect_hold_s", defaults.suspect_hold, 0.0),
             });
         });
         r.section("connections", |r| {
@@ -296,9 +297,11 @@
                 per_server: r.count("per_server", 1..=65_535),
                 opening: r.count("opening", 1..=65_535),
                 spare: r.count("spare", 0..=65_535),
-                reuse: r.word("reuse", &["unlimited", "proven"]).map(|word| match word.as_str() {
-                    "proven" => Reuse::Proven,
-                    _ => Reuse::Unlimited,
+                reuse: r.one_of("reuse", &["unlimited", "proven"]).map(|reuse| {
+                    match reuse.as_str() {
+                        "proven" => Reuse::Proven,
+                        _ => Reuse::Unlimited,
+                    }
                 }),
             };
         });
@@ -321,10 +324,10 @@
         r.section("lease", |r| {
             let seats = r.count("seats", 3..=7).unwrap_or(5);
             if seats % 2 == 0 {
-                r.fault_at("lease", "seats", format!("3, 5 or 7 expected, not {seats}"));
+                r.report_at("lease", "seats", format!("3, 5 or 7 expected, not {seats}"));
             }
-            let seconds = |r: &mut Reader<'_>, key: &str, usual: f64, least: f64, most: f64| {
-                Duration::from_secs_f64(r.number(key, least..=most, "seconds").unwrap_or(usual))
+            let seconds = |r: &mut Reader<'_>, key: &str, default: f64, least: f64, most: f64| {
+                Duration::from_secs_f64(r.number(key, least..=most, "seconds").unwrap_or(default))
             };
             product.lease = Some(Lease {
                 seats,
@@ -335,13 +338,13 @@
             });
         });
         r.section("edge", |r| {
-            let seconds = |r: &mut Reader<'_>, key: &str, usual: f64, least: f64, most: f64| {
-                Duration::from_secs_f64(r.number(key, least..=most, "seconds").unwrap_or(usual))
+            let seconds = |r: &mut Reader<'_>, key: &str, default: f64, least: f64, most: f64| {
+                Duration::from_secs_f64(r.number(key, least..=most, "seconds").unwrap_or(default))
             };
-            let after = r.word("after_failed", &["apart", "go_on"]);
+            let after_failed = r.one_of("after_failed", &["apart", "go_on"]);
             let folder = r.string("folder", "a path");
             if folder.is_none() {
-                r.fault_at("edge", "folder", "a path expected".into());
+                r.report_at("edge", "folder", "a path expected".into());
             }
             product.edge = Some(Edge {
                 folder: folder.unwrap_or_default().into(),
@@ -350,7 +353,7 @@
                 most_writes: r.count("most_writes", 1..=1_000_000).unwrap_or(20_000),
                 keep: seconds(r, "keep_s", 86_400.0, 1.0, 2_592_000.0),
                 forerunner: seconds(r, "forerunner_s", 60.0, 1.0, 86_400.0),
-                go_on: after.as_deref() == Some("go_on"),
+                go_on: after_failed.as_deref() == Some("go_on"),
                 at_once: r.count("at_once", 1..=256).unwrap_or(4),
                 fleet_per_second: r
                     .number("fleet_per_second", 0.1..=100_000.0, "writes")
@@ -359,33 +362,35 @@
             });
         });
         r.section("distribution", |r| product.distribution = Some(distribution::read(r)));
-        if let Some(of) = &product.distribution {
-            let beside = distribution::Beside {
+        if let Some(distribution) = &product.distribution {
+            let others = distribution::OtherSections {
                 fleet: product.fleet.is_some(),
                 lease: product.lease.is_some(),
                 membership: product.membership.is_some(),
             };
-            distribution::check(of, beside, &mut r);
+            distribution::check(distribution, others, &mut r);
         }
         if product.edge.is_some() && product.lease.is_none() {
-            r.fault_at("edge", "", "a section [lease] expected beside it".into());
+            r.report_at("edge", "", "a section [lease] expected beside it".into());
         }
-        let shares = product.fleet.as_ref().map(|fleet| fleet.share_evidence);
-        if product.lease.is_some() && shares.is_none() {
-            r.fault_at("lease", "", "a section [fleet] expected beside it".into());
-        } else if product.lease.as_ref().is_some_and(|l| l.dead_servers) && shares != Some(true) {
+        let share_evidence = product.fleet.as_ref().map(|fleet| fleet.share_evidence);
+        if product.lease.is_some() && share_evidence.is_none() {
+            r.report_at("lease", "", "a section [fleet] expected beside it".into());
+        } else if product.lease.as_ref().is_some_and(|l| l.dead_servers)
+            && share_evidence != Some(true)
+        {
             let text = "fleet.share_evidence = true expected beside it".into();
-            r.fault_at("lease", "dead_servers", text);
+            r.report_at("lease", "dead_servers", text);
         }
         if let Some(m) = product.membership.as_ref().filter(|m| m.dropped_below > m.usable_above) {
             let text = format!("{} at most expected, as usable_above says", m.usable_above);
-            r.fault_at("membership", "dropped_below", text);
+            r.report_at("membership", "dropped_below", text);
         }
         r.finish().map(|()| product)
     }
 }
 
-/// A token of HTTP (RFC 9110, section 5.6.2).
+/// Whether a text is an HTTP token (RFC 9110, section 5.6.2).
 fn is_token(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
     !text.is_empty() && text.bytes().all(allowed)
--- a/crates/millethook-config/src/reader.rs
+++ b/crates/millethook-config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a parsed file key by key and collects what is wrong, where the file is wrong in several places.
+//! Reads a parsed file key by key and collects all errors.
 
 use std::ops::{Range, RangeInclusive};
 
@@ -7,98 +7,106 @@
 
 use crate::Fault;
 
-/// A file that is being read.
+/// A configuration file that is being read.
 pub(crate) struct Reader<'t> {
     text: &'t str,
-    whole: DeTable<'t>,
-    /// The section that is being read, with its name.
+    /// The sections that have not been read yet.
+    root: DeTable<'t>,
+    /// The name of the section that is being read, and its keys that have not been read yet.
     section: (String, DeTable<'t>),
-    /// Where the section begins.
-    start: Range<usize>,
-    /// Where each key of a section that was read stood.
-    places: Vec<(String, String, Range<usize>)>,
+    /// The position of the section.
+    section_span: Range<usize>,
+    /// The section, key and position of each key that was read.
+    positions: Vec<(String, String, Range<usize>)>,
     faults: Vec<Fault>,
 }
 
 impl<'t> Reader<'t> {
-    /// Parses the text. What is no TOML has no keys to go on with.
+    /// Parses the text. If it is not valid TOML, that is the only error.
     pub fn parse(text: &'t str) -> Result<Reader<'t>, Vec<Fault>> {
-        let whole = DeTable::parse(text).map_err(|e| {
+        let root = DeTable::parse(text).map_err(|e| {
             let at = e.span().map_or(0, |span| span.start);
-            vec![Fault { line: line(text, at), key: String::new(), text: e.message().to_owned() }]
+            vec![Fault {
+                line: line_of(text, at),
+                key: String::new(),
+                text: e.message().to_owned(),
+            }]
         })?;
         Ok(Reader {
             text,
-            whole: whole.into_inner(),
+            root: root.into_inner(),
             section: Default::default(),
-            start: 0..0,
-            places: Vec::new(),
+            section_span: 0..0,
+            positions: Vec::new(),
             faults: Vec::new(),
         })
     }
 
-    /// Reads a section by `read`, if the file has it. What `read` does not ask for is no key.
+    /// Reads a section with `read`, if the file has it. Keys that `read` does not read are reported as unknown.
     pub fn section(&mut self, name: &str, read: impl FnOnce(&mut Self)) {
-        let Some(value) = self.whole.remove(name) else { return };
+        let Some(value) = self.root.remove(name) else { return };
         let span = value.span();
         let DeValue::Table(table) = value.into_inner() else {
-            return self.fault(span, name.to_owned(), format!("a section [{name}] expected"));
+            return self.report(span, name.to_owned(), format!("a section [{name}] expected"));
         };
         self.section = (name.to_owned(), table);
-        self.start = span;
+        self.section_span = span;
         read(self);
-        let (name, left) = std::mem::take(&mut self.section);
-        for (key, _) in left {
+        let (name, unread) = std::mem::take(&mut self.section);
+        for (key, _) in unread {
             let text = "no such key".to_owned();
-            self.fault(key.span(), format!("{name}.{}", key.into_inner()), text);
+            self.report(key.span(), format!("{name}.{}", key.into_inner()), text);
         }
     }
 
-    /// A value of the present section.
+    /// Takes the value of a key of the current section.
     fn take(&mut self, key: &str) -> Option<Spanned<DeValue<'t>>> {
         let value = self.section.1.remove(key)?;
-        self.places.push((self.section.0.clone(), key.to_owned(), value.span()));
+        self.positions.push((self.section.0.clone(), key.to_owned(), value.span()));
         Some(value)
     }
 
-    /// A value of the present section as `as_one` reads it; `expected` names what that takes.
+    /// Reads the value of a key of the current section with `convert`. `expected` describes valid values.
     fn value<T>(
         &mut self,
         key: &str,
         expected: &str,
-        as_one: impl FnOnce(&DeValue<'t>) -> Option<T>,
+        convert: impl FnOnce(&DeValue<'t>) -> Option<T>,
     ) -> Option<T> {
         let value = self.take(key)?;
         let span = value.span();
-        let read = as_one(value.get_ref());
+        let read = convert(value.get_ref());
         if read.is_none() {
             let key = format!("{}.{key}", self.section.0);
             let given = self.text.get(span.clone()).unwrap_or_default();
             let given: String = given.chars().take(40).collect();
-            self.fault(span, key, format!("{expected} expected, not {given}"));
+            self.report(span, key, format!("{expected} expected, not {given}"));
         }
         read
     }
 
+    /// Reads a string that is not empty.
     pub fn string(&mut self, key: &str, expected: &str) -> Option<String> {
         self.string_that(key, expected, |text| !text.is_empty())
     }
 
+    /// Reads a string that `is_valid` accepts.
     pub fn string_that(
         &mut self,
         key: &str,
         expected: &str,
-        good: impl FnOnce(&str) -> bool,
+        is_valid: impl FnOnce(&str) -> bool,
     ) -> Option<String> {
-        self.value(key, expected, |v| v.as_str().filter(|s| good(s)).map(str::to_owned))
+        self.value(key, expected, |v| v.as_str().filter(|s| is_valid(s)).map(str::to_owned))
     }
 
-    pub fn word(&mut self, key: &str, words: &[&str]) -> Option<String> {
-        let quoted: Vec<String> = words.iter().map(|word| format!("{word:?}")).collect();
-        self.string_that(key, &quoted.join(" or "), |text| words.contains(&text))
+    /// Reads a string that is one of `choices`.
+    pub fn one_of(&mut self, key: &str, choices: &[&str]) -> Option<String> {
+        let quoted: Vec<String> = choices.iter().map(|choice| format!("{choice:?}")).collect();
+        self.string_that(key, &quoted.join(" or "), |text| choices.contains(&text))
     }
 
-    /// A list of names; at least one.
+    /// Reads a list of at least one name.
     pub fn names(&mut self, key: &str) -> Vec<String> {
         let names = |v: &DeValue<'t>| {
             let names: Option<Vec<String>> =
@@ -108,108 +116,112 @@
         match self.value(key, "a list of names", names) {
             Some(names) => names,
             None => {
-                let (section, known) =
-                    (self.section.0.clone(), self.places.iter().any(|p| p.1 == key));
-                if !known {
-                    self.fault_at(&section, key, "a list of names expected".into());
+                let (section, present) =
+                    (self.section.0.clone(), self.positions.iter().any(|p| p.1 == key));
+                if !present {
+                    self.report_at(&section, key, "a list of names expected".into());
                 }
                 Vec::new()
             }
         }
     }
 
+    /// Reads a boolean.
     pub fn flag(&mut self, key: &str) -> Option<bool> {
         self.value(key, "true or false", |v| v.as_bool())
     }
 
+    /// Reads a whole number within `range`.
     pub fn count(&mut self, key: &str, range: RangeInclusive<usize>) -> Option<usize> {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
         self.value(key, &expected, |v| integer(v).filter(|n| range.contains(n)))
     }
 
-    pub fn number(&mut self, key: &str, range: RangeInclusive<f64>, of: &str) -> Option<f64> {
-        let expected = format!("{of} from {} to {}", range.start(), range.end());
-        self.value(key, &expected, |v| figure(v).filter(|n| range.contains(n)))
+    /// Reads a number within `range`. `unit` names the quantity for errors.
+    pub fn number(&mut self, key: &str, range: RangeInclusive<f64>, unit: &str) -> Option<f64> {
+        let expected = format!("{unit} from {} to {}", range.start(), range.end());
+        self.value(key, &expected, |v| float(v).filter(|n| range.contains(n)))
     }
 
+    /// Reads a number from 0 to 1.
     pub fn share(&mut self, key: &str) -> Option<f64> {
         self.number(key, 0.0..=1.0, "a share")
     }
 
-    /// Reads each table of a list by `read`, as [`Reader::section`] reads a section; at least one. `read` gets the
-    /// table's name with its place, for faults.
+    /// Reads each table of a list of at least one table with `read`, as [`Reader::section`] reads a section. `read` gets
+    /// the table's name with its index, for errors.
     pub fn tables<T>(
         &mut self,
         key: &str,
         mut read: impl FnMut(&mut Self, &str) -> Option<T>,
     ) -> Vec<T> {
-        let of_list = |v: &DeValue<'t>| v.as_array().filter(|a| !a.is_empty()).cloned();
+        let non_empty_list = |v: &DeValue<'t>| v.as_array().filter(|a| !a.is_empty()).cloned();
         let section = self.section.0.clone();
-        let Some(list) = self.value(key, "a list of tables", of_list) else {
-            self.missing(&section, key, "a list of tables");
+        let Some(list) = self.value(key, "a list of tables", non_empty_list) else {
+            self.report_missing(&section, key, "a list of tables");
             return Vec::new();
         };
         let mut tables = Vec::new();
-        for (place, value) in list.into_iter().enumerate() {
-            let name = format!("{section}.{key}[{place}]");
+        for (index, value) in list.into_iter().enumerate() {
+            let name = format!("{section}.{key}[{index}]");
             let span = value.span();
             let DeValue::Table(table) = value.into_inner() else {
-                self.fault(span, name, "a table expected".to_owned());
+                self.report(span, name, "a table expected".to_owned());
                 continue;
             };
             let outer = std::mem::replace(&mut self.section, (name.clone(), table));
-            self.places.push((name.clone(), String::new(), span));
+            self.positions.push((name.clone(), String::new(), span));
             tables.extend(read(self, &name));
-            let (_, left) = std::mem::replace(&mut self.section, outer);
-            for (key, _) in left {
+            let (_, unread) = std::mem::replace(&mut self.section, outer);
+            for (key, _) in unread {
                 let text = "no such key".to_owned();
-                self.fault(key.span(), format!("{name}.{}", key.into_inner()), text);
+                self.report(key.span(), format!("{name}.{}", key.into_inner()), text);
             }
         }
         tables
     }
 
-    /// A string that has to be there, without which nothing makes sense; empty if it is not.
+    /// Reads a required string. If it is missing, reports that and returns an empty string.
     pub fn required(&mut self, key: &str, expected: &str) -> String {
         let section = self.section.0.clone();
         let given = self.string(key, expected);
         if given.is_none() {
-            self.missing(&section, key, expected);
+            self.report_missing(&section, key, expected);
         }
         given.unwrap_or_default()
     }
 
-    /// Notes where the present section begins: faults at keys that it lacks are told with its line, not with the
-    /// first of the file.
-    pub fn note_start(&mut self) {
-        self.places.push((self.section.0.clone(), String::new(), self.start.clone()));
+    /// Records the position of the current section, so that missing keys are reported with its line instead of the first
+    /// line of the file.
+    pub fn record_section_start(&mut self) {
+        self.positions.push((self.section.0.clone(), String::new(), self.section_span.clone()));
     }
 
-    /// Notes that a key is not there, unless a fault was found at it already.
-    pub fn missing(&mut self, section: &str, key: &str, expected: &str) {
-        if !self.places.iter().any(|(s, k, _)| s == section && k == key) {
-            self.fault_at(section, key, format!("{expected} expected"));
+    /// Reports that a key is missing, unless the key was present with an invalid value.
+    pub fn report_missing(&mut self, section: &str, key: &str, expected: &str) {
+        if !self.positions.iter().any(|(s, k, _)| s == section && k == key) {
+            self.report_at(section, key, format!("{expected} expected"));
         }
     }
 
-    /// Notes a fault at a key that was read; no key: at the section itself.
-    pub fn fault_at(&mut self, section: &str, key: &str, text: String) {
-        let at = |key: &str| self.places.iter().find(|(s, k, _)| s == section && k == key);
-        let place = at(key).or_else(|| at(""));
-        let span = place.map_or(0..0, |(.., span)| span.clone());
+    /// Reports an error at a key that was read, or at the section if `key` is empty.
+    pub fn report_at(&mut self, section: &str, key: &str, text: String) {
+        let at = |key: &str| self.positions.iter().find(|(s, k, _)| s == section && k == key);
+        let position = at(key).or_else(|| at(""));
+        let span = position.map_or(0..0, |(.., span)| span.clone());
         let dot = if key.is_empty() { "" } else { "." };
-        self.fault(span, format!("{section}{dot}{key}"), text);
+        self.report(span, format!("{section}{dot}{key}"), text);
     }
 
-    fn fault(&mut self, span: Range<usize>, key: String, text: String) {
-        self.faults.push(Fault { line: line(self.text, span.start), key, text });
+    fn report(&mut self, span: Range<usize>, key: String, text: String) {
+        self.faults.push(Fault { line: line_of(self.text, span.start), key, text });
     }
 
-    /// The end of the file: sections that nobody read are none.
+    /// Ends the reading: reports unknown sections, and returns all errors sorted by line.
     pub fn finish(mut self) -> Result<(), Vec<Fault>> {
-        for (key, _) in std::mem::take(&mut self.whole) {
+        for (key, _) in std::mem::take(&mut self.root) {
             let text = "no such section or key".to_owned();
-            self.fault(key.span(), key.into_inner().into_owned(), text);
+            self.report(key.span(), key.into_inner().into_owned(), text);
         }
         if self.faults.is_empty() {
             return Ok(());
@@ -224,14 +236,14 @@
     usize::from_str_radix(integer.as_str(), integer.radix()).ok()
 }
 
-fn figure(value: &DeValue<'_>) -> Option<f64> {
+fn float(value: &DeValue<'_>) -> Option<f64> {
     match value {
-        DeValue::Float(figure) => figure.as_str().parse().ok().filter(|f: &f64| f.is_finite()),
+        DeValue::Float(text) => text.as_str().parse().ok().filter(|f: &f64| f.is_finite()),
         _ => integer(value).map(|n| n as f64),
     }
 }
 
-/// The line of a byte, from 1.
-fn line(text: &str, at: usize) -> usize {
+/// The line of a byte position, starting at 1.
+fn line_of(text: &str, at: usize) -> usize {
     1 + text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count()
 }
--- a/crates/millethook-config/tests/file.rs
+++ b/crates/millethook-config/tests/file.rs
@@ -1,50 +1,50 @@
-//! The file as people write it, with and without mistakes.
+//! Tests of configuration files with and without errors.
 
 use millethook_config::{Failover, Fault, Fleet, LogFormat, Membership, ProductConfig, Reuse};
 use proptest::prelude::*;
 
-/// The reference that is shipped.
+/// The reference file that is shipped.
 const REFERENCE: &str = include_str!("../../../deploy/millethook.toml");
 
-fn faults(text: &str) -> Vec<String> {
-    ProductConfig::from_toml(text).expect_err("unsound").iter().map(Fault::to_string).collect()
+fn errors_of(text: &str) -> Vec<String> {
+    ProductConfig::from_toml(text).expect_err("invalid").iter().map(Fault::to_string).collect()
 }
 
 #[test]
-fn an_empty_file_turns_nothing_on() {
-    assert_eq!(ProductConfig::from_toml("").expect("sound"), ProductConfig::default());
+fn an_empty_file_enables_nothing() {
+    assert_eq!(ProductConfig::from_toml("").expect("valid"), ProductConfig::default());
 }
 
-/// The reference shows each key with its default; uncommented, it is what an empty section means.
+/// The reference shows each key with its default value. Uncommented, its sections equal empty sections.
 #[test]
-fn the_reference_is_sound_and_shows_the_defaults() {
-    assert_eq!(ProductConfig::from_toml(REFERENCE).expect("sound"), ProductConfig::default());
+fn the_reference_is_valid_and_shows_the_defaults() {
+    assert_eq!(ProductConfig::from_toml(REFERENCE).expect("valid"), ProductConfig::default());
     let uncommented: String = REFERENCE
         .lines()
         .filter_map(|l| l.strip_prefix("#~ ").or((!l.starts_with('#')).then_some(l)))
         .flat_map(|line| [line, "\n"])
         .collect();
-    let product = ProductConfig::from_toml(&uncommented).expect("sound");
+    let product = ProductConfig::from_toml(&uncommented).expect("valid");
     let membership = product.membership.expect("a section");
     assert!(membership.snapshot.is_some() && membership.identity_header.is_some());
-    let usual = Membership { snapshot: None, identity_header: None, ..membership };
-    assert_eq!(usual, Membership::default());
+    let defaults = Membership { snapshot: None, identity_header: None, ..membership };
+    assert_eq!(defaults, Membership::default());
     assert_eq!(product.failover, Some(Failover { copy_at_aim: true, slow_exponent: 6.0 }));
     assert_eq!(product.log.format, LogFormat::Text);
     assert_eq!(product.connections.reuse, Some(Reuse::Proven));
-    let empty = ProductConfig::from_toml("[fleet]\n").expect("sound").fleet;
+    let empty = ProductConfig::from_toml("[fleet]\n").expect("valid").fleet;
     let second = std::time::Duration::from_secs(1);
-    let usual = Fleet {
+    let defaults = Fleet {
         name: "millethook".into(),
         period: second,
         bytes_per_second: 1_500,
         share_evidence: false,
     };
-    assert_eq!((&product.fleet, &empty), (&Some(usual), &product.fleet));
+    assert_eq!((&product.fleet, &empty), (&Some(defaults), &product.fleet));
 }
 
 #[test]
-fn all_faults_are_told_at_once_each_with_its_line() {
+fn all_errors_are_reported_together_with_their_lines() {
     let text = "\
 [log]
 format = \"xml\"
@@ -64,7 +64,7 @@
 [conections]
 per_server = 3
 ";
-    let told = faults(text);
+    let errors = errors_of(text);
     let expected = [
         "line 2: log.format: \"text\" or \"json\" expected, not \"xml\"",
         "line 5: membership.snapshot: a path expected, not 7",
@@ -77,34 +77,34 @@
         "line 14: connections.reuse: \"unlimited\" or \"proven\" expected, not \"always\"",
         "line 16: conections: no such section or key",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(errors, expected);
 }
 
 #[test]
-fn keys_that_contradict_each_other_are_a_fault_of_the_second() {
-    let told = faults("[membership]\nusable_above = 0.5\n\ndropped_below = 0.6\n");
+fn contradicting_keys_are_reported_at_the_second() {
+    let errors = errors_of("[membership]\nusable_above = 0.5\n\ndropped_below = 0.6\n");
     assert_eq!(
-        told,
+        errors,
         ["line 4: membership.dropped_below: 0.5 at most expected, as usable_above says"]
     );
 }
 
 #[test]
-fn what_is_no_toml_is_told_with_its_line() {
-    let told = faults("[log]\nformat = \n");
-    assert!(told.len() == 1 && told[0].starts_with("line 2: "), "{told:?}");
-    assert_eq!(faults("log = 3"), ["line 1: log: a section [log] expected"]);
+fn invalid_toml_is_reported_with_its_line() {
+    let errors = errors_of("[log]\nformat = \n");
+    assert!(errors.len() == 1 && errors[0].starts_with("line 2: "), "{errors:?}");
+    assert_eq!(errors_of("log = 3"), ["line 1: log: a section [log] expected"]);
 }
 
 proptest! {
-    /// Whatever stands in a file, it is read or told; nothing else happens.
+    /// Any text is read or reported as invalid, without a panic.
     #[test]
-    fn no_text_brings_the_reader_down(text in "\\PC{0,200}") {
+    fn no_text_makes_the_reader_panic(text in "\\PC{0,200}") {
         let _ = ProductConfig::from_toml(&text);
     }
 
     #[test]
-    fn no_change_of_the_reference_brings_the_reader_down(
+    fn no_change_of_the_reference_makes_the_reader_panic(
         at in any::<prop::sample::Index>(),
         with in "[\\x00-\\x7f]{0,3}",
     ) {
@@ -122,36 +122,36 @@
 fn leases_need_a_fleet_and_an_odd_number_of_seats() {
     let fleet = "[fleet]\nshare_evidence = true\n";
     assert!(ProductConfig::from_toml(&format!("{fleet}[lease]\ndead_servers = true\n")).is_ok());
-    assert_eq!(faults("[lease]"), ["line 1: lease: a section [fleet] expected beside it"]);
-    let alone = faults("[fleet]\n[lease]\ndead_servers = true");
+    assert_eq!(errors_of("[lease]"), ["line 1: lease: a section [fleet] expected beside it"]);
+    let alone = errors_of("[fleet]\n[lease]\ndead_servers = true");
     assert_eq!(
         alone,
         ["line 3: lease.dead_servers: fleet.share_evidence = true expected beside it"]
     );
-    let even = faults(&format!("{fleet}[lease]\nseats = 4"));
+    let even = errors_of(&format!("{fleet}[lease]\nseats = 4"));
     assert_eq!(even, ["line 4: lease.seats: 3, 5 or 7 expected, not 4"]);
-    let wide = faults(&format!("{fleet}[lease]\ndrift = 0.5"));
+    let wide = errors_of(&format!("{fleet}[lease]\ndrift = 0.5"));
     assert_eq!(wide, ["line 4: lease.drift: a share from 0 to 0.2 expected, not 0.5"]);
 }
 
 #[test]
-fn kept_writes_need_a_folder_classes_and_leases() {
+fn stored_writes_need_a_folder_classes_and_leases() {
     let rest = "[fleet]\n[lease]\n[edge]\n";
-    let whole = format!("{rest}folder = \"/var/edge\"\nclasses = [\"log-upload\"]\n");
-    let product = ProductConfig::from_toml(&whole).expect("sound");
+    let edge = format!("{rest}folder = \"/var/edge\"\nclasses = [\"log-upload\"]\n");
+    let product = ProductConfig::from_toml(&edge).expect("valid");
     assert_eq!(product.edge.map(|e| e.classes), Some(vec!["log-upload".to_owned()]));
-    let lacking = faults(rest);
+    let lacking = errors_of(rest);
     assert_eq!(
         lacking,
         ["line 1: edge.folder: a path expected", "line 1: edge.classes: a list of names expected"]
     );
-    let alone = faults("[edge]\nfolder = \"/var/edge\"\nclasses = [\"a\"]");
+    let alone = errors_of("[edge]\nfolder = \"/var/edge\"\nclasses = [\"a\"]");
     assert_eq!(alone, ["line 1: edge: a section [lease] expected beside it"]);
-    let wrong = faults(&format!("{whole}after_failed = \"perhaps\"\nat_once = 0"));
+    let wrong = errors_of(&format!("{edge}after_failed = \"perhaps\"\nat_once = 0"));
     assert_eq!(wrong.len(), 2, "{wrong:?}");
 }
 
-/// A sound `[distribution]`, with what it needs.
+/// A valid `[distribution]` with the sections that it needs.
 const DISTRIBUTED: &str = "\
 [fleet]
 [lease]
@@ -167,27 +167,27 @@
 ";
 
 #[test]
-fn distribution_names_where_a_sidecar_stands_and_its_control_nodes() {
-    let product = ProductConfig::from_toml(DISTRIBUTED).expect("sound");
-    let of = product.distribution.expect("a section");
+fn distribution_gives_the_location_of_a_sidecar_and_its_control_nodes() {
+    let product = ProductConfig::from_toml(DISTRIBUTED).expect("valid");
+    let distribution = product.distribution.expect("a section");
     assert_eq!(
-        (of.region.as_str(), of.zone.as_str(), of.service.as_str()),
+        (distribution.region.as_str(), distribution.zone.as_str(), distribution.service.as_str()),
         ("west", "a", "orders")
     );
-    let numbers: Vec<u16> = of.control_nodes.iter().map(|node| node.member).collect();
-    assert_eq!((numbers, of.snapshot), (vec![0, 7], None));
+    let numbers: Vec<u16> = distribution.control_nodes.iter().map(|node| node.member).collect();
+    assert_eq!((numbers, distribution.snapshot), (vec![0, 7], None));
 }
 
 #[test]
-fn what_is_wrong_with_distribution_is_told_with_its_line_and_key() {
+fn errors_in_distribution_are_reported_with_line_and_key() {
     assert_eq!(
-        faults("[fleet]\n[distribution]\n"),
+        errors_of("[fleet]\n[distribution]\n"),
         ["region", "zone", "service", "control_nodes"].map(|key| {
             let expected = if key == "control_nodes" { "a list of tables" } else { "a name" };
             format!("line 2: distribution.{key}: {expected} expected")
         })
     );
-    let without = |section: &str| faults(&DISTRIBUTED.replace(section, ""));
+    let without = |section: &str| errors_of(&DISTRIBUTED.replace(section, ""));
     let fleet = without("[fleet]\n");
     assert!(fleet.contains(&"line 2: distribution: a section [fleet] expected beside it".into()));
     assert_eq!(
@@ -200,7 +200,7 @@
         .replace("member = 7, region = \"east\"", "member = 70000, regoin = \"east\"")
         .replace("member = 0, region = \"west\"", "region = 3");
     assert_eq!(
-        faults(&wrong),
+        errors_of(&wrong),
         [
             "line 9: distribution.control_nodes[0].region: a name expected, not 3",
             "line 9: distribution.control_nodes[0].member: a member's number expected",
@@ -210,35 +210,41 @@
         ]
     );
     let twice = DISTRIBUTED.replace("member = 7", "member = 0");
-    assert_eq!(faults(&twice), ["line 8: distribution.control_nodes: member 0 stands there twice"]);
+    assert_eq!(
+        errors_of(&twice),
+        ["line 8: distribution.control_nodes: member 0 stands there twice"]
+    );
     let flat = DISTRIBUTED.replace("{ member = 7, region = \"east\", zone = \"b\" }", "7");
-    assert_eq!(faults(&flat), ["line 10: distribution.control_nodes[1]: a table expected"]);
+    assert_eq!(errors_of(&flat), ["line 10: distribution.control_nodes[1]: a table expected"]);
     let bounds = format!("{DISTRIBUTED}silence_s = 0\nrefused_share = 2\ndigest = 1\n");
-    assert_eq!(faults(&bounds).len(), 3);
+    assert_eq!(errors_of(&bounds).len(), 3);
 }
 
 #[test]
-fn a_list_needs_what_carries_it() {
-    let faults = |more: &str| faults(&format!("{DISTRIBUTED}{more}"));
+fn a_list_needs_the_sections_that_distribute_it() {
+    let errors_of = |more: &str| errors_of(&format!("{DISTRIBUTED}{more}"));
     assert_eq!(
-        faults("list = \"orders\"\n"),
+        errors_of("list = \"orders\"\n"),
         [
             "line 12: distribution.list: a section [membership] expected beside it: the list is one of its sources"
         ]
     );
-    let sound =
-        |more: &str| ProductConfig::from_toml(&format!("{DISTRIBUTED}{more}")).expect("sound");
-    let taker = sound("list = \"orders\"\n[membership]\n").distribution.expect("a section");
-    assert_eq!((taker.list.as_deref(), taker.list_from_discovery), (Some("orders"), false));
-    let source = sound("list = \"orders\"\nlist_from_discovery = true\n");
-    assert!(source.distribution.expect("a section").list_from_discovery);
+    let parse =
+        |more: &str| ProductConfig::from_toml(&format!("{DISTRIBUTED}{more}")).expect("valid");
+    let subscriber = parse("list = \"orders\"\n[membership]\n").distribution.expect("a section");
+    assert_eq!(
+        (subscriber.list.as_deref(), subscriber.list_from_discovery),
+        (Some("orders"), false)
+    );
+    let publisher = parse("list = \"orders\"\nlist_from_discovery = true\n");
+    assert!(publisher.distribution.expect("a section").list_from_discovery);
     assert_eq!(
-        faults("list_from_discovery = true\n"),
+        errors_of("list_from_discovery = true\n"),
         [
             "line 12: distribution.list_from_discovery: list expected beside it: the name of the list"
         ]
     );
-    let wrong = faults("list = 3\nlist_from_discovery = 1\n");
+    let wrong = errors_of("list = 3\nlist_from_discovery = 1\n");
     assert_eq!(
         wrong,
         [
@@ -249,7 +255,7 @@
     let unpublished = DISTRIBUTED.replace("publish = \"/var/spool/millethook\"\n", "");
     let text = format!("{unpublished}list = \"orders\"\nlist_from_discovery = true\n");
     assert_eq!(
-        self::faults(&text),
+        self::errors_of(&text),
         [
             "line 12: distribution.list_from_discovery: publish expected beside it: the list is published by the writer"
         ]
