--- a/crates/millethook-admin/src/lib.rs
+++ b/crates/millethook-admin/src/lib.rs
@@ -1,11 +1,12 @@
-//! The operators' address: HTTP/1.1 with one call to a connection, and an answer soon whatever the load.
+//! The admin address for operators: an HTTP/1.1 server with one request per connection that answers quickly under any
+//! load.
 //!
-//! | call | answer |
+//! | request | response |
 //! | --- | --- |
 //! | `GET /v1/readyz` | 200 once the process serves, 503 before and while it drains |
-//! | `GET /v1/metrics` | 200 and the figures, as StatsD lines |
+//! | `GET /v1/metrics` | 200 and the metrics, as StatsD lines |
 //!
-//! Another method there is answered 405, another path 404.
+//! Other methods on these paths get 405, other paths 404.
 #![forbid(unsafe_code)]
 
 pub mod statsd;
@@ -27,76 +28,76 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long a caller may take for its call and for reading the answer. Danger: scripts that connect and
-/// say nothing would hold their places for as long as they like.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// Callers at once. One more makes the one that is here longest go: whoever has something to ask does
-/// so at once, and has its answer by then.
-const CALLERS: usize = 16;
-/// The longest head of a call.
-const LONGEST_HEAD: usize = 8 << 10;
-/// After an accept that failed for want of descriptors.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The timeout for a request and for reading its response. Without it, clients that connect and send nothing would hold
+/// their connections forever.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The maximum number of open connections. A further one closes the oldest: a client that sends its request at once has
+/// its response by then.
+const MAX_CONNECTIONS: usize = 16;
+/// The maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// The delay after an accept that failed because the process is out of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What operators may ask of a process.
+/// The status of a process that operators can request.
 pub trait ProcessStatus {
-    /// Whether it serves.
+    /// Whether the process serves requests.
     fn is_ready(&self) -> bool;
-    /// Its figures, as StatsD lines.
+    /// The metrics of the process, as StatsD lines.
     fn metrics(&self) -> String;
 }
 
-/// Answers operators for as long as it is polled. Must run within a `LocalSet`.
-pub async fn serve(listener: TcpListener, operator: Rc<dyn ProcessStatus>) {
-    let callers: Rc<RefCell<VecDeque<AbortHandle>>> = Rc::default();
+/// Serves requests of operators for as long as it is polled. Must run within a `LocalSet`.
+pub async fn serve(listener: TcpListener, status: Rc<dyn ProcessStatus>) {
+    let connections: Rc<RefCell<VecDeque<AbortHandle>>> = Rc::default();
     loop {
         let socket = match listener.accept().await {
             Ok((socket, _)) => socket,
             Err(e) => {
                 tracing::warn!(event = "accept_failed", "admin: accept: {e}");
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let mut callers = callers.borrow_mut();
-        callers.retain(|caller| !caller.is_finished());
-        if callers.len() >= CALLERS
-            && let Some(longest) = callers.pop_front()
+        let mut connections = connections.borrow_mut();
+        connections.retain(|connection| !connection.is_finished());
+        if connections.len() >= MAX_CONNECTIONS
+            && let Some(oldest) = connections.pop_front()
         {
-            longest.abort();
+            oldest.abort();
         }
-        let call = spawn_local(call(socket, operator.clone()));
-        callers.push_back(call.abort_handle());
+        let task = spawn_local(serve_connection(socket, status.clone()));
+        connections.push_back(task.abort_handle());
     }
 }
 
-async fn call(socket: TcpStream, operator: Rc<dyn ProcessStatus>) {
+async fn serve_connection(socket: TcpStream, status: Rc<dyn ProcessStatus>) {
     let service = service_fn(|request| {
-        let answer = answer(&request, &*operator);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = respond(&request, &*status);
+        async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .keep_alive(false)
         .header_read_timeout(None)
-        .max_buf_size(LONGEST_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(socket), service);
-    // A caller that breaks off or says what cannot be read has had its answer, or is owed none.
-    let _ = timeout(PATIENCE, connection).await;
+    // Errors are ignored: a client that disconnects or sends an invalid request has its response or gets none.
+    let _ = timeout(REQUEST_TIMEOUT, connection).await;
 }
 
-fn answer<B>(request: &Request<B>, operator: &dyn ProcessStatus) -> Response<Full<Bytes>> {
+fn respond<B>(request: &Request<B>, status: &dyn ProcessStatus) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     match request.uri().path() {
         "/v1/readyz" | "/v1/metrics" if request.method() != Method::GET => {
             *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
             response.headers_mut().insert(ALLOW, HeaderValue::from_static("GET"));
         }
-        "/v1/readyz" if operator.is_ready() => *response.body_mut() = "ready\n".into(),
+        "/v1/readyz" if status.is_ready() => *response.body_mut() = "ready\n".into(),
         "/v1/readyz" => *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE,
         "/v1/metrics" => {
             let text = HeaderValue::from_static("text/plain; charset=utf-8");
             response.headers_mut().insert(CONTENT_TYPE, text);
-            *response.body_mut() = operator.metrics().into();
+            *response.body_mut() = status.metrics().into();
         }
         _ => *response.status_mut() = StatusCode::NOT_FOUND,
     }
--- a/crates/millethook-admin/src/statsd.rs
+++ b/crates/millethook-admin/src/statsd.rs
@@ -1,40 +1,40 @@
-//! Figures as StatsD lines: `name:value|c` for counts since the start, `name:value|g` for what is now.
+//! Metrics as StatsD lines: `name:value|c` for counters since the start, `name:value|g` for gauges.
 
 use std::fmt::{Display, Write};
 
 use millethook_engine::Engine;
 
-/// What stands before each name.
+/// The prefix of each metric name.
 const PREFIX: &str = "sidecar";
 
-/// StatsdLines of figures.
+/// Lines of metrics in StatsD format.
 #[derive(Debug, Default)]
 pub struct StatsdLines(String);
 
 impl StatsdLines {
-    /// A count since the start.
+    /// Adds a counter since the start.
     pub fn count(&mut self, name: impl Display, value: u64) {
         let _ = writeln!(self.0, "{PREFIX}.{name}:{value}|c");
     }
 
-    /// What is now.
+    /// Adds a gauge with the current value.
     pub fn gauge(&mut self, name: impl Display, value: usize) {
         let _ = writeln!(self.0, "{PREFIX}.{name}:{value}|g");
     }
 
-    /// The lines.
+    /// Returns the lines.
     pub fn into_string(self) -> String {
         self.0
     }
 }
 
-/// The figures of an engine.
+/// Adds the metrics of an engine.
 pub fn write_engine_metrics(lines: &mut StatsdLines, engine: &Engine) {
-    for (class, of) in engine.figures.by_class() {
-        let class = Name(&class);
-        lines.count(format_args!("succeeded.{class}"), of.succeeded);
-        lines.count(format_args!("declined.{class}"), of.declined);
-        lines.count(format_args!("aborted.{class}"), of.aborted);
+    for (class, counts) in engine.figures.by_class() {
+        let class = MetricName(&class);
+        lines.count(format_args!("succeeded.{class}"), counts.succeeded);
+        lines.count(format_args!("declined.{class}"), counts.declined);
+        lines.count(format_args!("aborted.{class}"), counts.aborted);
     }
     let servers = engine.driver.server_counts();
     lines.count("forwards", engine.figures.attempts_written());
@@ -43,15 +43,16 @@
     lines.gauge("ejected", servers.avoided);
 }
 
-/// A name from the settings, without the characters that end a name here. Danger: a class called
-/// `a:1|c` would be read as a figure.
-struct Name<'a>(&'a str);
+/// A name from the settings, with characters that have a meaning in StatsD replaced. Without this, a class named `a:1|c`
+/// would be read as a metric.
+struct MetricName<'a>(&'a str);
 
-impl Display for Name<'_> {
+impl Display for MetricName<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for c in self.0.chars() {
-            let ends = matches!(c, ':' | '|' | '@' | '#') || c.is_whitespace() || c.is_control();
-            f.write_char(if ends { '_' } else { c })?;
+            let reserved =
+                matches!(c, ':' | '|' | '@' | '#') || c.is_whitespace() || c.is_control();
+            f.write_char(if reserved { '_' } else { c })?;
         }
         Ok(())
     }
@@ -62,11 +63,11 @@
     use super::*;
 
     #[test]
-    fn lines_read_as_statsd_does() {
+    fn lines_are_valid_statsd() {
         let mut lines = StatsdLines::default();
-        lines.count(format_args!("succeeded.{}", Name("log-page")), 812);
+        lines.count(format_args!("succeeded.{}", MetricName("log-page")), 812);
         lines.gauge("outstanding", 14);
-        lines.count(Name("a:1|c\nb @x#y"), 0);
+        lines.count(MetricName("a:1|c\nb @x#y"), 0);
         assert_eq!(
             lines.into_string(),
             "sidecar.succeeded.log-page:812|c\nsidecar.outstanding:14|g\nsidecar.a_1_c_b__x_y:0|c\n"
