--- a/crates/millethook-machine/src/sim.rs
+++ b/crates/millethook-machine/src/sim.rs
@@ -203,7 +203,7 @@
     }
 
     /// Queues an event for a fleet time.
-    fn push(&mut self, at: Micros, event: Event) {
+    fn queue_event(&mut self, at: Micros, event: Event) {
         self.next_sequence += 1;
         self.queue.push(Reverse((at, self.next_sequence, event)));
     }
@@ -232,7 +232,7 @@
         node.budget.0 -= bytes as f64;
         node.sent = (node.sent.0 + bytes, node.sent.1 + messages.len() as u64);
         if sooner && at < Micros::MAX / 2 {
-            self.push(at, Event::Tick(number));
+            self.queue_event(at, Event::Tick(number));
         }
         for (to, content) in messages {
             assert!(content.len() <= crate::MAX_MESSAGE_BYTES, "{} bytes", content.len());
@@ -251,7 +251,7 @@
             }
             for _ in 0..1 + usize::from(self.chance(self.duplicates)) {
                 let delay = self.delay.0 + self.below(self.delay.1);
-                self.push(
+                self.queue_event(
                     now + delay,
                     Event::Arrival { to, from: number, content: content.clone() },
                 );
@@ -267,15 +267,15 @@
         let (Event::Arrival { to: number, .. } | Event::Tick(number)) = event;
         let node = &mut self.nodes[usize::from(number)];
         let local = node.local(now);
-        let passed = now.saturating_sub(node.budget.1) as f64 / SECOND as f64;
-        node.budget = ((node.budget.0 + passed * BUDGET_RATE).min(BUDGET_BURST), now);
+        let elapsed_s = now.saturating_sub(node.budget.1) as f64 / SECOND as f64;
+        node.budget = ((node.budget.0 + elapsed_s * BUDGET_RATE).min(BUDGET_BURST), now);
         let Some(machine) = &mut node.machine else { return };
         if node.paused_until > now {
             match event {
                 Event::Arrival { from, content, .. } => node.inbox.push((from, content)),
                 Event::Tick(_) => {
                     let until = node.paused_until;
-                    self.push(until, Event::Tick(number));
+                    self.queue_event(until, Event::Tick(number));
                 }
             }
             return;
--- a/crates/millethook-membership/tests/common/script.rs
+++ b/crates/millethook-membership/tests/common/script.rs
@@ -12,7 +12,7 @@
 
 /// A snapshot, with ages in seconds. A negative age is a time in the future.
 #[derive(Clone, Debug)]
-pub struct OldList {
+pub struct OldSnapshot {
     pub written_s: i64,
     /// Servers by number, each with the age of its confirmation.
     pub servers: Vec<(usize, i64)>,
@@ -24,25 +24,25 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     /// The list of the platform's configuration.
-    pub known: Option<Vec<Entry>>,
-    pub snapshot: Option<OldList>,
+    pub platform_list: Option<Vec<Entry>>,
+    pub snapshot: Option<OldSnapshot>,
 }
 
 /// One step of a script.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A full list. `seq` is added to the version that was sent last.
-    Whole { seq: i8, hosts: Vec<Entry> },
+    FullList { seq: i8, hosts: Vec<Entry> },
     /// Discovery repeats the full list, with each server in its last state.
-    Repeated,
+    RepeatedList,
     /// Changes to the list. `seq` is added to the version that was sent last.
     Changes { seq: i8, hosts: Vec<Entry> },
     /// A snapshot arrives late.
-    Snapshot(OldList),
+    Snapshot(OldSnapshot),
     /// The platform's list arrives late.
-    Known(Vec<Entry>),
+    PlatformList(Vec<Entry>),
     /// Discovery does not answer.
-    Lost,
+    SourceLost,
     /// Actions that are due are carried out.
     Due,
     /// Time passes until an action is due, and it is carried out.
@@ -73,10 +73,10 @@
     prop::collection::vec((0..SERVER_COUNT, health(), 0..3u64), 0..most)
 }
 
-fn old_list() -> impl Strategy<Value = OldList> {
+fn old_snapshot() -> impl Strategy<Value = OldSnapshot> {
     let age = || prop_oneof![6 => 0..40_000_000i64, 2 => 0..10_000i64, 1 => -10_000_000..0i64];
     let servers = prop::collection::vec((0..SERVER_COUNT, age()), 0..SERVER_COUNT);
-    (age(), servers, 0..20usize).prop_map(|(written_s, servers, departed)| OldList {
+    (age(), servers, 0..20usize).prop_map(|(written_s, servers, departed)| OldSnapshot {
         written_s,
         servers,
         departed,
@@ -94,14 +94,14 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        2 => (-5..5i8, hosts(2 * SERVER_COUNT)).prop_map(|(seq, hosts)| Step::Whole { seq, hosts }),
+        2 => (-5..5i8, hosts(2 * SERVER_COUNT)).prop_map(|(seq, hosts)| Step::FullList { seq, hosts }),
         // Discovery has lost its content and sends a list that is almost empty.
-        2 => hosts(2).prop_map(|hosts| Step::Whole { seq: 1, hosts }),
-        2 => Just(Step::Repeated),
+        2 => hosts(2).prop_map(|hosts| Step::FullList { seq: 1, hosts }),
+        2 => Just(Step::RepeatedList),
         5 => (-2..4i8, hosts(4)).prop_map(|(seq, hosts)| Step::Changes { seq, hosts }),
-        1 => old_list().prop_map(Step::Snapshot),
-        1 => hosts(SERVER_COUNT).prop_map(Step::Known),
-        1 => Just(Step::Lost),
+        1 => old_snapshot().prop_map(Step::Snapshot),
+        1 => hosts(SERVER_COUNT).prop_map(Step::PlatformList),
+        1 => Just(Step::SourceLost),
         4 => Just(Step::Due),
         6 => Just(Step::NextDue),
         1 => (0..60u8).prop_map(Step::TrialsUnanswered),
@@ -115,8 +115,8 @@
 
 /// The lists that a process starts with, and a script of fewer than `steps` steps.
 pub fn script(steps: usize) -> impl Strategy<Value = (Start, Vec<Step>)> {
-    let known = prop::option::of(hosts(SERVER_COUNT));
-    let start = (known, prop::option::weighted(0.8, old_list()))
-        .prop_map(|(known, snapshot)| Start { known, snapshot });
+    let platform_list = prop::option::of(hosts(SERVER_COUNT));
+    let start = (platform_list, prop::option::weighted(0.8, old_snapshot()))
+        .prop_map(|(platform_list, snapshot)| Start { platform_list, snapshot });
     (start, prop::collection::vec(step(), 1..steps))
 }
--- a/crates/millethook-membership/tests/common/world.rs
+++ b/crates/millethook-membership/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! Runs scripts on a membership and compares what the balancer is told with a reference model.
+//! Runs scripts on a membership and compares the updates for the balancer with a reference model.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
     Config, History, Membership, Source, Trial, TrialOutcome, Trust, UnixMs, Update,
 };
 
-use super::script::{Entry, OldList, Start, Step};
+use super::script::{Entry, OldSnapshot, Start, Step};
 
 /// The time at which a process starts.
 const START_MS: UnixMs = 2_000_000_000_000;
@@ -28,8 +28,8 @@
     seq: u64,
     /// Whether a live list has arrived.
     live: bool,
-    /// The list that the balancer was told.
-    told: BTreeMap<String, ListedState>,
+    /// The list that the balancer has, from the updates.
+    balancer_list: BTreeMap<String, ListedState>,
     /// The list that the balancer should have.
     expected: BTreeMap<String, ListedState>,
     /// Servers of the held suspect list, with the changes since, and the time until which it is held.
@@ -52,7 +52,7 @@
         now: START_MS,
         seq: FIRST_SEQ,
         live: false,
-        told: BTreeMap::new(),
+        balancer_list: BTreeMap::new(),
         expected: BTreeMap::new(),
         held: None,
         trials: Vec::new(),
@@ -106,48 +106,48 @@
 
 impl World {
     fn start(&mut self, start: &Start) -> Result<(), String> {
-        if let Some(hosts) = &start.known {
-            self.known(hosts);
+        if let Some(hosts) = &start.platform_list {
+            self.apply_platform_list(hosts);
         }
         if let Some(old) = &start.snapshot {
-            self.snapshot(old)?;
+            self.load_snapshot(old)?;
         }
         self.check()
     }
 
     fn step(&mut self, step: &Step) -> Result<(), String> {
         match step {
-            Step::Whole { seq, hosts } => {
+            Step::FullList { seq, hosts } => {
                 self.seq = self.seq.saturating_add_signed(i64::from(*seq));
-                self.whole(&list(self.seq, true, hosts));
+                self.apply_full_list(&list(self.seq, true, hosts));
             }
-            Step::Repeated => self.repeated(),
-            Step::Changes { seq, hosts } => self.changes(*seq, hosts),
-            Step::Snapshot(old) => return self.snapshot(old),
-            Step::Known(hosts) if self.live => self.known(hosts),
-            Step::Known(_) => {}
-            Step::Lost => self.membership.source_lost(self.now),
-            Step::Due => return self.due(),
+            Step::RepeatedList => self.repeat_list(),
+            Step::Changes { seq, hosts } => self.apply_changes(*seq, hosts),
+            Step::Snapshot(old) => return self.load_snapshot(old),
+            Step::PlatformList(hosts) if self.live => self.apply_platform_list(hosts),
+            Step::PlatformList(_) => {}
+            Step::SourceLost => self.membership.source_lost(self.now),
+            Step::Due => return self.run_due_actions(),
             Step::NextDue => {
                 self.now = self.now.max(self.membership.next_due().unwrap_or(self.now));
-                return self.due();
+                return self.run_due_actions();
             }
             Step::TrialsUnanswered(times) => {
                 for _ in 0..*times {
                     self.now = self.now.max(self.membership.next_due().unwrap_or(self.now));
-                    self.due()?;
-                    self.trial_ends(0, TrialOutcome::NoAnswer)?;
+                    self.run_due_actions()?;
+                    self.end_trial(0, TrialOutcome::NoAnswer)?;
                 }
             }
             Step::ContentLost(times, gap) => {
                 for n in 0..*times {
                     self.seq += 1;
-                    self.whole(&list(self.seq, true, &[]));
+                    self.apply_full_list(&list(self.seq, true, &[]));
                     self.now += u64::from(*gap) * u64::from(n + 1 < *times);
-                    self.due()?;
+                    self.run_due_actions()?;
                 }
             }
-            Step::TrialEnds(n, outcome) => return self.trial_ends(*n, *outcome),
+            Step::TrialEnds(n, outcome) => return self.end_trial(*n, *outcome),
             Step::Pass(ms) => self.now += u64::from(*ms),
             Step::Jump(minutes) => self.now += u64::from(*minutes) * 60_000,
         }
@@ -157,12 +157,12 @@
     /// Tells the balancer of a change.
     fn notify_balancer(&mut self, update: &Update) {
         if update.whole {
-            self.told.clear();
+            self.balancer_list.clear();
         }
-        apply_entries(&mut self.told, &update.hosts);
+        apply_entries(&mut self.balancer_list, &update.hosts);
     }
 
-    fn known(&mut self, hosts: &[Entry]) {
+    fn apply_platform_list(&mut self, hosts: &[Entry]) {
         let list = list(1, true, hosts);
         let update = self.membership.apply_list(self.now, Source::PlatformConfig, &list);
         self.notify_balancer(&update);
@@ -173,7 +173,7 @@
 
     /// Loads a snapshot. After a live list it must change nothing. Before that, servers whose confirmation is later than
     /// the write or than now must not be used without a trial.
-    fn snapshot(&mut self, old: &OldList) -> Result<(), String> {
+    fn load_snapshot(&mut self, old: &OldSnapshot) -> Result<(), String> {
         let at = |age_s: i64| START_MS.saturating_add_signed(-age_s * 1_000);
         let mut history = History::default();
         history.observe(HOUR_MS, 20, old.departed);
@@ -219,7 +219,7 @@
         self.expected.values().filter(|health| **health == ListedState::Active).count()
     }
 
-    fn whole(&mut self, list: &List) {
+    fn apply_full_list(&mut self, list: &List) {
         let active = list.hosts.iter().filter(|host| host.health == ListedState::Active).count();
         let usable = self.usable();
         let few = (active as f64) < self.config.suspect_share * usable as f64;
@@ -242,17 +242,17 @@
         }
     }
 
-    fn repeated(&mut self) {
+    fn repeat_list(&mut self) {
         let hosts = self.expected.iter().map(|(name, health)| Host {
             host: name.clone(),
             health: *health,
             ..host(&(0, ListedState::Active, 0))
         });
         let list = List { seq: self.seq, whole: true, hosts: hosts.collect() };
-        self.whole(&list);
+        self.apply_full_list(&list);
     }
 
-    fn changes(&mut self, seq: i8, hosts: &[Entry]) {
+    fn apply_changes(&mut self, seq: i8, hosts: &[Entry]) {
         let list = list(self.seq.saturating_add_signed(i64::from(seq)), false, hosts);
         let update = self.membership.apply_list(self.now, Source::Discovery, &list);
         self.notify_balancer(&update);
@@ -271,7 +271,7 @@
     }
 
     /// Carries out due actions, as the owner of a membership does.
-    fn due(&mut self) -> Result<(), String> {
+    fn run_due_actions(&mut self) -> Result<(), String> {
         let held_is_due = self.held.as_ref().is_some_and(|(_, until)| *until <= self.now);
         let update = self.membership.apply_due_list(self.now);
         rule(
@@ -313,7 +313,7 @@
         rule(!self.expected.contains_key(&name), "a server in use is not tried", &|| name.clone())
     }
 
-    fn trial_ends(&mut self, n: u8, outcome: TrialOutcome) -> Result<(), String> {
+    fn end_trial(&mut self, n: u8, outcome: TrialOutcome) -> Result<(), String> {
         if self.trials.is_empty() {
             return Ok(());
         }
@@ -349,15 +349,17 @@
     /// Checks what must hold after each step.
     fn check(&self) -> Result<(), String> {
         self.membership.check(self.now).map_err(|violation| violation.to_string())?;
-        rule(self.told == self.expected, "the balancer has the expected list", &|| {
-            format!("{:?}, expected {:?}", self.told, self.expected)
+        rule(self.balancer_list == self.expected, "the balancer has the expected list", &|| {
+            format!("{:?}, expected {:?}", self.balancer_list, self.expected)
         })?;
         let trusted = self.membership.servers().filter(|known| known.trust != Trust::Doubtful);
         let trusted: BTreeMap<String, ListedState> =
             trusted.map(|known| (known.host.host.clone(), known.host.health)).collect();
-        rule(trusted == self.told, "the balancer was told of all trusted servers", &|| {
-            format!("{trusted:?}, told {:?}", self.told)
-        })?;
+        rule(
+            trusted == self.balancer_list,
+            "the balancer was told of all trusted servers",
+            &|| format!("{trusted:?}, balancer has {:?}", self.balancer_list),
+        )?;
         let snapshot = self.membership.snapshot("f", self.now);
         let active = |kept: &Remembered| kept.host.health == ListedState::Active;
         rule(snapshot.servers.iter().all(active), "a snapshot holds only active servers", &|| {
