--- a/crates/coppercart/tests/it/wire.rs
+++ b/crates/coppercart/tests/it/wire.rs
@@ -1,4 +1,5 @@
-//! The wire: the worked examples of its page as golden bytes, and totality on any bytes.
+//! The wire format: the worked examples of its documentation as golden bytes, and a property test
+//! that any bytes can be read.
 
 use coppercart::api::*;
 use coppercart::wire::{Batch, Record, Reply, read_frame};
@@ -12,7 +13,7 @@
         .collect()
 }
 
-/// A record of the given start, filled up with zeros.
+/// Returns a record that starts with the given bytes, padded with zeros.
 fn record(hex: &str, size: usize) -> Vec<u8> {
     let mut r = bytes(hex);
     r.resize(size, 0);
@@ -36,7 +37,7 @@
 }
 
 const SERVER: u64 = u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0xc3, 0x2b, 0, 0]);
-const CALL: u64 = u64::from_le_bytes([0xc4, 0x91, 0x3a, 0x5d, 0x9f, 0x96, 0x05, 0]);
+const REQUEST: u64 = u64::from_le_bytes([0xc4, 0x91, 0x3a, 0x5d, 0x9f, 0x96, 0x05, 0]);
 
 #[test]
 fn empty_batch_and_reply() {
@@ -65,13 +66,13 @@
         [
             Record::On(3),
             Record::Ingress(NewRequest {
-                id: RequestId(CALL),
+                id: RequestId(REQUEST),
                 class: 0,
                 tenant: 0,
                 key: 0x91f0_3b7c_55d2_0a64,
-                left: 240_000,
-                hint: Some(12_000),
-                repeat: false,
+                time_left: 240_000,
+                work_hint: Some(12_000),
+                client_retry: false,
             }),
             Record::Ring(77),
             Record::On(5),
@@ -79,15 +80,15 @@
         ]
     );
     let mut reply = Reply::default();
-    reply.at(3);
+    reply.select_instance(3);
     reply.action(&Action::Send {
-        id: RequestId(CALL),
+        id: RequestId(REQUEST),
         server: ServerId(SERVER),
         timeout: 80_000,
         commit_within: 80_000,
     });
     reply.action(&Action::Timer { delay: 500_000, token: 77 });
-    reply.at(5);
+    reply.select_instance(5);
     reply.action(&Action::Log { text: "two servers known".into() });
     let mut out = Vec::new();
     reply.finish(&mut out);
@@ -139,7 +140,7 @@
     assert_eq!(
         records[1],
         Record::Outcome {
-            id: RequestId(CALL),
+            id: RequestId(REQUEST),
             attempt: 0,
             server: ServerId(SERVER),
             outcome: Outcome::Served,
@@ -153,7 +154,7 @@
 #[test]
 fn tell_puts_its_bytes_in_the_tail() {
     let mut reply = Reply::default();
-    reply.at(3);
+    reply.select_instance(3);
     reply.action(&Action::Tell { peer: coppercart::wire::ALL_PEERS, data: b"hi 7".to_vec() });
     let mut out = Vec::new();
     reply.finish(&mut out);
@@ -165,22 +166,22 @@
 }
 
 #[test]
-fn faults_are_named_with_their_place() {
+fn errors_give_the_offset_of_the_fault() {
     let mut short = batch(&["0b 0300"], &[]);
     short.truncate(30);
-    assert_eq!(Batch::new(&short).unwrap_err().at, 0);
+    assert_eq!(Batch::new(&short).unwrap_err().offset, 0);
     let mut many = batch(&["0b 0300"], &[]);
     many[12] = 9;
-    assert_eq!(Batch::new(&many).unwrap_err().at, 12);
+    assert_eq!(Batch::new(&many).unwrap_err().offset, 12);
     let outside = batch(&["0b 0300", "08 00000000 05000000 02000000"], b"hi");
     let found: Vec<_> = Batch::new(&outside).unwrap().records().collect();
     let error = found[1].as_ref().unwrap_err();
-    assert_eq!(error.at, 16 + 40 + 5);
+    assert_eq!(error.offset, 16 + 40 + 5);
     assert!(error.to_string().contains("outside the tail"), "{error}");
 }
 
 #[test]
-fn a_length_alone_costs_no_memory() {
+fn a_length_alone_allocates_no_memory() {
     let mut input: &[u8] = &bytes("ffffffff 0000");
     let mut buf = Vec::new();
     let error = read_frame(&mut input, &mut buf).unwrap_err();
--- a/crates/millethook-engine/src/driver/mod.rs
+++ b/crates/millethook-engine/src/driver/mod.rs
@@ -19,7 +19,7 @@
 };
 use coppercart::decide::Balancer;
 use coppercart::decide::view::ServerCounts;
-use coppercart::settings::{Class, ReportHow, Settings};
+use coppercart::settings::{Class, ReportMode, Settings};
 use millethook_connect::pool::{Counts, Ended};
 use rustc_hash::FxHashMap;
 use tokio::sync::{Notify, mpsc, oneshot};
@@ -117,7 +117,7 @@
         // `born_ms` of servers is Unix time, so the balancer's clock is Unix time, too. It never steps back.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let clock = (unix.as_micros() as Micros, Instant::now());
-        let probe_reports = settings.report.how != ReportHow::Silent;
+        let probe_reports = settings.report.how != ReportMode::Silent;
         let state = RefCell::new(DriverState {
             balancer: Balancer::new(settings, seed, clock.0),
             requests: FxHashMap::default(),
@@ -240,9 +240,9 @@
             class: head.class,
             tenant: head.tenant,
             key: head.key,
-            left: (head.left - margin).as_micros() as Micros,
-            hint: head.hint,
-            repeat: head.repeat,
+            time_left: (head.left - margin).as_micros() as Micros,
+            work_hint: head.hint,
+            client_retry: head.repeat,
         }));
         Ticket { id, driver: self.clone(), reply: receiver }
     }
@@ -276,7 +276,7 @@
         Usage {
             requests: state.requests.len(),
             attempts: state.requests.values().map(in_flight).sum(),
-            undecided: state.balancer.open(),
+            undecided: state.balancer.open_requests(),
             connections: self.upstream.counts(),
             ended: self.upstream.ended(),
             calls: self.upstream.calls(),
@@ -288,12 +288,12 @@
     pub fn merge_settings(&self, new: Settings, held: impl Fn(usize) -> bool) -> Settings {
         let state = self.state.borrow();
         let balancer = &state.balancer;
-        balancer.settings().followed_by(new, |index| held(index) || balancer.uses_class(index))
+        balancer.settings().merged_with(new, |index| held(index) || balancer.uses_class(index))
     }
 
     /// Takes the settings that [`Driver::merge_settings`] returned.
     pub fn apply_settings(&self, settings: Settings) {
-        self.state.borrow_mut().balancer.retune(settings);
+        self.state.borrow_mut().balancer.update_settings(settings);
     }
 
     /// The number of listed servers, and how many of them are avoided.
@@ -313,7 +313,7 @@
 
     /// The longest deadline of the classes in force.
     pub fn longest_deadline(&self) -> Duration {
-        let longest = self.state.borrow().balancer.settings().longest(|c| c.deadline);
+        let longest = self.state.borrow().balancer.settings().max_over_classes(|c| c.deadline);
         Duration::from_micros(longest)
     }
 
@@ -321,7 +321,8 @@
     /// accepts a connection ([`Driver::try_connect`]).
     pub fn is_isolated(&self) -> bool {
         let state = self.state.borrow();
-        let response_timeout = Duration::from_micros(state.balancer.settings().longest(|c| c.aim));
+        let response_timeout =
+            Duration::from_micros(state.balancer.settings().max_over_classes(|c| c.aim));
         self.reachability.borrow_mut().is_isolated(
             Instant::now(),
             state.servers.len(),
--- a/crates/millethook-engine/src/engine.rs
+++ b/crates/millethook-engine/src/engine.rs
@@ -129,8 +129,10 @@
             }
             let sender = peers.clone()?;
             let (me, zone) = (config.settings.me, config.settings.zone);
-            let times =
-                (config.settings.longest(|c| c.aim), config.settings.longest(|c| c.deadline));
+            let times = (
+                config.settings.max_over_classes(|c| c.aim),
+                config.settings.max_over_classes(|c| c.deadline),
+            );
             let source = (config.seed, config.distribution);
             Some(Fleet::start(
                 &fleet_settings,
@@ -159,7 +161,8 @@
         );
         let mode = config.settings.discovery;
         let call_limits = Rc::new(Cell::new(CallLimits::from(&config.settings)));
-        let longest_deadline = Duration::from_micros(config.settings.longest(|c| c.deadline));
+        let longest_deadline =
+            Duration::from_micros(config.settings.max_over_classes(|c| c.deadline));
         let (to_discovery, commands) = mpsc::unbounded_channel();
         let discovery_sender = to_discovery.clone();
         let peer_sender = peers.clone().map(|p| p as Rc<dyn PeerSender>);
@@ -281,7 +284,7 @@
         };
         let settings = self.driver.merge_settings(new, is_in_use);
         let names = Arc::new(Names::new(&settings, raw)?);
-        let longest = Duration::from_micros(settings.longest(|c| c.deadline));
+        let longest = Duration::from_micros(settings.max_over_classes(|c| c.deadline));
         self.longest_deadline.set(longest.max(self.longest_deadline.get()));
         self.call_limits.set(CallLimits::from(&settings));
         self.upstream.set_reuse(self.reuse.unwrap_or_else(|| default_reuse(&settings)));
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -26,11 +26,11 @@
 }
 
 /// Converts a verdict of the replica to the balancer's type.
-fn to_server_verdict(verdict: Standing) -> coppercart::api::Standing {
+fn to_server_verdict(verdict: Standing) -> coppercart::api::ServerVerdict {
     match verdict {
-        Standing::Trusted => coppercart::api::Standing::Trusted,
-        Standing::Suspected => coppercart::api::Standing::Doubted,
-        Standing::Leaving => coppercart::api::Standing::Leaving,
+        Standing::Trusted => coppercart::api::ServerVerdict::Trusted,
+        Standing::Suspected => coppercart::api::ServerVerdict::Suspected,
+        Standing::Leaving => coppercart::api::ServerVerdict::Leaving,
     }
 }
 
@@ -80,7 +80,7 @@
 
     /// Reports a verdict to the sink that is not the replica's own. The caller must not hold a borrow of a `RefCell`,
     /// because the balancer acts on the verdict at once.
-    pub fn report(&self, server: ServerId, verdict: coppercart::api::Standing) {
+    pub fn report(&self, server: ServerId, verdict: coppercart::api::ServerVerdict) {
         if let Some(sink) = self.sink.borrow().as_deref() {
             sink.apply_verdict(server, verdict);
         }
@@ -129,7 +129,7 @@
 
     /// Reports all changed verdicts to the sink and to `observer`. The caller must not hold a borrow of a `RefCell`,
     /// because the balancer acts on the verdicts at once.
-    pub fn report_changes(&self, observer: impl Fn(ServerId, coppercart::api::Standing)) {
+    pub fn report_changes(&self, observer: impl Fn(ServerId, coppercart::api::ServerVerdict)) {
         let sink = self.sink.borrow();
         loop {
             let event = self.replica.borrow_mut().poll_event();
@@ -165,7 +165,7 @@
             Outcome::TimedOut => ObservedOutcome::TimedOut,
             Outcome::ConnectFailed | Outcome::Reset => ObservedOutcome::Broken,
             Outcome::Cancelled => return self.replica.borrow_mut().on_attempt_cancelled(server.0),
-            Outcome::Moot => return,
+            Outcome::NeverSent => return,
         };
         self.replica.borrow_mut().on_attempt_ended(
             now,
@@ -198,7 +198,7 @@
     }
 
     /// Returns the verdict on a server.
-    pub fn verdict(&self, server: ServerId) -> coppercart::api::Standing {
+    pub fn verdict(&self, server: ServerId) -> coppercart::api::ServerVerdict {
         to_server_verdict(self.replica.borrow().standing(server.0))
     }
 
--- a/crates/millethook-engine/src/fleet.rs
+++ b/crates/millethook-engine/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use coppercart::api::{Outcome, ServerEntry, ServerId, Standing};
+use coppercart::api::{Outcome, ServerEntry, ServerId, ServerVerdict};
 use coppercart::settings::Settings;
 use millethook_frames::{Channel, ChannelConfig, Frame, FrameWriter, Header, Kind, fleet_id};
 pub use millethook_replica::EntryValue;
@@ -337,12 +337,12 @@
 
     /// Records the own list of servers, or changes to it, that were passed to the balancer. Returns the servers among
     /// them that are not trusted.
-    pub fn on_listed(&self, entries: &[ServerEntry]) -> Vec<(ServerId, Standing)> {
+    pub fn on_listed(&self, entries: &[ServerEntry]) -> Vec<(ServerId, ServerVerdict)> {
         let Some(evidence) = &self.evidence else { return Vec::new() };
         evidence.on_listed(self.now(), entries);
         self.wake.notify_one();
         let verdicts = entries.iter().map(|e| (e.id, evidence.verdict(e.id)));
-        verdicts.filter(|(_, verdict)| *verdict != Standing::Trusted).collect()
+        verdicts.filter(|(_, verdict)| *verdict != ServerVerdict::Trusted).collect()
     }
 
     /// Records that the own list no longer has these servers. This is not published, because a whole list may be
--- a/crates/millethook-engine/src/sinks.rs
+++ b/crates/millethook-engine/src/sinks.rs
@@ -1,7 +1,7 @@
 //! Traits between the engine and its sources, so that neither depends on the other: sinks for lists of servers,
 //! messages of peers and verdicts, and a sender of datagrams.
 
-use coppercart::api::{ListKind, ServerId, Standing};
+use coppercart::api::{ListKind, ServerId, ServerVerdict};
 
 use crate::list::List;
 
@@ -38,5 +38,5 @@
 /// Receives the fleet's verdicts on servers.
 pub trait VerdictSink {
     /// Applies a changed verdict on a server.
-    fn apply_verdict(&self, server: ServerId, verdict: Standing);
+    fn apply_verdict(&self, server: ServerId, verdict: ServerVerdict);
 }
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use coppercart::api::{Micros, ServerId, Standing};
+use coppercart::api::{Micros, ServerId, ServerVerdict};
 use millethook_lease::{JobId, Lease, Token};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TrialAction {
     /// The balancer applies this verdict for a while.
-    ApplyVerdict(ServerId, Standing),
+    ApplyVerdict(ServerId, ServerVerdict),
     /// The trial is released, because nothing was sent to the server for [`MAX_IDLE_HOLDS`].
     Release(ServerId, JobId),
     /// Announces to the fleet that this sidecar sends the trials.
@@ -85,11 +85,11 @@
         &mut self,
         now: Micros,
         server: ServerId,
-        standing: Standing,
+        standing: ServerVerdict,
         lease: &mut Lease,
     ) {
         let is_known = self.suspected.contains_key(&server.0);
-        if standing == Standing::Doubted && !is_known && self.suspected.len() < MAX_TRIALS {
+        if standing == ServerVerdict::Suspected && !is_known && self.suspected.len() < MAX_TRIALS {
             // Requests are spread over time, so that the others learn of the first owner before they request the
             // lease.
             let request_at = now + self.random_delay(self.verdict_hold);
@@ -98,7 +98,7 @@
                 server.0,
                 SuspectedServer { job, request_at, repeat_at: now, ownership: None },
             );
-        } else if standing != Standing::Doubted
+        } else if standing != ServerVerdict::Suspected
             && let Some(entry) = self.suspected.remove(&server.0)
         {
             lease.release(now, entry.job, None);
@@ -137,7 +137,7 @@
                 // others demand. In a calm fleet it avoids it forever: the server looks slow and loses each tie
                 // between two picks. The owner would release the trial before its first attempt, and so would each
                 // owner after it.
-                actions.push(TrialAction::ApplyVerdict(ServerId(*server), Standing::Trusted));
+                actions.push(TrialAction::ApplyVerdict(ServerId(*server), ServerVerdict::Trusted));
                 entry.ownership = Some(Ownership { due_at: now, attempted: false });
             }
             // An announcement is as old as the last renewal of the lease; without a newer one the lease has expired.
@@ -170,8 +170,10 @@
                     }
                     if entry.repeat_at <= now {
                         entry.repeat_at = now + verdict_hold / 2;
-                        actions
-                            .push(TrialAction::ApplyVerdict(ServerId(*server), Standing::Doubted));
+                        actions.push(TrialAction::ApplyVerdict(
+                            ServerId(*server),
+                            ServerVerdict::Suspected,
+                        ));
                     }
                 }
                 (None, None) if entry.request_at <= now => {
--- a/crates/millethook-engine/src/upstream/probe.rs
+++ b/crates/millethook-engine/src/upstream/probe.rs
@@ -80,7 +80,9 @@
                 TrialOutcome::NoAnswer
             }
             (Outcome::ConnectFailed, _) => TrialOutcome::Refused,
-            (Outcome::Moot | Outcome::TimedOut | Outcome::Cancelled, _) => TrialOutcome::NoAnswer,
+            (Outcome::NeverSent | Outcome::TimedOut | Outcome::Cancelled, _) => {
+                TrialOutcome::NoAnswer
+            }
             _ => TrialOutcome::OtherProgram,
         }
     }
--- a/crates/millethook-explore/src/world/play.rs
+++ b/crates/millethook-explore/src/world/play.rs
@@ -38,7 +38,7 @@
             Step::List { server, change } => self.list_change(server, change)?,
         }
         if self.at_rest() {
-            judge::at_rest(&self.requests, self.balancer.open(), self.timers.len())?;
+            judge::at_rest(&self.requests, self.balancer.open_requests(), self.timers.len())?;
         }
         Ok(())
     }
@@ -242,7 +242,7 @@
         Ending::Full => Outcome::Full,
         Ending::ConnectFailed => Outcome::ConnectFailed,
         Ending::Reset => Outcome::Reset,
-        Ending::Moot => Outcome::Moot,
+        Ending::Moot => Outcome::NeverSent,
         Ending::TimedOut => Outcome::TimedOut,
         Ending::Cancelled => Outcome::Cancelled,
     }
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use coppercart::settings::{Class, Repeat, Scope, Settings};
+use coppercart::settings::{Class, DedupScope, RetrySafety, Settings};
 use millethook_edge::record::HostTime;
 use millethook_edge::{EdgeId, Mark, Progress, Replay, State, WriteId};
 use millethook_engine::driver::Driver;
@@ -71,7 +71,7 @@
 
 /// Adds the replay classes to the settings of the decision module.
 pub fn add_replay_classes(names: &[String], settings: &mut Settings) {
-    let is_kept = |class: &&Class| names.contains(&class.name) && class.repeat != Repeat::Safe;
+    let is_kept = |class: &&Class| names.contains(&class.name) && class.repeat != RetrySafety::Safe;
     let replays: Vec<Class> = (settings.classes.iter().filter(is_kept))
         .map(|class| Class {
             name: replay_class(&class.name),
@@ -297,7 +297,7 @@
     match (class.repeat, class.dedup_scope) {
         // A replay does not choose servers, so duplicates must be dropped by all servers together, not by
         // each group.
-        (Repeat::Keyed, Scope::All) => {
+        (RetrySafety::Keyed, DedupScope::All) => {
             millethook_edge::record::Repeat::Within { window_ms: class.window / 1_000 }
         }
         _ => millethook_edge::record::Repeat::Never,
