--- a/crates/millethook-distribution/src/message/parts.rs
+++ b/crates/millethook-distribution/src/message/parts.rs
@@ -4,7 +4,9 @@
 
 use super::{BUCKETS, Buckets, Digest, Offer, Stage, State, Status};
 use crate::report::{MAX_NAMED_MEMBERS, MAX_REASON_BYTES};
-use crate::{ContentHash, DocumentId, DocumentKey, Identity, LONGEST, Refusal, Rollout, Version};
+use crate::{
+    ContentHash, DocumentId, DocumentKey, Identity, MAX_MESSAGE_BYTES, Refusal, Rollout, Version,
+};
 
 /// Appends bucket hashes.
 pub(super) fn put_buckets(bytes: &mut Vec<u8>, buckets: &Buckets) {
@@ -15,7 +17,7 @@
 pub(super) fn read_buckets(bytes: &mut &[u8]) -> Option<Buckets> {
     let mut buckets = [0; BUCKETS];
     for hash in &mut buckets {
-        *hash = codec::uint(bytes, 8)?;
+        *hash = codec::take_uint(bytes, 8)?;
     }
     Some(buckets)
 }
@@ -41,7 +43,7 @@
 
 /// Reads a refusal.
 pub(super) fn read_refusal(bytes: &mut &[u8]) -> Option<Refusal> {
-    let (code, length) = (codec::byte(bytes)?, usize::from(codec::byte(bytes)?));
+    let (code, length) = (codec::take_u8(bytes)?, usize::from(codec::take_u8(bytes)?));
     let (reason, rest) = bytes.split_at_checked(length)?;
     *bytes = rest;
     Some(Refusal { code, reason: String::from_utf8_lossy(reason).into_owned() })
@@ -64,26 +66,26 @@
         if let State::Refused(refusal) = &status.state {
             // The maximum size of the statuses that follow.
             let reserved = (statuses.len() - n - 1) * (Version::LENGTH + 4) + 2;
-            put_refusal(bytes, refusal, LONGEST.saturating_sub(bytes.len() + reserved));
+            put_refusal(bytes, refusal, MAX_MESSAGE_BYTES.saturating_sub(bytes.len() + reserved));
         }
     }
 }
 
 /// Reads a digest.
 pub(super) fn read_digest(bytes: &mut &[u8]) -> Option<Digest> {
-    let (region, zone) = (codec::word(bytes)?, codec::word(bytes)?);
-    let (service, number) = (codec::word(bytes)?, codec::short(bytes)?);
+    let (region, zone) = (codec::take_u32(bytes)?, codec::take_u32(bytes)?);
+    let (service, number) = (codec::take_u32(bytes)?, codec::take_u16(bytes)?);
     let identity = Identity { region, zone, service, number };
-    let rank = codec::byte(bytes)?;
-    let hash = codec::uint(bytes, 8)?;
-    let statuses = match codec::byte(bytes) {
+    let rank = codec::take_u8(bytes)?;
+    let hash = codec::take_uint(bytes, 8)?;
+    let statuses = match codec::take_u8(bytes) {
         None => None,
         Some(count) => {
             let mut statuses = Vec::new();
             for _ in 0..count {
-                let key = DocumentKey::from_compact(codec::byte(bytes)?, &identity)?;
+                let key = DocumentKey::from_compact(codec::take_u8(bytes)?, &identity)?;
                 let version = Version::read(bytes)?;
-                let state = match codec::byte(bytes)? {
+                let state = match codec::take_u8(bytes)? {
                     0 => State::InForce,
                     1 => State::Offered,
                     2 => State::Refused(read_refusal(bytes)?),
@@ -126,21 +128,21 @@
 
 /// Reads an offer; None: it is malformed.
 pub(super) fn read_offer(bytes: &mut &[u8]) -> Option<Offer> {
-    let flags = codec::byte(bytes)?;
+    let flags = codec::take_u8(bytes)?;
     let id = read_id(bytes)?;
     let (hash, rest) = bytes.split_first_chunk::<16>()?;
     *bytes = rest;
     let stage = match flags & 0x0f {
-        0 => Stage::Proposed(codec::word(bytes)?),
+        0 => Stage::Proposed(codec::take_u32(bytes)?),
         1 => Stage::Accepted,
         2 => Stage::Committed,
         _ => return None,
     };
     let (length, inline) = if flags & INLINE > 0 {
-        let length = usize::from(codec::byte(bytes)?);
+        let length = usize::from(codec::take_u8(bytes)?);
         (length, Some(bytes.get(..length)?.to_vec()))
     } else {
-        (codec::uint(bytes, 3)? as usize, None)
+        (codec::take_uint(bytes, 3)? as usize, None)
     };
     let retracted = flags & RETRACTED > 0;
     let is_valid = length <= crate::MAX_CONTENT_BYTES && (!retracted || length == 0);
@@ -175,10 +177,10 @@
 
 /// Reads a rollout; None: it is malformed.
 pub(super) fn read_rollout(bytes: &mut &[u8]) -> Option<Rollout> {
-    let mut count = || codec::short(bytes).map(u32::from);
+    let mut count = || codec::take_u16(bytes).map(u32::from);
     let (expected, in_force, refused, not_heard) = (count()?, count()?, count()?, count()?);
-    let flags = codec::byte(bytes)?;
-    let moving = if flags & MOVING > 0 { codec::short(bytes)?.into() } else { 0 };
+    let flags = codec::take_u8(bytes)?;
+    let moving = if flags & MOVING > 0 { codec::take_u16(bytes)?.into() } else { 0 };
     let persisted = u32::from(flags & PERSISTED > 0);
     let named_count = usize::from(flags & !(MOVING | PERSISTED));
     if named_count > MAX_NAMED_MEMBERS {
@@ -186,9 +188,9 @@
     }
     let mut not_heard_members = Vec::with_capacity(named_count);
     for _ in 0..named_count {
-        not_heard_members.push(codec::short(bytes)?);
+        not_heard_members.push(codec::take_u16(bytes)?);
     }
-    let first_refusal = match codec::short(bytes) {
+    let first_refusal = match codec::take_u16(bytes) {
         Some(member) => Some((member, read_refusal(bytes)?)),
         None => None,
     };
--- a/crates/millethook-distribution/tests/it/common/mod.rs
+++ b/crates/millethook-distribution/tests/it/common/mod.rs
@@ -391,7 +391,7 @@
                 }
             }
             Step::Heal => self.fleet.heal(),
-            Step::Loss(hundredths) => self.fleet.lose(hundredths),
+            Step::Loss(hundredths) => self.fleet.set_loss_percent(hundredths),
             Step::Drift(n, thousandths) => self.fleet.set_drift(n, DRIFT, thousandths),
             Step::Jump(n, seconds) => {
                 // The clock of a control node that does not vote yet must not jump: see the design note.
--- a/crates/millethook-lease/tests/it/common/mod.rs
+++ b/crates/millethook-lease/tests/it/common/mod.rs
@@ -241,7 +241,7 @@
             Action::Cut(side) => self.fleet.cut(side.into()),
             Action::CutOneWay(from, to) => self.fleet.cut_one_way(from.into(), to.into()),
             Action::Heal => self.fleet.heal(),
-            Action::Loss(hundredths) => self.fleet.lose(hundredths),
+            Action::Loss(hundredths) => self.fleet.set_loss_percent(hundredths),
             Action::Drift(n, thousandths) => self.fleet.set_drift(n, DRIFT, thousandths),
             Action::SetList(n, step) => {
                 // A list is not reverted, and none is skipped.
--- a/crates/millethook-view/src/message.rs
+++ b/crates/millethook-view/src/message.rs
@@ -18,7 +18,7 @@
 use crate::fact::{Epoch, Fact, HIGHEST_EPOCH, Status};
 
 /// The maximum length of a content, in bytes.
-pub const LONGEST: usize = millethook_machine::LONGEST;
+pub const LONGEST: usize = millethook_machine::MAX_MESSAGE_BYTES;
 /// The length of the header, in bytes.
 pub(crate) const HEADER_BYTES: usize = MessageHeader::LENGTH;
 /// The length of the hashes before the facts of a comparison, in bytes: a width, and 64 hashes.
