--- a/crates/millethook-lab/tests/processes.rs
+++ b/crates/millethook-lab/tests/processes.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 
-use millethook_testkit::within;
+use millethook_testkit::wait_until;
 
 fn timeline(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/timelines").join(name)
@@ -248,13 +248,13 @@
     let started = lab().arg("run").arg(timeline("killed.toml")).stdout(Stdio::null()).spawn();
     let mut lab = Running(started.expect("the lab starts"));
     let mut daemons = Vec::new();
-    within("eight daemons", || {
+    wait_until("eight daemons", || {
         daemons = children(lab.0.id());
         daemons.len() == 8
     });
     lab.0.kill().expect("it runs");
     lab.0.wait().expect("it ends");
-    within("no daemon", || daemons.iter().all(|pid| parent_of(*pid).is_none()));
+    wait_until("no daemon", || daemons.iter().all(|pid| parent_of(*pid).is_none()));
 }
 
 #[test]
--- a/crates/millethook-testkit/src/daemon.rs
+++ b/crates/millethook-testkit/src/daemon.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use crate::violations::Checked;
-use crate::{Agent, Conn, Message, Server, hosts, next, safe, settings_json, within};
+use crate::{Agent, Conn, Message, Server, hosts, next, safe, settings_json, wait_until};
 
 /// The price of a handshake in the platform's settings, for each first attempt.
 const HANDSHAKE_PRICE: f64 = 0.08;
@@ -107,7 +107,7 @@
 
     /// Waits until it is ready.
     fn ready(self) -> Sidecar {
-        within("ready", || {
+        wait_until("ready", || {
             let mut client = self.client();
             client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             client.message().is_some_and(|m| m.status() == 200)
@@ -271,7 +271,7 @@
     /// Its exit code once it has ended, waited for within the bound.
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut status = None;
-        within("exit", || {
+        wait_until("exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
--- a/crates/millethook-testkit/src/wait.rs
+++ b/crates/millethook-testkit/src/wait.rs
@@ -8,7 +8,7 @@
 pub const BOUND: Duration = Duration::from_secs(20);
 
 /// Looks again and again until `done`.
-pub fn within(what: &str, mut done: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + BOUND;
     while !done() {
         assert!(Instant::now() < end, "{what}: not within {BOUND:?}");
--- a/crates/millethook/tests/library/any_server/fleets.rs
+++ b/crates/millethook/tests/library/any_server/fleets.rs
@@ -42,7 +42,7 @@
         nothing_held(&fleet).await;
         assert!(fleet.usage().await.expect("alive").sockets <= 8);
     });
-    within("closed", || open.load(Ordering::SeqCst) <= 8);
+    wait_until("closed", || open.load(Ordering::SeqCst) <= 8);
 }
 
 /// All 66 servers are replaced by new ones, a third at a time, while every connection is in use.
@@ -73,7 +73,7 @@
     });
     for third in 0..3 {
         // Each step waits for work done, not for time.
-        within("orders run", || begun.answered() > (third + 1) * per_round);
+        wait_until("orders run", || begun.answered() > (third + 1) * per_round);
         for (n, entry) in list.iter_mut().enumerate().skip(third * 22).take(22) {
             *entry = (format!("new-{n}"), start(n));
         }
@@ -88,7 +88,7 @@
     assert!(served * 100 > ends.len() * 97, "{served} of {} served", ends.len());
     // Connections to servers that have gone are closed: as many are open as the fleet says.
     runtime.block_on(nothing_held(&fleet));
-    within("old connections are closed", || {
+    wait_until("old connections are closed", || {
         let held = runtime.block_on(fleet.usage()).expect("alive").sockets;
         open.load(Ordering::SeqCst) == held
     });
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -109,7 +109,7 @@
             nothing_held(&fleet).await;
             // The attempt is over at the server, and no second one came.
             tokio::task::block_in_place(|| {
-                within("the end", || ended.load(std::sync::atomic::Ordering::SeqCst) == n)
+                wait_until("the end", || ended.load(std::sync::atomic::Ordering::SeqCst) == n)
             });
         }
     });
@@ -125,7 +125,7 @@
         let calling = fleet.clone();
         let class = *class;
         let task = runtime.spawn(async move { calling.call(request(class)).await.is_ok() });
-        within("it is with a server", || stage.count() == n + 1);
+        wait_until("it is with a server", || stage.count() == n + 1);
         task.abort();
         runtime.block_on(nothing_held(&fleet));
         assert_eq!(stage.count(), n + 1, "{class}: nothing was sent again");
--- a/crates/millethook/tests/library/interleavings.rs
+++ b/crates/millethook/tests/library/interleavings.rs
@@ -125,7 +125,9 @@
         agent.change(listed(&states));
         let (calls, count) =
             (agent.calls(), || stage.seen().iter().filter(|a| a.server == leaving).count());
-        tokio::task::block_in_place(|| within("the drain is told", || agent.calls() >= calls + 2));
+        tokio::task::block_in_place(|| {
+            wait_until("the drain is told", || agent.calls() >= calls + 2)
+        });
         let before = count();
         for n in 0..30 {
             let class = ["look", "keep", "order"][n % 3];
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -74,13 +74,13 @@
         let fleet = fleet.clone();
         runtime.spawn(async move { fleet.call(request("order")).await.is_ok() });
     }
-    within("all are with the server", || *stage.lock().expect("no panic") == 30);
+    wait_until("all are with the server", || *stage.lock().expect("no panic") == 30);
     drop(fleet);
     runtime.shutdown_timeout(BOUND);
     for _ in 0..30 {
         assert!(next(&ended));
     }
-    within("the thread's end", || !has_thread(&format!("mh-{name}")));
+    wait_until("the thread's end", || !has_thread(&format!("mh-{name}")));
 }
 
 #[test]
@@ -152,14 +152,14 @@
     let draining = fleet.clone();
     let drained = runtime.spawn(async move { draining.drain(BOUND).await });
     // New calls are turned away as soon as the drain has begun.
-    within("closed", || {
+    wait_until("closed", || {
         let end = runtime.block_on(fleet.call(timed("look", Duration::from_millis(1))));
         matches!(end, Err(Error::Closed))
     });
     go.send(()).expect("the server waits");
     assert!(runtime.block_on(taken).expect("no panic"));
     assert_eq!(runtime.block_on(drained).expect("no panic").unanswered, 0);
-    within("the thread's end", || !has_thread(&format!("mh-{name}")));
+    wait_until("the thread's end", || !has_thread(&format!("mh-{name}")));
     assert!(runtime.block_on(fleet.usage()).is_none());
 }
 
@@ -170,7 +170,7 @@
     let runtime = runtime();
     let calling = fleet.clone();
     let open = runtime.spawn(async move { calling.call(request("order")).await });
-    within("it is with the server", || stage.count() == 1);
+    wait_until("it is with the server", || stage.count() == 1);
     let drained = runtime.block_on(fleet.drain(Duration::from_millis(50)));
     assert_eq!(drained.unanswered, 1);
     let end = runtime.block_on(open).expect("no panic").expect_err("nobody has answered");
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -51,7 +51,7 @@
     drop(second);
     assert_eq!(ask_in_turn(std::slice::from_ref(&third), 5, "look"), 5);
     drop(third);
-    within("the thread's end", || !has_thread(&thread));
+    wait_until("the thread's end", || !has_thread(&thread));
     // And again from the beginning.
     let again = open().expect("open");
     assert_eq!(ask_in_turn(&[again], 5, "look"), 5);
@@ -214,7 +214,7 @@
     assert!(most_a.load(Ordering::SeqCst) <= 4 && most_b.load(Ordering::SeqCst) <= 4);
     assert!(open_a.load(Ordering::SeqCst) + open_b.load(Ordering::SeqCst) <= 4);
     drop((first, second));
-    within("all is given back", || budget.sockets() == 0 && budget.bytes() == 0);
+    wait_until("all is given back", || budget.sockets() == 0 && budget.bytes() == 0);
 }
 
 async fn nothing_held_but(a: &Fleet, b: &Fleet, budget: &Budget) {
@@ -263,7 +263,7 @@
             runtime.spawn(async move { fleet.call(request("order")).await.is_ok() })
         })
         .collect();
-    within("three are with the server", || stage.count() == 3);
+    wait_until("three are with the server", || stage.count() == 3);
     let refused = runtime.block_on(fleet.call(request("order"))).expect_err("no place");
     assert_eq!((refused.execution(), refused.status().as_u16()), (Execution::NeverRan, 503));
     waiting.iter().for_each(|task| task.abort());
--- a/crates/plankvale/tests/conformance/asked_ends.rs
+++ b/crates/plankvale/tests/conformance/asked_ends.rs
@@ -38,7 +38,7 @@
                 conn.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n"));
                 conn.send("x".repeat(LONG - 1));
                 begun.store(true, Ordering::SeqCst);
-                within("the long answer may end", || go.load(Ordering::SeqCst));
+                wait_until("the long answer may end", || go.load(Ordering::SeqCst));
                 conn.send("x");
             } else if asked {
                 conn.send(answer("200 OK", "Connection: close\r\n", "short"));
@@ -53,7 +53,7 @@
     let short = || form.ask(Ask::safe());
     thread::scope(|scope| {
         let long = scope.spawn(|| form.ask(Ask::safe().path(LONG_PATH)));
-        within("the long answer has begun", || long_begun.load(Ordering::SeqCst));
+        wait_until("the long answer has begun", || long_begun.load(Ordering::SeqCst));
         assert_eq!(short(), served("short"));
         go_on.store(true, Ordering::SeqCst);
         assert_eq!(long.join().expect("an end"), served(&"x".repeat(LONG)));
@@ -95,7 +95,7 @@
     let agent = Agent::start(hosts(&[server]));
     let form = F::start_with(&config(agent.address, |_| {}), PROVEN);
     let mut ends: Vec<End> = Vec::new();
-    within("some requests were held back", || {
+    wait_until("some requests were held back", || {
         ends.push(form.ask(Ask::at_most_once()));
         cut_short.load(Ordering::SeqCst) >= CUT_SHORT
     });
--- a/crates/plankvale/tests/conformance/ends.rs
+++ b/crates/plankvale/tests/conformance/ends.rs
@@ -127,7 +127,7 @@
     let form = F::start(&config(agent.address, |_| {}));
     assert_eq!(form.ask(Ask::safe()), served("fine"));
     agent.change(Vec::new());
-    within("nobody is left", || form.ask(Ask::safe()) == REFUSED);
+    wait_until("nobody is left", || form.ask(Ask::safe()) == REFUSED);
     let before = stage.count();
     let ends: Vec<End> = Ask::each().into_iter().map(|ask| form.ask(ask)).collect();
     assert_eq!((ends.as_slice(), stage.count()), (&vec![REFUSED; 3][..], before));
--- a/crates/plankvale/tests/conformance/invalid.rs
+++ b/crates/plankvale/tests/conformance/invalid.rs
@@ -90,7 +90,7 @@
     let twin = || ask().with("x-correlation-id", "twin");
     let ends = std::thread::scope(|s| {
         let first = s.spawn(|| form.ask(twin()));
-        within("the first is with a server", || stage.count() == 1);
+        wait_until("the first is with a server", || stage.count() == 1);
         let second = form.ask(twin());
         let another = form.ask(ask().with("x-correlation-id", "no-twin"));
         vec![first.join().expect("no client panics"), second, another]
--- a/crates/plankvale/tests/conformance/lists.rs
+++ b/crates/plankvale/tests/conformance/lists.rs
@@ -22,7 +22,7 @@
 /// Asks until `done` of the last answer, then a number of times more.
 fn until<F: Form>(form: &F, what: &str, done: impl Fn(&End) -> bool) -> Vec<End> {
     let mut in_a_row = 0;
-    within(what, || {
+    wait_until(what, || {
         in_a_row = if done(&form.ask(Ask::safe())) { in_a_row + 1 } else { 0 };
         in_a_row == 20
     });
@@ -33,8 +33,8 @@
     let told = ["leaving", "left"].map(|health| {
         let stage = named();
         let (form, agent) = start::<F>(&stage, |_| {});
-        within("the first serves", || form.ask(Ask::safe()) == served("0"));
-        within("the second serves", || form.ask(Ask::safe()) == served("1"));
+        wait_until("the first serves", || form.ask(Ask::safe()) == served("0"));
+        wait_until("the second serves", || form.ask(Ask::safe()) == served("1"));
         let mut hosts = stage.hosts();
         hosts[0]["health"] = json!(health);
         agent.change(hosts);
@@ -62,7 +62,7 @@
     let form = F::start(&config(agent.address, |_| {}));
     assert_eq!(form.ask(Ask::safe()), served("0"));
     agent.change(stage.hosts());
-    within("the new one serves", || form.ask(Ask::safe()) == served("1"));
+    wait_until("the new one serves", || form.ask(Ask::safe()) == served("1"));
     Record { ends: Vec::new(), seen: Vec::new() }
 }
 
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -289,7 +289,7 @@
     let silent = || Ask::safe().without("x-correlation-id").with("x-correlation-id", "silent");
     let ends = std::thread::scope(|s| {
         let first = s.spawn(|| form.ask(silent().left(18_000)));
-        within("the first is with a server", || stage.count() >= 1);
+        wait_until("the first is with a server", || stage.count() >= 1);
         // Others pass it by, at both servers, for as long as it waits.
         while !first.is_finished() {
             assert_eq!(form.ask(Ask::safe()), served("fine"));
--- a/crates/plankvale/tests/conformance/stale_copies.rs
+++ b/crates/plankvale/tests/conformance/stale_copies.rs
@@ -185,7 +185,7 @@
     let form = F::start_with(&settings, product);
     let mut ends = Vec::new();
     // Safe requests are not held back before their last byte once the server has proven itself with some.
-    within("the server has been used", || {
+    wait_until("the server has been used", || {
         ends.extend((0..WELL).map(|_| end_of(&form, Ask::safe())));
         tally.count.load(Ordering::SeqCst) >= WELL
     });
--- a/crates/plankvale/tests/distribution/bursts.rs
+++ b/crates/plankvale/tests/distribution/bursts.rs
@@ -41,7 +41,7 @@
     assert!(served.load(Ordering::SeqCst) > 100, "there was a load");
     assert_eq!(tier.all().len(), 6, "all run");
     // Those that were overtaken are merged away, not queued.
-    within("all settled", || {
+    wait_until("all settled", || {
         let said = tier.command(&["status", &tier.spool_path(writer)]);
         let open = ["waits for the writer", "proposed", ": committed"];
         said.text.lines().count() >= CHANGES && !open.iter().any(|word| said.text.contains(word))
--- a/crates/plankvale/tests/distribution/faults.rs
+++ b/crates/plankvale/tests/distribution/faults.rs
@@ -33,7 +33,7 @@
     assert!(told.iter().any(|told| said.text.contains(told)), "{said:?}");
     (0..CONTROL_NODES).for_each(|node| tier.kill(node));
     (0..CONTROL_NODES).for_each(|node| tier.start_member(node));
-    within("all control nodes know it", || {
+    wait_until("all control nodes know it", || {
         (0..CONTROL_NODES)
             .all(|node| tier.member(node).figure("sidecar.distribution.control.documents") == 1)
     });
@@ -119,11 +119,11 @@
     tier.submit(paused, "late", &classes(&["late"]));
     let said = tier.publish_at(successor, "all", &classes(&["newer"]).to_string());
     assert!(said.text.contains("version"), "{said:?}");
-    within("the newer one", || others().iter().all(|member| tier.takes(*member, "newer")));
+    wait_until("the newer one", || others().iter().all(|member| tier.takes(*member, "newer")));
     tier.signal(paused, "-CONT");
     tier.until_taken_by("newer", &tier.all());
     tier.stays_taken_by("late", &[], Duration::from_secs(2));
-    within("the late request is answered", || {
+    wait_until("the late request is answered", || {
         let said = tier.command(&["status", &tier.spool_path(paused)]);
         said.text.contains("all: not published")
     });
--- a/crates/plankvale/tests/distribution/rollout.rs
+++ b/crates/plankvale/tests/distribution/rollout.rs
@@ -69,6 +69,6 @@
     config["settings"]["classes"].as_array_mut().expect("a list").pop();
     tier.member(3).reload(&config.to_string());
     tier.member(3).logged("LB_CONFIG with the documents in force: settings: zone");
-    within("turned down", || tier.member(3).figure("sidecar.sighup_rejected") == 1);
+    wait_until("turned down", || tier.member(3).figure("sidecar.sighup_rejected") == 1);
     assert!(tier.takes(3, "page"));
 }
--- a/crates/plankvale/tests/distribution/server_lists.rs
+++ b/crates/plankvale/tests/distribution/server_lists.rs
@@ -69,7 +69,7 @@
 }
 
 fn until_all_served_by(tier: &Tier, name: &str) {
-    within(&format!("all served by {name}"), || {
+    wait_until(&format!("all served by {name}"), || {
         sidecars().all(|member| tier.member(member).served_by() == name)
     });
 }
@@ -85,7 +85,7 @@
 }
 
 fn until_all_follow(tier: &Tier) {
-    within("all follow the control nodes", || {
+    wait_until("all follow the control nodes", || {
         sidecars().all(|member| figure(tier, member, "follows") == 1)
     });
 }
@@ -138,13 +138,13 @@
     start_control_nodes(&mut tier);
     let writer = tier.writer();
     let confirmed = figure(&tier, writer, "confirmed");
-    within("the old list is confirmed", || figure(&tier, writer, "confirmed") > confirmed + 1);
+    wait_until("the old list is confirmed", || figure(&tier, writer, "confirmed") > confirmed + 1);
     stay_served_by(&tier, "new", Duration::from_millis(500));
     assert!(sidecars().all(|member| figure(&tier, member, "asks") == 1), "discovery is newer");
     of_control_nodes.change(pair.replaced());
     until_all_follow(&tier);
     stay_served_by(&tier, "new", Duration::from_millis(200));
-    within("nobody watches discovery", || of_sidecars.open() == 0);
+    wait_until("nobody watches discovery", || of_sidecars.open() == 0);
 }
 
 /// The next writer has discovery of an older time: the list stays as it is, until its discovery has come further.
@@ -180,7 +180,7 @@
     until_all_served_by(&tier, "old");
     discovery.change(vec![pair.old_entry(), pair.new_entry()]);
     discovery.change(vec![pair.old_entry()]);
-    within("the third version", || sidecars().all(|member| figure(&tier, member, "seq") == 3));
+    wait_until("the third version", || sidecars().all(|member| figure(&tier, member, "seq") == 3));
     discovery.restart(vec![pair.new_entry()]);
     until_all_served_by(&tier, "new");
     assert!(sidecars().all(|member| figure(&tier, member, "generation") == 1));
@@ -226,7 +226,7 @@
     discovery.change(pair.replaced());
     until_all_served_by(&tier, "new");
     let member = CONTROL_NODES;
-    within("the list is kept", || {
+    wait_until("the list is kept", || {
         tier.kept_by(member, "kept").is_some_and(|kept| kept.contains("s-new"))
     });
     kill_control_nodes(&mut tier);
@@ -238,8 +238,8 @@
     assert_eq!(tier.member(member).figure("sidecar.membership.remembered"), 1);
     assert_eq!(figure(&tier, member, "taken"), 0);
     start_control_nodes(&mut tier);
-    within("the list of the control nodes", || figure(&tier, member, "follows") == 1);
-    within("it is live", || tier.member(member).figure("sidecar.membership.remembered") == 0);
+    wait_until("the list of the control nodes", || figure(&tier, member, "follows") == 1);
+    wait_until("it is live", || tier.member(member).figure("sidecar.membership.remembered") == 0);
 }
 
 /// The configuration of all sidecars moves discovery: those that take the list from the control nodes do not call it, and
@@ -257,7 +257,7 @@
         let mut config = tier.config(member);
         config["discovery"] = json!(moved.address.to_string());
         tier.member(member).reload(&config.to_string());
-        within("reloaded", || tier.member(member).figure("sidecar.sighup_applied") == 1);
+        wait_until("reloaded", || tier.member(member).figure("sidecar.sighup_applied") == 1);
     }
     let silences = || sidecars().map(|member| figure(&tier, member, "silences")).sum::<u64>();
     let before = silences();
--- a/crates/plankvale/tests/distribution/spool.rs
+++ b/crates/plankvale/tests/distribution/spool.rs
@@ -107,6 +107,6 @@
     std::fs::write(&hidden, text).expect("written");
     std::fs::rename(&hidden, tier.spool(node).join(&name)).expect("renamed");
     let status = tier.spool(node).join("status").join(&name);
-    within("a status", || status.exists());
+    wait_until("a status", || status.exists());
     serde_json::from_slice(&std::fs::read(status).expect("read")).expect("a status")
 }
--- a/crates/plankvale/tests/distribution/tier.rs
+++ b/crates/plankvale/tests/distribution/tier.rs
@@ -163,7 +163,7 @@
         let product = product.to_str().expect("a path").to_owned();
         let env = [("MILLETHOOK_CONFIG", product.as_str())];
         let sidecar = Sidecar::launch_with(&self.configs[member], &env);
-        within("ready", || sidecar.operate("GET /v1/readyz").status() == 200);
+        wait_until("ready", || sidecar.operate("GET /v1/readyz").status() == 200);
         self.members[member] = Some(sidecar);
     }
 
@@ -210,7 +210,7 @@
     /// Waits for a control node that may publish, other than this one.
     fn writer_but(&self, not: Option<usize>) -> usize {
         let mut writer = None;
-        within("a writer", || {
+        wait_until("a writer", || {
             let others = self.running().filter(|m| *m < CONTROL_NODES && Some(*m) != not);
             writer = others.into_iter().find(|member| {
                 self.member(*member).figure("sidecar.distribution.control.writer_ready") == 1
@@ -304,7 +304,7 @@
 
     /// Waits until exactly these members take requests of a class.
     pub fn until_taken_by(&self, class: &str, members: &[usize]) {
-        within(&format!("{class} taken by {members:?} alone"), || {
+        wait_until(&format!("{class} taken by {members:?} alone"), || {
             self.running().all(|member| self.takes(member, class) == members.contains(&member))
         });
     }
--- a/crates/plankvale/tests/sidecar/choice.rs
+++ b/crates/plankvale/tests/sidecar/choice.rs
@@ -46,7 +46,7 @@
         client.send(with_time(safe()));
         open.push(client);
     }
-    within("all are out", || stayed.count() + crossed.count() == 120);
+    wait_until("all are out", || stayed.count() + crossed.count() == 120);
     // By its share, some twelve would cross. None at home is to have more than four above it.
     assert!(crossed.count() >= 27, "{} crossed of 120", crossed.count());
 }
@@ -71,7 +71,7 @@
     let agent = Agent::start(hosts(&[full, other]));
     let config = config(agent.address, |c| patient(c, 10, 16));
     let sidecar = Sidecar::start(&config);
-    within("refused once", || {
+    wait_until("refused once", || {
         assert_eq!(sidecar.ask(with_time(safe())).status(), 200);
         tried.count() == 1
     });
@@ -114,13 +114,13 @@
     // More than twenty a second, as it counts them, are not a quiet sidecar's.
     for _ in 0..400 {
         let before = ask();
-        within("asked", || (asked.count(), waits.count()) != before);
+        wait_until("asked", || (asked.count(), waits.count()) != before);
     }
     full.store(true, Ordering::SeqCst);
     let before = asked.count();
     for _ in 0..40 {
         let (_, waiting) = ask();
-        within("waits", || waits.count() > waiting);
+        wait_until("waits", || waits.count() > waiting);
     }
     let tried = asked.count() - before;
     assert!(tried >= 20, "tried for {tried} of 40");
@@ -157,7 +157,7 @@
         open.push(client);
     }
     let met = || (counts[0].0.count(), counts[1].0.count());
-    within("all are out", || met().0 + met().1 == 12);
+    wait_until("all are out", || met().0 + met().1 == 12);
     let (a, b) = met();
     assert!(a >= 3 && b >= 3, "{a} and {b} of 12");
 }
--- a/crates/plankvale/tests/sidecar/clients.rs
+++ b/crates/plankvale/tests/sidecar/clients.rs
@@ -44,7 +44,7 @@
     assert_eq!(sidecar.ask(safe()).status(), 200);
     assert!(before.elapsed() < Duration::from_secs(1));
     drop(crowd);
-    within("descriptors given back", || sidecar.descriptors() < 40);
+    wait_until("descriptors given back", || sidecar.descriptors() < 40);
     assert!(sidecar.memory_mb() < 40);
 }
 
@@ -176,7 +176,7 @@
         }
     }
     assert_eq!(sidecar.ask(safe()).status(), 200);
-    within("descriptors given back", || sidecar.descriptors() <= before + 4);
+    wait_until("descriptors given back", || sidecar.descriptors() <= before + 4);
 }
 
 /// Danger: with the next request unread, an ordinary close would reset the connection, and take
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -54,7 +54,7 @@
         let product = self.folder.path().join("product.toml");
         let product = product.to_str().expect("a path");
         let sidecar = Sidecar::launch_with(&self.config(agent), &[("MILLETHOOK_CONFIG", product)]);
-        within("ready", || {
+        wait_until("ready", || {
             sidecar.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
         });
         sidecar
@@ -127,7 +127,7 @@
     assert!(text.contains("2 kept") && code == Some(0), "{text}");
     let (server, seen) = counting();
     agent.change(vec![host("s-b", server.address)]);
-    within("both are done", || sidecar.figure("sidecar.edge.replayed") == 2);
+    wait_until("both are done", || sidecar.figure("sidecar.edge.replayed") == 2);
     let bodies: Vec<Vec<u8>> = seen.lock().expect("a log").iter().map(|m| m.body.clone()).collect();
     assert_eq!(bodies, [b"one".to_vec(), b"two".to_vec()]);
     let seen = seen.lock().expect("a log");
@@ -157,7 +157,7 @@
     let (server, seen) = counting();
     agent.change(vec![host("s-b", server.address)]);
     let second = site.start(&agent);
-    within("all are done", || second.figure("sidecar.edge.replayed") == 20);
+    wait_until("all are done", || second.figure("sidecar.edge.replayed") == 20);
     let mut bodies: Vec<String> = (seen.lock().expect("a log").iter())
         .map(|m| String::from_utf8_lossy(&m.body).into_owned())
         .collect();
@@ -186,7 +186,7 @@
         _ => Fault::Serve("done".into()),
     });
     agent.change(stage.hosts());
-    within("it is done", || sidecar.figure("sidecar.edge.replayed") == 1);
+    wait_until("it is done", || sidecar.figure("sidecar.edge.replayed") == 1);
     let seen: Vec<Message> = stage.seen().into_iter().map(|a| a.message).collect();
     let told = told(&seen);
     assert_eq!(told.len(), 2, "{seen:?}");
@@ -214,14 +214,14 @@
         }
     });
     agent.change(vec![host("s-b", server.address)]);
-    within("in doubt", || sidecar.figure("sidecar.edge.doubt") == 1);
+    wait_until("in doubt", || sidecar.figure("sidecar.edge.doubt") == 1);
     assert_eq!(*count.lock().expect("a count"), 1);
     assert!(site.told(&["show"]).0.contains("in doubt"));
     assert!(site.told(&["export"]).0.contains("\"body\":\"6f6e6365\""));
     assert_eq!(site.told(&["release", "00ff000000000001-1"]).1, Some(2));
     let (text, code) = site.told(&["release", &id]);
     assert_eq!(code, Some(0), "{text}");
-    within("done", || sidecar.figure("sidecar.edge.replayed") == 1);
+    wait_until("done", || sidecar.figure("sidecar.edge.replayed") == 1);
     assert_eq!(*count.lock().expect("a count"), 2);
     // One that has its end takes no word.
     assert_eq!(site.told(&["drop", &id]).1, Some(2));
@@ -301,7 +301,7 @@
             });
         });
         let inside = Inside { address, _stop: stop };
-        within("ready", || {
+        wait_until("ready", || {
             inside
                 .ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 .is_some_and(|m| m.status() == 200)
@@ -327,7 +327,7 @@
     assert!(site.told(&["show"]).0.contains("0 kept, 0 out"), "nobody else sends it");
     disk.let_go(true);
     let mut kept = 0;
-    within("a write is kept", || {
+    wait_until("a write is kept", || {
         let status = sidecar.ask(order(&format!("w{kept}"), ASKS)).expect("an answer").status();
         kept += u32::from(status == 202);
         status == 202
@@ -335,7 +335,7 @@
     let (server, seen) = counting();
     agent.change(vec![host("s-b", server.address)]);
     // Writes without ties go out by their numbers: the slow one would be first.
-    within("what was kept is sent", || {
+    wait_until("what was kept is sent", || {
         site.told(&["show"]).0.lines().next().is_some_and(|store| store.contains("0 kept, 0 out"))
     });
     let bodies: Vec<Vec<u8>> = seen.lock().expect("a log").iter().map(|m| m.body.clone()).collect();
@@ -364,7 +364,7 @@
     disk.let_go(true);
     let (server, seen) = counting();
     agent.change(vec![host("s-b", server.address)]);
-    within("servers are reached", || {
+    wait_until("servers are reached", || {
         sidecar.ask(order("nobody's", "")).is_some_and(|m| m.status() == 200)
     });
     assert_eq!(by_member("third", ""), 503);
--- a/crates/plankvale/tests/sidecar/edge_death.rs
+++ b/crates/plankvale/tests/sidecar/edge_death.rs
@@ -45,7 +45,7 @@
             .spawn()
             .expect("it starts");
         let process = SlowProcess { child, address };
-        within("ready", || {
+        wait_until("ready", || {
             process
                 .ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 .is_some_and(|m| m.status() == 200)
@@ -79,11 +79,11 @@
     agent.change(vec![host("s-b", server.address)]);
     let next = site.start(&agent);
     // Sent or withdrawn, the next owner gives it an end.
-    within("the next owner is done with it", || {
+    wait_until("the next owner is done with it", || {
         next.figure("sidecar.edge.stores") == 1 && next.figure("sidecar.edge.left") == 0
     });
     // The server is there to be reached.
-    within("another write is served", || next.ask(order("next", "")).status() == 200);
+    wait_until("another write is served", || next.ask(order("next", "")).status() == 200);
     let seen = seen.lock().expect("a log");
     assert!(seen.iter().all(|m| m.body == b"next"), "{seen:?}\n{}", site.told(&["show"]).0);
     assert!(site.told(&["show"]).0.contains("0 done"), "{}", site.told(&["show"]).0);
--- a/crates/plankvale/tests/sidecar/fleet.rs
+++ b/crates/plankvale/tests/sidecar/fleet.rs
@@ -57,8 +57,10 @@
     let peers = [free(), free()];
     let first = product.start(&peered(&agent, 0, &peers));
     let mut second = product.start(&peered(&agent, 1, &peers));
-    within("both alive", || [&first, &second].iter().all(|s| s.figure("sidecar.fleet.alive") == 2));
-    within("one hash", || {
+    wait_until("both alive", || {
+        [&first, &second].iter().all(|s| s.figure("sidecar.fleet.alive") == 2)
+    });
+    wait_until("one hash", || {
         first.figure("sidecar.fleet.hash") == second.figure("sidecar.fleet.hash")
     });
     let list = std::env::temp_dir().join(format!("millethook-fleet-{}-list", std::process::id()));
@@ -75,7 +77,7 @@
     let (code, text) = show(&a.to_string());
     assert!(code == Some(0) && text.contains("alive 2"), "{text}");
     assert_eq!(second.ends(), Some(0));
-    within("it left", || first.figure("sidecar.fleet.left") == 1);
+    wait_until("it left", || first.figure("sidecar.fleet.left") == 1);
     let (_, text) = show(&a.to_string());
     assert!(text.contains("1 left"), "{text}");
     std::fs::write(&list, "no address\n").expect("written");
@@ -104,13 +106,13 @@
     let mut version = frame("tests", 1).finish();
     version[0] = 9;
     send(&version);
-    within("unreadable", || figure("unreadable") == 2);
+    wait_until("unreadable", || figure("unreadable") == 2);
     send(&frame("another", 1).finish());
     send(&frame("tests", 0).finish());
-    within("foreign and misnamed", || (figure("foreign"), figure("misnamed")) == (1, 1));
+    wait_until("foreign and misnamed", || (figure("foreign"), figure("misnamed")) == (1, 1));
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("an address");
     stranger.send_to(&frame("tests", 1).finish(), peers[0]).expect("sent");
-    within("a stranger", || figure("strangers") == 1);
+    wait_until("a stranger", || figure("strangers") == 1);
     assert_eq!(figure("alive"), 1, "nobody was believed");
     // A ping among records that nobody knows is answered by no more than came.
     let mut known = frame("tests", 1);
@@ -130,7 +132,7 @@
     });
     let length = answered.take(1_000).flatten().next().expect("an answer");
     assert!(length <= bytes.len(), "{length} bytes for {}", bytes.len());
-    within("it is known now", || figure("alive") == 2);
+    wait_until("it is known now", || figure("alive") == 2);
 }
 
 #[test]
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -178,10 +178,10 @@
             client.send("30d40\r\n");
         }
         client.send(bytes(200_000));
-        within("it passes on", || sidecar.figure("sidecar.outstanding") == 1);
+        wait_until("it passes on", || sidecar.figure("sidecar.outstanding") == 1);
         drop(client);
         assert!(!next(&told), "the server took it for whole");
-        within("it is forgotten", || sidecar.figure("sidecar.outstanding") == 0);
+        wait_until("it is forgotten", || sidecar.figure("sidecar.outstanding") == 0);
     }
     assert_eq!(sidecar.figure("sidecar.forwards"), 0);
 }
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -92,7 +92,7 @@
 
 /// The whole request is asked again, as a client would, until it is served.
 fn served_within(sidecar: &Sidecar, by: &str) {
-    within("served", || {
+    wait_until("served", || {
         let message = sidecar.ask(safe());
         message.status() == 200 && message.body == by.as_bytes()
     });
@@ -142,7 +142,7 @@
         let agent = Agent::start(vec![host("s-a", server.address)]);
         config["discovery"] = json!(agent.address.to_string());
         sidecar.reload(&config.to_string());
-        within("asked", || agent.calls() > 0);
+        wait_until("asked", || agent.calls() > 0);
         assert_eq!(sidecar.ask(safe()).status(), 200);
         config["discovery"] = json!(refusing().to_string());
         sidecar.reload(&config.to_string());
@@ -164,7 +164,7 @@
     live["discovery"] = json!(agent.address.to_string());
     sidecar.reload(&live.to_string());
     served_within(&sidecar, "s-a");
-    within("ready", || {
+    wait_until("ready", || {
         sidecar.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
     });
 }
@@ -186,7 +186,7 @@
     kept.remember(&list, 20 * DAY);
     let sidecar = kept.launch(&down());
     served_within(&sidecar, "s-a");
-    within("the others fell out", || sidecar.figure("sidecar.membership.dropped") >= 2);
+    wait_until("the others fell out", || sidecar.figure("sidecar.membership.dropped") >= 2);
     for _ in 0..20 {
         let body = "an order";
         let status = sidecar.ask(unsafe_with(body)).status();
@@ -215,7 +215,7 @@
     served_within(&sidecar, "s-new");
     assert_eq!(old_seen.count(), 0);
     // The kept list is the live one from now on.
-    within("written", || {
+    wait_until("written", || {
         show(&kept.snapshot())
             .is_ok_and(|s| s.servers.len() == 1 && s.servers[0].host.host == "s-new")
     });
@@ -232,7 +232,7 @@
     let mut config = down();
     config["discovery"] = json!(agent.address.to_string());
     let sidecar = kept.launch(&config);
-    within("listed", || sidecar.ask(safe()).status() == 200);
+    wait_until("listed", || sidecar.ask(safe()).status() == 200);
     agent.change(Vec::new());
     sidecar.logged("suspect_list_held");
     for _ in 0..20 {
@@ -240,7 +240,7 @@
     }
     assert_eq!(sidecar.figure("sidecar.membership.held"), 1);
     agent.change(all[..4].to_vec());
-    within("taken back", || sidecar.figure("sidecar.membership.held") == 0);
+    wait_until("taken back", || sidecar.figure("sidecar.membership.held") == 0);
     assert_eq!(sidecar.figure("sidecar.membership.live"), 4);
 }
 
@@ -255,9 +255,9 @@
         let mut config = down();
         config["discovery"] = json!(agent.address.to_string());
         let sidecar = kept.launch(&config);
-        within("listed", || sidecar.ask(safe()).status() == 200);
+        wait_until("listed", || sidecar.ask(safe()).status() == 200);
         agent.change(Vec::new());
-        within("the empty list holds", || sidecar.ask(safe()).status() == 503);
+        wait_until("the empty list holds", || sidecar.ask(safe()).status() == 503);
     }
 }
 
@@ -373,7 +373,7 @@
     config["discovery"] = json!(registry[0].address.to_string());
     let sidecar = kept.launch(&config);
     sidecar.logged("suspect_list_taken");
-    within("only the one that changes named is left", || {
+    wait_until("only the one that changes named is left", || {
         sidecar.figure("sidecar.membership.live") == 1
     });
     assert_eq!(sidecar.served_by(), "s-a");
--- a/crates/plankvale/tests/sidecar/narrow/closing.rs
+++ b/crates/plankvale/tests/sidecar/narrow/closing.rs
@@ -19,7 +19,7 @@
 /// Waits until `n` bytes have come on a connection, and leaves them there.
 fn arrived(conn: &Conn, n: usize) {
     let mut buf = vec![0; n];
-    within("bytes", || conn.socket.peek(&mut buf).unwrap() == n);
+    wait_until("bytes", || conn.socket.peek(&mut buf).unwrap() == n);
 }
 
 /// A client whose system takes a few bytes at a time, so that most of an answer waits in the sidecar's system.
--- a/crates/plankvale/tests/sidecar/narrow/commit.rs
+++ b/crates/plankvale/tests/sidecar/narrow/commit.rs
@@ -23,7 +23,7 @@
 
 /// Waits until a request is under way: its attempt is opening a connection by then.
 fn taken(sidecar: &Sidecar) {
-    within("a request under way", || sidecar.figure("sidecar.outstanding") == 1);
+    wait_until("a request under way", || sidecar.figure("sidecar.outstanding") == 1);
     // That call may have come before the attempt's turn; the next one cannot.
     assert_eq!(sidecar.figure("sidecar.outstanding"), 1);
 }
@@ -55,7 +55,7 @@
         let news = [host("s-b", b.address), a];
         agent.change(news[..if unlisted { 1 } else { 2 }].to_vec());
         // Another request shows that the news has come.
-        within("the news", || {
+        wait_until("the news", || {
             let mut witness = sidecar.client();
             witness.send(safe());
             witness.message().is_some_and(|m| m.body == b"b")
@@ -84,7 +84,7 @@
         client.send("GET /look");
         client.socket.shutdown(std::net::Shutdown::Write).unwrap();
         assert!(client.ended());
-        within("no request", || sidecar.figure("sidecar.outstanding") == 0);
+        wait_until("no request", || sidecar.figure("sidecar.outstanding") == 0);
         let told = opened(silent);
         if !cancel {
             assert!(!next(&told), "a request for nobody");
@@ -131,13 +131,13 @@
         client.send("POST /order");
     }
     // As many as may come up at once to one server: none waits for another one's handshake.
-    within("all under way", || sidecar.figure("sidecar.outstanding") == 8);
+    wait_until("all under way", || sidecar.figure("sidecar.outstanding") == 8);
     assert_eq!(sidecar.figure("sidecar.outstanding"), 8);
     // Some by an end, some by a reset.
     for (n, client) in clients.into_iter().enumerate() {
         if n % 2 == 0 { drop(client) } else { client.reset() }
     }
-    within("none under way", || sidecar.figure("sidecar.outstanding") == 0);
+    wait_until("none under way", || sidecar.figure("sidecar.outstanding") == 0);
     let (tell, told) = channel();
     silent.open(move |mut conn| {
         while let Some(message) = conn.message() {
@@ -146,6 +146,6 @@
         }
     });
     // The first that the server gets is what is asked for now, and so is all else that it gets.
-    within("served", || sidecar.ask(long(safe())).body == b"a");
+    wait_until("served", || sidecar.ask(long(safe())).body == b"a");
     assert!(told.try_iter().all(|first| first.starts_with("GET")), "an order of nobody");
 }
--- a/crates/plankvale/tests/sidecar/narrow/lists.rs
+++ b/crates/plankvale/tests/sidecar/narrow/lists.rs
@@ -36,10 +36,10 @@
             agent.change(vec![host("s-a", a.address)]);
         }
         let sidecar = Sidecar::start(&config(agent.address, asked(how, &[])));
-        within("the first list", || sidecar.served_by() == "a");
+        wait_until("the first list", || sidecar.served_by() == "a");
         agent.restart(vec![host("s-b", b.address)]);
         let began = Instant::now();
-        within("the news", || sidecar.served_by() == "b");
+        wait_until("the news", || sidecar.served_by() == "b");
         assert!(began.elapsed() < TOLD_AFTER, "{how}: {:?}", began.elapsed());
     }
 }
@@ -72,10 +72,10 @@
         let sidecar = Sidecar::start(&at(first.address));
         assert_eq!(sidecar.served_by(), "a");
         sidecar.reload(&at(second.address).to_string());
-        within("the second place asked", || trickling.load(Ordering::SeqCst));
+        wait_until("the second place asked", || trickling.load(Ordering::SeqCst));
         sidecar.reload(&at(third.address).to_string());
         let began = Instant::now();
-        within("the news", || sidecar.served_by() == "b");
+        wait_until("the news", || sidecar.served_by() == "b");
         // A third of the time: waited for to its end, the call alone would take 3 s.
         assert!(began.elapsed() < MOVED_AFTER / 3, "{how}: {:?}", began.elapsed());
     }
@@ -115,7 +115,7 @@
     });
     let sidecar =
         Sidecar::start(&config(discovery.address, asked("pushed", &[host("s-a", a.address)])));
-    within("the news", || sidecar.served_by() == "b");
+    wait_until("the news", || sidecar.served_by() == "b");
 }
 
 /// Idle clients may hold every descriptor that clients can have while discovery is down. Discovery, servers and
@@ -139,7 +139,7 @@
     let agent = Agent::start(vec![host("s-b", b.address)]);
     sidecar.reload(&crowded(agent.address).to_string());
     let began = Instant::now();
-    within("the news", || {
+    wait_until("the news", || {
         // Whoever was closed comes again and rests again.
         crowd.rotate_left(1);
         crowd[0] = sidecar.client();
@@ -177,7 +177,7 @@
     });
     let asking = |c: &mut Value| c["settings"]["discovery"] = json!("on_request");
     let sidecar = Sidecar::launch(&config(discovery.address, asking));
-    within("the list", || sidecar.ask(safe()).body == b"a");
+    wait_until("the list", || sidecar.ask(safe()).body == b"a");
     let calls = calls.lock().unwrap();
     let second = calls[1] - calls[0];
     assert!(second >= Duration::from_millis(1_400), "{second:?}: a line is longer than that");
@@ -225,7 +225,7 @@
         c["settings"]["discovery"] = json!("on_request");
         c["settings"]["instances"] = json!(300);
     }));
-    within("the list", || sidecar.ask(safe()).body == b"a");
+    wait_until("the list", || sidecar.ask(safe()).body == b"a");
     let calls = calls.lock().unwrap();
     calls.clone()
 }
@@ -281,7 +281,7 @@
         c["settings"]["discovery"] = json!("on_request");
         c["settings"]["instances"] = json!(40);
     }));
-    within("the list", || sidecar.ask(safe()).body == b"a");
+    wait_until("the list", || sidecar.ask(safe()).body == b"a");
     let calls = calls.lock().unwrap();
     let gaps: Vec<Duration> = calls.windows(2).take(6).map(|pair| pair[1] - pair[0]).collect();
     // A quarter of 10 ms for each of 40 sidecars, twice as much after each refusal, and of 2 s at most.
--- a/crates/plankvale/tests/sidecar/narrow/servers.rs
+++ b/crates/plankvale/tests/sidecar/narrow/servers.rs
@@ -92,7 +92,7 @@
         let mut client = sidecar.client();
         client.send(begin);
     }
-    within("nothing left", || sidecar.descriptors() <= before + 2);
+    wait_until("nothing left", || sidecar.descriptors() <= before + 2);
     assert_eq!(sidecar.ask(safe()).status(), 200);
     assert!(sidecar.memory_mb() < 32, "{} MB", sidecar.memory_mb());
     assert!(log.count() < 60 * 200);
--- a/crates/plankvale/tests/sidecar/operators.rs
+++ b/crates/plankvale/tests/sidecar/operators.rs
@@ -16,7 +16,7 @@
     let sidecar = Sidecar::launch(&operated(&agent));
     assert_eq!(sidecar.operate("GET /v1/readyz").status(), 503);
     agent.change(hosts(&[Server::named("a")]));
-    within("ready", || sidecar.operate("GET /v1/readyz").status() == 200);
+    wait_until("ready", || sidecar.operate("GET /v1/readyz").status() == 200);
     assert_eq!(sidecar.operate("PUT /v1/readyz").status(), 405);
     assert_eq!(sidecar.operate("GET /v1/nothing").status(), 404);
     assert_eq!(sidecar.figure("sidecar.discovered"), 1);
@@ -54,7 +54,7 @@
     // What is invalid is no request.
     assert_eq!(sidecar.ask("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status(), 404);
     agent.change(Vec::new());
-    within("an empty list", || sidecar.figure("sidecar.discovered") == 0);
+    wait_until("an empty list", || sidecar.figure("sidecar.discovered") == 0);
     assert_eq!(sidecar.ask(safe()).status(), 503);
     for (name, value) in [
         ("succeeded.look", 5),
@@ -77,7 +77,7 @@
     let agent =
         Agent::start(vec![host("s-dead", dead.address), host("s-b", Server::named("b").address)]);
     let sidecar = Sidecar::start(&operated(&agent));
-    within("it is avoided", || {
+    wait_until("it is avoided", || {
         sidecar.ask(safe());
         sidecar.figure("sidecar.ejected") == 1
     });
@@ -91,9 +91,9 @@
     let sidecar = Sidecar::start(&config);
     assert_eq!(sidecar.figure("sidecar.sighup_applied"), 0);
     sidecar.reload(&config.to_string());
-    within("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
+    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
     sidecar.reload("{");
-    within("turned down", || sidecar.figure("sidecar.sighup_rejected") == 1);
+    wait_until("turned down", || sidecar.figure("sidecar.sighup_rejected") == 1);
     assert_eq!(sidecar.figure("sidecar.sighup_applied"), 1);
 }
 
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -164,7 +164,7 @@
     let (sidecar, _agent) = Sidecar::of(&[server]);
     let mut seen: Vec<(i32, u64)> = Vec::new();
     // Between two of them the connection rests.
-    within("twenty on connections that have rested", || {
+    wait_until("twenty on connections that have rested", || {
         sidecar.ask(safe().replace("Left-Ms: 900", "Left-Ms: 40"));
         seen.extend(told.try_iter());
         seen.len() >= 20
--- a/crates/plankvale/tests/sidecar/pauses.rs
+++ b/crates/plankvale/tests/sidecar/pauses.rs
@@ -50,7 +50,7 @@
     thread::scope(|scope| {
         let asked: Vec<_> =
             (0..OUT).map(|_| scope.spawn(|| sidecar.ask(unsafe_with("x")).status())).collect();
-        within("all are out", || log.count() == OUT);
+        wait_until("all are out", || log.count() == OUT);
         sidecar.stop();
         gate.open();
         (0..OUT).for_each(|_| next(&answered));
@@ -203,7 +203,7 @@
         // Beside load some may be refused.
         let out = || stage.count() - before;
         let refused = || asked.iter().filter(|asked| asked.is_finished()).count();
-        within("all are out", || out() + refused() >= DECIDED);
+        wait_until("all are out", || out() + refused() >= DECIDED);
         sidecar.stop();
         let out = out();
         assert!(out > DECIDED / 2, "{out} are out");
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -37,11 +37,11 @@
     busy.send(safe());
     let go = next(&told);
     sidecar.reload(&config(new.address, |_| {}).to_string());
-    within("the new discovery asked", || new.calls() > 0);
+    wait_until("the new discovery asked", || new.calls() > 0);
     go.send(()).unwrap();
     assert_eq!(busy.message().unwrap().body, b"held");
-    within("the old discovery left", || old.open() == 0);
-    within("the new list", || sidecar.served_by() == "b");
+    wait_until("the old discovery left", || old.open() == 0);
+    wait_until("the new list", || sidecar.served_by() == "b");
     assert!(sidecar.child.try_wait().unwrap().is_none());
 }
 
@@ -60,8 +60,8 @@
     };
     let sidecar = Sidecar::start(&asked(&old));
     sidecar.reload(&asked(&new).to_string());
-    within("the new list", || sidecar.served_by() == "b");
-    within("the old discovery left", || old.open() == 0);
+    wait_until("the new list", || sidecar.served_by() == "b");
+    wait_until("the old discovery left", || old.open() == 0);
 }
 
 #[test]
@@ -77,10 +77,10 @@
     }
     // The old discovery is still listened to, and the next sound file counts.
     agent.change(vec![host("s-b", b.address)]);
-    within("its news", || sidecar.served_by() == "b");
+    wait_until("its news", || sidecar.served_by() == "b");
     let other = Agent::start(vec![host("s-a", a.address)]);
     sidecar.reload(&config(other.address, |_| {}).to_string());
-    within("the new list", || sidecar.served_by() == "a");
+    wait_until("the new list", || sidecar.served_by() == "a");
     assert!(sidecar.child.try_wait().unwrap().is_none());
 }
 
@@ -107,9 +107,9 @@
     let all_kept = || (0..REQUESTS).all(|_| sidecar.served_by().starts_with("kept open"));
     assert!(all_kept());
     sidecar.reload(&unpriced.to_string());
-    within("answers are proven", || sidecar.served_by() == "asked to close");
+    wait_until("answers are proven", || sidecar.served_by() == "asked to close");
     sidecar.reload(&priced.to_string());
-    within("answers are proven no more", all_kept);
+    wait_until("answers are proven no more", all_kept);
 }
 
 /// A configuration whose settings are changed so.
@@ -147,7 +147,7 @@
         classes.push(page);
         classes.remove(0);
     }));
-    within("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
+    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
     // The open order is still one that must not run twice.
     go.send(()).unwrap();
     assert_eq!(busy.message().unwrap().status(), 502);
@@ -181,7 +181,7 @@
         sidecar.reload(&retuned(&agent, |c| {
             c["settings"]["classes"][2]["name"] = json!(format!("other-{n}"));
         }));
-        within("taken", || sidecar.figure("sidecar.sighup_applied") == n + 1);
+        wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == n + 1);
     }
     client.send(rest);
     assert_eq!(client.message().unwrap().body, b"body");
@@ -225,12 +225,12 @@
     ];
     for (n, file) in files.iter().enumerate() {
         sidecar.reload(file);
-        within("turned down", || sidecar.figure("sidecar.sighup_rejected") == n as u64 + 1);
+        wait_until("turned down", || sidecar.figure("sidecar.sighup_rejected") == n as u64 + 1);
         assert_eq!(sidecar.ask(keyed()).status(), 200, "{file}");
     }
     assert_eq!(sidecar.figure("sidecar.sighup_applied"), 0);
     sidecar.reload(&broken(|_| {}));
-    within("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
+    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
     assert_eq!(sidecar.ask(keyed()).status(), 404);
 }
 
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -76,7 +76,7 @@
         })
     };
     let sidecar = Sidecar::start(&config(discovery.address, |_| {}));
-    within("the news", || {
+    wait_until("the news", || {
         let before = calls.load(Ordering::SeqCst);
         let by = sidecar.served_by();
         assert!(by == "a" || (by == "b" && calls.load(Ordering::SeqCst) > 8) || before > 7, "{by}");
@@ -95,7 +95,7 @@
         c["settings"]["rules"]["mustAskIn"] = json!(1_000_000);
     }));
     agent.change(vec![host("s-b", b.address)]);
-    within("the news", || sidecar.served_by() == "b");
+    wait_until("the news", || sidecar.served_by() == "b");
 }
 
 #[test]
@@ -203,7 +203,7 @@
     });
     let sidecar = Sidecar::start(&config(discovery.address, |_| {}));
     assert_eq!(sidecar.served_by(), "a");
-    within("the news", || sidecar.served_by() == "b");
+    wait_until("the news", || sidecar.served_by() == "b");
 }
 
 /// What became of the requests of one client.
@@ -274,7 +274,7 @@
         let clients: Vec<_> =
             (0..12).map(|_| scope.spawn(|| sends_on(at, &last, &so_far))).collect();
         // All are under way.
-        within("clients at work", || so_far.load(Ordering::SeqCst) > 500);
+        wait_until("clients at work", || so_far.load(Ordering::SeqCst) > 500);
         sidecar.terminate();
         told.set(Instant::now()).expect("once");
         assert_eq!(sidecar.exit_code(), Some(0));
@@ -314,7 +314,7 @@
         c["settings"]["discovery"] = json!(how);
         c["settings"]["rules"]["mustAskIn"] = json!(10_000_000);
     }));
-    within("the news", || sidecar.served_by() == "b");
+    wait_until("the news", || sidecar.served_by() == "b");
     silent.get().expect("it fell silent").elapsed()
 }
 
--- a/crates/plankvale/tests/sidecar/upgrade.rs
+++ b/crates/plankvale/tests/sidecar/upgrade.rs
@@ -52,7 +52,7 @@
     let folder = Folder::new("stay");
     let config = operated(&agent, &listener);
     let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
 
     let mut asked_once: Vec<_> = (0..20).map(|_| old.client()).collect();
     for client in &mut asked_once {
@@ -69,7 +69,7 @@
     half.send(first);
 
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     old.terminate();
     old.logged("a successor goes on");
     assert_eq!(old.operate("GET /v1/readyz").status(), 503);
@@ -110,14 +110,14 @@
         class["deadline"] = json!(20_000_000);
     }
     let old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
     let order = unsafe_with("x").replace("Left-Ms: 900", "Left-Ms: 15000");
     let mut first = old.client();
     first.send(&order);
     let go = next(&told);
 
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     old.terminate();
     old.logged("a successor goes on");
     let mut second = new.client();
@@ -125,7 +125,7 @@
     let answer = std::thread::scope(|scope| {
         let answered = scope.spawn(|| second.message().expect("an answer").status());
         // Either it is refused, or a server has been asked and waits to be told to go on.
-        within("it is refused, or runs", || answered.is_finished() || log.count() > 1);
+        wait_until("it is refused, or runs", || answered.is_finished() || log.count() > 1);
         told.try_iter().for_each(|go| go.send(()).unwrap());
         answered.join().expect("no panic")
     });
@@ -143,9 +143,9 @@
     let folder = Folder::new("turn");
     let config = operated(&agent, &listener);
     let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
     let mut new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     for _ in 0..50 {
         assert_eq!(old.ask(safe()).status(), 200);
     }
@@ -156,7 +156,7 @@
     assert_eq!(new.ask(safe()).status(), 200);
     // One that was killed hands nothing over.
     let last = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the last one is ready", || last.operate("GET /v1/readyz").status() == 200);
+    wait_until("the last one is ready", || last.operate("GET /v1/readyz").status() == 200);
     new.child.kill().expect("killed");
     assert_eq!(last.ask(safe()).status(), 200);
 }
@@ -169,13 +169,13 @@
     let folder = Folder::new("line");
     let config = operated(&agent, &listener);
     let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
     let mut died = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the one that dies is ready", || died.operate("GET /v1/readyz").status() == 200);
+    wait_until("the one that dies is ready", || died.operate("GET /v1/readyz").status() == 200);
     died.child.kill().expect("killed");
     died.child.wait().expect("ended");
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     let mut client = old.client();
     assert_eq!(client.message_to(safe()).expect("an answer").status(), 200);
     for _ in 0..50 {
@@ -197,11 +197,11 @@
     let folder = Folder::new("two");
     let config = operated(&agent, &listener);
     let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
     let waits = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the next one is ready", || waits.operate("GET /v1/readyz").status() == 200);
+    wait_until("the next one is ready", || waits.operate("GET /v1/readyz").status() == 200);
     let mut new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the last one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the last one is ready", || new.operate("GET /v1/readyz").status() == 200);
     old.terminate();
     assert_eq!(old.exit_code(), Some(0));
     for _ in 0..50 {
@@ -225,7 +225,7 @@
     let folder = Folder::new("late");
     let config = operated(&agent, &listener);
     let old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
     let order = unsafe_with("x");
     let (first, rest) = order.split_at(order.len() / 2);
     let mut late = old.client();
@@ -233,7 +233,7 @@
     late.send(first);
     assert_eq!(old.ask(safe()).status(), 200);
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     old.terminate();
     old.logged("a successor goes on");
     let mut second = new.client();
@@ -257,7 +257,7 @@
         client.send(safe());
         assert_eq!(client.message().expect("still connected").status(), 200);
         let next = Sidecar::launch_beside(&config, &listener, &folder.0);
-        within("ready", || next.operate("GET /v1/readyz").status() == 200);
+        wait_until("ready", || next.operate("GET /v1/readyz").status() == 200);
         serving.terminate();
         assert_eq!(serving.exit_code(), Some(0));
         serving = next;
@@ -314,14 +314,14 @@
     let folder = Folder::new("half");
     let config = operated(&agent, &listener);
     let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
     let mut client = old.client();
     let next_one = safe();
     let (first, rest) = next_one.split_at(next_one.len() / 2);
     client.send(safe() + first);
     let go = next(&told);
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     old.terminate();
     old.logged("a successor goes on");
     go.send(()).unwrap();
--- a/crates/plankvale/tests/sidecar/upgrade_limits.rs
+++ b/crates/plankvale/tests/sidecar/upgrade_limits.rs
@@ -47,7 +47,7 @@
     let orders: Vec<String> = (0..2 * OPEN).map(patient).collect();
     let (first, then) = orders.split_at(OPEN);
     let old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
     let open = |sidecar: &Sidecar, orders: &[String]| -> Vec<Conn> {
         let client = |order: &String| {
             let mut client = sidecar.client();
@@ -57,14 +57,14 @@
         orders.iter().map(client).collect()
     };
     let mut clients = open(&old, first);
-    within("all of the old one's are out", || log.count() == OPEN);
+    wait_until("all of the old one's are out", || log.count() == OPEN);
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    within("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     old.terminate();
     old.logged("a successor goes on");
     clients.extend(open(&new, then));
     // The rest may be refused, or wait for room.
-    within("some of the new one's are out", || log.count() > OPEN + OPEN / 2);
+    wait_until("some of the new one's are out", || log.count() > OPEN + OPEN / 2);
     let held = sockets(&old).union(&sockets(&new)).count();
     for go in told.try_iter() {
         let _ = go.send(());
