--- a/crates/millethook-testkit/src/daemon.rs
+++ b/crates/millethook-testkit/src/daemon.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use crate::violations::Checked;
-use crate::{Agent, Conn, Message, Server, hosts, next, safe, settings_json, wait_until};
+use crate::{Agent, Conn, Message, Server, hosts, receive, safe, settings_json, wait_until};
 
 /// The price of a handshake in the platform's settings, for each first attempt.
 const HANDSHAKE_PRICE: f64 = 0.08;
@@ -265,7 +265,7 @@
     /// Waits for a line of its log that holds `text`.
     pub fn logged(&self, text: &str) {
         let log = self.log.lock().unwrap();
-        while !next(&log).contains(text) {}
+        while !receive(&log).contains(text) {}
     }
 
     /// Its exit code once it has ended, waited for within the bound.
--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -32,5 +32,5 @@
 pub use stage::{Attempt, Stage};
 pub use unreachable::{FullQueue, Silent, refusing, short_queue};
 pub use violations::{doubled, doubled_in_answer, violation, violations};
-pub use wait::{BOUND, next, wait_until};
+pub use wait::{WAIT_TIMEOUT, receive, wait_until};
 pub use worker::{Cold, Worker};
--- a/crates/millethook-testkit/src/message.rs
+++ b/crates/millethook-testkit/src/message.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use crate::BOUND;
+use crate::WAIT_TIMEOUT;
 use crate::violations::{Checked, doubled, doubled_in_answer, violation};
 
 /// A message as it came: its first line, its headers in lower case, and its body.
@@ -66,7 +66,7 @@
 impl Conn {
     /// A connection whose reads have the kit's bound.
     pub fn new(socket: TcpStream) -> Conn {
-        socket.set_read_timeout(Some(BOUND)).unwrap();
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         socket.set_nodelay(true).unwrap();
         let reader = BufReader::new(socket.try_clone().unwrap());
         Conn { socket, reader, _checked: Checked::default() }
--- a/crates/millethook-testkit/src/unreachable.rs
+++ b/crates/millethook-testkit/src/unreachable.rs
@@ -8,12 +8,12 @@
 /// An address at which connections are refused, for as long as the process lives. A port that is free
 /// again is soon another test's, whose server would then see what was sent here.
 pub fn refusing() -> SocketAddr {
-    static BOUND: Mutex<Vec<socket2::Socket>> = Mutex::new(Vec::new());
+    static WAIT_TIMEOUT: Mutex<Vec<socket2::Socket>> = Mutex::new(Vec::new());
     let socket = tcp_socket();
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).expect("a free port");
     let address = socket.local_addr().ok().and_then(|at| at.as_socket());
-    BOUND.lock().unwrap_or_else(PoisonError::into_inner).push(socket);
+    WAIT_TIMEOUT.lock().unwrap_or_else(PoisonError::into_inner).push(socket);
     address.expect("a bound address")
 }
 
--- a/crates/millethook/tests/library/any_server/closing.rs
+++ b/crates/millethook/tests/library/any_server/closing.rs
@@ -121,7 +121,7 @@
     runtime().block_on(async {
         for class in ["look", "keep"] {
             // What is late by one server of three may be shed for a moment: then its caller comes again.
-            let (mut served, bound) = (0, std::time::Instant::now() + BOUND);
+            let (mut served, bound) = (0, std::time::Instant::now() + WAIT_TIMEOUT);
             while served < 30 {
                 assert!(std::time::Instant::now() < bound, "{served} of 30 served");
                 match fleet.call(timed(class, never)).await {
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -104,7 +104,7 @@
     runtime().block_on(async {
         for n in 1..=20 {
             let waiting = poll_once(Box::pin(fleet.call(request("order")))).await;
-            tokio::task::block_in_place(|| next(&told));
+            tokio::task::block_in_place(|| receive(&told));
             drop(waiting);
             nothing_held(&fleet).await;
             // The attempt is over at the server, and no second one came.
@@ -151,7 +151,7 @@
             assert!(piece.data_ref().is_some_and(|data| !data.is_empty()));
             assert!(!body.is_end_stream());
             drop(body);
-            tokio::task::block_in_place(|| next(&ended));
+            tokio::task::block_in_place(|| receive(&ended));
             nothing_held(&fleet).await;
         }
     });
--- a/crates/millethook/tests/library/common.rs
+++ b/crates/millethook/tests/library/common.rs
@@ -83,7 +83,7 @@
 
 /// Waits until the fleet holds nothing but connections at rest.
 pub async fn nothing_held(fleet: &Fleet) {
-    let end = std::time::Instant::now() + BOUND;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         let usage = fleet.usage().await.expect("the fleet lives");
         if usage.at_rest() {
--- a/crates/millethook/tests/library/new_connections.rs
+++ b/crates/millethook/tests/library/new_connections.rs
@@ -96,7 +96,7 @@
 }
 
 async fn until(fleet: &Fleet, what: &str, holds: impl Fn(Usage) -> bool) {
-    let end = Instant::now() + BOUND;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds(fleet.usage().await.expect("the fleet lives")) {
         assert!(Instant::now() < end, "{what}");
         tokio::task::yield_now().await;
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -31,7 +31,7 @@
             async move { fleet.call(timed("order", Duration::from_millis(200))).await }
         });
         tokio::task::yield_now().await;
-        assert!(next(&ended), "the attempt was ended while the host stood still");
+        assert!(receive(&ended), "the attempt was ended while the host stood still");
         let end = calling.await.expect("no panic").expect_err("nobody has answered");
         assert!(matches!(end, Error::Failed { timed_out: true }), "{end:?}");
         assert_eq!(end.execution(), Execution::MayHaveRun);
@@ -76,9 +76,9 @@
     }
     wait_until("all are with the server", || *stage.lock().expect("no panic") == 30);
     drop(fleet);
-    runtime.shutdown_timeout(BOUND);
+    runtime.shutdown_timeout(WAIT_TIMEOUT);
     for _ in 0..30 {
-        assert!(next(&ended));
+        assert!(receive(&ended));
     }
     wait_until("the thread's end", || !has_thread(&format!("mh-{name}")));
 }
@@ -139,7 +139,7 @@
     let stage = Stage::new(1, move |_| {
         let (go, going) = channel::<()>();
         let _ = came.lock().expect("no panic").send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         Fault::Serve("late".into())
     });
     let name = name();
@@ -148,9 +148,9 @@
     let runtime = runtime();
     let calling = fleet.clone();
     let taken = runtime.spawn(async move { calling.call(request("order")).await.is_ok() });
-    let go = next(&coming);
+    let go = receive(&coming);
     let draining = fleet.clone();
-    let drained = runtime.spawn(async move { draining.drain(BOUND).await });
+    let drained = runtime.spawn(async move { draining.drain(WAIT_TIMEOUT).await });
     // New calls are turned away as soon as the drain has begun.
     wait_until("closed", || {
         let end = runtime.block_on(fleet.call(timed("look", Duration::from_millis(1))));
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -218,7 +218,7 @@
 }
 
 async fn nothing_held_but(a: &Fleet, b: &Fleet, budget: &Budget) {
-    let end = std::time::Instant::now() + BOUND;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         let resting =
             a.usage().await.expect("alive").resting + b.usage().await.expect("alive").resting;
--- a/crates/millethook/tests/library/view.rs
+++ b/crates/millethook/tests/library/view.rs
@@ -42,7 +42,7 @@
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             };
-            tokio::time::timeout(BOUND, until).await.expect("the views agree");
+            tokio::time::timeout(WAIT_TIMEOUT, until).await.expect("the views agree");
         };
         views(|v| v.alive == 3 && v.unknown == 0).await;
         fleets[2].drain(Duration::from_secs(5)).await;
--- a/crates/plankvale/tests/conformance/ends.rs
+++ b/crates/plankvale/tests/conformance/ends.rs
@@ -141,13 +141,13 @@
     let stage = Stage::new(1, move |_| {
         let (go, going) = channel();
         let _ = came.lock().expect("no server panics").send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         Fault::Serve("late".into())
     });
     let (form, _agent) = start::<F>(&stage, |_| {});
     let ends = std::thread::scope(|s| {
         let asking = Ask::each().map(|ask| s.spawn(|| form.ask(ask)));
-        let with_server: Vec<_> = (0..3).map(|_| next(&coming)).collect();
+        let with_server: Vec<_> = (0..3).map(|_| receive(&coming)).collect();
         form.end();
         for go in with_server {
             go.send(()).expect("the server waits");
--- a/crates/plankvale/tests/conformance/form.rs
+++ b/crates/plankvale/tests/conformance/form.rs
@@ -183,7 +183,8 @@
             .build()
             .expect("a runtime");
         let fleet = Fleet::open(config).expect("a fleet");
-        let ready = runtime.block_on(async { tokio::time::timeout(BOUND, fleet.ready()).await });
+        let ready =
+            runtime.block_on(async { tokio::time::timeout(WAIT_TIMEOUT, fleet.ready()).await });
         assert_eq!(ready, Ok(true), "ready in time");
         Library { runtime, fleet }
     }
--- a/crates/plankvale/tests/conformance/stale_copies.rs
+++ b/crates/plankvale/tests/conformance/stale_copies.rs
@@ -143,7 +143,7 @@
         if self.drops_work && !left().is_zero() {
             conn.socket.set_read_timeout(Some(left().max(MS))).expect("an open socket");
             let looked = conn.socket.peek(&mut [0]);
-            conn.socket.set_read_timeout(Some(BOUND)).expect("an open socket");
+            conn.socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("an open socket");
             match looked {
                 Ok(0) => return false,
                 Ok(_) => {}
--- a/crates/plankvale/tests/sidecar/clients.rs
+++ b/crates/plankvale/tests/sidecar/clients.rs
@@ -108,14 +108,14 @@
     let (list, _, _) = servers(1, move |mut conn, _| {
         let (go, gone) = channel::<()>();
         let _ = asked.send(go);
-        let _ = gone.recv_timeout(BOUND);
+        let _ = gone.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("late"));
         Some(conn)
     });
     let (sidecar, _agent) = few_sockets(&list);
     let mut client = sidecar.client();
     client.send(safe().replace("Left-Ms: 900", "Left-Ms: 19000"));
-    let go = next(&told);
+    let go = receive(&told);
     let crowd: Vec<_> = (0..300).map(|_| sidecar.client().socket).collect();
     assert!(sidecar.descriptors() < SOCKETS);
     go.send(()).unwrap();
@@ -136,13 +136,13 @@
         let (sidecar, _agent) = Sidecar::of(&list);
         let mut client = sidecar.client();
         client.send(safe().replace("Left-Ms: 900", "Left-Ms: 60000"));
-        next(&coming);
+        receive(&coming);
         if reset {
             client.reset();
         } else {
             drop(client);
         }
-        assert!(next(&going), "the server sees its end");
+        assert!(receive(&going), "the server sees its end");
     }
 }
 
@@ -160,7 +160,7 @@
     client.send(safe());
     assert_eq!(client.head().unwrap().status(), 200);
     drop(client);
-    assert!(next(&going));
+    assert!(receive(&going));
 }
 
 #[test]
--- a/crates/plankvale/tests/sidecar/edge_death.rs
+++ b/crates/plankvale/tests/sidecar/edge_death.rs
@@ -16,7 +16,7 @@
 fn a_process_on_a_disk_that_syncs_nothing() {
     let Some(folder) = std::env::var_os(FOLDER) else { return };
     std::thread::spawn(|| {
-        std::thread::sleep(BOUND);
+        std::thread::sleep(WAIT_TIMEOUT);
         std::process::exit(1);
     });
     let folder = std::path::PathBuf::from(folder);
--- a/crates/plankvale/tests/sidecar/fleet.rs
+++ b/crates/plankvale/tests/sidecar/fleet.rs
@@ -91,7 +91,7 @@
     let product = Product::new("words");
     let agent = Agent::start(hosts(&[Server::named("a")]));
     let peer = UdpSocket::bind("127.0.0.1:0").expect("an address");
-    peer.set_read_timeout(Some(BOUND)).expect("a bound");
+    peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
     let peers = [free(), peer.local_addr().expect("an address")];
     let sidecar = product.start(&peered(&agent, 0, &peers));
     let frame = |fleet: &str, from: u16| {
--- a/crates/plankvale/tests/sidecar/framing.rs
+++ b/crates/plankvale/tests/sidecar/framing.rs
@@ -202,7 +202,7 @@
     let mut client = sidecar.client();
     client.send(safe());
     assert_eq!(client.head().unwrap().status(), 200);
-    assert!(next(&written) < 32 << 20);
+    assert!(receive(&written) < 32 << 20);
     assert!(sidecar.memory_mb() < 40);
 }
 
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -46,7 +46,7 @@
         for request in [with_length("order", &body), in_chunks("keep", &body, 30_011)] {
             let answer = client.message_to(&request).expect("an answer");
             assert_eq!((answer.status(), answer.body), (200, n.to_string().into_bytes()));
-            let got = next(&seen).message;
+            let got = receive(&seen).message;
             assert!(got.body == body, "{n} bytes changed on the way");
         }
     }
@@ -143,7 +143,7 @@
         client.send(head(class, "Content-Length: 10000000"));
         client.send(bytes(9_000_000));
         assert_eq!(client.message().expect("an answer").status(), 503, "{class}");
-        assert!(next(&told), "the server had a part of it");
+        assert!(receive(&told), "the server had a part of it");
         assert!(told.try_recv().is_err(), "another attempt");
     }
 }
@@ -180,7 +180,7 @@
         client.send(bytes(200_000));
         wait_until("it passes on", || sidecar.figure("sidecar.outstanding") == 1);
         drop(client);
-        assert!(!next(&told), "the server took it for whole");
+        assert!(!receive(&told), "the server took it for whole");
         wait_until("it is forgotten", || sidecar.figure("sidecar.outstanding") == 0);
     }
     assert_eq!(sidecar.figure("sidecar.forwards"), 0);
@@ -300,7 +300,7 @@
                 thread::sleep(std::time::Duration::from_millis(10));
             }
             // The rest comes when the client has seen the beginning.
-            let _ = going.lock().unwrap().recv_timeout(BOUND);
+            let _ = going.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
             conn.send("0\r\n\r\n");
         }
     });
--- a/crates/plankvale/tests/sidecar/narrow/closing.rs
+++ b/crates/plankvale/tests/sidecar/narrow/closing.rs
@@ -134,7 +134,7 @@
                 for _ in 0..12 {
                     conn.send(format!("{:x}\r\n{}\r\n", 8192, "x".repeat(8192)));
                 }
-                let _ = going.lock().unwrap().recv_timeout(BOUND);
+                let _ = going.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
                 conn.reset();
             }
         });
--- a/crates/plankvale/tests/sidecar/narrow/commit.rs
+++ b/crates/plankvale/tests/sidecar/narrow/commit.rs
@@ -61,7 +61,7 @@
             witness.message().is_some_and(|m| m.body == b"b")
         });
         let told = opened(silent);
-        assert!(!next(&told), "a request to a server that drains");
+        assert!(!receive(&told), "a request to a server that drains");
         // It never ran, so it goes elsewhere.
         assert_eq!(client.message().unwrap().body, b"b");
     }
@@ -87,11 +87,11 @@
         wait_until("no request", || sidecar.figure("sidecar.outstanding") == 0);
         let told = opened(silent);
         if !cancel {
-            assert!(!next(&told), "a request for nobody");
+            assert!(!receive(&told), "a request for nobody");
         }
         // Where the attempt is called off, no connection comes up: the next one is another request's.
         assert_eq!(sidecar.ask(long(safe())).body, b"a");
-        assert!(next(&told));
+        assert!(receive(&told));
     }
 }
 
@@ -111,7 +111,7 @@
     taken(&sidecar);
     // The connection comes up when its system tries again, a second after the first time.
     let told = opened(silent);
-    assert!(!next(&told), "a request after its window");
+    assert!(!receive(&told), "a request after its window");
     // It never ran: trying again is harmless.
     assert_eq!(client.message().unwrap().status(), 503);
 }
--- a/crates/plankvale/tests/sidecar/narrow/servers.rs
+++ b/crates/plankvale/tests/sidecar/narrow/servers.rs
@@ -44,7 +44,7 @@
             conn.send(ok("a"));
             let (go, going) = channel::<()>();
             let _ = tell.send(go);
-            if going.recv_timeout(BOUND).is_err() {
+            if going.recv_timeout(WAIT_TIMEOUT).is_err() {
                 // Nothing comes on this one.
                 continue;
             }
@@ -58,12 +58,12 @@
     let (sidecar, _agent) = Sidecar::of(&[server]);
     for n in 0..4 {
         assert_eq!(sidecar.ask(unsafe_with(&n.to_string())).body, b"a");
-        let go = next(&told);
+        let go = receive(&told);
         if n % 2 == 0 {
             go.send(()).unwrap();
             // Sent, and then seen to be gone.
-            next(&told);
-            next(&told);
+            receive(&told);
+            receive(&told);
         }
     }
     assert_eq!(log.count(), 4, "each ran once");
--- a/crates/plankvale/tests/sidecar/narrow/settings.rs
+++ b/crates/plankvale/tests/sidecar/narrow/settings.rs
@@ -32,7 +32,7 @@
         if seen.message.header("x-correlation-id") == Some("same") {
             let (go, going) = channel::<()>();
             let _ = asked.send(go);
-            let _ = going.recv_timeout(BOUND);
+            let _ = going.recv_timeout(WAIT_TIMEOUT);
         }
         conn.send(ok("served"));
         Some(conn)
@@ -44,7 +44,7 @@
     let long = |request: String| request.replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: 15000");
     let mut client = sidecar.client();
     client.send(long(safe_as("same")));
-    let go = next(&told);
+    let go = receive(&told);
     // Time passes for the spans of the first settings, 0.6 s each, with a request in each.
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(700));
@@ -63,7 +63,7 @@
     let (servers, log, _) = servers(2, move |conn, _| {
         let (go, going) = channel::<()>();
         let _ = asked.send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         // Whether it ran, nobody can tell.
         conn.reset();
         None
@@ -76,7 +76,7 @@
     let sidecar = Sidecar::start(&retuned(&agent, short));
     let mut client = sidecar.client();
     client.send(keyed().replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: 15000"));
-    let go = next(&told);
+    let go = receive(&told);
     sidecar.reload(
         &retuned(&agent, |c| {
             short(c);
--- a/crates/plankvale/tests/sidecar/operators.rs
+++ b/crates/plankvale/tests/sidecar/operators.rs
@@ -32,7 +32,7 @@
             Some("keep") => {
                 let (go, going) = channel::<()>();
                 let _ = asked.send(go);
-                let _ = going.recv_timeout(BOUND);
+                let _ = going.recv_timeout(WAIT_TIMEOUT);
                 conn.send(ok("kept"));
             }
             _ => conn.send(ok("seen")),
@@ -47,7 +47,7 @@
     assert_eq!(sidecar.ask(unsafe_with("x")).status(), 502);
     let mut keeping = sidecar.client();
     keeping.send(keyed());
-    let go = next(&told);
+    let go = receive(&told);
     assert_eq!(sidecar.figure("sidecar.outstanding"), 1);
     go.send(()).unwrap();
     assert_eq!(keeping.message().unwrap().status(), 200);
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -17,7 +17,7 @@
     let got = sidecar.ask(safe_as("9b1f"));
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"a\0b"[..]));
     assert_eq!((got.header("x-kept"), got.header("x-backend-load")), (Some("yes"), None));
-    let request = next(&seen).message;
+    let request = receive(&seen).message;
     assert_eq!(request.first, "GET /look/1?q=2 HTTP/1.1");
     assert_eq!(request.header("x-correlation-id"), Some("9b1f"));
     let left: u64 = request.header("x-time-left-ms").unwrap().parse().unwrap();
--- a/crates/plankvale/tests/sidecar/pauses.rs
+++ b/crates/plankvale/tests/sidecar/pauses.rs
@@ -53,7 +53,7 @@
         wait_until("all are out", || log.count() == OUT);
         sidecar.stop();
         gate.open();
-        (0..OUT).for_each(|_| next(&answered));
+        (0..OUT).for_each(|_| receive(&answered));
         // The pause itself is what is tried here; nothing is waited for.
         thread::sleep(pause);
         sidecar.go_on();
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -23,7 +23,7 @@
     let (held, _, _) = servers(1, move |mut conn, _| {
         let (go, going) = channel::<()>();
         let _ = asked.send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("held"));
         Some(conn)
     });
@@ -35,7 +35,7 @@
     let mut sidecar = Sidecar::start(&config(old.address, |_| {}));
     let mut busy = sidecar.client();
     busy.send(safe());
-    let go = next(&told);
+    let go = receive(&told);
     sidecar.reload(&config(new.address, |_| {}).to_string());
     wait_until("the new discovery asked", || new.calls() > 0);
     go.send(()).unwrap();
@@ -126,7 +126,7 @@
         if seen.message.first.contains("/order/held") {
             let (go, going) = channel::<()>();
             let _ = asked.send(go);
-            let _ = going.recv_timeout(BOUND);
+            let _ = going.recv_timeout(WAIT_TIMEOUT);
             // Whether it ran, nobody can tell.
             return None;
         }
@@ -138,7 +138,7 @@
     let sidecar = Sidecar::start(&serde_json::from_str(&retuned(&agent, |_| {})).unwrap());
     let mut busy = sidecar.client();
     busy.send(unsafe_with("x").replace("/order", "/order/held"));
-    let go = next(&told);
+    let go = receive(&told);
     sidecar.reload(&retuned(&agent, |c| {
         let classes = c["settings"]["classes"].as_array_mut().unwrap();
         let mut page = classes[0].clone();
@@ -240,7 +240,7 @@
 fn a_remembered_list_serves_until_discovery_is_asked() {
     let a = Server::named("a");
     let silent = Server::start(|conn| {
-        std::thread::sleep(BOUND);
+        std::thread::sleep(WAIT_TIMEOUT);
         drop(conn);
     });
     let sidecar = Sidecar::start(&config(silent.address, |c| {
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -104,7 +104,7 @@
     let (list, _, _) = servers(1, move |mut conn, _| {
         let (go, going) = channel::<()>();
         let _ = asked.send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("late"));
         Some(conn)
     });
@@ -112,12 +112,12 @@
     let mut idle = sidecar.client();
     let mut busy = sidecar.client();
     busy.send(safe());
-    let go = next(&told);
+    let go = receive(&told);
     sidecar.terminate();
     // New connections go on coming, and are served.
     let mut new = sidecar.client();
     new.send(safe());
-    let new_go = next(&told);
+    let new_go = receive(&told);
     new_go.send(()).unwrap();
     let got = new.message().unwrap();
     assert_eq!(got.body, b"late");
@@ -140,7 +140,7 @@
     half.send("GET /look HTTP/1.1\r\n");
     let mut waiting = sidecar.client();
     waiting.send(safe());
-    next(&seen);
+    receive(&seen);
     sidecar.terminate();
     assert_eq!(waiting.message().unwrap().status(), 503);
     assert_eq!(sidecar.exit_code(), Some(0));
--- a/crates/plankvale/tests/sidecar/upgrade.rs
+++ b/crates/plankvale/tests/sidecar/upgrade.rs
@@ -42,7 +42,7 @@
         if seen.message.first.contains("/order") {
             let (go, going) = channel::<()>();
             let _ = asked.send(go);
-            let _ = going.recv_timeout(BOUND);
+            let _ = going.recv_timeout(WAIT_TIMEOUT);
         }
         conn.send(ok("served"));
         Some(conn)
@@ -62,7 +62,7 @@
     let mut silent: Vec<_> = (0..5).map(|_| old.client()).collect();
     let mut busy = old.client();
     busy.send(unsafe_with("x"));
-    let go = next(&told);
+    let go = receive(&told);
     let mut half = old.client();
     let request = safe();
     let (first, rest) = request.split_at(request.len() / 2);
@@ -98,7 +98,7 @@
     let (servers, log, _) = servers(2, move |mut conn, _| {
         let (go, going) = channel::<()>();
         let _ = asked.send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("served"));
         Some(conn)
     });
@@ -114,7 +114,7 @@
     let order = unsafe_with("x").replace("Left-Ms: 900", "Left-Ms: 15000");
     let mut first = old.client();
     first.send(&order);
-    let go = next(&told);
+    let go = receive(&told);
 
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
     wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
@@ -305,7 +305,7 @@
     let (servers, log, _) = servers(1, move |mut conn, _| {
         let (go, going) = channel::<()>();
         let _ = asked.send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("served"));
         Some(conn)
     });
@@ -319,7 +319,7 @@
     let next_one = safe();
     let (first, rest) = next_one.split_at(next_one.len() / 2);
     client.send(safe() + first);
-    let go = next(&told);
+    let go = receive(&told);
     let new = Sidecar::launch_beside(&config, &listener, &folder.0);
     wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
     old.terminate();
--- a/crates/plankvale/tests/sidecar/upgrade_limits.rs
+++ b/crates/plankvale/tests/sidecar/upgrade_limits.rs
@@ -31,7 +31,7 @@
     let (servers, log, _) = servers(4, move |mut conn, _| {
         let (go, going) = channel::<()>();
         let _ = asked.send(go);
-        let _ = going.recv_timeout(BOUND);
+        let _ = going.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("served"));
         Some(conn)
     });
