--- a/crates/millethook-testkit/src/fault.rs
+++ b/crates/millethook-testkit/src/fault.rs
@@ -39,9 +39,9 @@
 
 /// What a server does with a connection before a request has come whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum AcceptFault {
     /// It reads.
-    Open,
+    None,
     /// It resets as soon as it has accepted.
     ResetAtOnce,
     /// It resets at the first byte: the last one is never read.
--- a/crates/millethook-testkit/src/stage.rs
+++ b/crates/millethook-testkit/src/server_group.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use crate::fault::{Door, Fault, act};
+use crate::fault::{AcceptFault, Fault, act};
 use crate::random::Random;
 use crate::{Message, Server, hosts};
 
@@ -26,25 +26,25 @@
 }
 
 /// Servers that play by a plan, and what they saw, in order.
-pub struct Stage {
+pub struct ServerGroup {
     /// The servers, by number.
     pub servers: Vec<Server>,
     seen: Arc<Mutex<Vec<Attempt>>>,
 }
 
-impl Stage {
+impl ServerGroup {
     /// So many servers whose `plan` tells for each whole request what becomes of it.
-    pub fn new(n: usize, plan: impl Fn(&Attempt) -> Fault + Send + Sync + 'static) -> Stage {
-        Stage::with_doors(n, |_, _| Door::Open, plan)
+    pub fn new(n: usize, plan: impl Fn(&Attempt) -> Fault + Send + Sync + 'static) -> ServerGroup {
+        ServerGroup::with_accept_faults(n, |_, _| AcceptFault::None, plan)
     }
 
     /// `door` tells for each server and the number of its connection, counted from 1, what becomes
     /// of that before a request has come whole.
-    pub fn with_doors(
+    pub fn with_accept_faults(
         n: usize,
-        door: impl Fn(usize, usize) -> Door + Send + Sync + 'static,
+        door: impl Fn(usize, usize) -> AcceptFault + Send + Sync + 'static,
         plan: impl Fn(&Attempt) -> Fault + Send + Sync + 'static,
-    ) -> Stage {
+    ) -> ServerGroup {
         let seen = Arc::new(Mutex::new(Vec::new()));
         let (plan, door) = (Arc::new(plan), Arc::new(door));
         let start = |server: usize| {
@@ -57,13 +57,13 @@
                     *count
                 };
                 match door(server, nth) {
-                    Door::Open => {}
-                    Door::ResetAtOnce => return conn.reset(),
-                    Door::ResetAtFirstByte => {
+                    AcceptFault::None => {}
+                    AcceptFault::ResetAtOnce => return conn.reset(),
+                    AcceptFault::ResetAtFirstByte => {
                         let _ = conn.socket.peek(&mut [0]);
                         return conn.reset();
                     }
-                    Door::ResetAfterHead => {
+                    AcceptFault::ResetAfterHead => {
                         let _ = conn.head();
                         return conn.reset();
                     }
@@ -77,7 +77,7 @@
                 }
             })
         };
-        Stage { servers: (0..n).map(start).collect(), seen }
+        ServerGroup { servers: (0..n).map(start).collect(), seen }
     }
 
     /// What discovery is to say of them.
--- a/crates/millethook-testkit/tests/violations.rs
+++ b/crates/millethook-testkit/tests/violations.rs
@@ -30,7 +30,7 @@
     assert_eq!(violations(), Vec::<String>::new());
     drop(client);
 
-    let stage = Stage::new(1, |_| Fault::Serve("not to be served".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("not to be served".into()));
     let mut client = Conn::new(TcpStream::connect(stage.servers[0].address).unwrap());
     assert_eq!(client.message_to(TWICE).expect("an answer").status(), 400);
     assert_eq!(stage.count(), 0);
--- a/crates/millethook/examples/plain_tower.rs
+++ b/crates/millethook/examples/plain_tower.rs
@@ -8,7 +8,7 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use millethook::{Body, ClassConfig, Error, Execution, Fleet, FleetConfig, RequestMeta};
-use millethook_testkit::{Fault, Stage};
+use millethook_testkit::{Fault, ServerGroup};
 use tower::{Service, ServiceBuilder, ServiceExt};
 
 /// Writes its requests so that no caller has to say how long it waits.
@@ -20,7 +20,7 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     // Three servers: the first turns every third request away, the second resets some.
-    let stage = Stage::new(3, |a| match (a.server, a.nth % 3) {
+    let stage = ServerGroup::new(3, |a| match (a.server, a.nth % 3) {
         (0, 0) => Fault::TurnAway,
         (1, 0) => Fault::Reset,
         (server, _) => Fault::Serve(format!("from server {server}")),
--- a/crates/millethook/tests/library/any_server/closing.rs
+++ b/crates/millethook/tests/library/any_server/closing.rs
@@ -46,8 +46,12 @@
 /// elsewhere.
 #[test]
 fn a_server_that_resets_each_second_connection() {
-    let door = |_, nth: usize| if nth.is_multiple_of(2) { Door::ResetAtOnce } else { Door::Open };
-    let stage = Stage::with_doors(3, door, |attempt| Fault::Serve(path(&attempt.message.first)));
+    let door = |_, nth: usize| {
+        if nth.is_multiple_of(2) { AcceptFault::ResetAtOnce } else { AcceptFault::None }
+    };
+    let stage = ServerGroup::with_accept_faults(3, door, |attempt| {
+        Fault::Serve(path(&attempt.message.first))
+    });
     // With a connection for each request half of all attempts meet a reset, and repeats have a budget.
     let config = builder(&name(), &stage.servers).reuse(Reuse::Unlimited);
     let fleet = Fleet::open(config.build().expect("sound")).expect("open");
@@ -104,7 +108,7 @@
 /// not run twice fails when its time is up, and is never sent again.
 #[test]
 fn a_server_that_accepts_and_never_answers_costs_an_aim() {
-    let stage = Stage::new(3, |attempt| match attempt.server {
+    let stage = ServerGroup::new(3, |attempt| match attempt.server {
         0 => Fault::Stall,
         _ => Fault::Serve(path(&attempt.message.first)),
     });
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn before_a_server_is_picked() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         let mut request = Request::post("/order").body(Polled(|| Poll::Pending)).expect("sound");
@@ -43,7 +43,7 @@
 /// What was handed to the engine and dropped before its turn is sent to nobody, or called off.
 #[test]
 fn in_the_instant_of_the_call() {
-    let stage = Stage::new(1, |_| Fault::Stall);
+    let stage = ServerGroup::new(1, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         for _ in 0..200 {
@@ -118,7 +118,7 @@
 
 #[test]
 fn after_the_last_byte() {
-    let stage = Stage::new(2, |_| Fault::Stall);
+    let stage = ServerGroup::new(2, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     let runtime = runtime();
     for (n, class) in ["look", "keep", "order"].iter().enumerate() {
@@ -163,7 +163,7 @@
 fn anywhere_thousands_of_times() {
     const CALLS: u64 = 3_000;
     let turned = |a: &Attempt| Random::new(a.nth as u64 ^ 0xfa).below(10) == 0;
-    let stage = Stage::new(4, move |a| {
+    let stage = ServerGroup::new(4, move |a| {
         if turned(a) {
             return Fault::TurnAway;
         }
--- a/crates/millethook/tests/library/interleavings.rs
+++ b/crates/millethook/tests/library/interleavings.rs
@@ -43,7 +43,7 @@
 }
 
 fn play(seed: u64) {
-    let stage = Stage::new(SERVERS, move |a| fault(seed, a.nth));
+    let stage = ServerGroup::new(SERVERS, move |a| fault(seed, a.nth));
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     // Two zones of two: keyed repeats are dropped within one.
     let listed = |states: &[&str; SERVERS]| {
--- a/crates/millethook/tests/library/meta.rs
+++ b/crates/millethook/tests/library/meta.rs
@@ -24,7 +24,7 @@
     runtime().block_on(fleet.call(request)).map(drop)
 }
 
-fn open(stage: &Stage) -> Fleet {
+fn open(stage: &ServerGroup) -> Fleet {
     let config = builder(&name(), &stage.servers).tenant("acme").tenant("other").build();
     Fleet::open(config.expect("sound")).expect("open")
 }
@@ -32,7 +32,7 @@
 /// Otherwise what a type says and what a server reads in a header would be two requests.
 #[test]
 fn types_and_headers_have_to_agree() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let meta = || RequestMeta::new().timeout(Duration::from_millis(900)).tenant("acme");
     let disagree = |what: &str, meta: RequestMeta, path: &str, header: (&str, &str)| match call(
@@ -61,7 +61,7 @@
 /// Nothing is guessed: what is missing is named.
 #[test]
 fn what_is_missing_is_named() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let wrong = |meta: RequestMeta, path: &str| match call(&fleet, meta, path, &[]) {
         Err(Error::Invalid(invalid)) => invalid,
@@ -84,7 +84,7 @@
 /// Servers are told in headers what was said in types.
 #[test]
 fn servers_are_told_what_types_say() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let meta = RequestMeta::new()
         .timeout(Duration::from_millis(900))
--- a/crates/millethook/tests/library/middleware.rs
+++ b/crates/millethook/tests/library/middleware.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn calls_made_in_a_handler_inherit_and_never_exceed() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let config = builder(&name(), &stage.servers).tenant("acme").build().expect("sound");
     let fleet = Fleet::open(config).expect("open");
     let app =
@@ -56,7 +56,7 @@
 /// What has no time left calls nobody, whatever the handler asks for.
 #[test]
 fn a_handler_out_of_time_calls_nobody() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let app =
         Router::new().route("/work", get(two_calls)).with_state(fleet).layer(InheritLayer::new());
@@ -67,7 +67,7 @@
 
 #[test]
 fn without_the_layer_nothing_is_guessed() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let app = Router::new().route("/work", get(two_calls)).with_state(fleet(&stage.servers));
     let response = runtime().block_on(app.oneshot(incoming("/work", &[("x-time-left-ms", "700")])));
     // The first call says how long it waits, the second one does not.
@@ -110,7 +110,7 @@
 
 const HEAD: [(&str, &str); 2] = [("x-time-left-ms", "900"), ("x-correlation-id", "r1")];
 
-fn routed(stage: &Stage, classes: &[&str]) -> Router {
+fn routed(stage: &ServerGroup, classes: &[&str]) -> Router {
     let layer = RouteLayer::new(fleet(&stage.servers));
     let layer = if classes.is_empty() { layer } else { layer.classes(classes.iter().copied()) };
     Router::new().route("/home", get(|| async { "the app" })).layer(layer)
@@ -128,7 +128,7 @@
 
 #[test]
 fn routes_of_the_fleet_go_there_and_others_to_the_app() {
-    let stage = Stage::new(1, |_| Fault::Serve("the fleet".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("the fleet".into()));
     let ok = |body: &str| (StatusCode::OK, false, body.to_owned());
     assert_eq!(get_from(routed(&stage, &[]), "/look/1", &HEAD), ok("the fleet"));
     assert_eq!(get_from(routed(&stage, &[]), "/home", &[]), ok("the app"));
@@ -142,11 +142,11 @@
 
 #[test]
 fn refusals_and_failures_keep_their_meaning() {
-    let full = Stage::new(2, |_| Fault::TurnAway);
+    let full = ServerGroup::new(2, |_| Fault::TurnAway);
     let (status, told, _) = get_from(routed(&full, &[]), "/look/1", &HEAD);
     assert_eq!((status, told), (StatusCode::SERVICE_UNAVAILABLE, true));
     let unsafe_order = |fault: Fault, left: &str| {
-        let stage = Stage::new(1, move |_| fault.clone());
+        let stage = ServerGroup::new(1, move |_| fault.clone());
         let request = Request::post("/order/1")
             .header("x-time-left-ms", left)
             .header("x-correlation-id", "r2")
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_panic_in_a_handler_harms_no_other_request() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let handler = |State(fleet): State<Fleet>| async move {
         let request = timed("look", Duration::from_secs(5));
@@ -185,7 +185,7 @@
 /// Plain tower, without any framework.
 #[test]
 fn a_fleet_is_a_service() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let mut service = fleet(&stage.servers);
     let body = runtime().block_on(async {
         let ready: &mut Fleet = ServiceExt::<Request<Full<Bytes>>>::ready(&mut service).await?;
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -41,7 +41,7 @@
 /// An answer that came while the host stood still is there when it goes on.
 #[test]
 fn an_answer_waits_for_a_host_that_is_blocked() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
@@ -86,7 +86,7 @@
 #[test]
 fn a_panic_in_a_hosts_body_harms_nobody_else() {
     let stage =
-        Stage::new(2, |_| Fault::Late(Delay::Fixed(Duration::from_millis(5)), "fine".into()));
+        ServerGroup::new(2, |_| Fault::Late(Delay::Fixed(Duration::from_millis(5)), "fine".into()));
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         let mut tasks = tokio::task::JoinSet::new();
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_body_that_breaks_off_is_sent_nowhere() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let mut half = Some(Frame::data(Bytes::from_static(b"half")));
     let body =
@@ -136,7 +136,7 @@
 fn a_drain_waits_for_what_was_taken_and_ends_the_engine() {
     let (came, coming) = channel();
     let came = Mutex::new(came);
-    let stage = Stage::new(1, move |_| {
+    let stage = ServerGroup::new(1, move |_| {
         let (go, going) = channel::<()>();
         let _ = came.lock().expect("no panic").send(go);
         let _ = going.recv_timeout(WAIT_TIMEOUT);
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_drain_that_runs_out_of_time_says_what_is_left() {
-    let stage = Stage::new(1, |_| Fault::Stall);
+    let stage = ServerGroup::new(1, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     let runtime = runtime();
     let calling = fleet.clone();
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn two_openings_are_one_engine_whatever_the_order() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let name = name();
     let config = || builder(&name, &stage.servers).reuse(Reuse::Unlimited);
     let open = || Fleet::open(config().build().expect("sound"));
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_conflicting_opening_names_the_first_difference() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let name = name();
     let config = || builder(&name, &stage.servers);
     let fleet = Fleet::open(config().build().expect("sound")).expect("open");
@@ -80,8 +80,8 @@
 /// fleets, each with a budget of its own, send more.
 #[test]
 fn two_handles_have_one_retry_budget() {
-    let errors = || Stage::new(3, |_| Fault::Error);
-    let attempts = |stage: &Stage, handles: &[Fleet]| {
+    let errors = || ServerGroup::new(3, |_| Fault::Error);
+    let attempts = |stage: &ServerGroup, handles: &[Fleet]| {
         assert_eq!(ask_in_turn(handles, 48, "look"), 0);
         stage.count()
     };
@@ -233,7 +233,7 @@
 /// Two sockets and three servers: a call that needs a socket closes one connection at rest, not both.
 #[test]
 fn a_call_that_needs_a_socket_closes_one_connection() {
-    let stage = Stage::new(3, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(3, |_| Fault::Serve("fine".into()));
     let config = keeping(&stage.servers).sockets(2).build().expect("sound");
     let fleet = Fleet::open(config).expect("open");
     runtime().block_on(async {
@@ -253,7 +253,7 @@
 /// More open requests than the configuration allows are refused at once, having gone nowhere.
 #[test]
 fn too_many_open_requests_are_refused_at_once() {
-    let stage = Stage::new(1, |_| Fault::Stall);
+    let stage = ServerGroup::new(1, |_| Fault::Stall);
     let config = builder(&name(), &stage.servers).open(3).build().expect("sound");
     let fleet = Fleet::open(config).expect("open");
     let runtime = runtime();
--- a/crates/plankvale/tests/conformance/bodies.rs
+++ b/crates/plankvale/tests/conformance/bodies.rs
@@ -13,7 +13,7 @@
 );
 
 fn any_bytes_pass_both_ways<F: Form>() -> Record {
-    let stage = Stage::new(1, |a| {
+    let stage = ServerGroup::new(1, |a| {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", a.message.body.len());
         Fault::Raw([head.as_bytes(), &a.message.body].concat())
     });
@@ -25,7 +25,7 @@
 }
 
 fn what_belongs_to_one_hop_stays_there<F: Form>() -> Vec<Option<String>> {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let ask = Ask::safe()
         .with("x-kept", "yes")
         .with("connection", "x-dropped")
@@ -41,7 +41,7 @@
     got.into()
 }
 
-fn streaming<F: Form>(stage: &Stage) -> (F, Agent) {
+fn streaming<F: Form>(stage: &ServerGroup) -> (F, Agent) {
     start(stage, |c| {
         for class in c["settings"]["classes"].as_array_mut().unwrap() {
             class["streaming"] = true.into();
@@ -51,7 +51,7 @@
 
 fn a_long_answer_is_passed_on_whole<F: Form>() -> Record {
     let body = "y".repeat(300_000);
-    let stage = Stage::new(1, move |_| Fault::Serve(body.clone()));
+    let stage = ServerGroup::new(1, move |_| Fault::Serve(body.clone()));
     let (form, _agent) = streaming::<F>(&stage);
     let ends: Vec<End> = Ask::each().into_iter().map(|ask| form.ask(ask)).collect();
     assert_eq!(ends, vec![End::Served(vec![b'y'; 300_000]); 3]);
@@ -61,7 +61,7 @@
 /// Danger: an answer that breaks off after it was passed on must not look whole.
 fn a_long_answer_that_breaks_off_is_visibly_unwhole<F: Form>() -> Record {
     let part = "x".repeat(200_000);
-    let stage = Stage::new(1, move |a| match a.nth {
+    let stage = ServerGroup::new(1, move |a| match a.nth {
         1 => Fault::Cut(
             format!("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\nConnection: close\r\n\r\n{part}")
                 .into(),
@@ -75,7 +75,7 @@
 }
 
 fn an_answer_in_pieces_is_whole<F: Form>() -> Record {
-    let stage = Stage::new(1, |_| {
+    let stage = ServerGroup::new(1, |_| {
         Fault::Trickle("in pieces".into(), 7, std::time::Duration::from_millis(1))
     });
     let record = Record::of(asked::<F>(&stage, Ask::each()), &stage);
--- a/crates/plankvale/tests/conformance/ends.rs
+++ b/crates/plankvale/tests/conformance/ends.rs
@@ -25,7 +25,7 @@
 fn silence_ends_with_the_clients_time<F: Form>() -> Vec<Record> {
     let ends = [REFUSED, End::Failed, End::Failed];
     let played = Ask::each().into_iter().zip(ends).map(|(ask, end)| {
-        let stage = Stage::new(2, |_| Fault::Stall);
+        let stage = ServerGroup::new(2, |_| Fault::Stall);
         let (form, _agent) = start::<F>(&stage, |_| {});
         let before = Instant::now();
         let record = Record::anywhere(vec![form.ask(ask.left(400))], &stage);
@@ -38,14 +38,14 @@
 }
 
 fn no_time_is_no_attempt<F: Form>() -> Record {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let record = Record::of(asked::<F>(&stage, Ask::each().map(|ask| ask.left(0))), &stage);
     assert_eq!((record.ends.as_slice(), record.attempts()), (&vec![REFUSED; 3][..], 0));
     record
 }
 
 fn servers_are_told_what_time_is_left<F: Form>() -> Record {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let record = Record::of(asked::<F>(&stage, Ask::each().map(|ask| ask.left(700))), &stage);
     for attempt in stage.seen() {
         let left: u64 = attempt.message.header("x-time-left-ms").unwrap().parse().unwrap();
@@ -60,7 +60,7 @@
     const CLIENTS: u64 = 800;
     const HELD: u64 = 250;
     let played = Ask::each().map(|ask| {
-        let stage = Stage::new(2, |a| match a.nth {
+        let stage = ServerGroup::new(2, |a| match a.nth {
             1 => {
                 std::thread::sleep(Duration::from_millis(HELD));
                 Fault::TurnAway
@@ -88,7 +88,7 @@
 fn a_long_upload_is_told_of_less_time_once_a_server_was_silent<F: Form>() -> Record {
     const CLIENTS: u64 = 1_400;
     const AIM: u64 = 1_000;
-    let stage = Stage::new(1, |a| Fault::Serve(a.message.body.len().to_string()));
+    let stage = ServerGroup::new(1, |a| Fault::Serve(a.message.body.len().to_string()));
     let silent = Silent::start();
     let mut listed = vec![host("s-silent", silent.address)];
     let agent = Agent::start(listed.clone());
@@ -112,7 +112,7 @@
 
 /// Danger: a client's claim to wait for a minute keeps its request for as long.
 fn a_claim_beyond_the_deadline_is_cut<F: Form>() -> Record {
-    let stage = Stage::new(1, |_| Fault::Stall);
+    let stage = ServerGroup::new(1, |_| Fault::Stall);
     let before = Instant::now();
     let record = Record::of(asked::<F>(&stage, [Ask::safe().left(60_000)]), &stage);
     assert_eq!(record.ends, [REFUSED]);
@@ -122,7 +122,7 @@
 }
 
 fn no_server_at_all_is_a_refusal<F: Form>() -> Record {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let agent = Agent::start(stage.hosts());
     let form = F::start(&config(agent.address, |_| {}));
     assert_eq!(form.ask(Ask::safe()), served("fine"));
@@ -138,7 +138,7 @@
 fn what_was_taken_is_answered_at_the_end<F: Form>() -> Record {
     let (came, coming) = channel::<Sender<()>>();
     let came = Mutex::new(came);
-    let stage = Stage::new(1, move |_| {
+    let stage = ServerGroup::new(1, move |_| {
         let (go, going) = channel();
         let _ = came.lock().expect("no server panics").send(go);
         let _ = going.recv_timeout(WAIT_TIMEOUT);
--- a/crates/plankvale/tests/conformance/form.rs
+++ b/crates/plankvale/tests/conformance/form.rs
@@ -243,13 +243,13 @@
 }
 
 impl Record {
-    pub fn of(ends: Vec<End>, stage: &Stage) -> Record {
+    pub fn of(ends: Vec<End>, stage: &ServerGroup) -> Record {
         let line = |a: Attempt| (a.server, a.line, a.key, a.message.body);
         Record { ends, seen: stage.seen().into_iter().map(line).collect() }
     }
 
     /// The same without telling which server it was: where several may be chosen.
-    pub fn anywhere(ends: Vec<End>, stage: &Stage) -> Record {
+    pub fn anywhere(ends: Vec<End>, stage: &ServerGroup) -> Record {
         let mut record = Record::of(ends, stage);
         record.seen.iter_mut().for_each(|seen| seen.0 = 0);
         record
@@ -262,13 +262,13 @@
 }
 
 /// A form with a stage's servers, all of one zone.
-pub fn start<F: Form>(stage: &Stage, change: impl FnOnce(&mut Value)) -> (F, Agent) {
+pub fn start<F: Form>(stage: &ServerGroup, change: impl FnOnce(&mut Value)) -> (F, Agent) {
     let agent = Agent::start(stage.hosts());
     (F::start(&config(agent.address, change)), agent)
 }
 
 /// A form with a stage's servers and the usual settings; asks these one after another.
-pub fn asked<F: Form>(stage: &Stage, asks: impl IntoIterator<Item = Ask>) -> Vec<End> {
+pub fn asked<F: Form>(stage: &ServerGroup, asks: impl IntoIterator<Item = Ask>) -> Vec<End> {
     let (form, _agent) = start::<F>(stage, |_| {});
     asks.into_iter().map(|ask| form.ask(ask)).collect()
 }
--- a/crates/plankvale/tests/conformance/invalid.rs
+++ b/crates/plankvale/tests/conformance/invalid.rs
@@ -11,8 +11,8 @@
     the_id_of_an_open_request_is_taken,
 );
 
-fn fine() -> Stage {
-    Stage::new(1, |_| Fault::Serve("fine".into()))
+fn fine() -> ServerGroup {
+    ServerGroup::new(1, |_| Fault::Serve("fine".into()))
 }
 
 fn what_makes_no_sense_goes_nowhere<F: Form>() -> Record {
@@ -80,7 +80,10 @@
 
 fn the_id_of_an_open_request_is_taken<F: Form>() -> Record {
     let stage =
-        Stage::new(1, |a| if a.nth == 1 { Fault::Stall } else { Fault::Serve("fine".into()) });
+        ServerGroup::new(
+            1,
+            |a| if a.nth == 1 { Fault::Stall } else { Fault::Serve("fine".into()) },
+        );
     let (form, _agent) = start::<F>(&stage, |c| {
         for class in c["settings"]["classes"].as_array_mut().unwrap() {
             class["deadline"] = 3_000_000.into();
--- a/crates/plankvale/tests/conformance/lists.rs
+++ b/crates/plankvale/tests/conformance/lists.rs
@@ -15,8 +15,8 @@
     the_remembered_list_serves_while_discovery_is_down,
 );
 
-fn named() -> Stage {
-    Stage::new(2, |a| Fault::Serve(a.server.to_string()))
+fn named() -> ServerGroup {
+    ServerGroup::new(2, |a| Fault::Serve(a.server.to_string()))
 }
 
 /// Asks until `done` of the last answer, then a number of times more.
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -33,8 +33,11 @@
 );
 
 /// The first request that any server sees meets `first`, all others are served.
-fn first(fault: Fault) -> Stage {
-    Stage::new(3, move |a| if a.nth == 1 { fault.clone() } else { Fault::Serve("fine".into()) })
+fn first(fault: Fault) -> ServerGroup {
+    ServerGroup::new(
+        3,
+        move |a| if a.nth == 1 { fault.clone() } else { Fault::Serve("fine".into()) },
+    )
 }
 
 /// What may have run, for all that a client can tell.
@@ -43,7 +46,8 @@
 }
 
 fn every_class_is_served<F: Form>() -> Record {
-    let stage = Stage::new(1, |a| Fault::Serve(format!("{} {}", a.nth, a.message.body.len())));
+    let stage =
+        ServerGroup::new(1, |a| Fault::Serve(format!("{} {}", a.nth, a.message.body.len())));
     let record = Record::of(asked::<F>(&stage, Ask::each()), &stage);
     assert_eq!(record.ends, [served("1 0"), served("2 4"), served("3 1")]);
     assert_eq!(record.seen[0].1, "GET /look/1?q=2");
@@ -104,7 +108,7 @@
 }
 
 fn a_keyed_request_stays_in_its_zone<F: Form>() -> Record {
-    let stage = Stage::new(2, |_| Fault::Reset);
+    let stage = ServerGroup::new(2, |_| Fault::Reset);
     let mut hosts = stage.hosts();
     hosts[1]["site"] = "b".into();
     let agent = Agent::start(hosts);
@@ -130,7 +134,7 @@
 
 fn what_all_turn_away_is_refused<F: Form>() -> Vec<Record> {
     let played = Ask::each().map(|ask| {
-        let stage = Stage::new(3, |_| Fault::TurnAway);
+        let stage = ServerGroup::new(3, |_| Fault::TurnAway);
         let record = Record::anywhere(asked::<F>(&stage, [ask]), &stage);
         assert_eq!(record.ends, [REFUSED]);
         assert!((1..=3).contains(&record.attempts()), "{}", record.attempts());
@@ -140,7 +144,7 @@
 }
 
 fn a_refusal_tells_when_to_come_back<F: Form>() -> Record {
-    let stage = Stage::new(2, |_| Fault::TurnAway);
+    let stage = ServerGroup::new(2, |_| Fault::TurnAway);
     let (form, _agent) = start::<F>(&stage, |c| {
         c["settings"]["limits"]["retryAfter"] = true.into();
         c["settings"]["limits"]["maxRetryAfter"] = 400_000.into();
@@ -151,7 +155,7 @@
 }
 
 fn a_refused_connection_never_ran<F: Form>() -> Record {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let agent = Agent::start([stage.hosts(), vec![host("s-gone", refusing())]].concat());
     let form = F::start(&config(agent.address, |_| {}));
     let asks = (0..6).map(|_| Ask::at_most_once());
@@ -163,8 +167,9 @@
 /// Each connection to the first server is reset when a head has come and its body has not; what it
 /// saw never ran, so that unsafe work goes to the other one.
 fn a_reset_before_the_last_byte_never_ran<F: Form>() -> Record {
-    let door = |server, _| if server == 0 { Door::ResetAfterHead } else { Door::Open };
-    let stage = Stage::with_doors(2, door, |_| Fault::Serve("fine".into()));
+    let door =
+        |server, _| if server == 0 { AcceptFault::ResetAfterHead } else { AcceptFault::None };
+    let stage = ServerGroup::with_accept_faults(2, door, |_| Fault::Serve("fine".into()));
     // A body that does not fit into what the system takes in one go: the reset is surely seen.
     let ask = || Ask::at_most_once().body(vec![b'x'; 60 << 10]);
     let ends = asked::<F>(&stage, (0..8).map(|_| ask()));
@@ -180,7 +185,7 @@
     let ahead = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
     let behind = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfineand noise behind";
     let played = [ahead, behind].map(|bytes| {
-        let stage = Stage::new(1, move |_| Fault::Raw(bytes.into()));
+        let stage = ServerGroup::new(1, move |_| Fault::Raw(bytes.into()));
         let asks = (0..4).map(|_| Ask::at_most_once());
         let record = Record::of(asked::<F>(&stage, asks), &stage);
         assert_eq!(record.ends, vec![served("fine"); 4]);
@@ -276,7 +281,7 @@
 /// A connection falls silent though its server is well: once later requests have overtaken the one on
 /// it, a second copy goes elsewhere, and the request is served long before its time is up.
 fn a_silent_connection_is_overtaken_by_a_copy<F: Form>() -> Vec<End> {
-    let stage = Stage::new(2, |a| match a.id.as_str() {
+    let stage = ServerGroup::new(2, |a| match a.id.as_str() {
         "silent" if a.nth == 1 => Fault::Stall,
         _ => Fault::Serve("fine".into()),
     });
@@ -303,7 +308,7 @@
 }
 
 fn a_bad_server_among_good_ones<F: Form>() -> Record {
-    let stage = Stage::new(3, |a| match a.server {
+    let stage = ServerGroup::new(3, |a| match a.server {
         0 => Fault::Garble,
         _ => Fault::Serve("fine".into()),
     });
@@ -322,7 +327,7 @@
 fn a_storm_of_faults_repeats_nothing_unsafe<F: Form>() -> usize {
     let may_have_run = |n: u64| !matches!(n, 0..=3);
     let draw = |a: &Attempt| Random::new(a.nth as u64).below(12);
-    let stage = Stage::new(4, move |a| match draw(a) {
+    let stage = ServerGroup::new(4, move |a| match draw(a) {
         0..=3 => Fault::TurnAway,
         4 => Fault::Error,
         5 => Fault::Reset,
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -178,7 +178,7 @@
     let write = order("late", ASKS).replace("Left-Ms: 900", "Left-Ms: 200");
     assert_eq!(sidecar.ask(write).status(), 202);
     assert!(site.told(&["export"]).0.contains("x-time-left-ms"), "{:?}", site.told(&["export"]));
-    let stage = Stage::new(2, |a| match a.nth {
+    let stage = ServerGroup::new(2, |a| match a.nth {
         1 => {
             std::thread::sleep(Duration::from_millis(HELD));
             Fault::TurnAway
--- a/crates/plankvale/tests/sidecar/pauses.rs
+++ b/crates/plankvale/tests/sidecar/pauses.rs
@@ -89,7 +89,7 @@
 /// discovery yet when it woke up.
 #[test]
 fn what_came_in_a_standstill_goes_by_the_list_at_its_end() {
-    let stage = Stage::new(SERVERS, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(SERVERS, |_| Fault::Serve("fine".into()));
     let agent = Agent::start(stage.hosts());
     let sidecar = Sidecar::start(&config(agent.address, |_| {}));
     for _ in 0..AFTER {
@@ -146,7 +146,7 @@
 /// from before it was warm.
 #[test]
 fn what_came_in_a_standstill_spares_a_server_that_started_anew() {
-    let stage = Stage::new(SERVERS, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(SERVERS, |_| Fault::Serve("fine".into()));
     let agent = Agent::start(stage.hosts());
     let sidecar = Sidecar::start(&with_cold_servers(&agent));
     for _ in 0..AFTER {
@@ -180,7 +180,7 @@
 fn what_is_repeated_behind_a_standstill_spares_a_server_that_started_anew() {
     let gate = Gate::default();
     let held = gate.clone();
-    let stage = Stage::new(SERVERS, move |attempt| {
+    let stage = ServerGroup::new(SERVERS, move |attempt| {
         let decided = attempt.line.contains("/order") && !held.is_open();
         if decided {
             held.wait();
