--- a/crates/millethook-testkit/src/fault.rs
+++ b/crates/millethook-testkit/src/fault.rs
@@ -12,13 +12,13 @@
     /// None: it answers 200 with this body.
     Serve(String),
     /// It answers so after a while.
-    Late(Delay, String),
+    Delayed(Delay, String),
     /// 503 with `X-Unprocessed: 1`: turned away unseen.
-    TurnAway,
+    Reject,
     /// 500.
     Error,
     /// 503 that says nothing of whether it ran.
-    Unclear,
+    Unavailable,
     /// The connection is reset after the request's last byte.
     Reset,
     /// Nothing is ever answered, and the connection stays open until the other side ends it.
@@ -26,15 +26,15 @@
     /// The answer comes in pieces of so many bytes, with a pause after each.
     Trickle(String, usize, Duration),
     /// Noise in place of an answer, and the connection stays open.
-    Garble,
+    Garbage,
     /// An answer that announces more than it brings, and an end.
-    Short,
+    Truncated,
     /// An answer that announces more than it brings, and silence.
-    Stop,
+    StalledBody,
     /// These bytes as they are, and the connection goes on.
     Raw(Vec<u8>),
     /// These bytes as they are, and an end.
-    Cut(Vec<u8>),
+    RawThenClose(Vec<u8>),
 }
 
 /// What a server does with a connection before a request has come whole.
@@ -54,13 +54,13 @@
 pub(crate) fn act(mut conn: Conn, fault: Fault, random: &mut Random) -> Option<Conn> {
     match fault {
         Fault::Serve(body) => conn.send(ok(&body)),
-        Fault::Late(delay, body) => {
+        Fault::Delayed(delay, body) => {
             std::thread::sleep(delay.draw(random));
             conn.send(ok(&body));
         }
-        Fault::TurnAway => conn.send(answer("503 Full", "X-Unprocessed: 1\r\n", "")),
+        Fault::Reject => conn.send(answer("503 Full", "X-Unprocessed: 1\r\n", "")),
         Fault::Error => conn.send(answer("500 Oops", "", "bad")),
-        Fault::Unclear => conn.send(answer("503 Busy", "", "busy")),
+        Fault::Unavailable => conn.send(answer("503 Busy", "", "busy")),
         Fault::Reset => {
             conn.reset();
             return None;
@@ -75,22 +75,22 @@
                 std::thread::sleep(pause);
             }
         }
-        Fault::Garble => {
+        Fault::Garbage => {
             conn.send("\x16\x03\x01 no such protocol\r\n\r\n");
             conn.ended();
             return None;
         }
-        Fault::Short => {
+        Fault::Truncated => {
             conn.send("HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nshort");
             return None;
         }
-        Fault::Stop => {
+        Fault::StalledBody => {
             conn.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nsome");
             conn.ended();
             return None;
         }
         Fault::Raw(bytes) => conn.send(bytes),
-        Fault::Cut(bytes) => {
+        Fault::RawThenClose(bytes) => {
             conn.send(bytes);
             return None;
         }
--- a/crates/millethook/examples/plain_tower.rs
+++ b/crates/millethook/examples/plain_tower.rs
@@ -21,7 +21,7 @@
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     // Three servers: the first turns every third request away, the second resets some.
     let stage = ServerGroup::new(3, |a| match (a.server, a.nth % 3) {
-        (0, 0) => Fault::TurnAway,
+        (0, 0) => Fault::Reject,
         (1, 0) => Fault::Reset,
         (server, _) => Fault::Serve(format!("from server {server}")),
     });
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -165,7 +165,7 @@
     let turned = |a: &Attempt| Random::new(a.nth as u64 ^ 0xfa).below(10) == 0;
     let stage = ServerGroup::new(4, move |a| {
         if turned(a) {
-            return Fault::TurnAway;
+            return Fault::Reject;
         }
         match Random::new(a.nth as u64).below(10) {
             0 => Fault::Error,
@@ -173,9 +173,10 @@
             2 => Fault::Stall,
             3 => Fault::Trickle("y".repeat(100), 30, Duration::from_millis(1)),
             4 if a.line.starts_with("GET") => Fault::Serve("z".repeat(200_000)),
-            5..=7 => {
-                Fault::Late(Delay::Uniform(Duration::ZERO, Duration::from_millis(8)), "late".into())
-            }
+            5..=7 => Fault::Delayed(
+                Delay::Uniform(Duration::ZERO, Duration::from_millis(8)),
+                "late".into(),
+            ),
             _ => Fault::Serve("fine".into()),
         }
     });
--- a/crates/millethook/tests/library/interleavings.rs
+++ b/crates/millethook/tests/library/interleavings.rs
@@ -20,14 +20,14 @@
 fn fault(seed: u64, nth: usize) -> Fault {
     let mut random = Random::new(seed ^ (nth as u64) << 8);
     match random.below(12) {
-        0 | 1 => Fault::TurnAway,
+        0 | 1 => Fault::Reject,
         2 => Fault::Error,
         3 => Fault::Reset,
-        4 => Fault::Garble,
+        4 => Fault::Garbage,
         5 => Fault::Stall,
-        6 => Fault::Short,
+        6 => Fault::Truncated,
         7 | 8 => {
-            Fault::Late(Delay::Uniform(Duration::ZERO, Duration::from_millis(20)), "late".into())
+            Fault::Delayed(Delay::Uniform(Duration::ZERO, Duration::from_millis(20)), "late".into())
         }
         _ => Fault::Serve("fine".into()),
     }
@@ -142,7 +142,7 @@
 
 fn check(seed: u64, seen: &[Attempt], endings: &HashMap<String, (&'static str, Ending)>) {
     assert_eq!(endings.len(), STEPS, "seed {seed}: each request has one end");
-    let turned_away = |a: &Attempt| matches!(fault(seed, a.nth), Fault::TurnAway);
+    let turned_away = |a: &Attempt| matches!(fault(seed, a.nth), Fault::Reject);
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     seen.iter().for_each(|a| by_id.entry(&a.id).or_default().push(a));
     // Rule 4: whatever becomes of the others, a cold server gets about its share, a twentieth.
@@ -170,7 +170,7 @@
         // Rule 1: nobody is served what no server made for it.
         if matches!(ending, Ending::Served) {
             let well =
-                |a: &&&Attempt| matches!(fault(seed, a.nth), Fault::Serve(_) | Fault::Late(..));
+                |a: &&&Attempt| matches!(fault(seed, a.nth), Fault::Serve(_) | Fault::Delayed(..));
             assert!(ran.iter().any(well), "seed {seed}: served by nobody: {ran:?}");
         }
     }
--- a/crates/millethook/tests/library/middleware.rs
+++ b/crates/millethook/tests/library/middleware.rs
@@ -142,7 +142,7 @@
 
 #[test]
 fn refusals_and_failures_keep_their_meaning() {
-    let full = ServerGroup::new(2, |_| Fault::TurnAway);
+    let full = ServerGroup::new(2, |_| Fault::Reject);
     let (status, told, _) = get_from(routed(&full, &[]), "/look/1", &HEAD);
     assert_eq!((status, told), (StatusCode::SERVICE_UNAVAILABLE, true));
     let unsafe_order = |fault: Fault, left: &str| {
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -85,8 +85,9 @@
 
 #[test]
 fn a_panic_in_a_hosts_body_harms_nobody_else() {
-    let stage =
-        ServerGroup::new(2, |_| Fault::Late(Delay::Fixed(Duration::from_millis(5)), "fine".into()));
+    let stage = ServerGroup::new(2, |_| {
+        Fault::Delayed(Delay::Fixed(Duration::from_millis(5)), "fine".into())
+    });
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         let mut tasks = tokio::task::JoinSet::new();
--- a/crates/plankvale/tests/conformance/bodies.rs
+++ b/crates/plankvale/tests/conformance/bodies.rs
@@ -62,7 +62,7 @@
 fn a_long_answer_that_breaks_off_is_visibly_unwhole<F: Form>() -> Record {
     let part = "x".repeat(200_000);
     let stage = ServerGroup::new(1, move |a| match a.nth {
-        1 => Fault::Cut(
+        1 => Fault::RawThenClose(
             format!("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\nConnection: close\r\n\r\n{part}")
                 .into(),
         ),
--- a/crates/plankvale/tests/conformance/ends.rs
+++ b/crates/plankvale/tests/conformance/ends.rs
@@ -63,7 +63,7 @@
         let stage = ServerGroup::new(2, |a| match a.nth {
             1 => {
                 std::thread::sleep(Duration::from_millis(HELD));
-                Fault::TurnAway
+                Fault::Reject
             }
             _ => Fault::Serve("fine".into()),
         });
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -42,7 +42,14 @@
 
 /// What may have run, for all that a client can tell.
 fn unclear() -> [Fault; 6] {
-    [Fault::Error, Fault::Unclear, Fault::Reset, Fault::Garble, Fault::Short, Fault::Stop]
+    [
+        Fault::Error,
+        Fault::Unavailable,
+        Fault::Reset,
+        Fault::Garbage,
+        Fault::Truncated,
+        Fault::StalledBody,
+    ]
 }
 
 fn every_class_is_served<F: Form>() -> Record {
@@ -121,7 +128,7 @@
 fn what_was_turned_away_goes_elsewhere<F: Form>() -> Vec<Record> {
     let over = b"HTTP/1.1 504 Over\r\nx-unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
     let mut records = Vec::new();
-    for fault in [Fault::TurnAway, Fault::Raw(over)] {
+    for fault in [Fault::Reject, Fault::Raw(over)] {
         for ask in Ask::each() {
             let stage = first(fault.clone());
             let record = Record::anywhere(asked::<F>(&stage, [ask]), &stage);
@@ -134,7 +141,7 @@
 
 fn what_all_turn_away_is_refused<F: Form>() -> Vec<Record> {
     let played = Ask::each().map(|ask| {
-        let stage = ServerGroup::new(3, |_| Fault::TurnAway);
+        let stage = ServerGroup::new(3, |_| Fault::Reject);
         let record = Record::anywhere(asked::<F>(&stage, [ask]), &stage);
         assert_eq!(record.ends, [REFUSED]);
         assert!((1..=3).contains(&record.attempts()), "{}", record.attempts());
@@ -144,7 +151,7 @@
 }
 
 fn a_refusal_tells_when_to_come_back<F: Form>() -> Record {
-    let stage = ServerGroup::new(2, |_| Fault::TurnAway);
+    let stage = ServerGroup::new(2, |_| Fault::Reject);
     let (form, _agent) = start::<F>(&stage, |c| {
         c["settings"]["limits"]["retryAfter"] = true.into();
         c["settings"]["limits"]["maxRetryAfter"] = 400_000.into();
@@ -309,7 +316,7 @@
 
 fn a_bad_server_among_good_ones<F: Form>() -> Record {
     let stage = ServerGroup::new(3, |a| match a.server {
-        0 => Fault::Garble,
+        0 => Fault::Garbage,
         _ => Fault::Serve("fine".into()),
     });
     let asks = (0..40).map(|_| Ask::safe());
@@ -328,12 +335,12 @@
     let may_have_run = |n: u64| !matches!(n, 0..=3);
     let draw = |a: &Attempt| Random::new(a.nth as u64).below(12);
     let stage = ServerGroup::new(4, move |a| match draw(a) {
-        0..=3 => Fault::TurnAway,
+        0..=3 => Fault::Reject,
         4 => Fault::Error,
         5 => Fault::Reset,
-        6 => Fault::Unclear,
-        7 => Fault::Garble,
-        8 => Fault::Late(Delay::Fixed(std::time::Duration::from_millis(30)), "late".into()),
+        6 => Fault::Unavailable,
+        7 => Fault::Garbage,
+        8 => Fault::Delayed(Delay::Fixed(std::time::Duration::from_millis(30)), "late".into()),
         _ => Fault::Serve("fine".into()),
     });
     let mut hosts = stage.hosts();
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -181,7 +181,7 @@
     let stage = ServerGroup::new(2, |a| match a.nth {
         1 => {
             std::thread::sleep(Duration::from_millis(HELD));
-            Fault::TurnAway
+            Fault::Reject
         }
         _ => Fault::Serve("done".into()),
     });
--- a/crates/plankvale/tests/sidecar/pauses.rs
+++ b/crates/plankvale/tests/sidecar/pauses.rs
@@ -185,7 +185,7 @@
         if decided {
             held.wait();
         }
-        if decided && attempt.server != 0 { Fault::TurnAway } else { Fault::Serve("fine".into()) }
+        if decided && attempt.server != 0 { Fault::Reject } else { Fault::Serve("fine".into()) }
     });
     let agent = Agent::start(stage.hosts());
     let sidecar = Sidecar::start(&with_cold_servers(&agent));
