--- a/crates/millethook-bench/src/scenario.rs
+++ b/crates/millethook-bench/src/scenario.rs
@@ -30,7 +30,7 @@
     /// One server of eight answers 500 at once, and so looks the quickest and emptiest.
     Errs,
     /// One server of eight accepts, reads and never answers.
-    Silent,
+    BlackHole,
     /// Three servers of ten are replaced by new ones, one after the other.
     Replaced,
 }
@@ -50,7 +50,7 @@
         match self {
             Scenario::Slow => works[0].mean = Some(Duration::from_millis(40)),
             Scenario::Errs => works[0].errs = true,
-            Scenario::Silent => works[0].silent = true,
+            Scenario::BlackHole => works[0].silent = true,
             _ => {}
         }
         works
--- a/crates/millethook-bench/src/starts.rs
+++ b/crates/millethook-bench/src/starts.rs
@@ -13,7 +13,7 @@
 use millethook_membership::snapshot::{Remembered, Snapshot};
 use millethook_membership::store::Store;
 use millethook_testkit::{
-    Agent, Server, Sidecar, answer, config, host, ok, refusing, safe, unsafe_with,
+    Agent, Server, Sidecar, answer, config, host, ok, refusing_address, safe, unsafe_with,
 };
 use serde_json::{Value, json};
 
@@ -96,7 +96,7 @@
     let others = [program("a"), program("b")];
     let mut listed: Vec<Value> = (0..4).map(entry).collect();
     for n in 4..8 {
-        listed.push(host(&format!("s-{n}"), refusing()));
+        listed.push(host(&format!("s-{n}"), refusing_address()));
     }
     for (n, (other, _)) in others.iter().enumerate() {
         listed.push(host(&format!("s-{}", 8 + n), other.address));
@@ -107,7 +107,7 @@
         None => Vec::new(),
     };
     let env: Vec<(&str, &str)> = env.iter().map(|(k, v)| (*k, v.as_str())).collect();
-    let broken = config(refusing(), |c| {
+    let broken = config(refusing_address(), |c| {
         c["settings"]["limits"]["connectTimeout"] = json!(250_000);
         c["begins"] = json!("head");
     });
--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -30,7 +30,7 @@
 pub use server::{Log, Seen, Server, host, hosts, servers};
 pub use server_group::{Attempt, ServerGroup};
 pub use settings::settings_json;
-pub use unreachable::{FullQueue, Silent, refusing, short_queue};
+pub use unreachable::{BlackHole, FullBacklog, refusing_address, short_backlog};
 pub use violations::{doubled, doubled_in_answer, violation, violations};
 pub use wait::{WAIT_TIMEOUT, receive, wait_until};
 pub use worker::{Cold, Worker};
--- a/crates/millethook-testkit/src/unreachable.rs
+++ b/crates/millethook-testkit/src/unreachable.rs
@@ -7,7 +7,7 @@
 
 /// An address at which connections are refused, for as long as the process lives. A port that is free
 /// again is soon another test's, whose server would then see what was sent here.
-pub fn refusing() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     static WAIT_TIMEOUT: Mutex<Vec<socket2::Socket>> = Mutex::new(Vec::new());
     let socket = tcp_socket();
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -18,7 +18,7 @@
 }
 
 /// A listener whose queue has room for one connection.
-pub fn short_queue() -> TcpListener {
+pub fn short_backlog() -> TcpListener {
     let socket = tcp_socket();
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).expect("a free port");
@@ -26,12 +26,12 @@
     socket.into()
 }
 
-/// Clients that fill the queue of a [`short_queue`], whose owner has stopped accepting: no other connection comes up.
-pub struct FullQueue(Vec<socket2::Socket>);
+/// Clients that fill the queue of a [`short_backlog`], whose owner has stopped accepting: no other connection comes up.
+pub struct FullBacklog(Vec<socket2::Socket>);
 
-impl FullQueue {
+impl FullBacklog {
     /// Fills the queue of the listener at this address.
-    pub fn of(address: SocketAddr) -> FullQueue {
+    pub fn of(address: SocketAddr) -> FullBacklog {
         let queued = (0..4).map(|_| {
             let client = tcp_socket();
             client.set_nonblocking(true).expect("a socket's flag");
@@ -39,7 +39,7 @@
             let _ = client.connect(&address.into());
             client
         });
-        FullQueue(queued.collect())
+        FullBacklog(queued.collect())
     }
 }
 
@@ -49,24 +49,24 @@
 }
 
 /// An address at which connections never come up: its queue is full, and nobody accepts.
-pub struct Silent {
+pub struct BlackHole {
     /// The address.
     pub address: SocketAddr,
     listener: TcpListener,
-    queued: FullQueue,
+    queued: FullBacklog,
 }
 
-impl Silent {
+impl BlackHole {
     /// Fills the queue of a new listener.
-    pub fn start() -> Silent {
-        let listener = short_queue();
+    pub fn start() -> BlackHole {
+        let listener = short_backlog();
         let address = listener.local_addr().expect("a bound address");
-        Silent { address, queued: FullQueue::of(address), listener }
+        BlackHole { address, queued: FullBacklog::of(address), listener }
     }
 
     /// Accepts from now on: each connection that is not of the queue here gets `script`. One that was refused room
     /// comes up once its system tries again, a second or three after its first try.
-    pub fn open(self, script: impl Fn(Conn) + Send + Sync + 'static) {
+    pub fn start_accepting(self, script: impl Fn(Conn) + Send + Sync + 'static) {
         let script = Arc::new(script);
         let own: Vec<Option<SocketAddr>> = self.queued.0.iter().map(own_address).collect();
         std::thread::spawn(move || {
--- a/crates/millethook/tests/library/any_server/closing.rs
+++ b/crates/millethook/tests/library/any_server/closing.rs
@@ -88,7 +88,7 @@
 /// order after half of its aim, long before the connect timeout.
 #[test]
 fn a_handshake_that_never_comes_up_costs_a_share_of_the_aim() {
-    let silent = Silent::start();
+    let silent = BlackHole::start();
     let begun = Begun::default();
     let good = early(&begun, Early::First(""));
     let config = builder(&name(), &[good])
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn while_connecting() {
-    let silent = Silent::start();
+    let silent = BlackHole::start();
     let name = name();
     let config = builder(&name, &[])
         .server("s-0", silent.address)
--- a/crates/millethook/tests/library/members.rs
+++ b/crates/millethook/tests/library/members.rs
@@ -64,7 +64,7 @@
         first.ready().await;
         assert_eq!(served_by(&first).await.as_deref(), Some("a"));
         first.drain(Duration::from_secs(5)).await;
-        let second = open(&name, refusing());
+        let second = open(&name, refusing_address());
         assert_eq!(served_by(&second).await.as_deref(), Some("a"), "discovery is down");
         second.drain(Duration::from_secs(5)).await;
     });
--- a/crates/millethook/tests/library/new_connections.rs
+++ b/crates/millethook/tests/library/new_connections.rs
@@ -33,7 +33,7 @@
 
 impl TwoKinds {
     fn start() -> TwoKinds {
-        let listener = short_queue();
+        let listener = short_backlog();
         let address = listener.local_addr().expect("a bound address");
         let (is_over, held) = (Arc::new(AtomicBool::new(false)), Arc::default());
         let (taking, over) = (listener.try_clone().expect("a descriptor"), is_over.clone());
@@ -59,12 +59,12 @@
     }
 
     /// From now on no connection comes up, as long as what is returned lives.
-    fn accept_no_more(self) -> (TcpListener, FullQueue) {
+    fn accept_no_more(self) -> (TcpListener, FullBacklog) {
         self.is_over.store(true, Ordering::SeqCst);
         let last = TcpStream::connect(self.address).expect("the last one that is taken");
         self.accepting.join().expect("no panic");
         drop(last);
-        (self.listener, FullQueue::of(self.address))
+        (self.listener, FullBacklog::of(self.address))
     }
 }
 
--- a/crates/plankvale/tests/conformance/ends.rs
+++ b/crates/plankvale/tests/conformance/ends.rs
@@ -89,7 +89,7 @@
     const CLIENTS: u64 = 1_400;
     const AIM: u64 = 1_000;
     let stage = ServerGroup::new(1, |a| Fault::Serve(a.message.body.len().to_string()));
-    let silent = Silent::start();
+    let silent = BlackHole::start();
     let mut listed = vec![host("s-silent", silent.address)];
     let agent = Agent::start(listed.clone());
     let form = F::start(&config(agent.address, |c| {
--- a/crates/plankvale/tests/conformance/lists.rs
+++ b/crates/plankvale/tests/conformance/lists.rs
@@ -88,7 +88,7 @@
 fn the_remembered_list_serves_while_discovery_is_down<F: Form>() -> Record {
     let stage = named();
     let known = json!({"seq": 4, "whole": true, "hosts": [stage.hosts()[1]]});
-    let form = F::start(&config(refusing(), |c| c["known"] = known));
+    let form = F::start(&config(refusing_address(), |c| c["known"] = known));
     let record = Record::of(vec![form.ask(Ask::safe())], &stage);
     assert_eq!(record.ends, [served("1")]);
     record
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -163,7 +163,7 @@
 
 fn a_refused_connection_never_ran<F: Form>() -> Record {
     let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
-    let agent = Agent::start([stage.hosts(), vec![host("s-gone", refusing())]].concat());
+    let agent = Agent::start([stage.hosts(), vec![host("s-gone", refusing_address())]].concat());
     let form = F::start(&config(agent.address, |_| {}));
     let asks = (0..6).map(|_| Ask::at_most_once());
     let record = Record::of(asks.map(|ask| form.ask(ask)).collect(), &stage);
--- a/crates/plankvale/tests/distribution/server_lists.rs
+++ b/crates/plankvale/tests/distribution/server_lists.rs
@@ -153,7 +153,7 @@
     let pair = Pair::start();
     let agents: Vec<Agent> =
         (0..CONTROL_NODES).map(|_| Agent::start(vec![pair.old_entry()])).collect();
-    let down = refusing();
+    let down = refusing_address();
     let mut tier = tier(&|member| agents.get(member).map_or(down, |agent| agent.address));
     until_all_served_by(&tier, "old");
     let writer = tier.writer();
@@ -175,7 +175,7 @@
 fn versions_that_begin_anew_are_followed() {
     let pair = Pair::start();
     let discovery = Agent::start(vec![pair.old_entry()]);
-    let down = refusing();
+    let down = refusing_address();
     let mut tier = tier(&|member| if member < CONTROL_NODES { discovery.address } else { down });
     until_all_served_by(&tier, "old");
     discovery.change(vec![pair.old_entry(), pair.new_entry()]);
@@ -207,7 +207,7 @@
     assert_eq!(of_sidecars.calls(), 0);
     for member in 0..CONTROL_NODES {
         let mut config = tier.config(member);
-        config["discovery"] = json!(refusing().to_string());
+        config["discovery"] = json!(refusing_address().to_string());
         tier.member(member).reload(&config.to_string());
     }
     of_sidecars.change(pair.replaced());
@@ -220,7 +220,7 @@
 fn a_start_without_any_source_uses_the_kept_list_alone() {
     let pair = Pair::start();
     let discovery = Agent::start(vec![pair.old_entry()]);
-    let down = refusing();
+    let down = refusing_address();
     let mut tier = tier(&|member| if member < CONTROL_NODES { discovery.address } else { down });
     until_all_served_by(&tier, "old");
     discovery.change(pair.replaced());
@@ -249,7 +249,7 @@
     let pair = Pair::start();
     let (of_control_nodes, moved) =
         (Agent::start(vec![pair.old_entry()]), Agent::start(pair.replaced()));
-    let down = refusing();
+    let down = refusing_address();
     let mut tier =
         tier(&|member| if member < CONTROL_NODES { of_control_nodes.address } else { down });
     until_all_served_by(&tier, "old");
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -71,7 +71,7 @@
 }
 
 fn down() -> Value {
-    config(refusing(), |c| {
+    config(refusing_address(), |c| {
         c["admin"] = json!("127.0.0.1:0");
         c["settings"]["limits"]["connectTimeout"] = json!(250_000);
     })
@@ -144,7 +144,7 @@
         sidecar.reload(&config.to_string());
         wait_until("asked", || agent.calls() > 0);
         assert_eq!(sidecar.ask(safe()).status(), 200);
-        config["discovery"] = json!(refusing().to_string());
+        config["discovery"] = json!(refusing_address().to_string());
         sidecar.reload(&config.to_string());
         assert_eq!(sidecar.ask(safe()).status(), 200);
     }
@@ -176,7 +176,7 @@
     let (stranger, stranger_seen) = member("somebody-else");
     let (mute, mute_seen, _) = servers(1, |_, _| None);
     let kept = Kept::new("identity_header = \"X-Server-Name\"");
-    let gone = refusing();
+    let gone = refusing_address();
     let list = [
         host("s-a", good.address),
         host("s-b", stranger.address),
@@ -331,7 +331,7 @@
     let good = Kept::new("");
     assert_eq!(cli(&["check", &good.file()]).status.code(), Some(0));
 
-    good.remember(&[host("s-a", refusing())], 3 * DAY);
+    good.remember(&[host("s-a", refusing_address())], 3 * DAY);
     let shown = cli(&["membership", "show", &good.snapshot().to_string_lossy()]);
     let shown = text(&shown.stdout);
     assert!(
--- a/crates/plankvale/tests/sidecar/narrow/commit.rs
+++ b/crates/plankvale/tests/sidecar/narrow/commit.rs
@@ -29,9 +29,9 @@
 }
 
 /// Lets connections to a silent server come up; tells of each whether a request came on it.
-fn opened(silent: Silent) -> Receiver<bool> {
+fn opened(silent: BlackHole) -> Receiver<bool> {
     let (tell, told) = channel();
-    silent.open(move |mut conn| {
+    silent.start_accepting(move |mut conn| {
         let got = conn.message().is_some();
         let _ = tell.send(got);
         conn.send(ok("a"));
@@ -44,7 +44,7 @@
 #[test]
 fn a_server_that_drains_while_its_connection_comes_up_gets_no_request() {
     for unlisted in [false, true] {
-        let (silent, b) = (Silent::start(), Server::named("b"));
+        let (silent, b) = (BlackHole::start(), Server::named("b"));
         let mut a = host("s-a", silent.address);
         let agent = Agent::start(vec![a.clone()]);
         let sidecar = Sidecar::start(&config(agent.address, patient));
@@ -71,7 +71,7 @@
 #[test]
 fn a_request_whose_client_left_while_its_connection_came_up_is_not_sent() {
     for cancel in [false, true] {
-        let silent = Silent::start();
+        let silent = BlackHole::start();
         let agent = Agent::start(vec![host("s-a", silent.address)]);
         let sidecar = Sidecar::start(&config(agent.address, |c| {
             patient(c);
@@ -99,7 +99,7 @@
 /// first, or one could land when the servers have forgotten the other.
 #[test]
 fn a_keyed_request_is_not_sent_after_its_window() {
-    let silent = Silent::start();
+    let silent = BlackHole::start();
     let agent = Agent::start(vec![host("s-a", silent.address)]);
     let sidecar = Sidecar::start(&config(agent.address, |c| {
         patient(c);
@@ -119,7 +119,7 @@
 /// A burst of clients that leave together while their requests wait: none of them is sent on.
 #[test]
 fn a_burst_of_clients_that_leave_together_sends_nothing() {
-    let silent = Silent::start();
+    let silent = BlackHole::start();
     let agent = Agent::start(vec![host("s-a", silent.address)]);
     let sidecar = Sidecar::start(&config(agent.address, |c| {
         patient(c);
@@ -139,7 +139,7 @@
     }
     wait_until("none under way", || sidecar.figure("sidecar.outstanding") == 0);
     let (tell, told) = channel();
-    silent.open(move |mut conn| {
+    silent.start_accepting(move |mut conn| {
         while let Some(message) = conn.message() {
             let _ = tell.send(message.first);
             conn.send(ok("a"));
--- a/crates/plankvale/tests/sidecar/narrow/lists.rs
+++ b/crates/plankvale/tests/sidecar/narrow/lists.rs
@@ -89,9 +89,9 @@
     let mute = Server::start(|mut conn| {
         conn.ended();
     });
-    let hanging = Silent::start();
+    let hanging = BlackHole::start();
     for how in ["pushed", "on_request"] {
-        for discovery in [refusing(), mute.address, hanging.address] {
+        for discovery in [refusing_address(), mute.address, hanging.address] {
             let began = Instant::now();
             let sidecar = Sidecar::start(&config(discovery, asked(how, &known)));
             assert!(began.elapsed() < READY_AFTER, "{how}: {:?}", began.elapsed());
@@ -123,7 +123,7 @@
 #[test]
 fn a_crowd_of_idle_clients_keeps_nobody_from_discovery() {
     let (a, b) = (Server::named("a"), Server::named("b"));
-    let gone = refusing();
+    let gone = refusing_address();
     let known = [host("s-a", a.address)];
     let crowded = |discovery| {
         config(discovery, |c| {
