--- a/crates/millethook-bench/src/failures.rs
+++ b/crates/millethook-bench/src/failures.rs
@@ -11,9 +11,10 @@
 use std::time::{Duration, Instant};
 
 use millethook_testkit::{
-    Agent, Begun, Conn, Early, Random, Server, Sidecar, Twice, closing, config,
+    Agent, Conn, DoubleAnswer, EarlyAnswer, Random, RequestCounts, Server, Sidecar, closing_server,
+    config,
 };
-use millethook_testkit::{early, hosts, ok, path, twice};
+use millethook_testkit::{double_answering_server, early_answering_server, hosts, ok, path};
 
 use crate::Fault;
 
@@ -22,18 +23,18 @@
 const CLIENTS: usize = 4;
 const SERVERS: usize = 3;
 
-type Start = fn(&Begun, u64) -> Server;
+type Start = fn(&RequestCounts, u64) -> Server;
 
 /// Resets a connection at the first byte of its nth request (0: as it is accepted).
-fn resets(begun: &Begun, nth: usize) -> Server {
+fn resets(begun: &RequestCounts, nth: usize) -> Server {
     let begun = begun.clone();
     Server::start(move |mut conn| {
         for _ in 1..nth.max(1) {
             let Some(message) = conn.message().filter(|m| m.whole) else { return };
             let path = path(&message.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
         }
         if nth == 0 || conn.socket.peek(&mut [0]).is_ok_and(|n| n == 1) {
             conn.reset();
@@ -42,7 +43,7 @@
 }
 
 /// Resets each fourth connection when a whole request has come, before it begins with it.
-fn resets_on_last_byte(begun: &Begun, seed: u64) -> Server {
+fn resets_on_last_byte(begun: &RequestCounts, seed: u64) -> Server {
     let begun = begun.clone();
     let random = Arc::new(Mutex::new(Random::new(seed)));
     Server::start(move |mut conn| {
@@ -52,30 +53,30 @@
                 return conn.reset();
             }
             let path = path(&message.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
         }
     })
 }
 
 /// Falls silent on a connection after its third answer.
-fn vanishes(begun: &Begun, _: u64) -> Server {
+fn vanishes(begun: &RequestCounts, _: u64) -> Server {
     let begun = begun.clone();
     Server::start(move |mut conn| {
         for _ in 0..3 {
             let Some(message) = conn.message().filter(|m| m.whole) else { return };
             let path = path(&message.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
         }
         conn.ended();
     })
 }
 
 /// Sends the last answer once more when the next request's first byte has come.
-fn late_copy(begun: &Begun, _: u64) -> Server {
+fn late_copy(begun: &RequestCounts, _: u64) -> Server {
     let begun = begun.clone();
     Server::start(move |mut conn| {
         let mut last = None;
@@ -85,25 +86,25 @@
             }
             let Some(message) = conn.message().filter(|m| m.whole) else { return };
             let path = path(&message.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
             last = Some(&*path.leak());
         }
     })
 }
 
 const KINDS: [(&str, Start); 11] = [
-    ("well", |b, _| early(b, Early::First(""))),
-    ("answers before the body", |b, _| early(b, Early::ThenRead)),
-    ("answers, closes, body unread", |b, _| early(b, Early::ThenClose)),
-    ("closes idle, at any moment", |b, n| closing(b, false, PAUSE, n)),
+    ("well", |b, _| early_answering_server(b, EarlyAnswer::BytesFirst(""))),
+    ("answers before the body", |b, _| early_answering_server(b, EarlyAnswer::ThenRead)),
+    ("answers, closes, body unread", |b, _| early_answering_server(b, EarlyAnswer::ThenClose)),
+    ("closes idle, at any moment", |b, n| closing_server(b, false, PAUSE, n)),
     ("resets new connections", |b, n| resets(b, if n == 0 { 0 } else { 1 << 30 })),
     ("resets at the first byte, new", |b, n| resets(b, if n == 0 { 1 } else { 1 << 30 })),
     ("resets at the first byte, used", |b, _| resets(b, 2)),
     ("resets at the last byte, 1 in 4", resets_on_last_byte),
     ("falls silent after 3 answers", vanishes),
-    ("answers twice at once", |b, _| twice(b, Twice::AtOnce)),
+    ("answers twice at once", |b, _| double_answering_server(b, DoubleAnswer::AtOnce)),
     ("copy at the next first byte", late_copy),
 ];
 
@@ -137,7 +138,7 @@
 }
 
 fn line(name: &str, start: Start, contract: &str, orders: usize) -> Result<(), Fault> {
-    let begun = Begun::default();
+    let begun = RequestCounts::default();
     let servers: Vec<Server> = (0..SERVERS as u64).map(|n| start(&begun, n)).collect();
     let agent = Agent::start(hosts(&servers));
     let config = config(agent.address, |c| c["begins"] = contract.into());
@@ -172,7 +173,7 @@
         all.served,
         all.refused,
         all.failed,
-        begun.twice().len(),
+        begun.started_twice().len(),
         all.refused_ran,
         all.wrong,
         at(0.5),
@@ -186,7 +187,7 @@
     seed: u64,
     orders: usize,
     next: &AtomicUsize,
-    begun: &Begun,
+    begun: &RequestCounts,
 ) -> Ends {
     let mut random = Random::new(seed);
     let mut ends = Ends::default();
@@ -217,6 +218,6 @@
             _ => ends.failed += 1,
         }
     }
-    ends.refused_ran = refused.keys().filter(|path| begun.times(path) > 0).count();
+    ends.refused_ran = refused.keys().filter(|path| begun.starts_of(path) > 0).count();
     ends
 }
--- a/crates/millethook-testkit/src/begun.rs
+++ b/crates/millethook-testkit/src/early_servers.rs
@@ -9,7 +9,7 @@
 
 /// What servers have begun with, by path.
 #[derive(Clone, Debug, Default)]
-pub struct Begun(Arc<Mutex<Counts>>);
+pub struct RequestCounts(Arc<Mutex<Counts>>);
 
 #[derive(Debug, Default)]
 struct Counts {
@@ -17,28 +17,28 @@
     answered: usize,
 }
 
-impl Begun {
+impl RequestCounts {
     fn counts(&self) -> MutexGuard<'_, Counts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A server has begun with the request for `path`.
-    pub fn begin(&self, path: &str) {
+    pub fn count_start(&self, path: &str) {
         *self.counts().begun.entry(path.to_owned()).or_default() += 1;
     }
 
     /// A server has answered 200.
-    pub fn answer(&self) {
+    pub fn count_answer(&self) {
         self.counts().answered += 1;
     }
 
     /// How often servers began with the request for `path`.
-    pub fn times(&self, path: &str) -> usize {
+    pub fn starts_of(&self, path: &str) -> usize {
         self.counts().begun.get(path).copied().unwrap_or(0)
     }
 
     /// The paths with which servers began more than once.
-    pub fn twice(&self) -> Vec<String> {
+    pub fn started_twice(&self) -> Vec<String> {
         let counts = self.counts();
         counts.begun.iter().filter(|(_, n)| **n > 1).map(|(path, _)| path.clone()).collect()
     }
@@ -51,7 +51,7 @@
 
 /// What a server does with a request once its head has come. The answer's body is the path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Early {
+pub enum EarlyAnswer {
     /// It answers, and reads the body afterwards.
     ThenRead,
     /// It answers, and closes with the body unread.
@@ -59,28 +59,28 @@
     /// It answers, and resets the connection.
     ThenReset,
     /// It sends these bytes, reads the body, and answers.
-    First(&'static str),
+    BytesFirst(&'static str),
 }
 
 /// A server that does so with every request.
-pub fn early(begun: &Begun, what: Early) -> Server {
+pub fn early_answering_server(begun: &RequestCounts, what: EarlyAnswer) -> Server {
     let begun = begun.clone();
     Server::start(move |mut conn| {
         while let Some(head) = conn.head() {
             let path = path(&head.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             let length = head.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
-            if let Early::First(bytes) = what {
+            if let EarlyAnswer::BytesFirst(bytes) = what {
                 conn.send(bytes);
                 conn.body(length);
             }
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
             match what {
-                Early::ThenRead => drop(conn.body(length)),
-                Early::First(_) => {}
-                Early::ThenClose => return,
-                Early::ThenReset => return conn.reset(),
+                EarlyAnswer::ThenRead => drop(conn.body(length)),
+                EarlyAnswer::BytesFirst(_) => {}
+                EarlyAnswer::ThenClose => return,
+                EarlyAnswer::ThenReset => return conn.reset(),
             }
         }
     })
@@ -93,7 +93,7 @@
 
 /// A server that closes each connection a while after its last answer, `pause` at the most, whatever
 /// has come by then. It begins at the head's end, or at the last byte, as `whole` says.
-pub fn closing(begun: &Begun, whole: bool, pause: Duration, seed: u64) -> Server {
+pub fn closing_server(begun: &RequestCounts, whole: bool, pause: Duration, seed: u64) -> Server {
     let begun = begun.clone();
     let random = Arc::new(Mutex::new(Random::new(seed)));
     Server::start(move |mut conn| {
@@ -116,24 +116,24 @@
             let Some(head) = conn.head() else { return };
             let path = path(&head.first);
             if !whole {
-                begun.begin(&path);
+                begun.count_start(&path);
             }
             let length = head.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
             if conn.body(length).is_none() {
                 return;
             }
             if whole {
-                begun.begin(&path);
+                begun.count_start(&path);
             }
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
         }
     })
 }
 
 /// How a server answers twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Twice {
+pub enum DoubleAnswer {
     /// Both copies go out at once.
     AtOnce,
     /// Noise goes out with the answer.
@@ -144,17 +144,17 @@
 }
 
 /// A server that answers each request twice.
-pub fn twice(begun: &Begun, how: Twice) -> Server {
+pub fn double_answering_server(begun: &RequestCounts, how: DoubleAnswer) -> Server {
     let begun = begun.clone();
     Server::start(move |mut conn| {
         while let Some(message) = conn.message().filter(|m| m.whole) {
             let path = path(&message.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             let answer = ok(&path);
             match how {
-                Twice::AtOnce => conn.send(format!("{answer}{answer}")),
-                Twice::Noise => conn.send(format!("{answer}\x16\x03 noise")),
-                Twice::RightBehind => {
+                DoubleAnswer::AtOnce => conn.send(format!("{answer}{answer}")),
+                DoubleAnswer::Noise => conn.send(format!("{answer}\x16\x03 noise")),
+                DoubleAnswer::RightBehind => {
                     let began = Instant::now();
                     conn.send(&answer);
                     if began.elapsed() < Duration::from_micros(500) {
@@ -162,7 +162,7 @@
                     }
                 }
             }
-            begun.answer();
+            begun.count_answer();
         }
     })
 }
--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -4,9 +4,9 @@
 #![warn(missing_docs)]
 
 mod agent;
-mod begun;
 mod daemon;
 mod delay;
+mod early_servers;
 mod fault;
 mod message;
 mod random;
@@ -20,9 +20,12 @@
 mod worker;
 
 pub use agent::{Agent, whole};
-pub use begun::{Begun, Early, Twice, closing, early, path, twice};
 pub use daemon::{Sidecar, command, config, fails, program};
 pub use delay::Delay;
+pub use early_servers::{
+    DoubleAnswer, EarlyAnswer, RequestCounts, closing_server, double_answering_server,
+    early_answering_server, path,
+};
 pub use fault::{AcceptFault, Fault};
 pub use message::{Conn, Message, answer, ok};
 pub use random::Random;
--- a/crates/millethook/tests/library/any_server/closing.rs
+++ b/crates/millethook/tests/library/any_server/closing.rs
@@ -11,10 +11,10 @@
 /// A server closes a resting connection in the very instant in which an order is written. The pauses
 /// of servers and callers are of one length, so that closes fall on every offset.
 fn closes_in_the_instant(begins: Begins, tries: usize) {
-    let begun = Begun::default();
+    let begun = RequestCounts::default();
     let pause = Duration::from_millis(4);
     let servers: Vec<Server> =
-        (0..4).map(|n| closing(&begun, begins == Begins::Whole, pause, n)).collect();
+        (0..4).map(|n| closing_server(&begun, begins == Begins::Whole, pause, n)).collect();
     let config = builder(&name(), &servers).begins(begins).build().expect("sound");
     let fleet = Fleet::open(config).expect("open");
     let ends = runtime().block_on(orders(&fleet, "order", tries, 4));
@@ -89,8 +89,8 @@
 #[test]
 fn a_handshake_that_never_comes_up_costs_a_share_of_the_aim() {
     let silent = BlackHole::start();
-    let begun = Begun::default();
-    let good = early(&begun, Early::First(""));
+    let begun = RequestCounts::default();
+    let good = early_answering_server(&begun, EarlyAnswer::BytesFirst(""));
     let config = builder(&name(), &[good])
         .server("silent", silent.address)
         .connect_timeout(Duration::from_secs(60))
--- a/crates/millethook/tests/library/any_server/early.rs
+++ b/crates/millethook/tests/library/any_server/early.rs
@@ -76,17 +76,17 @@
 }
 
 /// Nothing ran twice, and nothing that ran is called `NeverRan`.
-pub fn check(begun: &Begun, class: &str, ends: &[End]) {
-    assert_eq!(begun.twice(), Vec::<String>::new(), "an effect twice");
+pub fn check(begun: &RequestCounts, class: &str, ends: &[End]) {
+    assert_eq!(begun.started_twice(), Vec::<String>::new(), "an effect twice");
     for (i, end) in ends.iter().enumerate() {
-        let times = begun.times(&format!("/{class}/{i}"));
+        let times = begun.starts_of(&format!("/{class}/{i}"));
         assert!(times == 0 || *end != End::NeverRan, "/{class}/{i} ran, and is said not to have");
     }
 }
 
 #[derive(Clone)]
 struct Handler {
-    begun: Begun,
+    begun: RequestCounts,
     nth: Arc<AtomicUsize>,
     kind: usize,
     errors: Arc<AtomicUsize>,
@@ -98,7 +98,7 @@
     Path((class, n)): Path<(String, String)>,
 ) -> (StatusCode, String) {
     let path = format!("/{class}/{n}");
-    handler.begun.begin(&path);
+    handler.begun.count_start(&path);
     let nth = handler.nth.fetch_add(1, Ordering::SeqCst) + 1;
     tokio::time::sleep(Duration::from_millis(2)).await;
     match handler.kind {
@@ -109,7 +109,7 @@
         4 if nth.is_multiple_of(2) => tokio::time::sleep(Duration::from_millis(300)).await,
         _ => {}
     }
-    handler.begun.answer();
+    handler.begun.count_answer();
     (StatusCode::OK, path)
 }
 
@@ -127,7 +127,7 @@
 
 /// Five axum servers: three good ones, one that answers 500 to each third request, one that waits
 /// 300 ms on each second.
-async fn axum_servers(begun: &Begun, errors: &Arc<AtomicUsize>) -> FleetBuilder {
+async fn axum_servers(begun: &RequestCounts, errors: &Arc<AtomicUsize>) -> FleetBuilder {
     let (aim, deadline) = (Duration::from_millis(300), Duration::from_secs(15));
     let mut builder = FleetConfig::builder(&name())
         .seed(7)
@@ -151,7 +151,7 @@
 fn axum_handlers_that_ignore_their_body_run_no_order_twice() {
     let runtime = runtime();
     runtime.block_on(async {
-        let (begun, errors) = (Begun::default(), Arc::new(AtomicUsize::new(0)));
+        let (begun, errors) = (RequestCounts::default(), Arc::new(AtomicUsize::new(0)));
         let config = axum_servers(&begun, &errors).await.build().expect("sound");
         let fleet = Fleet::open(config).expect("open");
         let ends = orders(&fleet, "order", 1000, 16).await;
@@ -168,12 +168,12 @@
 fn axum_handlers_that_ignore_their_body_serve_keyed_requests() {
     let runtime = runtime();
     runtime.block_on(async {
-        let (begun, errors) = (Begun::default(), Arc::default());
+        let (begun, errors) = (RequestCounts::default(), Arc::default());
         let config = axum_servers(&begun, &errors).await.build().expect("sound");
         let fleet = Fleet::open(config).expect("open");
         let ends = orders(&fleet, "keep", 1000, 16).await;
         for (i, end) in ends.iter().enumerate() {
-            let ran = begun.times(&format!("/keep/{i}")) > 0;
+            let ran = begun.starts_of(&format!("/keep/{i}")) > 0;
             assert!(!ran || *end != End::NeverRan, "/keep/{i} ran, and is said not to have");
         }
         let served = ends.iter().filter(|end| **end == End::Served).count();
@@ -185,16 +185,21 @@
 #[test]
 fn early_answers_are_served_once_whatever_becomes_of_the_body() {
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-    let kinds = [Early::ThenRead, Early::ThenClose, Early::ThenReset, Early::First(interim)];
+    let kinds = [
+        EarlyAnswer::ThenRead,
+        EarlyAnswer::ThenClose,
+        EarlyAnswer::ThenReset,
+        EarlyAnswer::BytesFirst(interim),
+    ];
     for what in kinds {
-        let begun = Begun::default();
-        let server = early(&begun, what);
+        let begun = RequestCounts::default();
+        let server = early_answering_server(&begun, what);
         let fleet = fleet(&[server]);
         runtime().block_on(async {
             let mut served = 0;
             for (n, size) in [0, 1, 2, 5, 64 << 10].into_iter().cycle().take(40).enumerate() {
                 let end = order(&fleet, "order", n, vec![b'x'; size]).await;
-                let times = begun.times(&format!("/order/{n}"));
+                let times = begun.starts_of(&format!("/order/{n}"));
                 // Who closes late, on a busy machine, may close on the next order.
                 let lost = times == 0 && end == End::MayHaveRun;
                 let well = times == 1 && end == End::Served;
@@ -219,11 +224,11 @@
         ("503 Busy", None),
     ];
     for (status, expected) in cases {
-        let begun = Begun::default();
+        let begun = RequestCounts::default();
         let seen = begun.clone();
         let server = Server::start(move |mut conn| {
             while let Some(message) = conn.message().filter(|m| m.whole) {
-                seen.begin(&path(&message.first));
+                seen.count_start(&path(&message.first));
                 conn.send(answer(status, "X-Kept: yes\r\n", "why"));
             }
         });
@@ -237,6 +242,6 @@
             (None, Err(e)) => assert_eq!(e.execution(), Execution::MayHaveRun, "{status}"),
             (_, end) => panic!("{status}: {end:?}"),
         }
-        assert_eq!(begun.times("/order/1"), 1, "{status}");
+        assert_eq!(begun.starts_of("/order/1"), 1, "{status}");
     }
 }
--- a/crates/millethook/tests/library/any_server/fleets.rs
+++ b/crates/millethook/tests/library/any_server/fleets.rs
@@ -12,15 +12,15 @@
 use crate::common::*;
 
 /// A server that counts the connections of all servers of its test.
-fn counted(begun: &Begun, open: &Arc<AtomicUsize>, most: &Arc<AtomicUsize>) -> Server {
+fn counted(begun: &RequestCounts, open: &Arc<AtomicUsize>, most: &Arc<AtomicUsize>) -> Server {
     let (begun, open, most) = (begun.clone(), open.clone(), most.clone());
     Server::start(move |mut conn| {
         most.fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
         while let Some(message) = conn.message().filter(|m| m.whole) {
             let path = path(&message.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
         }
         open.fetch_sub(1, Ordering::SeqCst);
     })
@@ -28,7 +28,7 @@
 
 #[test]
 fn eight_sockets_serve_sixty_six_servers() {
-    let begun = Begun::default();
+    let begun = RequestCounts::default();
     let (open, most) = (Arc::default(), Arc::default());
     let servers: Vec<Server> = (0..66).map(|_| counted(&begun, &open, &most)).collect();
     let fleet = Fleet::open(builder(&name(), &servers).sockets(8).build().expect("sound"));
@@ -48,7 +48,7 @@
 /// All 66 servers are replaced by new ones, a third at a time, while every connection is in use.
 #[test]
 fn sixty_six_servers_are_replaced_under_load() {
-    let begun = Begun::default();
+    let begun = RequestCounts::default();
     let (open, most) = (Arc::default(), Arc::default());
     let start = |_| counted(&begun, &open, &most);
     let mut list: Vec<(String, Server)> = (0..66).map(|n| (format!("old-{n}"), start(n))).collect();
--- a/crates/millethook/tests/library/any_server/twice.rs
+++ b/crates/millethook/tests/library/any_server/twice.rs
@@ -8,9 +8,9 @@
 /// `orders` panics if a body is not its own request's.
 #[test]
 fn no_stray_bytes_are_served_as_another_requests_answer() {
-    for how in [Twice::AtOnce, Twice::Noise, Twice::RightBehind] {
-        let begun = Begun::default();
-        let servers: Vec<Server> = (0..2).map(|_| twice(&begun, how)).collect();
+    for how in [DoubleAnswer::AtOnce, DoubleAnswer::Noise, DoubleAnswer::RightBehind] {
+        let begun = RequestCounts::default();
+        let servers: Vec<Server> = (0..2).map(|_| double_answering_server(&begun, how)).collect();
         let fleet = fleet(&servers);
         let ends = runtime().block_on(orders(&fleet, "order", 600, 8));
         check(&begun, "order", &ends);
--- a/crates/plankvale/tests/sidecar/early.rs
+++ b/crates/plankvale/tests/sidecar/early.rs
@@ -10,9 +10,9 @@
 /// Danger: each of these was answered 503, "trying again is harmless", though each had run.
 #[test]
 fn answers_that_come_before_the_body_are_served() {
-    for what in [Early::ThenRead, Early::ThenClose] {
-        let begun = Begun::default();
-        let (sidecar, _agent) = before(early(&begun, what));
+    for what in [EarlyAnswer::ThenRead, EarlyAnswer::ThenClose] {
+        let begun = RequestCounts::default();
+        let (sidecar, _agent) = before(early_answering_server(&begun, what));
         let statuses = (0..200).map(|_| sidecar.ask(unsafe_with("hello")).status());
         let statuses: Vec<u16> = statuses.collect();
         let served = statuses.iter().filter(|status| **status == 200).count();
