--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -30,7 +30,7 @@
 pub use message::{Conn, Message, answer, ok};
 pub use random::Random;
 pub use requests::{keyed, left, safe, safe_as, unsafe_with};
-pub use server::{Log, Seen, Server, host, hosts, servers};
+pub use server::{RequestLog, SeenRequest, Server, host, hosts, servers};
 pub use server_group::{Attempt, ServerGroup};
 pub use settings::settings_json;
 pub use unreachable::{BlackHole, FullBacklog, refusing_address, short_backlog};
--- a/crates/millethook-testkit/src/server.rs
+++ b/crates/millethook-testkit/src/server.rs
@@ -13,7 +13,7 @@
 
 /// What a server has seen.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct SeenRequest {
     /// How many whole requests all servers of the test had seen with this one.
     pub nth: usize,
     /// The request.
@@ -54,28 +54,28 @@
 
 /// Counts and keeps the whole requests that a test's servers see.
 #[derive(Clone)]
-pub struct Log {
+pub struct RequestLog {
     count: Arc<AtomicUsize>,
-    tell: Sender<Seen>,
+    tell: Sender<SeenRequest>,
 }
 
-impl Log {
+impl RequestLog {
     /// A log, and where its entries come out.
-    pub fn new() -> (Log, Receiver<Seen>) {
+    pub fn new() -> (RequestLog, Receiver<SeenRequest>) {
         let (tell, told) = channel();
-        (Log { count: Arc::default(), tell }, told)
+        (RequestLog { count: Arc::default(), tell }, told)
     }
 
     /// Reads a whole request and takes it down.
-    pub fn take(&self, conn: &mut Conn) -> Option<Seen> {
+    pub fn read_request(&self, conn: &mut Conn) -> Option<SeenRequest> {
         let message = conn.message().filter(|m| m.whole)?;
-        Some(self.count_one(message))
+        Some(self.record(message))
     }
 
     /// Takes down a request that was read.
-    pub fn count_one(&self, message: Message) -> Seen {
+    pub fn record(&self, message: Message) -> SeenRequest {
         let nth = self.count.fetch_add(1, Ordering::SeqCst) + 1;
-        let seen = Seen { nth, message };
+        let seen = SeenRequest { nth, message };
         let _ = self.tell.send(seen.clone());
         seen
     }
@@ -89,15 +89,15 @@
 /// A number of servers that answer the nth request they see together as `script` says.
 pub fn servers(
     n: usize,
-    script: impl Fn(Conn, Seen) -> Option<Conn> + Clone + Send + Sync + 'static,
-) -> (Vec<Server>, Log, Receiver<Seen>) {
-    let (log, seen) = Log::new();
+    script: impl Fn(Conn, SeenRequest) -> Option<Conn> + Clone + Send + Sync + 'static,
+) -> (Vec<Server>, RequestLog, Receiver<SeenRequest>) {
+    let (log, seen) = RequestLog::new();
     let start = |_| {
         let (log, script) = (log.clone(), script.clone());
         Server::start(move |conn| {
             let mut next = Some(conn);
             while let Some(mut conn) = next.take() {
-                let Some(seen) = log.take(&mut conn) else { return };
+                let Some(seen) = log.read_request(&mut conn) else { return };
                 next = script(conn, seen);
             }
         })
--- a/crates/plankvale/tests/sidecar/choice.rs
+++ b/crates/plankvale/tests/sidecar/choice.rs
@@ -57,10 +57,10 @@
 fn a_server_that_was_full_is_soon_tried_again() {
     const FULL: &str = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     let log = |full: bool| {
-        let (log, seen) = Log::new();
+        let (log, seen) = RequestLog::new();
         let taken = log.clone();
         let server = Server::start(move |mut conn| {
-            while let Some(seen) = taken.take(&mut conn) {
+            while let Some(seen) = taken.read_request(&mut conn) {
                 let first = full && seen.nth == 1;
                 conn.send(if first { FULL.to_owned() } else { ok("fine") });
             }
@@ -130,7 +130,7 @@
 /// of everybody else's requests to the others.
 #[test]
 fn a_hurried_client_tells_nothing_of_a_server() {
-    let counts = [Log::new(), Log::new()];
+    let counts = [RequestLog::new(), RequestLog::new()];
     let list: Vec<Server> = counts
         .iter()
         .map(|(log, _)| {
@@ -138,7 +138,7 @@
             Server::start(move |mut conn| {
                 let Some(message) = conn.message().filter(|m| m.whole) else { return };
                 if !message.first.contains("hurried") {
-                    log.count_one(message);
+                    log.record(message);
                 }
                 conn.ended();
             })
--- a/crates/plankvale/tests/sidecar/framing.rs
+++ b/crates/plankvale/tests/sidecar/framing.rs
@@ -6,7 +6,7 @@
 
 use millethook_testkit::*;
 
-fn echo() -> (Sidecar, Agent, Log) {
+fn echo() -> (Sidecar, Agent, RequestLog) {
     let (list, log, _) = servers(1, |mut conn, seen| {
         let body = String::from_utf8_lossy(&seen.message.body).into_owned();
         conn.send(ok(&body));
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -78,7 +78,7 @@
 }
 
 /// A server of the fleet: it tells its name on its own page, and answers requests with it.
-fn member(name: &'static str) -> (Server, Log) {
+fn member(name: &'static str) -> (Server, RequestLog) {
     let (list, log, _) = servers(1, move |mut conn, seen| {
         if seen.message.first.starts_with("GET /health/live ") {
             conn.send(answer("200 OK", &format!("X-Server-Name: {name}\r\n"), "up"));
--- a/crates/plankvale/tests/sidecar/narrow/servers.rs
+++ b/crates/plankvale/tests/sidecar/narrow/servers.rs
@@ -10,10 +10,10 @@
 #[test]
 fn an_answer_without_length_that_is_reset_is_not_whole() {
     for reset in [false, true] {
-        let (log, _seen) = Log::new();
+        let (log, _seen) = RequestLog::new();
         let counted = log.clone();
         let server = Server::start(move |mut conn| {
-            if counted.take(&mut conn).is_none() {
+            if counted.read_request(&mut conn).is_none() {
                 return;
             }
             conn.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe beginning");
@@ -37,10 +37,10 @@
 #[test]
 fn what_comes_on_a_resting_connection_is_nobodys_answer() {
     let (tell, told) = channel();
-    let (log, _seen) = Log::new();
+    let (log, _seen) = RequestLog::new();
     let counted = log.clone();
     let server = Server::start(move |mut conn| {
-        while counted.take(&mut conn).is_some() {
+        while counted.read_request(&mut conn).is_some() {
             conn.send(ok("a"));
             let (go, going) = channel::<()>();
             let _ = tell.send(go);
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -25,12 +25,12 @@
 }
 
 /// A server that resets a connection at the first byte of its nth request, counted from 1.
-fn resets_at(nth: usize) -> (Server, Log) {
-    let (log, _) = Log::new();
+fn resets_at(nth: usize) -> (Server, RequestLog) {
+    let (log, _) = RequestLog::new();
     let taken = log.clone();
     let server = Server::start(move |mut conn| {
         for _ in 1..nth {
-            if taken.take(&mut conn).is_none() {
+            if taken.read_request(&mut conn).is_none() {
                 return;
             }
             conn.send(ok("fine"));
--- a/crates/plankvale/tests/sidecar/rough.rs
+++ b/crates/plankvale/tests/sidecar/rough.rs
@@ -6,7 +6,7 @@
 
 use millethook_testkit::*;
 
-fn echo(n: usize) -> (Sidecar, Agent, Log) {
+fn echo(n: usize) -> (Sidecar, Agent, RequestLog) {
     let (list, log, _) = servers(n, |mut conn, seen| {
         conn.send(ok(&String::from_utf8_lossy(&seen.message.body)));
         Some(conn)
@@ -16,7 +16,7 @@
 }
 
 /// The first request that any server sees is answered with `first` and nothing more, others well.
-fn first_spoilt(first: &'static str) -> (Sidecar, Agent, Log) {
+fn first_spoilt(first: &'static str) -> (Sidecar, Agent, RequestLog) {
     let (list, log, _) = servers(3, move |mut conn, seen| {
         if seen.nth == 1 {
             conn.send(first);
