--- a/crates/millethook-bench/src/failures.rs
+++ b/crates/millethook-bench/src/failures.rs
@@ -30,7 +30,7 @@
     let begun = begun.clone();
     Server::start(move |mut conn| {
         for _ in 1..nth.max(1) {
-            let Some(message) = conn.message().filter(|m| m.whole) else { return };
+            let Some(message) = conn.message().filter(|m| m.complete) else { return };
             let path = path(&message.first);
             begun.count_start(&path);
             conn.send(ok(&path));
@@ -47,7 +47,7 @@
     let begun = begun.clone();
     let random = Arc::new(Mutex::new(Random::new(seed)));
     Server::start(move |mut conn| {
-        while let Some(message) = conn.message().filter(|m| m.whole) {
+        while let Some(message) = conn.message().filter(|m| m.complete) {
             let draw = random.lock().unwrap_or_else(PoisonError::into_inner).below(4);
             if draw == 0 {
                 return conn.reset();
@@ -65,7 +65,7 @@
     let begun = begun.clone();
     Server::start(move |mut conn| {
         for _ in 0..3 {
-            let Some(message) = conn.message().filter(|m| m.whole) else { return };
+            let Some(message) = conn.message().filter(|m| m.complete) else { return };
             let path = path(&message.first);
             begun.count_start(&path);
             conn.send(ok(&path));
@@ -84,7 +84,7 @@
             if let Some(last) = last.take() {
                 conn.send(ok(last));
             }
-            let Some(message) = conn.message().filter(|m| m.whole) else { return };
+            let Some(message) = conn.message().filter(|m| m.complete) else { return };
             let path = path(&message.first);
             begun.count_start(&path);
             conn.send(ok(&path));
--- a/crates/millethook-depth/src/processes/service.rs
+++ b/crates/millethook-depth/src/processes/service.rs
@@ -100,7 +100,7 @@
     /// Serves a connection until it ends.
     fn serve(&self, mut conn: Conn) {
         let mut next: Option<Conn> = None;
-        while let Some(request) = conn.message().filter(|message| message.whole) {
+        while let Some(request) = conn.message().filter(|message| message.complete) {
             let came = Instant::now();
             self.counters.count(|tally| tally.attempts[self.tier] += 1);
             let answered = self.work(&request, came, &mut next);
@@ -131,7 +131,7 @@
     fn call_next(&self, sidecar: SocketAddr, left: u128, kept: &mut Option<Conn>) -> Answer {
         let conn = kept.take().or_else(|| TcpStream::connect(sidecar).ok().map(Conn::new));
         let Some(mut conn) = conn else { return Answer::Failed };
-        let answered = conn.message_to(super::clients::request(left)).filter(|m| m.whole);
+        let answered = conn.message_to(super::clients::request(left)).filter(|m| m.complete);
         let Some(answered) = answered else { return Answer::Failed };
         if answered.header("connection") != Some("close") {
             *kept = Some(conn);
--- a/crates/millethook-testkit/src/agent.rs
+++ b/crates/millethook-testkit/src/agent.rs
@@ -81,7 +81,7 @@
             let body = loop {
                 let (seq, hosts) = self.list.lock().unwrap().clone();
                 if from.is_none_or(|from| from < seq) {
-                    break whole(seq, &hosts);
+                    break full_list(seq, &hosts);
                 }
                 if Instant::now() >= end {
                     break json!({"seq": seq, "whole": false, "hosts": []}).to_string();
@@ -94,6 +94,6 @@
 }
 
 /// A complete list of this version, in discovery's form.
-pub fn whole(seq: u64, hosts: &[Value]) -> String {
+pub fn full_list(seq: u64, hosts: &[Value]) -> String {
     json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
 }
--- a/crates/millethook-testkit/src/early_servers.rs
+++ b/crates/millethook-testkit/src/early_servers.rs
@@ -147,7 +147,7 @@
 pub fn double_answering_server(begun: &RequestCounts, how: DoubleAnswer) -> Server {
     let begun = begun.clone();
     Server::start(move |mut conn| {
-        while let Some(message) = conn.message().filter(|m| m.whole) {
+        while let Some(message) = conn.message().filter(|m| m.complete) {
             let path = path(&message.first);
             begun.count_start(&path);
             let answer = ok(&path);
--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -19,7 +19,7 @@
 mod wait;
 mod worker;
 
-pub use agent::{Agent, whole};
+pub use agent::{Agent, full_list};
 pub use daemon::{Sidecar, command, config, fails, program};
 pub use delay::Delay;
 pub use early_servers::{
--- a/crates/millethook-testkit/src/message.rs
+++ b/crates/millethook-testkit/src/message.rs
@@ -17,7 +17,7 @@
     /// The body, without its framing.
     pub body: Vec<u8>,
     /// It came to its end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Message {
@@ -129,7 +129,7 @@
     pub fn rest_of(&mut self, mut message: Message) -> Message {
         let length = message.header("content-length").map(|v| v.parse::<u64>().unwrap());
         let body = &mut message.body;
-        message.whole = if message.headers.iter().any(|h| h.0 == "transfer-encoding") {
+        message.complete = if message.headers.iter().any(|h| h.0 == "transfer-encoding") {
             chunks(&mut self.reader, body).is_some()
         } else {
             let length = length.unwrap_or(0);
--- a/crates/millethook-testkit/src/server.rs
+++ b/crates/millethook-testkit/src/server.rs
@@ -68,7 +68,7 @@
 
     /// Reads a whole request and takes it down.
     pub fn read_request(&self, conn: &mut Conn) -> Option<SeenRequest> {
-        let message = conn.message().filter(|m| m.whole)?;
+        let message = conn.message().filter(|m| m.complete)?;
         Some(self.record(message))
     }
 
--- a/crates/millethook-testkit/src/server_group.rs
+++ b/crates/millethook-testkit/src/server_group.rs
@@ -71,7 +71,7 @@
                 let mut random = Random::new((server * 1000 + nth) as u64);
                 let mut next = Some(conn);
                 while let Some(mut conn) = next.take() {
-                    let Some(message) = conn.message().filter(|m| m.whole) else { return };
+                    let Some(message) = conn.message().filter(|m| m.complete) else { return };
                     let attempt = take(&seen, server, message);
                     next = act(conn, plan(&attempt), &mut random);
                 }
--- a/crates/millethook-testkit/src/worker.rs
+++ b/crates/millethook-testkit/src/worker.rs
@@ -48,7 +48,7 @@
         let worker = Arc::new(self);
         Server::start(move |mut conn| {
             let lock = || state.0.lock().unwrap_or_else(PoisonError::into_inner);
-            while conn.message().is_some_and(|m| m.whole) {
+            while conn.message().is_some_and(|m| m.complete) {
                 let mut held = lock();
                 if held.0 >= worker.slots && held.1 >= worker.queue {
                     drop(held);
--- a/crates/millethook/tests/library/any_server/early.rs
+++ b/crates/millethook/tests/library/any_server/early.rs
@@ -227,7 +227,7 @@
         let begun = RequestCounts::default();
         let seen = begun.clone();
         let server = Server::start(move |mut conn| {
-            while let Some(message) = conn.message().filter(|m| m.whole) {
+            while let Some(message) = conn.message().filter(|m| m.complete) {
                 seen.count_start(&path(&message.first));
                 conn.send(answer(status, "X-Kept: yes\r\n", "why"));
             }
--- a/crates/millethook/tests/library/any_server/fleets.rs
+++ b/crates/millethook/tests/library/any_server/fleets.rs
@@ -16,7 +16,7 @@
     let (begun, open, most) = (begun.clone(), open.clone(), most.clone());
     Server::start(move |mut conn| {
         most.fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
-        while let Some(message) = conn.message().filter(|m| m.whole) {
+        while let Some(message) = conn.message().filter(|m| m.complete) {
             let path = path(&message.first);
             begun.count_start(&path);
             conn.send(ok(&path));
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -93,7 +93,7 @@
     let server = Server::start(move |mut conn| {
         if conn.socket.peek(&mut [0]).is_ok_and(|n| n == 1) {
             let _ = tell.lock().expect("no panic").send(());
-            let whole = conn.message().is_some_and(|m| m.whole);
+            let whole = conn.message().is_some_and(|m| m.complete);
             if whole {
                 conn.ended();
             }
--- a/crates/millethook/tests/library/new_connections.rs
+++ b/crates/millethook/tests/library/new_connections.rs
@@ -69,7 +69,7 @@
 }
 
 fn answer_all(mut conn: Conn, held: &Mutex<Option<Held>>) {
-    while let Some(message) = conn.message().filter(|message| message.whole) {
+    while let Some(message) = conn.message().filter(|message| message.complete) {
         let held = held.lock().expect("no panic").take();
         if let Some(held) = held {
             held.seen.send(()).expect("the test waits");
@@ -158,7 +158,9 @@
             let noted = noted.clone();
             thread::spawn(move || {
                 let mut conn = Conn::new(socket);
-                let Some(message) = conn.message().filter(|message| message.whole) else { return };
+                let Some(message) = conn.message().filter(|message| message.complete) else {
+                    return;
+                };
                 noted.lock().expect("no panic").insert(nth, message.first.clone());
                 conn.send(ok("done"));
             });
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -19,7 +19,7 @@
 fn deadlines_hold_while_the_host_is_blocked() {
     let (tell, ended) = channel();
     let server = Server::start(move |mut conn| {
-        if conn.message().is_some_and(|m| m.whole) {
+        if conn.message().is_some_and(|m| m.complete) {
             let _ = tell.send(conn.ended());
         }
     });
@@ -62,7 +62,7 @@
     let stage = Arc::new(Mutex::new(0));
     let came = stage.clone();
     let server = Server::start(move |mut conn| {
-        if conn.message().is_some_and(|m| m.whole) {
+        if conn.message().is_some_and(|m| m.complete) {
             *came.lock().expect("no panic") += 1;
             let _ = tell.lock().expect("no panic").send(conn.ended());
         }
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -105,7 +105,7 @@
     let server = Server::start(move |mut conn| {
         let n = now.fetch_add(1, Ordering::SeqCst) + 1;
         peak.fetch_max(n, Ordering::SeqCst);
-        while conn.message().is_some_and(|m| m.whole) {
+        while conn.message().is_some_and(|m| m.complete) {
             std::thread::sleep(Duration::from_millis(2));
             conn.send(ok("fine"));
         }
@@ -154,7 +154,7 @@
     let count = opened.clone();
     let server = Server::start(move |mut conn| {
         count.fetch_add(1, Ordering::SeqCst);
-        while conn.message().is_some_and(|m| m.whole) {
+        while conn.message().is_some_and(|m| m.complete) {
             std::thread::sleep(Duration::from_millis(2));
             conn.send(ok("fine"));
         }
--- a/crates/plankvale/tests/conformance/asked_ends.rs
+++ b/crates/plankvale/tests/conformance/asked_ends.rs
@@ -30,7 +30,7 @@
     let (begun, go, seen) = (long_begun.clone(), go_on.clone(), behind.clone());
     let server = Server::start(move |mut conn| {
         let mut asked = false;
-        while let Some(message) = conn.message().filter(|message| message.whole) {
+        while let Some(message) = conn.message().filter(|message| message.complete) {
             seen.fetch_add(usize::from(asked), Ordering::SeqCst);
             asked = asks_for_end(&message);
             if message.first.contains(LONG_PATH) {
@@ -79,7 +79,7 @@
                 conn.send(TURNS_AWAY);
             }
             let message = conn.message();
-            let Some(message) = message.filter(|message| message.whole) else {
+            let Some(message) = message.filter(|message| message.complete) else {
                 seen.fetch_add(usize::from(used), Ordering::SeqCst);
                 return;
             };
--- a/crates/plankvale/tests/conformance/copies.rs
+++ b/crates/plankvale/tests/conformance/copies.rs
@@ -44,7 +44,7 @@
         let sent = copies.clone();
         let server = Server::start(move |mut conn| {
             let mut before = None;
-            while let Some(message) = conn.message().filter(|m| m.whole) {
+            while let Some(message) = conn.message().filter(|m| m.complete) {
                 if seen.fetch_add(1, Ordering::SeqCst) >= WELL {
                     let may_send = |n| (n < self.most).then_some(n + 1);
                     if let Some(before) = &before
@@ -118,7 +118,7 @@
         let ran = ran.clone();
         Server::start(move |mut conn| {
             for nth in 0.. {
-                let Some(message) = conn.message().filter(|m| m.whole) else { return };
+                let Some(message) = conn.message().filter(|m| m.complete) else { return };
                 if nth > 0 {
                     ran.lock().expect("a log").push(message.body);
                 }
--- a/crates/plankvale/tests/conformance/equal_answers.rs
+++ b/crates/plankvale/tests/conformance/equal_answers.rs
@@ -29,7 +29,7 @@
     let server = Server::start(move |mut conn| {
         taken.fetch_add(1, Ordering::SeqCst);
         for nth in 0.. {
-            let Some(message) = conn.message().filter(|message| message.whole) else { return };
+            let Some(message) = conn.message().filter(|message| message.complete) else { return };
             if answers(&mut conn, &message, nth).is_none() {
                 return;
             }
@@ -95,7 +95,7 @@
     let seen = behind.clone();
     let server = Server::start(move |mut conn| {
         let mut has_failed = false;
-        while let Some(message) = conn.message().filter(|message| message.whole) {
+        while let Some(message) = conn.message().filter(|message| message.complete) {
             if has_failed {
                 seen.fetch_add(1, Ordering::SeqCst);
                 conn.send(FAILURE);
@@ -183,7 +183,7 @@
     let has_turned = AtomicBool::new(false);
     let server = Server::start(move |mut conn| {
         let mut last = None;
-        while let Some(message) = conn.message().filter(|message| message.whole) {
+        while let Some(message) = conn.message().filter(|message| message.complete) {
             let nth = {
                 let mut ids = ids.lock().expect("no server panics");
                 ids.push(id(&message).to_owned());
--- a/crates/plankvale/tests/conformance/form.rs
+++ b/crates/plankvale/tests/conformance/form.rs
@@ -137,7 +137,7 @@
         client.send([head.as_bytes(), &ask.body].concat());
         let got = client.message().expect("an answer");
         match got.status() {
-            200 if got.whole => End::Served(got.body),
+            200 if got.complete => End::Served(got.body),
             200 => End::Broken,
             429 | 503 => End::Refused { told: got.header("retry-after").is_some() },
             502 | 504 => End::Failed,
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -215,7 +215,7 @@
                     sent.fetch_add(1, Ordering::SeqCst);
                     conn.send(ok("a copy"));
                 }
-                let Some(message) = conn.message().filter(|m| m.whole) else { return };
+                let Some(message) = conn.message().filter(|m| m.complete) else { return };
                 conn.send(ok(&String::from_utf8_lossy(&message.body)));
             }
         })
@@ -242,7 +242,7 @@
             if nth == 1 && conn.socket.peek(&mut [0]).is_ok_and(|n| n == 1) {
                 conn.send(ok("a copy"));
             }
-            let Some(_) = conn.message().filter(|m| m.whole) else { return };
+            let Some(_) = conn.message().filter(|m| m.complete) else { return };
             conn.send(ok("its own"));
         }
     });
@@ -266,7 +266,7 @@
             if turned_bad && conn.socket.peek(&mut [0]).is_ok_and(|n| n == 1) {
                 conn.send(ok("a copy"));
             }
-            let Some(_) = conn.message().filter(|m| m.whole) else { return };
+            let Some(_) = conn.message().filter(|m| m.complete) else { return };
             if turned_bad {
                 // The work that the true answer takes.
                 std::thread::sleep(Duration::from_millis(5));
--- a/crates/plankvale/tests/conformance/stale_copies.rs
+++ b/crates/plankvale/tests/conformance/stale_copies.rs
@@ -119,7 +119,7 @@
                 tally.copies.fetch_add(1, Ordering::SeqCst);
             }
             let copied = Instant::now();
-            let Some(message) = conn.message().filter(|m| m.whole) else { return };
+            let Some(message) = conn.message().filter(|m| m.complete) else { return };
             let id = tally.take(&message);
             if turned_bad && !self.works(&conn, copied + self.work) {
                 return;
--- a/crates/plankvale/tests/sidecar/choice.rs
+++ b/crates/plankvale/tests/sidecar/choice.rs
@@ -136,7 +136,7 @@
         .map(|(log, _)| {
             let log = log.clone();
             Server::start(move |mut conn| {
-                let Some(message) = conn.message().filter(|m| m.whole) else { return };
+                let Some(message) = conn.message().filter(|m| m.complete) else { return };
                 if !message.first.contains("hurried") {
                     log.record(message);
                 }
--- a/crates/plankvale/tests/sidecar/clients.rs
+++ b/crates/plankvale/tests/sidecar/clients.rs
@@ -194,7 +194,7 @@
     let last = safe().replace("Host:", "Connection: close\r\nHost:");
     client.send(last + &safe() + &"x".repeat(100_000));
     let got = client.message().unwrap();
-    assert!(got.whole && got.body == body.as_bytes());
+    assert!(got.complete && got.body == body.as_bytes());
     assert!(client.ended());
 }
 
@@ -216,7 +216,7 @@
             client.send(safe());
             match client.message() {
                 Some(answer) => {
-                    assert_eq!((answer.status(), answer.whole), (200, true), "round {round}");
+                    assert_eq!((answer.status(), answer.complete), (200, true), "round {round}");
                     answered += 1;
                 }
                 None => *client = sidecar.client(),
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -91,7 +91,7 @@
     let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
     let log = seen.clone();
     let server = Server::start(move |mut conn| {
-        while let Some(message) = conn.message().filter(|m| m.whole) {
+        while let Some(message) = conn.message().filter(|m| m.complete) {
             log.lock().expect("a log").push(message);
             conn.send(ok("done"));
         }
@@ -204,7 +204,7 @@
     let count = Arc::new(Mutex::new(0));
     let counted = count.clone();
     let server = Server::start(move |mut conn| {
-        while conn.message().is_some_and(|m| m.whole) {
+        while conn.message().is_some_and(|m| m.complete) {
             let mut count = counted.lock().expect("a count");
             *count += 1;
             if *count == 1 {
--- a/crates/plankvale/tests/sidecar/framing.rs
+++ b/crates/plankvale/tests/sidecar/framing.rs
@@ -103,7 +103,7 @@
         let (sidecar, _agent) = answering(form.into());
         let got = sidecar.ask(unsafe_with("x"));
         assert_eq!(
-            (got.status(), got.body.as_slice(), got.whole),
+            (got.status(), got.body.as_slice(), got.complete),
             (200, &b"fine"[..], true),
             "{form}"
         );
@@ -136,7 +136,7 @@
         for _ in 0..60 {
             s.spawn(|| {
                 let got = sidecar.ask(unsafe_with(&body));
-                assert_eq!((got.status(), got.whole), (200, true));
+                assert_eq!((got.status(), got.complete), (200, true));
                 assert!(got.body == body.as_bytes());
             });
         }
@@ -152,7 +152,7 @@
     for head in ["Content-Length: 900000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n61a80\r\n"] {
         let (sidecar, _agent) = answering(format!("HTTP/1.1 200 OK\r\n{head}{part}").into());
         let got = sidecar.ask(unsafe_with("x"));
-        assert_eq!((got.status(), got.whole), (200, false), "{head}");
+        assert_eq!((got.status(), got.complete), (200, false), "{head}");
     }
 }
 
@@ -181,7 +181,7 @@
     });
     let (sidecar, _agent) = Sidecar::streaming(&list);
     let got = sidecar.ask(safe());
-    assert_eq!((got.status(), got.whole, got.body.len()), (200, true, 300_000));
+    assert_eq!((got.status(), got.complete, got.body.len()), (200, true, 300_000));
 }
 
 #[test]
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -79,7 +79,7 @@
     let mut client = sidecar.client();
     for request in [safe(), keyed(), unsafe_with("x"), safe()] {
         let answer = client.message_to(request).expect("an answer");
-        assert!(answer.status() == 200 && answer.whole && answer.body == body);
+        assert!(answer.status() == 200 && answer.complete && answer.body == body);
     }
 }
 
@@ -102,7 +102,7 @@
             scope.spawn(|| {
                 let body = bytes(SIZE);
                 let answer = sidecar.ask(with_length("order", &body));
-                assert!(answer.status() == 200 && answer.whole && answer.body == body);
+                assert!(answer.status() == 200 && answer.complete && answer.body == body);
             });
         }
     });
@@ -167,7 +167,7 @@
     let (tell, told) = channel();
     let server = Server::start(move |mut conn| {
         let message = conn.message();
-        let _ = tell.send(message.is_some_and(|m| m.whole));
+        let _ = tell.send(message.is_some_and(|m| m.complete));
     });
     let agent = Agent::start(hosts(&[server]));
     let sidecar = Sidecar::start(&config(agent.address, |c| c["admin"] = json!("127.0.0.1:0")));
@@ -258,7 +258,7 @@
     });
     let (sidecar, _agent) = Sidecar::of(&[endless]);
     let answer = sidecar.ask(unsafe_with("x"));
-    assert!(!answer.whole && answer.body.len() <= 32 << 20);
+    assert!(!answer.complete && answer.body.len() <= 32 << 20);
 }
 
 /// A server of any kind may answer at the head. That is the answer; the rest of the body is not needed.
@@ -279,7 +279,7 @@
     client.send(head("order", "Content-Length: 400000"));
     client.send(bytes(200_000));
     let answer = client.message().expect("an answer");
-    assert_eq!((answer.status(), answer.whole), (200, true));
+    assert_eq!((answer.status(), answer.complete), (200, true));
     assert_eq!(answer.body, long.into_bytes());
 }
 
@@ -311,5 +311,5 @@
     assert_eq!(head.status(), 200);
     go.send(()).unwrap();
     let rest = client.rest_of(head);
-    assert!(rest.whole && rest.body.len() == 6 << 10);
+    assert!(rest.complete && rest.body.len() == 6 << 10);
 }
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -361,9 +361,9 @@
         } else if call.contains("from=2") {
             changes(&all[..1]).to_string()
         } else if call.contains("from=1") {
-            whole(2, &[])
+            full_list(2, &[])
         } else {
-            whole(1, &all)
+            full_list(1, &all)
         };
         conn.send(ok(&list));
         Some(conn)
--- a/crates/plankvale/tests/sidecar/narrow/closing.rs
+++ b/crates/plankvale/tests/sidecar/narrow/closing.rs
@@ -51,7 +51,7 @@
     assert!(witness.ended());
     client.send(safe());
     let first = client.message().expect("the answer that was here before the close");
-    assert_eq!((first.whole, first.body == long.as_bytes()), (true, true));
+    assert_eq!((first.complete, first.body == long.as_bytes()), (true, true));
     // The second one crossed the close: it was read before it and is answered, or never was.
     let second = client.message();
     assert_eq!(log.count(), 1 + usize::from(second.is_some_and(|m| m.status() == 200)));
--- a/crates/plankvale/tests/sidecar/narrow/lists.rs
+++ b/crates/plankvale/tests/sidecar/narrow/lists.rs
@@ -155,7 +155,7 @@
 #[test]
 fn a_call_that_waits_in_line_keeps_its_place() {
     let a = Server::named("a");
-    let list = whole(1, &[host("s-a", a.address)]);
+    let list = full_list(1, &[host("s-a", a.address)]);
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let seen = calls.clone();
     let discovery = Server::start(move |mut conn| {
@@ -198,7 +198,7 @@
 /// when each call came.
 fn calls_of_a_large_fleet(reactions: &[Reaction]) -> Vec<Instant> {
     let a = Server::named("a");
-    let list = whole(1, &[host("s-a", a.address)]);
+    let list = full_list(1, &[host("s-a", a.address)]);
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let (seen, reactions) = (calls.clone(), reactions.to_vec());
     let held: Mutex<Vec<Conn>> = Mutex::default();
@@ -257,7 +257,7 @@
 #[test]
 fn refused_calls_come_again_after_waits_that_grow_and_are_bounded() {
     let a = Server::named("a");
-    let list = whole(1, &[host("s-a", a.address)]);
+    let list = full_list(1, &[host("s-a", a.address)]);
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let opens = Arc::new(AtomicUsize::new(0));
     let (seen, opened) = (calls.clone(), opens.clone());
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -91,7 +91,7 @@
     // Each answer differs: where they are alike, they are proven at any price.
     let count = AtomicUsize::new(0);
     let server = Server::start(move |mut conn| {
-        while let Some(message) = conn.message().filter(|message| message.whole) {
+        while let Some(message) = conn.message().filter(|message| message.complete) {
             let close = |value: &str| value.eq_ignore_ascii_case("close");
             if message.header("connection").is_some_and(close) {
                 conn.send(answer("200 OK", "Connection: close\r\n", "asked to close"));
--- a/crates/plankvale/tests/sidecar/rough.rs
+++ b/crates/plankvale/tests/sidecar/rough.rs
@@ -114,7 +114,7 @@
     });
     let (sidecar, _agent) = Sidecar::of(&list);
     let answer = sidecar.ask(safe());
-    assert!(!answer.whole && answer.body.len() <= 32 << 20);
+    assert!(!answer.complete && answer.body.len() <= 32 << 20);
     assert_eq!((sidecar.ask(safe()).body.as_slice(), log.count()), (&b"fine"[..], 2));
     assert!(sidecar.memory_mb() < 30, "{} MB", sidecar.memory_mb());
 }
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -49,8 +49,8 @@
 #[test]
 fn only_whole_answers_of_discovery_count() {
     let (a, b) = (Server::named("a"), Server::named("b"));
-    let first = whole(1, &[host("s-a", a.address)]);
-    let news = whole(2, &[host("s-b", b.address)]);
+    let first = full_list(1, &[host("s-a", a.address)]);
+    let news = full_list(2, &[host("s-b", b.address)]);
     let calls = Arc::new(AtomicUsize::new(0));
     let discovery = {
         let calls = calls.clone();
@@ -183,8 +183,8 @@
 #[test]
 fn discovery_that_trickles_is_asked_again() {
     let (a, b) = (Server::named("a"), Server::named("b"));
-    let first = whole(1, &[host("s-a", a.address)]);
-    let news = whole(2, &[host("s-b", b.address)]);
+    let first = full_list(1, &[host("s-a", a.address)]);
+    let news = full_list(2, &[host("s-b", b.address)]);
     let calls = Arc::new(AtomicUsize::new(0));
     let discovery = Server::start(move |mut conn| {
         use std::io::Write;
@@ -244,16 +244,16 @@
             answer = client.message_to(safe());
         }
         match &answer {
-            Some(m) if m.whole && m.status() == 200 && m.body == b"a" => {
+            Some(m) if m.complete && m.status() == 200 && m.body == b"a" => {
                 tally.answered += 1;
                 answered.fetch_add(1, Ordering::SeqCst);
             }
-            Some(m) if m.whole && [429, 503].contains(&m.status()) => tally.refused += 1,
+            Some(m) if m.complete && [429, 503].contains(&m.status()) => tally.refused += 1,
             None if fresh => tally.closed += 1,
             _ => tally.lost += 1,
         }
         let closes = |m: &Message| m.header("connection") == Some("close");
-        open = answer.filter(|m| m.whole && !closes(m)).map(|_| client);
+        open = answer.filter(|m| m.complete && !closes(m)).map(|_| client);
     }
 }
 
@@ -291,7 +291,8 @@
 /// A watch that says nothing any more, while the agent would tell whoever asks anew.
 fn news_behind_a_silent_watch(how: &str) -> Duration {
     let (a, b) = (Server::named("a"), Server::named("b"));
-    let (first, news) = (whole(1, &[host("s-a", a.address)]), whole(2, &[host("s-b", b.address)]));
+    let (first, news) =
+        (full_list(1, &[host("s-a", a.address)]), full_list(2, &[host("s-b", b.address)]));
     let silent = Arc::new(std::sync::OnceLock::<Instant>::new());
     let discovery = {
         let (silent, calls) = (silent.clone(), AtomicUsize::new(0));
