--- a/crates/millethook-testkit/src/daemon.rs
+++ b/crates/millethook-testkit/src/daemon.rs
@@ -69,7 +69,7 @@
 }
 
 /// Runs a sidecar that cannot start.
-pub fn fails(config: &str, env: &[(&str, &str)]) -> Output {
+pub fn failed_start(config: &str, env: &[(&str, &str)]) -> Output {
     let (mut command, path) = command(config);
     let output = command.envs(env.iter().copied()).output().unwrap();
     let _ = std::fs::remove_file(path);
@@ -133,7 +133,7 @@
 
     /// Starts one that shares the clients' listening socket and a folder with others, as an upgrade does,
     /// and waits until it listens.
-    pub fn launch_beside(config: &Value, listener: &TcpListener, folder: &Path) -> Sidecar {
+    pub fn launch_with_listener(config: &Value, listener: &TcpListener, folder: &Path) -> Sidecar {
         let (command, path) = command_of(&program("plankvale"), &config.to_string());
         // Only a shell can leave a descriptor open under a number without `unsafe`.
         let mut shell = Command::new("/bin/sh");
@@ -178,7 +178,7 @@
     }
 
     /// One with as many servers as given and an agent that lists them.
-    pub fn of(servers: &[Server]) -> (Sidecar, Agent) {
+    pub fn with_servers(servers: &[Server]) -> (Sidecar, Agent) {
         let agent = Agent::start(hosts(servers));
         (Sidecar::start(&config(agent.address, |_| {})), agent)
     }
@@ -200,22 +200,22 @@
     }
 
     /// Sends one request on a new connection and reads its answer.
-    pub fn ask(&self, request: impl AsRef<[u8]>) -> Message {
+    pub fn request(&self, request: impl AsRef<[u8]>) -> Message {
         let mut client = self.client();
         client.send(request);
         client.message().expect("an answer")
     }
 
     /// One call at the operators' address.
-    pub fn operate(&self, call: &str) -> Message {
+    pub fn admin_request(&self, call: &str) -> Message {
         let mut operator = Conn::new(TcpStream::connect(self.admin.unwrap()).unwrap());
         operator.send(format!("{call} HTTP/1.1\r\nHost: a\r\n\r\n"));
         operator.message().expect("an answer")
     }
 
     /// A figure of `GET /v1/metrics`.
-    pub fn figure(&self, name: &str) -> u64 {
-        let metrics = String::from_utf8(self.operate("GET /v1/metrics").body).unwrap();
+    pub fn metric(&self, name: &str) -> u64 {
+        let metrics = String::from_utf8(self.admin_request("GET /v1/metrics").body).unwrap();
         let figure = metrics.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
             (key == name).then(|| value.split('|').next().unwrap().parse().unwrap())
@@ -225,7 +225,7 @@
 
     /// Who answers a safe request, where servers answer with their names.
     pub fn served_by(&self) -> String {
-        String::from_utf8(self.ask(safe()).body).unwrap()
+        String::from_utf8(self.request(safe()).body).unwrap()
     }
 
     fn signal(&self, which: &str) {
@@ -238,13 +238,13 @@
         self.signal("-TERM");
     }
 
-    /// Takes the processor from it until [`Sidecar::go_on`].
-    pub fn stop(&self) {
+    /// Takes the processor from it until [`Sidecar::resume`].
+    pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets it go on after [`Sidecar::stop`].
-    pub fn go_on(&self) {
+    /// Lets it go on after [`Sidecar::pause`].
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -257,13 +257,13 @@
     }
 
     /// Ends it as planned; its exit code.
-    pub fn ends(&mut self) -> Option<i32> {
+    pub fn terminate_and_wait(&mut self) -> Option<i32> {
         self.terminate();
         self.exit_code()
     }
 
     /// Waits for a line of its log that holds `text`.
-    pub fn logged(&self, text: &str) {
+    pub fn wait_for_log(&self, text: &str) {
         let log = self.log.lock().unwrap();
         while !receive(&log).contains(text) {}
     }
--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -20,7 +20,7 @@
 mod worker;
 
 pub use agent::{Agent, full_list};
-pub use daemon::{Sidecar, command, config, fails, program};
+pub use daemon::{Sidecar, command, config, failed_start, program};
 pub use delay::Delay;
 pub use early_servers::{
     DoubleAnswer, EarlyAnswer, RequestCounts, closing_server, double_answering_server,
--- a/crates/plankvale/tests/conformance/asked_ends.rs
+++ b/crates/plankvale/tests/conformance/asked_ends.rs
@@ -50,9 +50,9 @@
     });
     let agent = Agent::start(hosts(&[server]));
     let form = F::start_with(&config(agent.address, |_| {}), PROVEN);
-    let short = || form.ask(Ask::safe());
+    let short = || form.request(Ask::safe());
     thread::scope(|scope| {
-        let long = scope.spawn(|| form.ask(Ask::safe().path(LONG_PATH)));
+        let long = scope.spawn(|| form.request(Ask::safe().path(LONG_PATH)));
         wait_until("the long answer has begun", || long_begun.load(Ordering::SeqCst));
         assert_eq!(short(), served("short"));
         go_on.store(true, Ordering::SeqCst);
@@ -96,7 +96,7 @@
     let form = F::start_with(&config(agent.address, |_| {}), PROVEN);
     let mut ends: Vec<End> = Vec::new();
     wait_until("some requests were held back", || {
-        ends.push(form.ask(Ask::at_most_once()));
+        ends.push(form.request(Ask::at_most_once()));
         cut_short.load(Ordering::SeqCst) >= CUT_SHORT
     });
     ends.retain(|end| *end != served("done"));
--- a/crates/plankvale/tests/conformance/bodies.rs
+++ b/crates/plankvale/tests/conformance/bodies.rs
@@ -53,7 +53,7 @@
     let body = "y".repeat(300_000);
     let stage = ServerGroup::new(1, move |_| Fault::Serve(body.clone()));
     let (form, _agent) = streaming::<F>(&stage);
-    let ends: Vec<End> = Ask::each().into_iter().map(|ask| form.ask(ask)).collect();
+    let ends: Vec<End> = Ask::each().into_iter().map(|ask| form.request(ask)).collect();
     assert_eq!(ends, vec![End::Served(vec![b'y'; 300_000]); 3]);
     Record::of(ends, &stage)
 }
@@ -69,7 +69,7 @@
         _ => Fault::Reset,
     });
     let (form, _agent) = streaming::<F>(&stage);
-    let ends = vec![form.ask(Ask::at_most_once())];
+    let ends = vec![form.request(Ask::at_most_once())];
     assert_eq!(ends, [End::Broken]);
     Record::of(ends, &stage)
 }
--- a/crates/plankvale/tests/conformance/copies.rs
+++ b/crates/plankvale/tests/conformance/copies.rs
@@ -73,7 +73,7 @@
             thread::sleep(pause);
             let id = ask.headers.iter().find(|field| field.0 == "x-correlation-id").cloned();
             let id = id.expect("an id").1;
-            match form.ask(ask) {
+            match form.request(ask) {
                 End::Served(body) if body.starts_with(id.as_bytes()) => own += 1,
                 End::Served(_) => wrong += 1,
                 _ => {}
@@ -136,7 +136,7 @@
     let form = F::start(&config(agent.address, |_| {}));
     let ask = |n: usize| {
         thread::sleep(Duration::from_millis(10));
-        form.ask(Ask::at_most_once().body(format!("order {n}").into()))
+        form.request(Ask::at_most_once().body(format!("order {n}").into()))
     };
     let ends: Vec<End> = (0..2 * WELL).map(ask).collect();
     let ran = ran.lock().expect("a log");
--- a/crates/plankvale/tests/conformance/ends.rs
+++ b/crates/plankvale/tests/conformance/ends.rs
@@ -28,7 +28,7 @@
         let stage = ServerGroup::new(2, |_| Fault::Stall);
         let (form, _agent) = start::<F>(&stage, |_| {});
         let before = Instant::now();
-        let record = Record::anywhere(vec![form.ask(ask.left(400))], &stage);
+        let record = Record::anywhere(vec![form.request(ask.left(400))], &stage);
         assert_eq!(record.ends, [end]);
         // The protocol's slack, 50 ms, and more for a busy machine; far below the class's deadline.
         assert!(before.elapsed() < Duration::from_millis(800), "{:?}", before.elapsed());
@@ -71,7 +71,7 @@
         let (form, _agent) = start::<F>(&stage, |c| {
             c["settings"]["limits"]["mayDuplicate"] = json!(false);
         });
-        let record = Record::anywhere(vec![form.ask(ask.left(CLIENTS))], &stage);
+        let record = Record::anywhere(vec![form.request(ask.left(CLIENTS))], &stage);
         assert_eq!(record.ends, [served("fine")]);
         let told: Vec<u64> = (stage.seen().iter())
             .map(|a| a.message.header("x-time-left-ms").unwrap().parse().unwrap())
@@ -97,7 +97,7 @@
     }));
     let ask = Ask::at_most_once().left(CLIENTS).body(vec![7; 300_000]);
     let end = std::thread::scope(|s| {
-        let asking = s.spawn(|| form.ask(ask));
+        let asking = s.spawn(|| form.request(ask));
         std::thread::sleep(Duration::from_millis(AIM / 5));
         listed.push(host("s-0", stage.servers[0].address));
         agent.change(listed);
@@ -125,11 +125,11 @@
     let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let agent = Agent::start(stage.hosts());
     let form = F::start(&config(agent.address, |_| {}));
-    assert_eq!(form.ask(Ask::safe()), served("fine"));
+    assert_eq!(form.request(Ask::safe()), served("fine"));
     agent.change(Vec::new());
-    wait_until("nobody is left", || form.ask(Ask::safe()) == REFUSED);
+    wait_until("nobody is left", || form.request(Ask::safe()) == REFUSED);
     let before = stage.count();
-    let ends: Vec<End> = Ask::each().into_iter().map(|ask| form.ask(ask)).collect();
+    let ends: Vec<End> = Ask::each().into_iter().map(|ask| form.request(ask)).collect();
     assert_eq!((ends.as_slice(), stage.count()), (&vec![REFUSED; 3][..], before));
     Record { ends, seen: Vec::new() }
 }
@@ -146,7 +146,7 @@
     });
     let (form, _agent) = start::<F>(&stage, |_| {});
     let ends = std::thread::scope(|s| {
-        let asking = Ask::each().map(|ask| s.spawn(|| form.ask(ask)));
+        let asking = Ask::each().map(|ask| s.spawn(|| form.request(ask)));
         let with_server: Vec<_> = (0..3).map(|_| receive(&coming)).collect();
         form.end();
         for go in with_server {
--- a/crates/plankvale/tests/conformance/equal_answers.rs
+++ b/crates/plankvale/tests/conformance/equal_answers.rs
@@ -48,7 +48,7 @@
         // Longer than a connection's quarantine.
         thread::sleep(Duration::from_millis(3));
         let id = ask.headers.iter().find(|field| field.0 == "x-correlation-id").cloned();
-        let end = form.ask(ask);
+        let end = form.request(ask);
         (end == served(&id.expect("an id").1), end)
     })
     .collect()
@@ -127,7 +127,7 @@
     let form = F::start(&config(agent.address, |_| {}));
     for ask in std::iter::repeat_with(Ask::each).take(20).flatten() {
         thread::sleep(Duration::from_millis(3));
-        assert_eq!(form.ask(ask), served("done"));
+        assert_eq!(form.request(ask), served("done"));
     }
 }
 
--- a/crates/plankvale/tests/conformance/form.rs
+++ b/crates/plankvale/tests/conformance/form.rs
@@ -106,7 +106,7 @@
     /// The same with this text as the product's own file.
     fn start_with(config: &Value, product: &str) -> Self;
     /// Makes a request and waits for its end.
-    fn ask(&self, ask: Ask) -> End;
+    fn request(&self, ask: Ask) -> End;
     /// Begins the planned end.
     fn end(&self);
 }
@@ -126,7 +126,7 @@
         Daemon(sidecar)
     }
 
-    fn ask(&self, ask: Ask) -> End {
+    fn request(&self, ask: Ask) -> End {
         let fields: String = ask.headers.iter().map(|(n, v)| format!("{n}: {v}\r\n")).collect();
         let length = match ask.method {
             "GET" => String::new(),
@@ -202,7 +202,7 @@
         Library::open(config)
     }
 
-    fn ask(&self, ask: Ask) -> End {
+    fn request(&self, ask: Ask) -> End {
         let mut request = http::Request::builder().method(ask.method).uri(&ask.path);
         for (name, value) in &ask.headers {
             request = request.header(name, value);
@@ -270,7 +270,7 @@
 /// A form with a stage's servers and the usual settings; asks these one after another.
 pub fn asked<F: Form>(stage: &ServerGroup, asks: impl IntoIterator<Item = Ask>) -> Vec<End> {
     let (form, _agent) = start::<F>(stage, |_| {});
-    asks.into_iter().map(|ask| form.ask(ask)).collect()
+    asks.into_iter().map(|ask| form.request(ask)).collect()
 }
 
 /// A form whose settings put no price on handshakes.
@@ -295,8 +295,8 @@
         Unpriced(F::start_with(&Self::without_price(config), product))
     }
 
-    fn ask(&self, ask: Ask) -> End {
-        self.0.ask(ask)
+    fn request(&self, ask: Ask) -> End {
+        self.0.request(ask)
     }
 
     fn end(&self) {
--- a/crates/plankvale/tests/conformance/invalid.rs
+++ b/crates/plankvale/tests/conformance/invalid.rs
@@ -92,10 +92,10 @@
     let ask = || Ask::at_most_once().left(2_500).without("x-correlation-id");
     let twin = || ask().with("x-correlation-id", "twin");
     let ends = std::thread::scope(|s| {
-        let first = s.spawn(|| form.ask(twin()));
+        let first = s.spawn(|| form.request(twin()));
         wait_until("the first is with a server", || stage.count() == 1);
-        let second = form.ask(twin());
-        let another = form.ask(ask().with("x-correlation-id", "no-twin"));
+        let second = form.request(twin());
+        let another = form.request(ask().with("x-correlation-id", "no-twin"));
         vec![first.join().expect("no client panics"), second, another]
     });
     assert_eq!(ends, [End::Failed, End::Invalid(409), served("fine")]);
--- a/crates/plankvale/tests/conformance/lists.rs
+++ b/crates/plankvale/tests/conformance/lists.rs
@@ -23,18 +23,18 @@
 fn until<F: Form>(form: &F, what: &str, done: impl Fn(&End) -> bool) -> Vec<End> {
     let mut in_a_row = 0;
     wait_until(what, || {
-        in_a_row = if done(&form.ask(Ask::safe())) { in_a_row + 1 } else { 0 };
+        in_a_row = if done(&form.request(Ask::safe())) { in_a_row + 1 } else { 0 };
         in_a_row == 20
     });
-    (0..20).map(|_| form.ask(Ask::safe())).collect()
+    (0..20).map(|_| form.request(Ask::safe())).collect()
 }
 
 fn a_server_that_leaves_gets_nothing_new<F: Form>() -> Vec<Record> {
     let told = ["leaving", "left"].map(|health| {
         let stage = named();
         let (form, agent) = start::<F>(&stage, |_| {});
-        wait_until("the first serves", || form.ask(Ask::safe()) == served("0"));
-        wait_until("the second serves", || form.ask(Ask::safe()) == served("1"));
+        wait_until("the first serves", || form.request(Ask::safe()) == served("0"));
+        wait_until("the second serves", || form.request(Ask::safe()) == served("1"));
         let mut hosts = stage.hosts();
         hosts[0]["health"] = json!(health);
         agent.change(hosts);
@@ -49,7 +49,7 @@
     let stage = named();
     let agent = Agent::start(vec![host("s", stage.servers[0].address)]);
     let form = F::start(&config(agent.address, |_| {}));
-    assert_eq!(form.ask(Ask::safe()), served("0"));
+    assert_eq!(form.request(Ask::safe()), served("0"));
     agent.change(vec![host("s", stage.servers[1].address)]);
     let ends = until(&form, "the new address", |end| *end == served("1"));
     assert_eq!(ends, vec![served("1"); 20]);
@@ -60,9 +60,9 @@
     let stage = named();
     let agent = Agent::start(vec![stage.hosts()[0].clone()]);
     let form = F::start(&config(agent.address, |_| {}));
-    assert_eq!(form.ask(Ask::safe()), served("0"));
+    assert_eq!(form.request(Ask::safe()), served("0"));
     agent.change(stage.hosts());
-    wait_until("the new one serves", || form.ask(Ask::safe()) == served("1"));
+    wait_until("the new one serves", || form.request(Ask::safe()) == served("1"));
     Record { ends: Vec::new(), seen: Vec::new() }
 }
 
@@ -78,7 +78,7 @@
         c["settings"]["rules"]["cold"] = json!(3_600_000_000u64);
         c["settings"]["rules"]["coldShare"] = json!(0.05);
     }));
-    let ends: Vec<End> = (0..200).map(|_| form.ask(Ask::safe())).collect();
+    let ends: Vec<End> = (0..200).map(|_| form.request(Ask::safe())).collect();
     let cold = ends.iter().filter(|end| **end == served("1")).count();
     let warm = ends.iter().filter(|end| **end == served("0")).count();
     assert!(cold + warm == 200 && cold <= 40, "{cold} of 200 at a server of a twentieth");
@@ -89,7 +89,7 @@
     let stage = named();
     let known = json!({"seq": 4, "whole": true, "hosts": [stage.hosts()[1]]});
     let form = F::start(&config(refusing_address(), |c| c["known"] = known));
-    let record = Record::of(vec![form.ask(Ask::safe())], &stage);
+    let record = Record::of(vec![form.request(Ask::safe())], &stage);
     assert_eq!(record.ends, [served("1")]);
     record
 }
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -83,7 +83,7 @@
     });
     // Where answers are proven, requests have a field of this name that is of this hop's own.
     let form = F::start_with(&settings, UNLIMITED);
-    let record = Record::anywhere(vec![form.ask(ask)], &stage);
+    let record = Record::anywhere(vec![form.request(ask)], &stage);
     assert_eq!((record.ends.as_slice(), record.attempts()), (&[served("fine")][..], 2));
     for attempt in stage.seen() {
         let header = |name| attempt.message.header(name);
@@ -120,7 +120,7 @@
     hosts[1]["site"] = "b".into();
     let agent = Agent::start(hosts);
     let form = F::start(&config(agent.address, |_| {}));
-    let record = Record::anywhere(vec![form.ask(Ask::keyed())], &stage);
+    let record = Record::anywhere(vec![form.request(Ask::keyed())], &stage);
     assert_eq!((record.ends.as_slice(), record.attempts()), (&[End::Failed][..], 1));
     record
 }
@@ -156,7 +156,7 @@
         c["settings"]["limits"]["retryAfter"] = true.into();
         c["settings"]["limits"]["maxRetryAfter"] = 400_000.into();
     });
-    let record = Record::anywhere(vec![form.ask(Ask::at_most_once())], &stage);
+    let record = Record::anywhere(vec![form.request(Ask::at_most_once())], &stage);
     assert_eq!(record.ends, [End::Refused { told: true }]);
     record
 }
@@ -166,7 +166,7 @@
     let agent = Agent::start([stage.hosts(), vec![host("s-gone", refusing_address())]].concat());
     let form = F::start(&config(agent.address, |_| {}));
     let asks = (0..6).map(|_| Ask::at_most_once());
-    let record = Record::of(asks.map(|ask| form.ask(ask)).collect(), &stage);
+    let record = Record::of(asks.map(|ask| form.request(ask)).collect(), &stage);
     assert_eq!((record.ends.as_slice(), record.attempts()), (&vec![served("fine"); 6][..], 6));
     record
 }
@@ -226,7 +226,7 @@
     let form = F::start_with(&config(agent.address, |_| {}), UNLIMITED);
     let ask = |n: usize| {
         std::thread::sleep(Duration::from_millis(10));
-        form.ask(Ask::at_most_once().body(format!("request {n}").into()))
+        form.request(Ask::at_most_once().body(format!("request {n}").into()))
     };
     let wrong = (0..96).filter(|&n| ask(n) == served("a copy")).count();
     let stale = stale.load(Ordering::SeqCst);
@@ -250,7 +250,7 @@
     let form = F::start(&config(agent.address, |_| {}));
     let ask = |_| {
         std::thread::sleep(Duration::from_millis(10));
-        form.ask(Ask::safe())
+        form.request(Ask::safe())
     };
     let wrong = (0..16).map(ask).filter(|end| *end == served("a copy")).count();
     assert_eq!(wrong, 0, "of 16 requests so many got another one's answer");
@@ -278,7 +278,7 @@
     let form = F::start(&config(agent.address, |_| {}));
     let ask = |_| {
         std::thread::sleep(Duration::from_millis(10));
-        form.ask(Ask::safe())
+        form.request(Ask::safe())
     };
     let wrong = (0..2 * WELL).map(ask).filter(|end| *end == served("a copy")).count();
     assert_eq!(wrong, 0, "so many got another one's answer");
@@ -300,11 +300,11 @@
     });
     let silent = || Ask::safe().without("x-correlation-id").with("x-correlation-id", "silent");
     let ends = std::thread::scope(|s| {
-        let first = s.spawn(|| form.ask(silent().left(18_000)));
+        let first = s.spawn(|| form.request(silent().left(18_000)));
         wait_until("the first is with a server", || stage.count() >= 1);
         // Others pass it by, at both servers, for as long as it waits.
         while !first.is_finished() {
-            assert_eq!(form.ask(Ask::safe()), served("fine"));
+            assert_eq!(form.request(Ask::safe()), served("fine"));
         }
         vec![first.join().expect("no client panics")]
     });
@@ -358,7 +358,9 @@
                 let id = |n: usize| format!("storm-{client}-{n}");
                 asks.enumerate()
                     .map(|(n, ask)| {
-                        form.ask(ask.without("x-correlation-id").with("x-correlation-id", &id(n)))
+                        form.request(
+                            ask.without("x-correlation-id").with("x-correlation-id", &id(n)),
+                        )
                     })
                     .collect::<Vec<_>>()
             })
--- a/crates/plankvale/tests/conformance/stale_copies.rs
+++ b/crates/plankvale/tests/conformance/stale_copies.rs
@@ -218,7 +218,7 @@
 fn end_of<F: Form>(form: &F, ask: Ask) -> GotBack {
     let id = ask.headers.iter().find(|h| h.0 == "x-correlation-id").map(|h| h.1.clone());
     let own = served(&id.expect("each has one"));
-    match form.ask(ask) {
+    match form.request(ask) {
         end if end == own => GotBack::Own,
         End::Refused { .. } | End::Failed => GotBack::None,
         _ => GotBack::Other,
--- a/crates/plankvale/tests/distribution/bursts.rs
+++ b/crates/plankvale/tests/distribution/bursts.rs
@@ -21,7 +21,7 @@
             let (tier, stop, served) = (&tier, &stop, &served);
             scope.spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let answer = tier.member(member).ask(safe());
+                    let answer = tier.member(member).request(safe());
                     assert_eq!(answer.status(), 200, "member {member}");
                     served.fetch_add(1, Ordering::SeqCst);
                     thread::sleep(Duration::from_millis(5));
--- a/crates/plankvale/tests/distribution/faults.rs
+++ b/crates/plankvale/tests/distribution/faults.rs
@@ -35,7 +35,7 @@
     (0..CONTROL_NODES).for_each(|node| tier.start_member(node));
     wait_until("all control nodes know it", || {
         (0..CONTROL_NODES)
-            .all(|node| tier.member(node).figure("sidecar.distribution.control.documents") == 1)
+            .all(|node| tier.member(node).metric("sidecar.distribution.control.documents") == 1)
     });
     tier.until_taken_by("page", &tier.all());
 }
--- a/crates/plankvale/tests/distribution/refusals.rs
+++ b/crates/plankvale/tests/distribution/refusals.rs
@@ -38,7 +38,7 @@
     tier.until_taken_by("halved", &[]);
     tier.until_taken_by("page", &tier.all());
     let refused: Vec<usize> = (tier.all().into_iter())
-        .filter(|m| tier.member(*m).figure("sidecar.distribution.refused") > 0)
+        .filter(|m| tier.member(*m).metric("sidecar.distribution.refused") > 0)
         .collect();
     assert!(refused.iter().all(|member| *member >= 4) && refused.len() >= 2, "{refused:?}");
 }
--- a/crates/plankvale/tests/distribution/rollout.rs
+++ b/crates/plankvale/tests/distribution/rollout.rs
@@ -17,7 +17,7 @@
         assert!(tier.takes(member, "look"), "member {member}");
     }
     let hashes = |tier: &Tier| -> Vec<u64> {
-        let of = |member| tier.member(member).figure("sidecar.distribution.hash");
+        let of = |member| tier.member(member).metric("sidecar.distribution.hash");
         tier.all().into_iter().map(of).collect()
     };
     let before = hashes(&tier);
@@ -62,13 +62,13 @@
     config["settings"]["classes"].as_array_mut().expect("a list").push(page);
     tier.member(3).reload(&config.to_string());
     tier.until_taken_by("page", &[3]);
-    assert_eq!(tier.member(3).figure("sidecar.distribution.in_force"), 1);
+    assert_eq!(tier.member(3).metric("sidecar.distribution.in_force"), 1);
     // Over this file the documents in force make no sense: nothing of it is taken.
     tier.puts_into_force("all", &json!({"settings": {"zones": ["a"]}}));
     config["settings"]["zone"] = json!(1);
     config["settings"]["classes"].as_array_mut().expect("a list").pop();
     tier.member(3).reload(&config.to_string());
-    tier.member(3).logged("LB_CONFIG with the documents in force: settings: zone");
-    wait_until("turned down", || tier.member(3).figure("sidecar.sighup_rejected") == 1);
+    tier.member(3).wait_for_log("LB_CONFIG with the documents in force: settings: zone");
+    wait_until("turned down", || tier.member(3).metric("sidecar.sighup_rejected") == 1);
     assert!(tier.takes(3, "page"));
 }
--- a/crates/plankvale/tests/distribution/server_lists.rs
+++ b/crates/plankvale/tests/distribution/server_lists.rs
@@ -65,7 +65,7 @@
 }
 
 fn figure(tier: &Tier, member: usize, name: &str) -> u64 {
-    tier.member(member).figure(&format!("sidecar.distribution.list.{name}"))
+    tier.member(member).metric(&format!("sidecar.distribution.list.{name}"))
 }
 
 fn until_all_served_by(tier: &Tier, name: &str) {
@@ -235,11 +235,11 @@
     assert!(!documents.contains("s-new") && !documents.contains("s-old"), "{documents:?}");
     tier.start_member(member);
     assert_eq!(tier.member(member).served_by(), "new", "the first request");
-    assert_eq!(tier.member(member).figure("sidecar.membership.remembered"), 1);
+    assert_eq!(tier.member(member).metric("sidecar.membership.remembered"), 1);
     assert_eq!(figure(&tier, member, "taken"), 0);
     start_control_nodes(&mut tier);
     wait_until("the list of the control nodes", || figure(&tier, member, "follows") == 1);
-    wait_until("it is live", || tier.member(member).figure("sidecar.membership.remembered") == 0);
+    wait_until("it is live", || tier.member(member).metric("sidecar.membership.remembered") == 0);
 }
 
 /// The configuration of all sidecars moves discovery: those that take the list from the control nodes do not call it, and
@@ -257,7 +257,7 @@
         let mut config = tier.config(member);
         config["discovery"] = json!(moved.address.to_string());
         tier.member(member).reload(&config.to_string());
-        wait_until("reloaded", || tier.member(member).figure("sidecar.sighup_applied") == 1);
+        wait_until("reloaded", || tier.member(member).metric("sidecar.sighup_applied") == 1);
     }
     let silences = || sidecars().map(|member| figure(&tier, member, "silences")).sum::<u64>();
     let before = silences();
@@ -278,7 +278,7 @@
     };
     let tier = Tier::start_as(MEMBERS, &Members { change: &change, product: &product });
     until_all_served_by(&tier, "old");
-    let metrics = tier.member(CONTROL_NODES).operate("GET /v1/metrics").body;
+    let metrics = tier.member(CONTROL_NODES).admin_request("GET /v1/metrics").body;
     let metrics = String::from_utf8(metrics).expect("text");
     assert!(!metrics.contains("distribution.list."), "{metrics}");
     discovery.change(vec![pair.new_entry()]);
--- a/crates/plankvale/tests/distribution/spool.rs
+++ b/crates/plankvale/tests/distribution/spool.rs
@@ -44,7 +44,7 @@
     let old = json!({"scope": "all", "retract": false, "document": "{\"settings\": {}}", "asked_ms": now_ms() - 60_000});
     let status = leave(&tier, writer, &old.to_string());
     assert_eq!(status["stage"], "expired", "{status}");
-    assert_eq!(tier.member(writer).figure("sidecar.distribution.control.committed"), 0);
+    assert_eq!(tier.member(writer).metric("sidecar.distribution.control.committed"), 0);
     let said = tier.command(&["status", tier.spool(writer).to_str().expect("a path")]);
     assert!(said.code == Some(0) && said.text.contains("not published: too old"), "{said:?}");
     assert!(said.text.lines().count() >= 10, "{said:?}");
@@ -78,7 +78,7 @@
     });
     let path = product.to_str().expect("a path");
     let start = |config: &Value| {
-        let output = fails(&config.to_string(), &[("MILLETHOOK_CONFIG", path)]);
+        let output = failed_start(&config.to_string(), &[("MILLETHOOK_CONFIG", path)]);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
     let (code, told) = start(&config);
--- a/crates/plankvale/tests/distribution/tier.rs
+++ b/crates/plankvale/tests/distribution/tier.rs
@@ -163,7 +163,7 @@
         let product = product.to_str().expect("a path").to_owned();
         let env = [("MILLETHOOK_CONFIG", product.as_str())];
         let sidecar = Sidecar::launch_with(&self.configs[member], &env);
-        wait_until("ready", || sidecar.operate("GET /v1/readyz").status() == 200);
+        wait_until("ready", || sidecar.admin_request("GET /v1/readyz").status() == 200);
         self.members[member] = Some(sidecar);
     }
 
@@ -213,7 +213,7 @@
         wait_until("a writer", || {
             let others = self.running().filter(|m| *m < CONTROL_NODES && Some(*m) != not);
             writer = others.into_iter().find(|member| {
-                self.member(*member).figure("sidecar.distribution.control.writer_ready") == 1
+                self.member(*member).metric("sidecar.distribution.control.writer_ready") == 1
             });
             writer.is_some()
         });
@@ -294,7 +294,7 @@
 
     /// Whether a member takes requests of a class.
     pub fn takes(&self, member: usize, class: &str) -> bool {
-        let answer = self.member(member).ask(safe().replace("/look", &format!("/{class}")));
+        let answer = self.member(member).request(safe().replace("/look", &format!("/{class}")));
         match answer.status() {
             200 => true,
             404 => false,
--- a/crates/plankvale/tests/sidecar/choice.rs
+++ b/crates/plankvale/tests/sidecar/choice.rs
@@ -72,13 +72,13 @@
     let config = config(agent.address, |c| patient(c, 10, 16));
     let sidecar = Sidecar::start(&config);
     wait_until("refused once", || {
-        assert_eq!(sidecar.ask(with_time(safe())).status(), 200);
+        assert_eq!(sidecar.request(with_time(safe())).status(), 200);
         tried.count() == 1
     });
     let since = Instant::now();
     // Well within the longest deadline, which is a quiet sidecar's interval.
     while tried.count() < 2 && since.elapsed() < Duration::from_secs(12) {
-        assert_eq!(sidecar.ask(with_time(safe())).status(), 200);
+        assert_eq!(sidecar.request(with_time(safe())).status(), 200);
     }
     assert!(tried.count() >= 2, "not tried again in {:?}", since.elapsed());
 }
@@ -148,7 +148,7 @@
     let sidecar = Sidecar::start(&config(agent.address, |c| patient(c, 60, 90)));
     for _ in 0..8 {
         let hurried = safe().replace("/look/1", "/look/hurried");
-        assert_eq!(sidecar.ask(hurried.replace("Left-Ms: 900", "Left-Ms: 40")).status(), 503);
+        assert_eq!(sidecar.request(hurried.replace("Left-Ms: 900", "Left-Ms: 40")).status(), 503);
     }
     let mut open = Vec::new();
     for _ in 0..12 {
--- a/crates/plankvale/tests/sidecar/clients.rs
+++ b/crates/plankvale/tests/sidecar/clients.rs
@@ -41,7 +41,7 @@
         crowd.push(client.socket);
     }
     let before = Instant::now();
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    assert_eq!(sidecar.request(safe()).status(), 200);
     assert!(before.elapsed() < Duration::from_secs(1));
     drop(crowd);
     wait_until("descriptors given back", || sidecar.descriptors() < 40);
@@ -133,7 +133,7 @@
             let _ = gone.send(conn.ended());
             None
         });
-        let (sidecar, _agent) = Sidecar::of(&list);
+        let (sidecar, _agent) = Sidecar::with_servers(&list);
         let mut client = sidecar.client();
         client.send(safe().replace("Left-Ms: 900", "Left-Ms: 60000"));
         receive(&coming);
@@ -175,7 +175,7 @@
             client.reset();
         }
     }
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    assert_eq!(sidecar.request(safe()).status(), 200);
     wait_until("descriptors given back", || sidecar.descriptors() <= before + 4);
 }
 
@@ -189,7 +189,7 @@
         conn.send(ok(&sent));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
     let mut client = sidecar.client();
     let last = safe().replace("Host:", "Connection: close\r\nHost:");
     client.send(last + &safe() + &"x".repeat(100_000));
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -55,7 +55,7 @@
         let product = product.to_str().expect("a path");
         let sidecar = Sidecar::launch_with(&self.config(agent), &[("MILLETHOOK_CONFIG", product)]);
         wait_until("ready", || {
-            sidecar.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
+            sidecar.request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
         });
         sidecar
     }
@@ -111,23 +111,23 @@
     let agent = Agent::start(vec![host("s-a", nowhere())]);
     let sidecar = site.start(&agent);
     // Whoever takes no receipt is refused, as ever.
-    assert_eq!(sidecar.ask(order("no", "")).status(), 503);
-    let first = sidecar.ask(order("one", ASKS));
+    assert_eq!(sidecar.request(order("no", "")).status(), 503);
+    let first = sidecar.request(order("one", ASKS));
     assert_eq!(first.status(), 202, "{first:?}");
     assert_eq!(first.header("preference-applied"), Some("respond-async"));
     let context = first.header("millethook-context").expect("a receipt").to_owned();
-    let second = sidecar.ask(order("two", &format!("{ASKS}Millethook-After: {context}\r\n")));
+    let second = sidecar.request(order("two", &format!("{ASKS}Millethook-After: {context}\r\n")));
     assert_eq!(second.status(), 202);
     // A class that is not named is never kept.
     let other = keyed().replace("Host:", &format!("{ASKS}Host:"));
-    assert_eq!(sidecar.ask(other).status(), 503);
-    let wrong = sidecar.ask(order("x", &format!("{ASKS}Millethook-After: never given\r\n")));
+    assert_eq!(sidecar.request(other).status(), 503);
+    let wrong = sidecar.request(order("x", &format!("{ASKS}Millethook-After: never given\r\n")));
     assert_eq!(wrong.status(), 400);
     let (text, code) = site.told(&["show"]);
     assert!(text.contains("2 kept") && code == Some(0), "{text}");
     let (server, seen) = counting();
     agent.change(vec![host("s-b", server.address)]);
-    wait_until("both are done", || sidecar.figure("sidecar.edge.replayed") == 2);
+    wait_until("both are done", || sidecar.metric("sidecar.edge.replayed") == 2);
     let bodies: Vec<Vec<u8>> = seen.lock().expect("a log").iter().map(|m| m.body.clone()).collect();
     assert_eq!(bodies, [b"one".to_vec(), b"two".to_vec()]);
     let seen = seen.lock().expect("a log");
@@ -139,8 +139,8 @@
     drop(seen);
     // What waits for one that nobody knows is not sent in its client's time.
     let unknown = "Millethook-After: 00ff000000000001-1\r\n";
-    assert_eq!(sidecar.ask(order("three", unknown)).status(), 503);
-    assert_eq!(sidecar.ask(order("four", "")).status(), 200);
+    assert_eq!(sidecar.request(order("three", unknown)).status(), 503);
+    assert_eq!(sidecar.request(order("four", "")).status(), 200);
     assert_eq!(site.told(&["show"]).0.lines().count(), 1);
 }
 
@@ -150,14 +150,14 @@
     let agent = Agent::start(vec![host("s-a", nowhere())]);
     let mut first = site.start(&agent);
     let kept: Vec<u16> =
-        (0..20).map(|n| first.ask(order(&format!("w{n}"), ASKS)).status()).collect();
+        (0..20).map(|n| first.request(order(&format!("w{n}"), ASKS)).status()).collect();
     assert!(kept.iter().all(|status| *status == 202), "{kept:?}");
     first.child.kill().expect("killed");
     first.child.wait().expect("ended");
     let (server, seen) = counting();
     agent.change(vec![host("s-b", server.address)]);
     let second = site.start(&agent);
-    wait_until("all are done", || second.figure("sidecar.edge.replayed") == 20);
+    wait_until("all are done", || second.metric("sidecar.edge.replayed") == 20);
     let mut bodies: Vec<String> = (seen.lock().expect("a log").iter())
         .map(|m| String::from_utf8_lossy(&m.body).into_owned())
         .collect();
@@ -176,7 +176,7 @@
     let agent = Agent::start(vec![host("s-a", nowhere())]);
     let sidecar = site.start(&agent);
     let write = order("late", ASKS).replace("Left-Ms: 900", "Left-Ms: 200");
-    assert_eq!(sidecar.ask(write).status(), 202);
+    assert_eq!(sidecar.request(write).status(), 202);
     assert!(site.told(&["export"]).0.contains("x-time-left-ms"), "{:?}", site.told(&["export"]));
     let stage = ServerGroup::new(2, |a| match a.nth {
         1 => {
@@ -186,7 +186,7 @@
         _ => Fault::Serve("done".into()),
     });
     agent.change(stage.hosts());
-    wait_until("it is done", || sidecar.figure("sidecar.edge.replayed") == 1);
+    wait_until("it is done", || sidecar.metric("sidecar.edge.replayed") == 1);
     let seen: Vec<Message> = stage.seen().into_iter().map(|a| a.message).collect();
     let told = told(&seen);
     assert_eq!(told.len(), 2, "{seen:?}");
@@ -198,7 +198,7 @@
     let site = Site::new();
     let agent = Agent::start(vec![host("s-a", nowhere())]);
     let sidecar = site.start(&agent);
-    let receipt = sidecar.ask(order("once", ASKS));
+    let receipt = sidecar.request(order("once", ASKS));
     let id = receipt.header("millethook-context").expect("a receipt").to_owned();
     // It takes the first write and says nothing: the connection breaks.
     let count = Arc::new(Mutex::new(0));
@@ -214,14 +214,14 @@
         }
     });
     agent.change(vec![host("s-b", server.address)]);
-    wait_until("in doubt", || sidecar.figure("sidecar.edge.doubt") == 1);
+    wait_until("in doubt", || sidecar.metric("sidecar.edge.doubt") == 1);
     assert_eq!(*count.lock().expect("a count"), 1);
     assert!(site.told(&["show"]).0.contains("in doubt"));
     assert!(site.told(&["export"]).0.contains("\"body\":\"6f6e6365\""));
     assert_eq!(site.told(&["release", "00ff000000000001-1"]).1, Some(2));
     let (text, code) = site.told(&["release", &id]);
     assert_eq!(code, Some(0), "{text}");
-    wait_until("done", || sidecar.figure("sidecar.edge.replayed") == 1);
+    wait_until("done", || sidecar.metric("sidecar.edge.replayed") == 1);
     assert_eq!(*count.lock().expect("a count"), 2);
     // One that has its end takes no word.
     assert_eq!(site.told(&["drop", &id]).1, Some(2));
@@ -236,14 +236,14 @@
     let stores = site.folder.path().join("edge");
     std::fs::remove_dir_all(&stores).expect("removed");
     std::fs::write(&stores, b"a file in its place").expect("written");
-    let refused = sidecar.ask(order("cannot be kept", ASKS));
+    let refused = sidecar.request(order("cannot be kept", ASKS));
     assert_eq!(refused.status(), 503, "{refused:?}");
     assert!(refused.header("retry-after").is_some());
-    assert_eq!(sidecar.figure("sidecar.edge.refused"), 1);
+    assert_eq!(sidecar.metric("sidecar.edge.refused"), 1);
     // As soon as there is a folder again writes are kept.
     std::fs::remove_file(&stores).expect("removed");
     std::fs::create_dir(&stores).expect("a folder");
-    assert_eq!(sidecar.ask(order("kept", ASKS)).status(), 202);
+    assert_eq!(sidecar.request(order("kept", ASKS)).status(), 202);
 }
 
 /// A disk that syncs what is taken in only as the test lets it.
@@ -303,13 +303,13 @@
         let inside = Inside { address, _stop: stop };
         wait_until("ready", || {
             inside
-                .ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+                .request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 .is_some_and(|m| m.status() == 200)
         });
         inside
     }
 
-    fn ask(&self, request: impl AsRef<[u8]>) -> Option<Message> {
+    fn request(&self, request: impl AsRef<[u8]>) -> Option<Message> {
         let socket = std::net::TcpStream::connect(self.address).ok()?;
         Conn::new(socket).message_to(request)
     }
@@ -323,12 +323,12 @@
     let agent = Agent::start(vec![host("s-a", nowhere())]);
     let disk = Held::default();
     let sidecar = Inside::start(&site, &agent, disk.clone());
-    assert_eq!(sidecar.ask(order("slow", ASKS)).expect("an answer").status(), 502);
+    assert_eq!(sidecar.request(order("slow", ASKS)).expect("an answer").status(), 502);
     assert!(site.told(&["show"]).0.contains("0 kept, 0 out"), "nobody else sends it");
     disk.let_go(true);
     let mut kept = 0;
     wait_until("a write is kept", || {
-        let status = sidecar.ask(order(&format!("w{kept}"), ASKS)).expect("an answer").status();
+        let status = sidecar.request(order(&format!("w{kept}"), ASKS)).expect("an answer").status();
         kept += u32::from(status == 202);
         status == 202
     });
@@ -355,7 +355,7 @@
     let sidecar = Inside::start(&site, &agent, disk.clone());
     let by_member = |body: &str, more: &str| {
         let request = order(body, &format!("{more}Cookie: k=7\r\n"));
-        sidecar.ask(request).expect("an answer").status()
+        sidecar.request(request).expect("an answer").status()
     };
     let first = format!("{ASKS}Millethook-After: 00ff000000000001-1\r\n");
     assert_eq!(by_member("first", &first), 202);
@@ -365,7 +365,7 @@
     let (server, seen) = counting();
     agent.change(vec![host("s-b", server.address)]);
     wait_until("servers are reached", || {
-        sidecar.ask(order("nobody's", "")).is_some_and(|m| m.status() == 200)
+        sidecar.request(order("nobody's", "")).is_some_and(|m| m.status() == 200)
     });
     assert_eq!(by_member("third", ""), 503);
     let seen = seen.lock().expect("a log");
@@ -423,15 +423,15 @@
     }
     let agent = Agent::start(vec![host("s-end", server.address)]);
     let sidecar = site.start(&agent);
-    let calm = |s: &Sidecar| s.figure("sidecar.edge.left") == s.figure("sidecar.edge.doubt");
+    let calm = |s: &Sidecar| s.metric("sidecar.edge.left") == s.metric("sidecar.edge.doubt");
     let end = Instant::now() + Duration::from_secs(300);
     let mut stores = 0;
     while stores < kills / 2 || !calm(&sidecar) {
         let (left, doubt) =
-            (sidecar.figure("sidecar.edge.left"), sidecar.figure("sidecar.edge.doubt"));
+            (sidecar.metric("sidecar.edge.left"), sidecar.metric("sidecar.edge.doubt"));
         assert!(Instant::now() < end, "{stores} stores, {left} left, {doubt} in doubt");
         std::thread::sleep(Duration::from_millis(200));
-        stores = sidecar.figure("sidecar.edge.stores") as usize;
+        stores = sidecar.metric("sidecar.edge.stores") as usize;
     }
     let mut ran: HashMap<String, usize> = HashMap::new();
     for message in seen.lock().expect("a log").iter() {
@@ -439,7 +439,7 @@
     }
     let twice: Vec<&String> = ran.iter().filter(|(_, n)| **n > 1).map(|(body, _)| body).collect();
     assert!(twice.is_empty(), "{twice:?}");
-    let doubt = sidecar.figure("sidecar.edge.doubt") as usize;
+    let doubt = sidecar.metric("sidecar.edge.doubt") as usize;
     let missing = acknowledged.iter().filter(|body| !ran.contains_key(*body)).count();
     println!(
         "{kills} kills: {} acknowledged, {} ran, {doubt} in doubt, {missing} of the acknowledged not run",
--- a/crates/plankvale/tests/sidecar/edge_death.rs
+++ b/crates/plankvale/tests/sidecar/edge_death.rs
@@ -47,13 +47,13 @@
         let process = SlowProcess { child, address };
         wait_until("ready", || {
             process
-                .ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+                .request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 .is_some_and(|m| m.status() == 200)
         });
         process
     }
 
-    fn ask(&self, request: impl AsRef<[u8]>) -> Option<Message> {
+    fn request(&self, request: impl AsRef<[u8]>) -> Option<Message> {
         Conn::new(TcpStream::connect(self.address).ok()?).message_to(request)
     }
 }
@@ -72,7 +72,7 @@
     let site = Site::new();
     let agent = Agent::start(vec![host("s-a", nowhere())]);
     let slow = SlowProcess::start(&site, &agent);
-    assert_eq!(slow.ask(order("slow", ASKS)).expect("an answer").status(), 502);
+    assert_eq!(slow.request(order("slow", ASKS)).expect("an answer").status(), 502);
     assert_eq!(site.told(&["show"]).0.lines().count(), 2, "it is in the file");
     drop(slow);
     let (server, seen) = counting();
@@ -80,10 +80,10 @@
     let next = site.start(&agent);
     // Sent or withdrawn, the next owner gives it an end.
     wait_until("the next owner is done with it", || {
-        next.figure("sidecar.edge.stores") == 1 && next.figure("sidecar.edge.left") == 0
+        next.metric("sidecar.edge.stores") == 1 && next.metric("sidecar.edge.left") == 0
     });
     // The server is there to be reached.
-    wait_until("another write is served", || next.ask(order("next", "")).status() == 200);
+    wait_until("another write is served", || next.request(order("next", "")).status() == 200);
     let seen = seen.lock().expect("a log");
     assert!(seen.iter().all(|m| m.body == b"next"), "{seen:?}\n{}", site.told(&["show"]).0);
     assert!(site.told(&["show"]).0.contains("0 done"), "{}", site.told(&["show"]).0);
--- a/crates/plankvale/tests/sidecar/fleet.rs
+++ b/crates/plankvale/tests/sidecar/fleet.rs
@@ -58,10 +58,10 @@
     let first = product.start(&peered(&agent, 0, &peers));
     let mut second = product.start(&peered(&agent, 1, &peers));
     wait_until("both alive", || {
-        [&first, &second].iter().all(|s| s.figure("sidecar.fleet.alive") == 2)
+        [&first, &second].iter().all(|s| s.metric("sidecar.fleet.alive") == 2)
     });
     wait_until("one hash", || {
-        first.figure("sidecar.fleet.hash") == second.figure("sidecar.fleet.hash")
+        first.metric("sidecar.fleet.hash") == second.metric("sidecar.fleet.hash")
     });
     let list = std::env::temp_dir().join(format!("millethook-fleet-{}-list", std::process::id()));
     let (a, b) = (first.admin.expect("one"), second.admin.expect("one"));
@@ -76,8 +76,8 @@
     assert!(code == Some(0) && text.contains("2 views: all agree"), "{text}");
     let (code, text) = show(&a.to_string());
     assert!(code == Some(0) && text.contains("alive 2"), "{text}");
-    assert_eq!(second.ends(), Some(0));
-    wait_until("it left", || first.figure("sidecar.fleet.left") == 1);
+    assert_eq!(second.terminate_and_wait(), Some(0));
+    wait_until("it left", || first.metric("sidecar.fleet.left") == 1);
     let (_, text) = show(&a.to_string());
     assert!(text.contains("1 left"), "{text}");
     std::fs::write(&list, "no address\n").expect("written");
@@ -101,7 +101,7 @@
     let send = |bytes: &[u8]| {
         peer.send_to(bytes, peers[0]).expect("sent");
     };
-    let figure = |name: &str| sidecar.figure(&format!("sidecar.fleet.{name}"));
+    let figure = |name: &str| sidecar.metric(&format!("sidecar.fleet.{name}"));
     send(b"no frame at all");
     let mut version = frame("tests", 1).finish();
     version[0] = 9;
@@ -142,7 +142,7 @@
     let mut config = peered(&agent, 0, &[free(), free()]);
     config["settings"]["limits"]["mayTell"] = json!(false);
     let sidecar = product.start(&config);
-    let metrics = String::from_utf8(sidecar.operate("GET /v1/metrics").body).expect("text");
+    let metrics = String::from_utf8(sidecar.admin_request("GET /v1/metrics").body).expect("text");
     assert!(
         metrics.contains("sidecar.forwards") && !metrics.contains("sidecar.fleet."),
         "{metrics}"
--- a/crates/plankvale/tests/sidecar/framing.rs
+++ b/crates/plankvale/tests/sidecar/framing.rs
@@ -12,7 +12,7 @@
         conn.send(ok(&body));
         Some(conn)
     });
-    let (sidecar, agent) = Sidecar::of(&list);
+    let (sidecar, agent) = Sidecar::with_servers(&list);
     (sidecar, agent, log)
 }
 
@@ -40,7 +40,7 @@
 #[test]
 fn a_request_in_chunks_with_extensions_and_trailers() {
     let (sidecar, _agent, _) = echo();
-    let got = sidecar.ask(format!(
+    let got = sidecar.request(format!(
         "POST /order HTTP/1.1\r\nhost: a\r\n{HEAD}tRANSFER-eNCODING: chunked\r\nTrailer: X-Sum\r\n\r\n\
          3;a=b;c=\"d e\"\r\none\r\n004\r\ntwo!\r\n0;last\r\nX-Sum: 9\r\n\r\n"
     ));
@@ -70,7 +70,8 @@
 fn long_headers_pass() {
     let (sidecar, _agent, _) = echo();
     let long = "v".repeat(30_000);
-    let got = sidecar.ask(format!("GET /look HTTP/1.1\r\nHost: a\r\nX-Long: {long}\r\n{HEAD}\r\n"));
+    let got =
+        sidecar.request(format!("GET /look HTTP/1.1\r\nHost: a\r\nX-Long: {long}\r\n{HEAD}\r\n"));
     assert_eq!(got.status(), 200);
 }
 
@@ -80,7 +81,7 @@
         conn.send(ok(&format!("{}:{}", seen.nth, String::from_utf8_lossy(&seen.message.body))));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
     let mut client = sidecar.client();
     client.send(unsafe_with("a") + &unsafe_with("b") + &safe() + &unsafe_with("c"));
     for expected in ["1:a", "2:b", "3:", "4:c"] {
@@ -101,7 +102,7 @@
     ];
     for form in forms {
         let (sidecar, _agent) = answering(form.into());
-        let got = sidecar.ask(unsafe_with("x"));
+        let got = sidecar.request(unsafe_with("x"));
         assert_eq!(
             (got.status(), got.body.as_slice(), got.complete),
             (200, &b"fine"[..], true),
@@ -118,8 +119,8 @@
         bytes.iter().for_each(|&b| conn.send([b]));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
-    assert_eq!(sidecar.ask(safe()).body, (0..=255u8).collect::<Vec<_>>());
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
+    assert_eq!(sidecar.request(safe()).body, (0..=255u8).collect::<Vec<_>>());
 }
 
 #[test]
@@ -131,11 +132,11 @@
         conn.send(&body);
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
     thread::scope(|s| {
         for _ in 0..60 {
             s.spawn(|| {
-                let got = sidecar.ask(unsafe_with(&body));
+                let got = sidecar.request(unsafe_with(&body));
                 assert_eq!((got.status(), got.complete), (200, true));
                 assert!(got.body == body.as_bytes());
             });
@@ -151,7 +152,7 @@
     let part = "x".repeat(200_000);
     for head in ["Content-Length: 900000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n61a80\r\n"] {
         let (sidecar, _agent) = answering(format!("HTTP/1.1 200 OK\r\n{head}{part}").into());
-        let got = sidecar.ask(unsafe_with("x"));
+        let got = sidecar.request(unsafe_with("x"));
         assert_eq!((got.status(), got.complete), (200, false), "{head}");
     }
 }
@@ -180,7 +181,7 @@
         Some(conn)
     });
     let (sidecar, _agent) = Sidecar::streaming(&list);
-    let got = sidecar.ask(safe());
+    let got = sidecar.request(safe());
     assert_eq!((got.status(), got.complete, got.body.len()), (200, true, 300_000));
 }
 
@@ -248,10 +249,10 @@
         (400, "what is this\r\n\r\n".to_owned()),
         (431, get("/look", &format!("{HEAD}X-Long: {long}\r\n"))),
     ] {
-        let got = sidecar.ask(request);
+        let got = sidecar.request(request);
         assert_eq!(got.status(), status);
     }
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    assert_eq!(sidecar.request(safe()).status(), 200);
 }
 
 #[test]
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -39,7 +39,7 @@
         conn.send(ok(&seen.message.body.len().to_string()));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&servers);
+    let (sidecar, _agent) = Sidecar::with_servers(&servers);
     let mut client = sidecar.client();
     for n in [64 << 10, (64 << 10) + 1, 100_000, 3 << 20] {
         let body = bytes(n);
@@ -75,7 +75,7 @@
             }
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[server]);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let mut client = sidecar.client();
     for request in [safe(), keyed(), unsafe_with("x"), safe()] {
         let answer = client.message_to(request).expect("an answer");
@@ -101,7 +101,7 @@
         for _ in 0..CLIENTS {
             scope.spawn(|| {
                 let body = bytes(SIZE);
-                let answer = sidecar.ask(with_length("order", &body));
+                let answer = sidecar.request(with_length("order", &body));
                 assert!(answer.status() == 200 && answer.complete && answer.body == body);
             });
         }
@@ -122,7 +122,7 @@
     let agent = Agent::start(vec![host("s-dead", dead), host("s-b", alive.address)]);
     let sidecar = Sidecar::start(&config(agent.address, |_| {}));
     for _ in 0..10 {
-        assert_eq!(sidecar.ask(with_length("order", &body)).body, b"300000");
+        assert_eq!(sidecar.request(with_length("order", &body)).body, b"300000");
     }
 }
 
@@ -137,7 +137,7 @@
             let _ = tell.send(got.is_some());
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[server]);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     for class in ["order", "keep"] {
         let mut client = sidecar.client();
         client.send(head(class, "Content-Length: 10000000"));
@@ -155,7 +155,7 @@
             conn.send(answer("503 Full", "X-Unprocessed: 1\r\n", ""));
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[server]);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let mut client = sidecar.client();
     client.send(head("order", "Content-Length: 10000000"));
     client.send(bytes(200_000));
@@ -178,20 +178,20 @@
             client.send("30d40\r\n");
         }
         client.send(bytes(200_000));
-        wait_until("it passes on", || sidecar.figure("sidecar.outstanding") == 1);
+        wait_until("it passes on", || sidecar.metric("sidecar.outstanding") == 1);
         drop(client);
         assert!(!receive(&told), "the server took it for whole");
-        wait_until("it is forgotten", || sidecar.figure("sidecar.outstanding") == 0);
+        wait_until("it is forgotten", || sidecar.metric("sidecar.outstanding") == 0);
     }
-    assert_eq!(sidecar.figure("sidecar.forwards"), 0);
+    assert_eq!(sidecar.metric("sidecar.forwards"), 0);
 }
 
 /// The time runs from the last byte on, and then there is an answer whatever the server does.
 #[test]
 fn a_long_body_without_an_answer_ends_in_time() {
     let server = Server::start(|mut conn| while conn.message().is_some() {});
-    let (sidecar, _agent) = Sidecar::of(&[server]);
-    assert_eq!(sidecar.ask(with_length("order", &bytes(500_000))).status(), 502);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
+    assert_eq!(sidecar.request(with_length("order", &bytes(500_000))).status(), 502);
 }
 
 #[test]
@@ -200,9 +200,9 @@
         conn.send(ok("served"));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&servers);
+    let (sidecar, _agent) = Sidecar::with_servers(&servers);
     let too_long = head("order", &format!("Content-Length: {}", (32 << 20) + 1));
-    assert_eq!(sidecar.ask(too_long).status(), 413);
+    assert_eq!(sidecar.request(too_long).status(), 413);
     // One that does not say how long it is, is cut off where it is too long.
     let mut client = sidecar.client();
     client.send(head("order", "Transfer-Encoding: chunked"));
@@ -222,7 +222,7 @@
         conn.send(ok("served"));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&servers);
+    let (sidecar, _agent) = Sidecar::with_servers(&servers);
     for sent in [0, 10, 100_000] {
         let mut client = sidecar.client();
         client.send(head("order", "Content-Length: 200000"));
@@ -243,8 +243,8 @@
             conn.send(bytes(100_000));
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[announced]);
-    assert_eq!(sidecar.ask(unsafe_with("x")).status(), 502);
+    let (sidecar, _agent) = Sidecar::with_servers(&[announced]);
+    assert_eq!(sidecar.request(unsafe_with("x")).status(), 502);
     let endless = Server::start(|mut conn| {
         if conn.message().is_some() {
             conn.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -256,8 +256,8 @@
             }
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[endless]);
-    let answer = sidecar.ask(unsafe_with("x"));
+    let (sidecar, _agent) = Sidecar::with_servers(&[endless]);
+    let answer = sidecar.request(unsafe_with("x"));
     assert!(!answer.complete && answer.body.len() <= 32 << 20);
 }
 
@@ -304,7 +304,7 @@
             conn.send("0\r\n\r\n");
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[server]);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let mut client = sidecar.client();
     client.send(unsafe_with("x"));
     let head = client.head().expect("the head, ahead of the answer's end");
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -93,7 +93,7 @@
 /// The whole request is asked again, as a client would, until it is served.
 fn served_within(sidecar: &Sidecar, by: &str) {
     wait_until("served", || {
-        let message = sidecar.ask(safe());
+        let message = sidecar.request(safe());
         message.status() == 200 && message.body == by.as_bytes()
     });
 }
@@ -105,8 +105,8 @@
     kept.remember(&[host("s-a", server.address)], 60_000);
     let sidecar = kept.launch(&down());
     assert_eq!(sidecar.served_by(), "s-a", "the very first request");
-    assert_eq!(sidecar.figure("sidecar.membership.remembered"), 1);
-    assert_eq!(sidecar.figure("sidecar.membership.trials"), 0);
+    assert_eq!(sidecar.metric("sidecar.membership.remembered"), 1);
+    assert_eq!(sidecar.metric("sidecar.membership.trials"), 0);
 }
 
 /// All servers of a fresh list stand in another zone: they are used until discovery brings others.
@@ -143,10 +143,10 @@
         config["discovery"] = json!(agent.address.to_string());
         sidecar.reload(&config.to_string());
         wait_until("asked", || agent.calls() > 0);
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
         config["discovery"] = json!(refusing_address().to_string());
         sidecar.reload(&config.to_string());
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
 }
 
@@ -157,7 +157,7 @@
     let kept = Kept::new("");
     let sidecar = kept.launch(&down());
     for request in [safe(), unsafe_with("an order")] {
-        assert_eq!(sidecar.ask(request).status(), 503, "trying again is harmless");
+        assert_eq!(sidecar.request(request).status(), 503, "trying again is harmless");
     }
     let agent = Agent::start(vec![host("s-a", server.address)]);
     let mut live = down();
@@ -165,7 +165,7 @@
     sidecar.reload(&live.to_string());
     served_within(&sidecar, "s-a");
     wait_until("ready", || {
-        sidecar.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
+        sidecar.request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
     });
 }
 
@@ -186,17 +186,17 @@
     kept.remember(&list, 20 * DAY);
     let sidecar = kept.launch(&down());
     served_within(&sidecar, "s-a");
-    wait_until("the others fell out", || sidecar.figure("sidecar.membership.dropped") >= 2);
+    wait_until("the others fell out", || sidecar.metric("sidecar.membership.dropped") >= 2);
     for _ in 0..20 {
         let body = "an order";
-        let status = sidecar.ask(unsafe_with(body)).status();
+        let status = sidecar.request(unsafe_with(body)).status();
         assert!(status == 200 || status == 503, "{status}");
     }
     // Each of them has seen trials, and nothing else.
     assert!(stranger_seen.count() >= 1);
     assert_eq!(stranger_seen.count(), 1, "one trial, and no request");
     assert!(mute_seen.count() <= 4, "trials alone");
-    assert_eq!(sidecar.figure("sidecar.membership.confirmed"), 1);
+    assert_eq!(sidecar.metric("sidecar.membership.confirmed"), 1);
 }
 
 #[test]
@@ -207,7 +207,7 @@
     kept.remember(&[host("s-old", old.address)], 2_000 * DAY);
     let agent = Agent::start(vec![host("s-new", new.address)]);
     let sidecar = kept.launch(&down());
-    let answer = sidecar.ask(safe());
+    let answer = sidecar.request(safe());
     assert_eq!(answer.status(), 503, "refused at once: there is nobody to send it to");
     let mut live = down();
     live["discovery"] = json!(agent.address.to_string());
@@ -232,16 +232,16 @@
     let mut config = down();
     config["discovery"] = json!(agent.address.to_string());
     let sidecar = kept.launch(&config);
-    wait_until("listed", || sidecar.ask(safe()).status() == 200);
+    wait_until("listed", || sidecar.request(safe()).status() == 200);
     agent.change(Vec::new());
-    sidecar.logged("suspect_list_held");
+    sidecar.wait_for_log("suspect_list_held");
     for _ in 0..20 {
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
-    assert_eq!(sidecar.figure("sidecar.membership.held"), 1);
+    assert_eq!(sidecar.metric("sidecar.membership.held"), 1);
     agent.change(all[..4].to_vec());
-    wait_until("taken back", || sidecar.figure("sidecar.membership.held") == 0);
-    assert_eq!(sidecar.figure("sidecar.membership.live"), 4);
+    wait_until("taken back", || sidecar.metric("sidecar.membership.held") == 0);
+    assert_eq!(sidecar.metric("sidecar.membership.live"), 4);
 }
 
 #[test]
@@ -255,9 +255,9 @@
         let mut config = down();
         config["discovery"] = json!(agent.address.to_string());
         let sidecar = kept.launch(&config);
-        wait_until("listed", || sidecar.ask(safe()).status() == 200);
+        wait_until("listed", || sidecar.request(safe()).status() == 200);
         agent.change(Vec::new());
-        wait_until("the empty list holds", || sidecar.ask(safe()).status() == 503);
+        wait_until("the empty list holds", || sidecar.request(safe()).status() == 503);
     }
 }
 
@@ -272,7 +272,7 @@
     // What is logged before it listens is not kept by the stand-in; its effect is.
     let mut sidecar = kept.launch(&config);
     served_within(&sidecar, "s-a");
-    assert_eq!(sidecar.ends(), Some(0));
+    assert_eq!(sidecar.terminate_and_wait(), Some(0));
     let kept = show(&kept.snapshot()).expect("written anew");
     assert_eq!((kept.fleet.as_str(), kept.servers.len()), ("n0", 1));
 }
@@ -288,8 +288,8 @@
     config["discovery"] = json!(agent.address.to_string());
     let sidecar = kept.launch(&config);
     served_within(&sidecar, "s-a");
-    sidecar.logged("snapshot_not_written");
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    sidecar.wait_for_log("snapshot_not_written");
+    assert_eq!(sidecar.request(safe()).status(), 200);
 }
 
 #[test]
@@ -304,11 +304,11 @@
     let text = std::fs::read_to_string(kept.file()).expect("read");
     std::fs::write(kept.file(), format!("{text}\n[connections]\nspare = 1\n")).expect("written");
     sidecar.reload(&config.to_string());
-    sidecar.logged("[connections]");
+    sidecar.wait_for_log("[connections]");
     std::fs::write(kept.file(), "[membership]\nsnapsot = 3\n").expect("written");
     sidecar.reload(&config.to_string());
-    sidecar.logged("line 2: membership.snapsot: no such key");
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    sidecar.wait_for_log("line 2: membership.snapsot: no such key");
+    assert_eq!(sidecar.request(safe()).status(), 200);
 }
 
 fn cli(args: &[&str]) -> Output {
@@ -372,9 +372,9 @@
     let mut config = down();
     config["discovery"] = json!(registry[0].address.to_string());
     let sidecar = kept.launch(&config);
-    sidecar.logged("suspect_list_taken");
+    sidecar.wait_for_log("suspect_list_taken");
     wait_until("only the one that changes named is left", || {
-        sidecar.figure("sidecar.membership.live") == 1
+        sidecar.metric("sidecar.membership.live") == 1
     });
     assert_eq!(sidecar.served_by(), "s-a");
 }
--- a/crates/plankvale/tests/sidecar/narrow/closing.rs
+++ b/crates/plankvale/tests/sidecar/narrow/closing.rs
@@ -40,7 +40,7 @@
         conn.send(ok(&body));
         Some(conn)
     });
-    let (mut sidecar, _agent) = Sidecar::of(&servers);
+    let (mut sidecar, _agent) = Sidecar::with_servers(&servers);
     let (mut witness, mut client) = (sidecar.client(), little_room(&sidecar));
     witness.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(witness.message().is_some());
@@ -94,7 +94,7 @@
             conn.send(ok("a"));
             Some(conn)
         });
-        let (mut sidecar, _agent) = Sidecar::of(&servers);
+        let (mut sidecar, _agent) = Sidecar::with_servers(&servers);
         let (mut witness, mut client) = (sidecar.client(), sidecar.client());
         let request = unsafe_with("body");
         let (begin, last) = request.split_at(request.len() - 1);
@@ -138,7 +138,7 @@
                 conn.reset();
             }
         });
-        let (sidecar, _agent) = Sidecar::of(&[server]);
+        let (sidecar, _agent) = Sidecar::with_servers(&[server]);
         let mut client = sidecar.client();
         client.send(safe().replace("HTTP/1.1", version));
         arrived(&client, 8192);
--- a/crates/plankvale/tests/sidecar/narrow/commit.rs
+++ b/crates/plankvale/tests/sidecar/narrow/commit.rs
@@ -23,9 +23,9 @@
 
 /// Waits until a request is under way: its attempt is opening a connection by then.
 fn taken(sidecar: &Sidecar) {
-    wait_until("a request under way", || sidecar.figure("sidecar.outstanding") == 1);
+    wait_until("a request under way", || sidecar.metric("sidecar.outstanding") == 1);
     // That call may have come before the attempt's turn; the next one cannot.
-    assert_eq!(sidecar.figure("sidecar.outstanding"), 1);
+    assert_eq!(sidecar.metric("sidecar.outstanding"), 1);
 }
 
 /// Lets connections to a silent server come up; tells of each whether a request came on it.
@@ -84,13 +84,13 @@
         client.send("GET /look");
         client.socket.shutdown(std::net::Shutdown::Write).unwrap();
         assert!(client.ended());
-        wait_until("no request", || sidecar.figure("sidecar.outstanding") == 0);
+        wait_until("no request", || sidecar.metric("sidecar.outstanding") == 0);
         let told = opened(silent);
         if !cancel {
             assert!(!receive(&told), "a request for nobody");
         }
         // Where the attempt is called off, no connection comes up: the next one is another request's.
-        assert_eq!(sidecar.ask(long(safe())).body, b"a");
+        assert_eq!(sidecar.request(long(safe())).body, b"a");
         assert!(receive(&told));
     }
 }
@@ -131,13 +131,13 @@
         client.send("POST /order");
     }
     // As many as may come up at once to one server: none waits for another one's handshake.
-    wait_until("all under way", || sidecar.figure("sidecar.outstanding") == 8);
-    assert_eq!(sidecar.figure("sidecar.outstanding"), 8);
+    wait_until("all under way", || sidecar.metric("sidecar.outstanding") == 8);
+    assert_eq!(sidecar.metric("sidecar.outstanding"), 8);
     // Some by an end, some by a reset.
     for (n, client) in clients.into_iter().enumerate() {
         if n % 2 == 0 { drop(client) } else { client.reset() }
     }
-    wait_until("none under way", || sidecar.figure("sidecar.outstanding") == 0);
+    wait_until("none under way", || sidecar.metric("sidecar.outstanding") == 0);
     let (tell, told) = channel();
     silent.start_accepting(move |mut conn| {
         while let Some(message) = conn.message() {
@@ -146,6 +146,6 @@
         }
     });
     // The first that the server gets is what is asked for now, and so is all else that it gets.
-    wait_until("served", || sidecar.ask(long(safe())).body == b"a");
+    wait_until("served", || sidecar.request(long(safe())).body == b"a");
     assert!(told.try_iter().all(|first| first.starts_with("GET")), "an order of nobody");
 }
--- a/crates/plankvale/tests/sidecar/narrow/lists.rs
+++ b/crates/plankvale/tests/sidecar/narrow/lists.rs
@@ -146,7 +146,7 @@
         sidecar.served_by() == "b"
     });
     assert!(began.elapsed() < MOVED_AFTER, "{:?}", began.elapsed());
-    assert_eq!(sidecar.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+    assert_eq!(sidecar.request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     assert!(sidecar.descriptors() < 128, "{}", sidecar.descriptors());
 }
 
@@ -177,7 +177,7 @@
     });
     let asking = |c: &mut Value| c["settings"]["discovery"] = json!("on_request");
     let sidecar = Sidecar::launch(&config(discovery.address, asking));
-    wait_until("the list", || sidecar.ask(safe()).body == b"a");
+    wait_until("the list", || sidecar.request(safe()).body == b"a");
     let calls = calls.lock().unwrap();
     let second = calls[1] - calls[0];
     assert!(second >= Duration::from_millis(1_400), "{second:?}: a line is longer than that");
@@ -225,7 +225,7 @@
         c["settings"]["discovery"] = json!("on_request");
         c["settings"]["instances"] = json!(300);
     }));
-    wait_until("the list", || sidecar.ask(safe()).body == b"a");
+    wait_until("the list", || sidecar.request(safe()).body == b"a");
     let calls = calls.lock().unwrap();
     calls.clone()
 }
@@ -281,7 +281,7 @@
         c["settings"]["discovery"] = json!("on_request");
         c["settings"]["instances"] = json!(40);
     }));
-    wait_until("the list", || sidecar.ask(safe()).body == b"a");
+    wait_until("the list", || sidecar.request(safe()).body == b"a");
     let calls = calls.lock().unwrap();
     let gaps: Vec<Duration> = calls.windows(2).take(6).map(|pair| pair[1] - pair[0]).collect();
     // A quarter of 10 ms for each of 40 sidecars, twice as much after each refusal, and of 2 s at most.
--- a/crates/plankvale/tests/sidecar/narrow/servers.rs
+++ b/crates/plankvale/tests/sidecar/narrow/servers.rs
@@ -24,8 +24,8 @@
                 conn.reset();
             }
         });
-        let (sidecar, _agent) = Sidecar::of(&[server]);
-        let answer = sidecar.ask(unsafe_with("x"));
+        let (sidecar, _agent) = Sidecar::with_servers(&[server]);
+        let answer = sidecar.request(unsafe_with("x"));
         let expected = if reset { (502, false) } else { (200, true) };
         assert_eq!((answer.status(), answer.body == b"the beginning"), expected);
         assert_eq!(log.count(), 1, "an unsafe request that may have run is not sent again");
@@ -55,9 +55,9 @@
             return;
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[server]);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     for n in 0..4 {
-        assert_eq!(sidecar.ask(unsafe_with(&n.to_string())).body, b"a");
+        assert_eq!(sidecar.request(unsafe_with(&n.to_string())).body, b"a");
         let go = receive(&told);
         if n % 2 == 0 {
             go.send(()).unwrap();
@@ -76,8 +76,8 @@
         conn.send(ok("a"));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&servers);
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    let (sidecar, _agent) = Sidecar::with_servers(&servers);
+    assert_eq!(sidecar.request(safe()).status(), 200);
     let before = sidecar.descriptors();
     for _ in 0..60 {
         let mut client = sidecar.client();
@@ -93,7 +93,7 @@
         client.send(begin);
     }
     wait_until("nothing left", || sidecar.descriptors() <= before + 2);
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    assert_eq!(sidecar.request(safe()).status(), 200);
     assert!(sidecar.memory_mb() < 32, "{} MB", sidecar.memory_mb());
     assert!(log.count() < 60 * 200);
     let mut rest = Vec::new();
--- a/crates/plankvale/tests/sidecar/narrow/settings.rs
+++ b/crates/plankvale/tests/sidecar/narrow/settings.rs
@@ -40,7 +40,7 @@
     let agent = Agent::start(hosts(&servers));
     let sidecar = Sidecar::start(&retuned(&agent, deadlines(100_000)));
     sidecar.reload(&retuned(&agent, deadlines(15_000_000)).to_string());
-    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
+    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
     let long = |request: String| request.replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: 15000");
     let mut client = sidecar.client();
     client.send(long(safe_as("same")));
@@ -48,9 +48,9 @@
     // Time passes for the spans of the first settings, 0.6 s each, with a request in each.
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(700));
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
-    assert_eq!(sidecar.ask(long(safe_as("same"))).status(), 409);
+    assert_eq!(sidecar.request(long(safe_as("same"))).status(), 409);
     go.send(()).unwrap();
     assert_eq!(client.message().unwrap().status(), 200);
     assert_eq!(log.count(), 4);
@@ -87,7 +87,7 @@
         })
         .to_string(),
     );
-    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
+    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
     thread::sleep(Duration::from_millis(300));
     go.send(()).unwrap();
     assert_eq!(client.message().unwrap().status(), 502);
--- a/crates/plankvale/tests/sidecar/operators.rs
+++ b/crates/plankvale/tests/sidecar/operators.rs
@@ -14,12 +14,12 @@
 fn ready_once_there_is_a_list() {
     let agent = Agent::start(Vec::new());
     let sidecar = Sidecar::launch(&operated(&agent));
-    assert_eq!(sidecar.operate("GET /v1/readyz").status(), 503);
+    assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 503);
     agent.change(hosts(&[Server::named("a")]));
-    wait_until("ready", || sidecar.operate("GET /v1/readyz").status() == 200);
-    assert_eq!(sidecar.operate("PUT /v1/readyz").status(), 405);
-    assert_eq!(sidecar.operate("GET /v1/nothing").status(), 404);
-    assert_eq!(sidecar.figure("sidecar.discovered"), 1);
+    wait_until("ready", || sidecar.admin_request("GET /v1/readyz").status() == 200);
+    assert_eq!(sidecar.admin_request("PUT /v1/readyz").status(), 405);
+    assert_eq!(sidecar.admin_request("GET /v1/nothing").status(), 404);
+    assert_eq!(sidecar.metric("sidecar.discovered"), 1);
 }
 
 #[test]
@@ -42,20 +42,20 @@
     let agent = Agent::start(hosts(&servers));
     let sidecar = Sidecar::start(&operated(&agent));
     for _ in 0..5 {
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
-    assert_eq!(sidecar.ask(unsafe_with("x")).status(), 502);
+    assert_eq!(sidecar.request(unsafe_with("x")).status(), 502);
     let mut keeping = sidecar.client();
     keeping.send(keyed());
     let go = receive(&told);
-    assert_eq!(sidecar.figure("sidecar.outstanding"), 1);
+    assert_eq!(sidecar.metric("sidecar.outstanding"), 1);
     go.send(()).unwrap();
     assert_eq!(keeping.message().unwrap().status(), 200);
     // What is invalid is no request.
-    assert_eq!(sidecar.ask("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status(), 404);
+    assert_eq!(sidecar.request("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status(), 404);
     agent.change(Vec::new());
-    wait_until("an empty list", || sidecar.figure("sidecar.discovered") == 0);
-    assert_eq!(sidecar.ask(safe()).status(), 503);
+    wait_until("an empty list", || sidecar.metric("sidecar.discovered") == 0);
+    assert_eq!(sidecar.request(safe()).status(), 503);
     for (name, value) in [
         ("succeeded.look", 5),
         ("declined.look", 1),
@@ -66,9 +66,9 @@
         ("outstanding", 0),
         ("ejected", 0),
     ] {
-        assert_eq!(sidecar.figure(&format!("sidecar.{name}")), value, "{name}");
+        assert_eq!(sidecar.metric(&format!("sidecar.{name}")), value, "{name}");
     }
-    assert_eq!(sidecar.figure("sidecar.forwards"), log.count() as u64);
+    assert_eq!(sidecar.metric("sidecar.forwards"), log.count() as u64);
 }
 
 #[test]
@@ -78,10 +78,10 @@
         Agent::start(vec![host("s-dead", dead.address), host("s-b", Server::named("b").address)]);
     let sidecar = Sidecar::start(&operated(&agent));
     wait_until("it is avoided", || {
-        sidecar.ask(safe());
-        sidecar.figure("sidecar.ejected") == 1
+        sidecar.request(safe());
+        sidecar.metric("sidecar.ejected") == 1
     });
-    assert_eq!(sidecar.figure("sidecar.discovered"), 2);
+    assert_eq!(sidecar.metric("sidecar.discovered"), 2);
 }
 
 #[test]
@@ -89,12 +89,12 @@
     let agent = Agent::start(hosts(&[Server::named("a")]));
     let config = operated(&agent);
     let sidecar = Sidecar::start(&config);
-    assert_eq!(sidecar.figure("sidecar.sighup_applied"), 0);
+    assert_eq!(sidecar.metric("sidecar.sighup_applied"), 0);
     sidecar.reload(&config.to_string());
-    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
+    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
     sidecar.reload("{");
-    wait_until("turned down", || sidecar.figure("sidecar.sighup_rejected") == 1);
-    assert_eq!(sidecar.figure("sidecar.sighup_applied"), 1);
+    wait_until("turned down", || sidecar.metric("sidecar.sighup_rejected") == 1);
+    assert_eq!(sidecar.metric("sidecar.sighup_applied"), 1);
 }
 
 /// Danger: callers that connect and say nothing, or half a call, must not lock out those that ask.
@@ -113,17 +113,18 @@
             caller
         })
         .collect();
-    assert_eq!(sidecar.operate("GET /v1/readyz").status(), 200);
+    assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 200);
     assert!(sidecar.descriptors() <= before + 20, "{} descriptors", sidecar.descriptors());
     // Each of them is let go in the end.
     assert!(silent.iter_mut().all(|caller| caller.ended()));
-    assert_eq!(sidecar.operate("GET /v1/readyz").status(), 200);
+    assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 200);
 }
 
 #[test]
 fn an_operators_address_that_is_none_is_named() {
     let agent = Agent::start(Vec::new());
-    let output = fails(&config(agent.address, |c| c["admin"] = json!("here")).to_string(), &[]);
+    let output =
+        failed_start(&config(agent.address, |c| c["admin"] = json!("here")).to_string(), &[]);
     assert!(
         String::from_utf8_lossy(&output.stderr).contains("admin: an address and a port expected")
     );
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -13,8 +13,8 @@
         conn.send(answer("200 OK", "X-Kept: yes\r\nX-Backend-Load: inflight=1\r\n", "a\0b"));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
-    let got = sidecar.ask(safe_as("9b1f"));
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
+    let got = sidecar.request(safe_as("9b1f"));
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"a\0b"[..]));
     assert_eq!((got.header("x-kept"), got.header("x-backend-load")), (Some("yes"), None));
     let request = receive(&seen).message;
@@ -48,10 +48,10 @@
 #[test]
 fn a_reset_by_the_first_byte_costs_a_used_connection_only() {
     let (server, log) = resets_at(2);
-    let (sidecar, _agent) = Sidecar::of(&[server]);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let ask = |_: &i32| {
         std::thread::sleep(Duration::from_millis(10));
-        sidecar.ask(unsafe_with("x")).status() == 200
+        sidecar.request(unsafe_with("x")).status() == 200
     };
     let served = (0..8).filter(ask).count();
     // Without a trial every other request is lost.
@@ -65,8 +65,8 @@
 fn a_reset_while_a_short_request_comes_never_ran() {
     let refused = (0..5).any(|_| {
         let (server, _) = resets_at(1);
-        let (sidecar, _agent) = Sidecar::of(&[server]);
-        sidecar.ask(unsafe_with("x")).status() == 503
+        let (sidecar, _agent) = Sidecar::with_servers(&[server]);
+        sidecar.request(unsafe_with("x")).status() == 503
     });
     assert!(refused);
 }
@@ -77,7 +77,7 @@
         conn.send(ok("fine"));
         None
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
     let mut client = sidecar.client();
     for n in 1..=10 {
         client.send(unsafe_with("x"));
@@ -113,12 +113,12 @@
         }))
     };
     let before = Instant::now();
-    let got = start().ask(long(unsafe_with("x")));
+    let got = start().request(long(unsafe_with("x")));
     assert_eq!((got.status(), got.header("retry-after"), log.count()), (502, None, 1));
     let sidecar = start();
     let told: std::collections::BTreeSet<String> = (0..6)
         .map(|_| {
-            let got = sidecar.ask(long(safe()));
+            let got = sidecar.request(long(safe()));
             assert_eq!(got.status(), 503);
             got.header("retry-after").expect("a time").to_owned()
         })
@@ -161,11 +161,11 @@
             conn.send(ok(&format!("fine {}", count.fetch_add(1, Ordering::SeqCst))));
         }
     });
-    let (sidecar, _agent) = Sidecar::of(&[server]);
+    let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let mut seen: Vec<(i32, u64)> = Vec::new();
     // Between two of them the connection rests.
     wait_until("twenty on connections that have rested", || {
-        sidecar.ask(safe().replace("Left-Ms: 900", "Left-Ms: 40"));
+        sidecar.request(safe().replace("Left-Ms: 900", "Left-Ms: 40"));
         seen.extend(told.try_iter());
         seen.len() >= 20
     });
--- a/crates/plankvale/tests/sidecar/pauses.rs
+++ b/crates/plankvale/tests/sidecar/pauses.rs
@@ -49,19 +49,19 @@
     let sidecar = Sidecar::start(&config);
     thread::scope(|scope| {
         let asked: Vec<_> =
-            (0..OUT).map(|_| scope.spawn(|| sidecar.ask(unsafe_with("x")).status())).collect();
+            (0..OUT).map(|_| scope.spawn(|| sidecar.request(unsafe_with("x")).status())).collect();
         wait_until("all are out", || log.count() == OUT);
-        sidecar.stop();
+        sidecar.pause();
         gate.open();
         (0..OUT).for_each(|_| receive(&answered));
         // The pause itself is what is tried here; nothing is waited for.
         thread::sleep(pause);
-        sidecar.go_on();
+        sidecar.resume();
         for asked in asked {
             assert_eq!(asked.join().unwrap(), 200, "its answer was there");
         }
     });
-    (0..AFTER).filter(|_| sidecar.ask(unsafe_with("x")).status() != 200).count()
+    (0..AFTER).filter(|_| sidecar.request(unsafe_with("x")).status() != 200).count()
 }
 
 /// Danger: answers that waited for this process look like those of a fleet that is overloaded, and what
@@ -93,19 +93,19 @@
     let agent = Agent::start(stage.hosts());
     let sidecar = Sidecar::start(&config(agent.address, |_| {}));
     for _ in 0..AFTER {
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
     let before = stage.count();
-    sidecar.stop();
+    sidecar.pause();
     thread::sleep(WATCH_ENDS);
     let mut hosts = stage.hosts();
     hosts[..DRAINING].iter_mut().for_each(|host| host["health"] = json!("leaving"));
     agent.change(hosts);
     thread::scope(|scope| {
         let asked: Vec<_> =
-            (0..AFTER).map(|_| scope.spawn(|| sidecar.ask(safe()).status())).collect();
+            (0..AFTER).map(|_| scope.spawn(|| sidecar.request(safe()).status())).collect();
         thread::sleep(GRACE);
-        sidecar.go_on();
+        sidecar.resume();
         // Each has an answer; those that waited for long may be refused.
         for asked in asked {
             let status = asked.join().unwrap();
@@ -150,17 +150,17 @@
     let agent = Agent::start(stage.hosts());
     let sidecar = Sidecar::start(&with_cold_servers(&agent));
     for _ in 0..AFTER {
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
     let before = stage.count();
-    sidecar.stop();
+    sidecar.pause();
     thread::sleep(WATCH_ENDS);
     agent.change(first_started_anew(stage.hosts()));
     thread::scope(|scope| {
         let asked: Vec<_> =
-            (0..AFTER).map(|_| scope.spawn(|| sidecar.ask(safe()).status())).collect();
+            (0..AFTER).map(|_| scope.spawn(|| sidecar.request(safe()).status())).collect();
         thread::sleep(GRACE);
-        sidecar.go_on();
+        sidecar.resume();
         for asked in asked {
             let status = asked.join().unwrap();
             assert!(matches!(status, 200 | 503), "{status}");
@@ -190,7 +190,7 @@
     let agent = Agent::start(stage.hosts());
     let sidecar = Sidecar::start(&with_cold_servers(&agent));
     for _ in 0..AFTER {
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
     let before = stage.count();
     // Their clients wait for longer than the process stands still.
@@ -199,19 +199,19 @@
     let (cold, repeated) = thread::scope(|scope| {
         let asks = &sidecar;
         let asked: Vec<_> =
-            orders.iter().map(|order| scope.spawn(move || asks.ask(order).status())).collect();
+            orders.iter().map(|order| scope.spawn(move || asks.request(order).status())).collect();
         // Beside load some may be refused.
         let out = || stage.count() - before;
         let refused = || asked.iter().filter(|asked| asked.is_finished()).count();
         wait_until("all are out", || out() + refused() >= DECIDED);
-        sidecar.stop();
+        sidecar.pause();
         let out = out();
         assert!(out > DECIDED / 2, "{out} are out");
         gate.open();
         thread::sleep(WATCH_ENDS);
         agent.change(first_started_anew(stage.hosts()));
         thread::sleep(GRACE);
-        sidecar.go_on();
+        sidecar.resume();
         for asked in asked {
             let status = asked.join().unwrap();
             assert!(matches!(status, 200 | 503), "{status}");
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -72,7 +72,7 @@
     let nowhere = config(agent.address, |c| c["discovery"] = json!("nowhere")).to_string();
     for bad in ["", "{", "{\"name\":\"n0\"}", nowhere.as_str()] {
         sidecar.reload(bad);
-        sidecar.logged("the configuration stays as it was");
+        sidecar.wait_for_log("the configuration stays as it was");
         assert_eq!(sidecar.served_by(), "a", "{bad}");
     }
     // The old discovery is still listened to, and the next sound file counts.
@@ -147,18 +147,18 @@
         classes.push(page);
         classes.remove(0);
     }));
-    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
+    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
     // The open order is still one that must not run twice.
     go.send(()).unwrap();
     assert_eq!(busy.message().unwrap().status(), 502);
     let of = |class: &str| safe().replace("/look", class);
-    assert_eq!(sidecar.ask(of("/page")).status(), 200);
-    assert_eq!(sidecar.ask(of("/order")).status(), 200);
-    assert_eq!(sidecar.ask(of("/look")).status(), 404);
-    assert_eq!(sidecar.ask(unsafe_with("x")).status(), 405);
-    assert_eq!(sidecar.ask(keyed()).status(), 200);
-    assert_eq!(sidecar.figure("sidecar.succeeded.order"), 1);
-    assert_eq!(sidecar.figure("sidecar.aborted.order"), 1);
+    assert_eq!(sidecar.request(of("/page")).status(), 200);
+    assert_eq!(sidecar.request(of("/order")).status(), 200);
+    assert_eq!(sidecar.request(of("/look")).status(), 404);
+    assert_eq!(sidecar.request(unsafe_with("x")).status(), 405);
+    assert_eq!(sidecar.request(keyed()).status(), 200);
+    assert_eq!(sidecar.metric("sidecar.succeeded.order"), 1);
+    assert_eq!(sidecar.metric("sidecar.aborted.order"), 1);
     assert_eq!(log.count(), 4);
 }
 
@@ -176,17 +176,17 @@
     let mut client = sidecar.client();
     client.send(head);
     // Its head has been read once a request behind it has been served.
-    assert_eq!(sidecar.ask(safe()).status(), 200);
+    assert_eq!(sidecar.request(safe()).status(), 200);
     for n in 0..3 {
         sidecar.reload(&retuned(&agent, |c| {
             c["settings"]["classes"][2]["name"] = json!(format!("other-{n}"));
         }));
-        wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == n + 1);
+        wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == n + 1);
     }
     client.send(rest);
     assert_eq!(client.message().unwrap().body, b"body");
     assert_eq!(log.count(), 2);
-    assert_eq!(sidecar.figure("sidecar.succeeded.order"), 1);
+    assert_eq!(sidecar.metric("sidecar.succeeded.order"), 1);
 }
 
 #[test]
@@ -225,13 +225,13 @@
     ];
     for (n, file) in files.iter().enumerate() {
         sidecar.reload(file);
-        wait_until("turned down", || sidecar.figure("sidecar.sighup_rejected") == n as u64 + 1);
-        assert_eq!(sidecar.ask(keyed()).status(), 200, "{file}");
+        wait_until("turned down", || sidecar.metric("sidecar.sighup_rejected") == n as u64 + 1);
+        assert_eq!(sidecar.request(keyed()).status(), 200, "{file}");
     }
-    assert_eq!(sidecar.figure("sidecar.sighup_applied"), 0);
+    assert_eq!(sidecar.metric("sidecar.sighup_applied"), 0);
     sidecar.reload(&broken(|_| {}));
-    wait_until("taken", || sidecar.figure("sidecar.sighup_applied") == 1);
-    assert_eq!(sidecar.ask(keyed()).status(), 404);
+    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
+    assert_eq!(sidecar.request(keyed()).status(), 404);
 }
 
 /// Where discovery is asked, those that start together ask one after the other. Whoever has a list from before
--- a/crates/plankvale/tests/sidecar/rough.rs
+++ b/crates/plankvale/tests/sidecar/rough.rs
@@ -11,7 +11,7 @@
         conn.send(ok(&String::from_utf8_lossy(&seen.message.body)));
         Some(conn)
     });
-    let (sidecar, agent) = Sidecar::of(&list);
+    let (sidecar, agent) = Sidecar::with_servers(&list);
     (sidecar, agent, log)
 }
 
@@ -26,7 +26,7 @@
         conn.send(ok("fine"));
         Some(conn)
     });
-    let (sidecar, agent) = Sidecar::of(&list);
+    let (sidecar, agent) = Sidecar::with_servers(&list);
     (sidecar, agent, log)
 }
 
@@ -90,10 +90,10 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome",
     ] {
         let (sidecar, _agent, log) = first_spoilt(first);
-        let got = sidecar.ask(safe());
+        let got = sidecar.request(safe());
         assert_eq!((got.status(), got.body.as_slice(), log.count()), (200, &b"fine"[..], 2));
         let (sidecar, _agent, log) = first_spoilt(first);
-        assert_eq!((sidecar.ask(unsafe_with("x")).status(), log.count()), (502, 1), "{first}");
+        assert_eq!((sidecar.request(unsafe_with("x")).status(), log.count()), (502, 1), "{first}");
     }
 }
 
@@ -112,10 +112,10 @@
         conn.send(ok("fine"));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
-    let answer = sidecar.ask(safe());
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
+    let answer = sidecar.request(safe());
     assert!(!answer.complete && answer.body.len() <= 32 << 20);
-    assert_eq!((sidecar.ask(safe()).body.as_slice(), log.count()), (&b"fine"[..], 2));
+    assert_eq!((sidecar.request(safe()).body.as_slice(), log.count()), (&b"fine"[..], 2));
     assert!(sidecar.memory_mb() < 30, "{} MB", sidecar.memory_mb());
 }
 
@@ -128,8 +128,8 @@
         conn.send(ok("fine"));
         Some(conn)
     });
-    let (sidecar, _agent) = Sidecar::of(&list);
-    assert_eq!((sidecar.ask(unsafe_with("x")).body.as_slice(), log.count()), (&b"fine"[..], 1));
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
+    assert_eq!((sidecar.request(unsafe_with("x")).body.as_slice(), log.count()), (&b"fine"[..], 1));
 }
 
 /// Servers name the fields of their reports as the settings do.
@@ -149,9 +149,9 @@
             })
         })
         .collect();
-    let (sidecar, _agent) = Sidecar::of(&list);
+    let (sidecar, _agent) = Sidecar::with_servers(&list);
     for _ in 0..60 {
-        assert_eq!(sidecar.ask(safe()).status(), 200);
+        assert_eq!(sidecar.request(safe()).status(), 200);
     }
     let [idle, loaded] = served.map(|count| count.load(Ordering::SeqCst));
     assert!(idle > 4 * loaded, "{idle} where nothing waits, {loaded} where much does");
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -37,11 +37,11 @@
         assert!(told.contains(key), "{key}: {told}");
     };
     for (key, config) in cases {
-        check(key, fails(&config, &[]));
+        check(key, failed_start(&config, &[]));
     }
-    check("listen", fails(&sound.to_string(), &[("LB_LISTEN", "127.0.0.1:9")]));
-    check("LB_CONFIG", fails("{}", &[("LB_CONFIG", "/nowhere/at/all.json")]));
-    check("LB_CONFIG", fails("{}", &[("LB_CONFIG", "")]));
+    check("listen", failed_start(&sound.to_string(), &[("LB_LISTEN", "127.0.0.1:9")]));
+    check("LB_CONFIG", failed_start("{}", &[("LB_CONFIG", "/nowhere/at/all.json")]));
+    check("LB_CONFIG", failed_start("{}", &[("LB_CONFIG", "")]));
 }
 
 /// Discovery whose nth answer is cut off, malformed, silent or wrong; the news comes through all
@@ -108,7 +108,7 @@
         conn.send(ok("late"));
         Some(conn)
     });
-    let (mut sidecar, _agent) = Sidecar::of(&list);
+    let (mut sidecar, _agent) = Sidecar::with_servers(&list);
     let mut idle = sidecar.client();
     let mut busy = sidecar.client();
     busy.send(safe());
@@ -134,7 +134,7 @@
         conn.ended();
         None
     });
-    let (mut sidecar, _agent) = Sidecar::of(&list);
+    let (mut sidecar, _agent) = Sidecar::with_servers(&list);
     let _silent = sidecar.client();
     let mut half = sidecar.client();
     half.send("GET /look HTTP/1.1\r\n");
@@ -265,7 +265,7 @@
             conn.send(ok("a"));
         }
     });
-    let (mut sidecar, _agent) = Sidecar::of(&[server]);
+    let (mut sidecar, _agent) = Sidecar::with_servers(&[server]);
     let (at, told) = (sidecar.address, std::sync::OnceLock::<Instant>::new());
     // New connections come for up to 0.4 s after the signal.
     let last = || told.get().is_some_and(|at| at.elapsed() > Duration::from_millis(300));
--- a/crates/plankvale/tests/sidecar/upgrade.rs
+++ b/crates/plankvale/tests/sidecar/upgrade.rs
@@ -51,8 +51,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("stay");
     let config = operated(&agent, &listener);
-    let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    let mut old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
 
     let mut asked_once: Vec<_> = (0..20).map(|_| old.client()).collect();
     for client in &mut asked_once {
@@ -68,11 +68,11 @@
     let (first, rest) = request.split_at(request.len() / 2);
     half.send(first);
 
-    let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     old.terminate();
-    old.logged("a successor goes on");
-    assert_eq!(old.operate("GET /v1/readyz").status(), 503);
+    old.wait_for_log("a successor goes on");
+    assert_eq!(old.admin_request("GET /v1/readyz").status(), 503);
     half.send(rest);
     assert_eq!(half.message().unwrap().status(), 200);
     go.send(()).unwrap();
@@ -85,8 +85,8 @@
         client.send(safe());
         assert_eq!(client.message().expect("still connected").status(), 200);
     }
-    assert_eq!(new.ask(safe()).status(), 200);
-    assert_eq!(new.figure("sidecar.succeeded.look"), 28);
+    assert_eq!(new.request(safe()).status(), 200);
+    assert_eq!(new.metric("sidecar.succeeded.look"), 28);
     // Nothing ran twice on the way.
     assert_eq!(log.count(), 50);
 }
@@ -109,17 +109,17 @@
     for class in config["settings"]["classes"].as_array_mut().into_iter().flatten() {
         class["deadline"] = json!(20_000_000);
     }
-    let old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    let old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
     let order = unsafe_with("x").replace("Left-Ms: 900", "Left-Ms: 15000");
     let mut first = old.client();
     first.send(&order);
     let go = receive(&told);
 
-    let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     old.terminate();
-    old.logged("a successor goes on");
+    old.wait_for_log("a successor goes on");
     let mut second = new.client();
     second.send(&order);
     let answer = std::thread::scope(|scope| {
@@ -142,23 +142,23 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("turn");
     let config = operated(&agent, &listener);
-    let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
-    let mut new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    let mut old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
+    let mut new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     for _ in 0..50 {
-        assert_eq!(old.ask(safe()).status(), 200);
+        assert_eq!(old.request(safe()).status(), 200);
     }
-    assert_eq!(old.figure("sidecar.succeeded.look"), 50);
-    assert_eq!(new.figure("sidecar.succeeded.look"), 0);
+    assert_eq!(old.metric("sidecar.succeeded.look"), 50);
+    assert_eq!(new.metric("sidecar.succeeded.look"), 0);
     old.terminate();
     assert_eq!(old.exit_code(), Some(0));
-    assert_eq!(new.ask(safe()).status(), 200);
+    assert_eq!(new.request(safe()).status(), 200);
     // One that was killed hands nothing over.
-    let last = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the last one is ready", || last.operate("GET /v1/readyz").status() == 200);
+    let last = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the last one is ready", || last.admin_request("GET /v1/readyz").status() == 200);
     new.child.kill().expect("killed");
-    assert_eq!(last.ask(safe()).status(), 200);
+    assert_eq!(last.request(safe()).status(), 200);
 }
 
 /// Guards against the same where a process died while it waited for its turn: the next one looks for whoever serves.
@@ -168,25 +168,27 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("line");
     let config = operated(&agent, &listener);
-    let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
-    let mut died = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the one that dies is ready", || died.operate("GET /v1/readyz").status() == 200);
+    let mut old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
+    let mut died = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the one that dies is ready", || {
+        died.admin_request("GET /v1/readyz").status() == 200
+    });
     died.child.kill().expect("killed");
     died.child.wait().expect("ended");
-    let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     let mut client = old.client();
     assert_eq!(client.message_to(safe()).expect("an answer").status(), 200);
     for _ in 0..50 {
-        assert_eq!(old.ask(safe()).status(), 200);
+        assert_eq!(old.request(safe()).status(), 200);
     }
-    assert_eq!(old.figure("sidecar.succeeded.look"), 51, "one process takes requests at a time");
-    assert_eq!(new.figure("sidecar.succeeded.look"), 0);
+    assert_eq!(old.metric("sidecar.succeeded.look"), 51, "one process takes requests at a time");
+    assert_eq!(new.metric("sidecar.succeeded.look"), 0);
     old.terminate();
     assert_eq!(old.exit_code(), Some(0));
     assert_eq!(client.message_to(safe()).expect("still connected").status(), 200);
-    assert_eq!(new.figure("sidecar.succeeded.look"), 1);
+    assert_eq!(new.metric("sidecar.succeeded.look"), 1);
 }
 
 /// Guards against the same where two processes wait: the later one is next, and the other one waits for that.
@@ -196,21 +198,21 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("two");
     let config = operated(&agent, &listener);
-    let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
-    let waits = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the next one is ready", || waits.operate("GET /v1/readyz").status() == 200);
-    let mut new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the last one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    let mut old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
+    let waits = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the next one is ready", || waits.admin_request("GET /v1/readyz").status() == 200);
+    let mut new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the last one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     old.terminate();
     assert_eq!(old.exit_code(), Some(0));
     for _ in 0..50 {
-        assert_eq!(new.ask(safe()).status(), 200);
+        assert_eq!(new.request(safe()).status(), 200);
     }
-    assert_eq!(new.figure("sidecar.succeeded.look"), 50);
-    assert_eq!(waits.figure("sidecar.succeeded.look"), 0);
+    assert_eq!(new.metric("sidecar.succeeded.look"), 50);
+    assert_eq!(waits.metric("sidecar.succeeded.look"), 0);
     new.child.kill().expect("killed");
-    assert_eq!(waits.ask(safe()).status(), 200);
+    assert_eq!(waits.request(safe()).status(), 200);
 }
 
 /// Guards against the same where the old process reads the id only once it has begun to hand over.
@@ -224,18 +226,18 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("late");
     let config = operated(&agent, &listener);
-    let old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    let old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
     let order = unsafe_with("x");
     let (first, rest) = order.split_at(order.len() / 2);
     let mut late = old.client();
     // The old process reads this part before it answers another request.
     late.send(first);
-    assert_eq!(old.ask(safe()).status(), 200);
-    let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    assert_eq!(old.request(safe()).status(), 200);
+    let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     old.terminate();
-    old.logged("a successor goes on");
+    old.wait_for_log("a successor goes on");
     let mut second = new.client();
     assert_eq!(second.message_to(&order).expect("an answer").status(), 200);
     late.send(rest);
@@ -251,13 +253,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("follow");
     let config = operated(&agent, &listener);
-    let mut serving = Sidecar::launch_beside(&config, &listener, &folder.0);
+    let mut serving = Sidecar::launch_with_listener(&config, &listener, &folder.0);
     let mut client = serving.client();
     for _ in 0..3 {
         client.send(safe());
         assert_eq!(client.message().expect("still connected").status(), 200);
-        let next = Sidecar::launch_beside(&config, &listener, &folder.0);
-        wait_until("ready", || next.operate("GET /v1/readyz").status() == 200);
+        let next = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+        wait_until("ready", || next.admin_request("GET /v1/readyz").status() == 200);
         serving.terminate();
         assert_eq!(serving.exit_code(), Some(0));
         serving = next;
@@ -272,10 +274,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("alone");
     let config = operated(&agent, &listener);
-    let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
+    let mut old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
     let mut client = old.client();
     assert_eq!(client.message_to(safe()).unwrap().status(), 200);
-    let died = Sidecar::launch_beside(&config, &listener, &folder.0);
+    let died = Sidecar::launch_with_listener(&config, &listener, &folder.0);
     drop(died);
     old.terminate();
     assert!(client.ended());
@@ -291,7 +293,7 @@
         ("x", "LB_INHERITED_FD: the number of a descriptor above 2 expected, not \"x\""),
         ("0", "not \"0\""),
     ] {
-        let output = fails(&config, &[("LB_INHERITED_FD", fd)]);
+        let output = failed_start(&config, &[("LB_INHERITED_FD", fd)]);
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(log.contains(complaint), "{log}");
     }
@@ -313,17 +315,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = Folder::new("half");
     let config = operated(&agent, &listener);
-    let mut old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    let mut old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
     let mut client = old.client();
     let next_one = safe();
     let (first, rest) = next_one.split_at(next_one.len() / 2);
     client.send(safe() + first);
     let go = receive(&told);
-    let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     old.terminate();
-    old.logged("a successor goes on");
+    old.wait_for_log("a successor goes on");
     go.send(()).unwrap();
     assert_eq!(client.message().unwrap().body, b"served");
     // Nobody reads the rest as a request of its own: the old process ends the connection, and the client asks anew.
--- a/crates/plankvale/tests/sidecar/upgrade_limits.rs
+++ b/crates/plankvale/tests/sidecar/upgrade_limits.rs
@@ -46,8 +46,8 @@
     let patient = |_| unsafe_with("x").replace("Left-Ms: 900", "Left-Ms: 15000");
     let orders: Vec<String> = (0..2 * OPEN).map(patient).collect();
     let (first, then) = orders.split_at(OPEN);
-    let old = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the old one is ready", || old.operate("GET /v1/readyz").status() == 200);
+    let old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the old one is ready", || old.admin_request("GET /v1/readyz").status() == 200);
     let open = |sidecar: &Sidecar, orders: &[String]| -> Vec<Conn> {
         let client = |order: &String| {
             let mut client = sidecar.client();
@@ -58,10 +58,10 @@
     };
     let mut clients = open(&old, first);
     wait_until("all of the old one's are out", || log.count() == OPEN);
-    let new = Sidecar::launch_beside(&config, &listener, &folder.0);
-    wait_until("the new one is ready", || new.operate("GET /v1/readyz").status() == 200);
+    let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
+    wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     old.terminate();
-    old.logged("a successor goes on");
+    old.wait_for_log("a successor goes on");
     clients.extend(open(&new, then));
     // The rest may be refused, or wait for room.
     wait_until("some of the new one's are out", || log.count() > OPEN + OPEN / 2);
