--- a/crates/millethook-bench/src/failures.rs
+++ b/crates/millethook-bench/src/failures.rs
@@ -71,7 +71,7 @@
             conn.send(ok(&path));
             begun.count_answer();
         }
-        conn.ended();
+        conn.closed_by_peer();
     })
 }
 
--- a/crates/millethook-depth/src/processes/clients.rs
+++ b/crates/millethook-depth/src/processes/clients.rs
@@ -73,7 +73,7 @@
         let counted = counters.count(|tally| tally.calls += 1);
         let conn = kept.take().or_else(|| TcpStream::connect(sidecar).ok().map(Conn::new));
         let Some(mut conn) = conn else { continue };
-        let Some(answered) = conn.message_to(request(left)).filter(|m| m.complete) else {
+        let Some(answered) = conn.request(request(left)).filter(|m| m.complete) else {
             continue;
         };
         if answered.header("connection") != Some("close") {
--- a/crates/millethook-depth/src/processes/service.rs
+++ b/crates/millethook-depth/src/processes/service.rs
@@ -131,7 +131,7 @@
     fn call_next(&self, sidecar: SocketAddr, left: u128, kept: &mut Option<Conn>) -> Answer {
         let conn = kept.take().or_else(|| TcpStream::connect(sidecar).ok().map(Conn::new));
         let Some(mut conn) = conn else { return Answer::Failed };
-        let answered = conn.message_to(super::clients::request(left)).filter(|m| m.complete);
+        let answered = conn.request(super::clients::request(left)).filter(|m| m.complete);
         let Some(answered) = answered else { return Answer::Failed };
         if answered.header("connection") != Some("close") {
             *kept = Some(conn);
--- a/crates/millethook-lab/examples/rogue.rs
+++ b/crates/millethook-lab/examples/rogue.rs
@@ -67,7 +67,7 @@
     fn read_list(&self, discovery: &str) {
         let Ok(socket) = TcpStream::connect(discovery) else { return };
         let call = "GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n";
-        let Some(list) = Conn::new(socket).message_to(call) else { return };
+        let Some(list) = Conn::new(socket).request(call) else { return };
         let list: Value = serde_json::from_slice(&list.body).expect("a list");
         let mut hosts: Vec<(u64, SocketAddr)> = Vec::new();
         for host in list["hosts"].as_array().expect("hosts") {
@@ -101,7 +101,7 @@
         }
         let mut bytes = (text + more + "\r\n").into_bytes();
         bytes.extend_from_slice(&request.body);
-        conn.message_to(bytes)
+        conn.request(bytes)
     }
 
     /// Answers a request; false: the connection is done with.
--- a/crates/millethook-testkit/src/fault.rs
+++ b/crates/millethook-testkit/src/fault.rs
@@ -66,7 +66,7 @@
             return None;
         }
         Fault::Stall => {
-            conn.ended();
+            conn.closed_by_peer();
             return None;
         }
         Fault::Trickle(body, piece, pause) => {
@@ -77,7 +77,7 @@
         }
         Fault::Garbage => {
             conn.send("\x16\x03\x01 no such protocol\r\n\r\n");
-            conn.ended();
+            conn.closed_by_peer();
             return None;
         }
         Fault::Truncated => {
@@ -86,7 +86,7 @@
         }
         Fault::StalledBody => {
             conn.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nsome");
-            conn.ended();
+            conn.closed_by_peer();
             return None;
         }
         Fault::Raw(bytes) => conn.send(bytes),
--- a/crates/millethook-testkit/src/message.rs
+++ b/crates/millethook-testkit/src/message.rs
@@ -79,7 +79,7 @@
     }
 
     /// Waits for the first byte of the next message, and leaves it there. False: the connection ended first.
-    pub fn begins(&mut self) -> bool {
+    pub fn has_next_message(&mut self) -> bool {
         self.reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty())
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Sends a request and reads its answer.
-    pub fn message_to(&mut self, request: impl AsRef<[u8]>) -> Option<Message> {
+    pub fn request(&mut self, request: impl AsRef<[u8]>) -> Option<Message> {
         self.send(request);
         self.message()
     }
@@ -153,7 +153,7 @@
     }
 
     /// Whether the peer has ended or reset the connection, within the bound.
-    pub fn ended(&mut self) -> bool {
+    pub fn closed_by_peer(&mut self) -> bool {
         let mut rest = [0; 4096];
         loop {
             match self.reader.read(&mut rest) {
@@ -169,7 +169,7 @@
 
     /// From now on the connection is silently dead, as one whose host has vanished: a socket filter drops every packet
     /// that comes for it, so nothing is acknowledged, and nothing is sent. It must be kept, as closing it would tell.
-    pub fn vanish(&self) {
+    pub fn drop_incoming_packets(&self) {
         /// `BPF_RET | BPF_K`: the packet is cut down to so many bytes, here none.
         const RETURN: u16 = 0x06;
         let drop_all = [socket2::SockFilter::new(RETURN, 0, 0, 0)];
--- a/crates/millethook-testkit/tests/violations.rs
+++ b/crates/millethook-testkit/tests/violations.rs
@@ -25,14 +25,14 @@
         }
     });
     let mut client = Conn::new(TcpStream::connect(sound.address).unwrap());
-    let got = client.message_to(lists).expect("an answer");
+    let got = client.request(lists).expect("an answer");
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"fine"[..]));
     assert_eq!(violations(), Vec::<String>::new());
     drop(client);
 
     let stage = ServerGroup::new(1, |_| Fault::Serve("not to be served".into()));
     let mut client = Conn::new(TcpStream::connect(stage.servers[0].address).unwrap());
-    assert_eq!(client.message_to(TWICE).expect("an answer").status(), 400);
+    assert_eq!(client.request(TWICE).expect("an answer").status(), 400);
     assert_eq!(stage.count(), 0);
     let found = violations();
     assert!(found.len() == 1 && found[0].contains("x-time-left-ms"), "{found:?}");
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -95,7 +95,7 @@
             let _ = tell.lock().expect("no panic").send(());
             let whole = conn.message().is_some_and(|m| m.complete);
             if whole {
-                conn.ended();
+                conn.closed_by_peer();
             }
             ends.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         }
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -20,7 +20,7 @@
     let (tell, ended) = channel();
     let server = Server::start(move |mut conn| {
         if conn.message().is_some_and(|m| m.complete) {
-            let _ = tell.send(conn.ended());
+            let _ = tell.send(conn.closed_by_peer());
         }
     });
     let fleet = fleet(&[server]);
@@ -64,7 +64,7 @@
     let server = Server::start(move |mut conn| {
         if conn.message().is_some_and(|m| m.complete) {
             *came.lock().expect("no panic") += 1;
-            let _ = tell.lock().expect("no panic").send(conn.ended());
+            let _ = tell.lock().expect("no panic").send(conn.closed_by_peer());
         }
     });
     let name = name();
--- a/crates/plankvale/tests/conformance/asked_ends.rs
+++ b/crates/plankvale/tests/conformance/asked_ends.rs
@@ -74,7 +74,7 @@
     let seen = cut_short.clone();
     let server = Server::start(move |mut conn| {
         let mut used = false;
-        while conn.begins() {
+        while conn.has_next_message() {
             if used {
                 conn.send(TURNS_AWAY);
             }
--- a/crates/plankvale/tests/conformance/stale_copies.rs
+++ b/crates/plankvale/tests/conformance/stale_copies.rs
@@ -111,7 +111,7 @@
     /// Serves one connection.
     fn serve(self, mut conn: Conn, tally: &Tally) {
         let mut earlier: Option<String> = None;
-        while conn.begins() {
+        while conn.has_next_message() {
             let turned_bad = tally.count.load(Ordering::SeqCst) >= WELL;
             if turned_bad && let Some(copy) = &earlier {
                 thread::sleep(self.copy_after);
--- a/crates/plankvale/tests/sidecar/choice.rs
+++ b/crates/plankvale/tests/sidecar/choice.rs
@@ -26,7 +26,7 @@
 fn what_piles_up_at_home_crosses_at_once() {
     let stalled = |n| {
         servers(n, |mut conn, _| {
-            conn.ended();
+            conn.closed_by_peer();
             None
         })
     };
@@ -98,7 +98,7 @@
         }
     });
     let (long, waits, _b) = servers(1, |mut conn, _| {
-        conn.ended();
+        conn.closed_by_peer();
         None
     });
     let agent = Agent::start(vec![host("s-0", short[0].address), host("s-1", long[0].address)]);
@@ -140,7 +140,7 @@
                 if !message.first.contains("hurried") {
                     log.record(message);
                 }
-                conn.ended();
+                conn.closed_by_peer();
             })
         })
         .collect();
--- a/crates/plankvale/tests/sidecar/clients.rs
+++ b/crates/plankvale/tests/sidecar/clients.rs
@@ -77,7 +77,7 @@
         // One at a time: never are all places taken.
         let mut new = sidecar.client();
         new.send("GET /health/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-        assert!(new.ended());
+        assert!(new.closed_by_peer());
         gone += stayed.extract_if(.., |c| matches!(c.socket.peek(&mut [0]), Ok(0))).count();
     }
     assert!(stayed.len() >= 25, "{} left though places are free", stayed.len());
@@ -130,7 +130,7 @@
         let (gone, going) = channel();
         let (list, _, _) = servers(1, move |mut conn, _| {
             let _ = came.send(());
-            let _ = gone.send(conn.ended());
+            let _ = gone.send(conn.closed_by_peer());
             None
         });
         let (sidecar, _agent) = Sidecar::with_servers(&list);
@@ -152,7 +152,7 @@
     let (list, _, _) = servers(1, move |mut conn, _| {
         conn.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
         conn.send(vec![b'z'; 200_000]);
-        let _ = gone.send(conn.ended());
+        let _ = gone.send(conn.closed_by_peer());
         None
     });
     let (sidecar, _agent) = Sidecar::streaming(&list);
@@ -195,7 +195,7 @@
     client.send(last + &safe() + &"x".repeat(100_000));
     let got = client.message().unwrap();
     assert!(got.complete && got.body == body.as_bytes());
-    assert!(client.ended());
+    assert!(client.closed_by_peer());
 }
 
 /// Danger: a connection that has to go for a crowd may bring a request in that instant. It is read
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -311,7 +311,7 @@
 
     fn request(&self, request: impl AsRef<[u8]>) -> Option<Message> {
         let socket = std::net::TcpStream::connect(self.address).ok()?;
-        Conn::new(socket).message_to(request)
+        Conn::new(socket).request(request)
     }
 }
 
@@ -401,7 +401,7 @@
                             let Ok(socket) = std::net::TcpStream::connect(address) else { break };
                             let mut client = Conn::new(socket);
                             let body = format!("w{n}");
-                            match client.message_to(order(&body, ASKS)) {
+                            match client.request(order(&body, ASKS)) {
                                 Some(m) if m.status() == 202 || m.status() == 200 => {
                                     kept.push(body)
                                 }
--- a/crates/plankvale/tests/sidecar/edge_death.rs
+++ b/crates/plankvale/tests/sidecar/edge_death.rs
@@ -54,7 +54,7 @@
     }
 
     fn request(&self, request: impl AsRef<[u8]>) -> Option<Message> {
-        Conn::new(TcpStream::connect(self.address).ok()?).message_to(request)
+        Conn::new(TcpStream::connect(self.address).ok()?).request(request)
     }
 }
 
--- a/crates/plankvale/tests/sidecar/framing.rs
+++ b/crates/plankvale/tests/sidecar/framing.rs
@@ -236,7 +236,7 @@
         client.send(&request);
         assert_eq!(client.message().unwrap().status(), status, "{request}");
         if status == 400 {
-            assert!(client.ended(), "{request}");
+            assert!(client.closed_by_peer(), "{request}");
             client = sidecar.client();
         }
     }
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -44,7 +44,7 @@
     for n in [64 << 10, (64 << 10) + 1, 100_000, 3 << 20] {
         let body = bytes(n);
         for request in [with_length("order", &body), in_chunks("keep", &body, 30_011)] {
-            let answer = client.message_to(&request).expect("an answer");
+            let answer = client.request(&request).expect("an answer");
             assert_eq!((answer.status(), answer.body), (200, n.to_string().into_bytes()));
             let got = receive(&seen).message;
             assert!(got.body == body, "{n} bytes changed on the way");
@@ -78,7 +78,7 @@
     let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let mut client = sidecar.client();
     for request in [safe(), keyed(), unsafe_with("x"), safe()] {
-        let answer = client.message_to(request).expect("an answer");
+        let answer = client.request(request).expect("an answer");
         assert!(answer.status() == 200 && answer.complete && answer.body == body);
     }
 }
@@ -228,7 +228,7 @@
         client.send(head("order", "Content-Length: 200000"));
         client.send(bytes(sent));
         assert_eq!(client.message().expect("an answer").status(), 408, "after {sent} bytes");
-        assert!(client.ended());
+        assert!(client.closed_by_peer());
     }
     assert_eq!(log.count(), 0);
 }
--- a/crates/plankvale/tests/sidecar/narrow/closing.rs
+++ b/crates/plankvale/tests/sidecar/narrow/closing.rs
@@ -48,7 +48,7 @@
     arrived(&client, 60);
     sidecar.terminate();
     // Both rest, so both are closed in one go: this one's end tells of the other's.
-    assert!(witness.ended());
+    assert!(witness.closed_by_peer());
     client.send(safe());
     let first = client.message().expect("the answer that was here before the close");
     assert_eq!((first.complete, first.body == long.as_bytes()), (true, true));
@@ -104,7 +104,7 @@
         let told = Instant::now();
         sidecar.terminate();
         // Those that rest are closed first, those that have begun last.
-        assert!(witness.ended());
+        assert!(witness.closed_by_peer());
         if late {
             signal(&sidecar, "-STOP");
             std::thread::sleep(LAST_TAKEN.saturating_sub(told.elapsed()));
--- a/crates/plankvale/tests/sidecar/narrow/commit.rs
+++ b/crates/plankvale/tests/sidecar/narrow/commit.rs
@@ -83,7 +83,7 @@
         // Something behind it, which nobody reads while the request waits.
         client.send("GET /look");
         client.socket.shutdown(std::net::Shutdown::Write).unwrap();
-        assert!(client.ended());
+        assert!(client.closed_by_peer());
         wait_until("no request", || sidecar.metric("sidecar.outstanding") == 0);
         let told = opened(silent);
         if !cancel {
--- a/crates/plankvale/tests/sidecar/narrow/lists.rs
+++ b/crates/plankvale/tests/sidecar/narrow/lists.rs
@@ -87,7 +87,7 @@
     let a = Server::named("a");
     let known = [host("s-a", a.address)];
     let mute = Server::start(|mut conn| {
-        conn.ended();
+        conn.closed_by_peer();
     });
     let hanging = BlackHole::start();
     for how in ["pushed", "on_request"] {
@@ -166,7 +166,7 @@
                 calls.len()
             };
             if count > 1 {
-                conn.ended();
+                conn.closed_by_peer();
                 return;
             }
             while seen.lock().unwrap().len() < 2 {
@@ -212,7 +212,7 @@
             match reactions.get(count - 1).copied().unwrap_or(Reaction::Tell) {
                 Reaction::Refuse => conn.send(answer("503 Service Unavailable", "", "")),
                 Reaction::Vanish => {
-                    conn.vanish();
+                    conn.drop_incoming_packets();
                     // It ends with the test: closed before, it would tell.
                     return held.lock().unwrap().push(conn);
                 }
@@ -272,7 +272,7 @@
             match count {
                 ..=6 => conn.send(answer("503 Service Unavailable", "", "")),
                 7 => conn.send(ok(&list)),
-                _ => assert!(conn.ended(), "a watch is held to the end"),
+                _ => assert!(conn.closed_by_peer(), "a watch is held to the end"),
             }
         }
         opened.fetch_sub(1, Ordering::SeqCst);
--- a/crates/plankvale/tests/sidecar/narrow/servers.rs
+++ b/crates/plankvale/tests/sidecar/narrow/servers.rs
@@ -50,7 +50,7 @@
             }
             conn.send("HTTP/1.1 200 O");
             let _ = tell.send(channel().0);
-            assert!(conn.ended(), "the connection stays");
+            assert!(conn.closed_by_peer(), "the connection stays");
             let _ = tell.send(channel().0);
             return;
         }
--- a/crates/plankvale/tests/sidecar/operators.rs
+++ b/crates/plankvale/tests/sidecar/operators.rs
@@ -116,7 +116,7 @@
     assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 200);
     assert!(sidecar.descriptors() <= before + 20, "{} descriptors", sidecar.descriptors());
     // Each of them is let go in the end.
-    assert!(silent.iter_mut().all(|caller| caller.ended()));
+    assert!(silent.iter_mut().all(|caller| caller.closed_by_peer()));
     assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 200);
 }
 
--- a/crates/plankvale/tests/sidecar/rough.rs
+++ b/crates/plankvale/tests/sidecar/rough.rs
@@ -20,7 +20,7 @@
     let (list, log, _) = servers(3, move |mut conn, seen| {
         if seen.nth == 1 {
             conn.send(first);
-            conn.ended();
+            conn.closed_by_peer();
             return None;
         }
         conn.send(ok("fine"));
@@ -47,7 +47,7 @@
              X-Time-Left-Ms: 900\r\n{fields}\r\n0\r\n\r\n{hidden}"
         ));
         assert_eq!(client.message().unwrap().status(), 400, "{fields}");
-        assert!(client.ended(), "{fields}");
+        assert!(client.closed_by_peer(), "{fields}");
     }
     assert_eq!(log.count(), 0);
 }
@@ -73,7 +73,7 @@
         }
     });
     for client in [&mut silent, &mut half, &mut short, &mut slow] {
-        assert!(client.ended());
+        assert!(client.closed_by_peer());
     }
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
     assert_eq!(log.count(), 0);
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -63,9 +63,9 @@
                     // In the middle, and open.
                     2 => {
                         conn.send(&ok(&news)[..120]);
-                        conn.ended();
+                        conn.closed_by_peer();
                     }
-                    3 => drop(conn.ended()),
+                    3 => drop(conn.closed_by_peer()),
                     4 => conn.send(ok("{\"seq\":9,\"whole\":true,\"hosts\":[{}]}")),
                     5 => conn.send(answer("503 Down", "", &news)),
                     6 => conn.send("HTTP/1.1 what\r\n\r\n"),
@@ -124,14 +124,14 @@
     go.send(()).unwrap();
     let got = busy.message().unwrap();
     assert_eq!((got.body.as_slice(), got.header("connection")), (&b"late"[..], Some("close")));
-    assert!(idle.ended());
+    assert!(idle.closed_by_peer());
     assert_eq!(sidecar.exit_code(), Some(0));
 }
 
 #[test]
 fn sigterm_is_not_held_up_by_the_silent_and_the_unfinished() {
     let (list, _, seen) = servers(1, |mut conn, _| {
-        conn.ended();
+        conn.closed_by_peer();
         None
     });
     let (mut sidecar, _agent) = Sidecar::with_servers(&list);
@@ -236,12 +236,12 @@
             open = connect();
         }
         let Some(mut client) = open.take() else { return tally };
-        let mut answer = client.message_to(safe());
+        let mut answer = client.request(safe());
         let mut fresh = !reused;
         if answer.is_none() && reused {
             let Some(again) = connect() else { continue };
             (client, fresh) = (again, true);
-            answer = client.message_to(safe());
+            answer = client.request(safe());
         }
         match &answer {
             Some(m) if m.complete && m.status() == 200 && m.body == b"a" => {
@@ -303,7 +303,7 @@
                     // Open, and silent.
                     1 => {
                         let _ = silent.set(Instant::now());
-                        conn.ended();
+                        conn.closed_by_peer();
                     }
                     _ => conn.send(ok(&news)),
                 }
--- a/crates/plankvale/tests/sidecar/upgrade.rs
+++ b/crates/plankvale/tests/sidecar/upgrade.rs
@@ -179,7 +179,7 @@
     let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
     wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     let mut client = old.client();
-    assert_eq!(client.message_to(safe()).expect("an answer").status(), 200);
+    assert_eq!(client.request(safe()).expect("an answer").status(), 200);
     for _ in 0..50 {
         assert_eq!(old.request(safe()).status(), 200);
     }
@@ -187,7 +187,7 @@
     assert_eq!(new.metric("sidecar.succeeded.look"), 0);
     old.terminate();
     assert_eq!(old.exit_code(), Some(0));
-    assert_eq!(client.message_to(safe()).expect("still connected").status(), 200);
+    assert_eq!(client.request(safe()).expect("still connected").status(), 200);
     assert_eq!(new.metric("sidecar.succeeded.look"), 1);
 }
 
@@ -239,7 +239,7 @@
     old.terminate();
     old.wait_for_log("a successor goes on");
     let mut second = new.client();
-    assert_eq!(second.message_to(&order).expect("an answer").status(), 200);
+    assert_eq!(second.request(&order).expect("an answer").status(), 200);
     late.send(rest);
     assert_eq!(late.message().expect("an answer").status(), 409);
     assert_eq!(log.count(), 2);
@@ -264,7 +264,7 @@
         assert_eq!(serving.exit_code(), Some(0));
         serving = next;
     }
-    assert_eq!(client.message_to(safe()).expect("still connected").status(), 200);
+    assert_eq!(client.request(safe()).expect("still connected").status(), 200);
 }
 
 /// The new one may never come up: the old one then ends as if nobody were to follow.
@@ -276,11 +276,11 @@
     let config = operated(&agent, &listener);
     let mut old = Sidecar::launch_with_listener(&config, &listener, &folder.0);
     let mut client = old.client();
-    assert_eq!(client.message_to(safe()).unwrap().status(), 200);
+    assert_eq!(client.request(safe()).unwrap().status(), 200);
     let died = Sidecar::launch_with_listener(&config, &listener, &folder.0);
     drop(died);
     old.terminate();
-    assert!(client.ended());
+    assert!(client.closed_by_peer());
     assert_eq!(old.exit_code(), Some(0));
 }
 
