--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -29,11 +29,11 @@
 pub use fault::{AcceptFault, Fault};
 pub use message::{Conn, Message, answer, ok};
 pub use random::Random;
-pub use requests::{keyed, left, safe, safe_as, unsafe_with};
+pub use requests::{common_headers, keyed, safe, safe_with_id, unsafe_with};
 pub use server::{RequestLog, SeenRequest, Server, host, hosts, servers};
 pub use server_group::{Attempt, ServerGroup};
 pub use settings::settings_json;
 pub use unreachable::{BlackHole, FullBacklog, refusing_address, short_backlog};
-pub use violations::{doubled, doubled_in_answer, violation, violations};
+pub use violations::{record_violation, repeated_answer_field, repeated_field, violations};
 pub use wait::{WAIT_TIMEOUT, receive, wait_until};
 pub use worker::{Cold, Worker};
--- a/crates/millethook-testkit/src/message.rs
+++ b/crates/millethook-testkit/src/message.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::WAIT_TIMEOUT;
-use crate::violations::{Checked, doubled, doubled_in_answer, violation};
+use crate::violations::{Checked, record_violation, repeated_answer_field, repeated_field};
 
 /// A message as it came: its first line, its headers in lower case, and its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
         if values.next().is_some() {
             let text =
                 format!("{}: {name} is read as one field and stands there twice", self.first);
-            violation(text.clone());
+            record_violation(text.clone());
             panic!("{text}");
         }
         first
@@ -44,9 +44,9 @@
     }
 
     /// The field that stands more than once though a message of its kind may hold it once only.
-    pub fn doubled(&self) -> Option<&str> {
+    pub fn repeated_field(&self) -> Option<&str> {
         let names = self.headers.iter().map(|h| h.0.as_str());
-        if self.is_request() { doubled(names) } else { doubled_in_answer(names) }
+        if self.is_request() { repeated_field(names) } else { repeated_answer_field(names) }
     }
 
     /// The status of an answer; 0 if the first line has none.
@@ -107,10 +107,10 @@
             Some((name.to_ascii_lowercase(), value.trim().to_owned()))
         });
         let message = Message { first, headers: headers.collect(), ..Message::default() };
-        if let Some(name) = message.doubled() {
+        if let Some(name) = message.repeated_field() {
             let text =
                 format!("{}: {name} stands there twice: {:?}", message.first, message.headers);
-            violation(text);
+            record_violation(text);
             if message.is_request() {
                 self.send("HTTP/1.1 400 Doubled\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
             }
--- a/crates/millethook-testkit/src/requests.rs
+++ b/crates/millethook-testkit/src/requests.rs
@@ -5,31 +5,31 @@
 static IDS: AtomicUsize = AtomicUsize::new(0);
 
 /// The headers that all requests have, with an id that no other request has.
-pub fn left() -> String {
+pub fn common_headers() -> String {
     let id = IDS.fetch_add(1, Ordering::SeqCst);
     format!("X-Correlation-Id: {id:04x}\r\nX-Account: acme\r\nX-Time-Left-Ms: 900\r\n")
 }
 
 /// A request that is safe to repeat.
 pub fn safe() -> String {
-    format!("GET /look/1?q=2 HTTP/1.1\r\nHost: app.svc\r\n{}\r\n", left())
+    format!("GET /look/1?q=2 HTTP/1.1\r\nHost: app.svc\r\n{}\r\n", common_headers())
 }
 
 /// The same under this id.
-pub fn safe_as(id: &str) -> String {
+pub fn safe_with_id(id: &str) -> String {
     let rest = "X-Account: acme\r\nX-Time-Left-Ms: 900\r\n";
     format!("GET /look/1?q=2 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\n{rest}\r\n")
 }
 
 /// A request that is unsafe to repeat.
 pub fn unsafe_with(body: &str) -> String {
-    let (left, length) = (left(), body.len());
+    let (left, length) = (common_headers(), body.len());
     format!("POST /order HTTP/1.1\r\nHost: app.svc\r\n{left}Content-Length: {length}\r\n\r\n{body}")
 }
 
 /// A keyed request.
 pub fn keyed() -> String {
-    let left = left();
+    let left = common_headers();
     format!(
         "POST /keep HTTP/1.1\r\nHost: app.svc\r\n{left}Idempotency-Key: 5c0f\r\n\
          Content-Length: 4\r\n\r\nbody"
--- a/crates/millethook-testkit/src/violations.rs
+++ b/crates/millethook-testkit/src/violations.rs
@@ -40,7 +40,7 @@
 }
 
 /// Writes a violation down. It fails every test that ends from now on.
-pub fn violation(text: String) {
+pub fn record_violation(text: String) {
     eprintln!("violation: {text}");
     record().push(text);
 }
@@ -51,12 +51,12 @@
 }
 
 /// The name of a field that a request holds in more lines than it may. Names are in lower case.
-pub fn doubled<'h>(names: impl IntoIterator<Item = &'h str>) -> Option<&'h str> {
+pub fn repeated_field<'h>(names: impl IntoIterator<Item = &'h str>) -> Option<&'h str> {
     again(names.into_iter().filter(|name| !LISTS.contains(name)))
 }
 
 /// The same of an answer.
-pub fn doubled_in_answer<'h>(names: impl IntoIterator<Item = &'h str>) -> Option<&'h str> {
+pub fn repeated_answer_field<'h>(names: impl IntoIterator<Item = &'h str>) -> Option<&'h str> {
     again(names.into_iter().filter(|name| WRITTEN.contains(name)))
 }
 
--- a/crates/millethook-testkit/tests/violations.rs
+++ b/crates/millethook-testkit/tests/violations.rs
@@ -11,10 +11,10 @@
 
 #[test]
 fn a_doubled_header_is_refused_and_fails_whoever_holds_a_handle() {
-    assert_eq!(doubled(["host", "via", "accept", "via", "accept"]), None);
-    assert_eq!(doubled(["host", "x-account", "host"]), Some("host"));
-    assert_eq!(doubled_in_answer(["set-cookie", "date", "set-cookie"]), None);
-    assert_eq!(doubled_in_answer(["date", "server", "date"]), Some("date"));
+    assert_eq!(repeated_field(["host", "via", "accept", "via", "accept"]), None);
+    assert_eq!(repeated_field(["host", "x-account", "host"]), Some("host"));
+    assert_eq!(repeated_answer_field(["set-cookie", "date", "set-cookie"]), None);
+    assert_eq!(repeated_answer_field(["date", "server", "date"]), Some("date"));
 
     // An answer may repeat a field, and a request a list.
     let lists = "GET / HTTP/1.1\r\nHost: a\r\nVia: b\r\nVia: c\r\n\r\n";
--- a/crates/millethook/tests/library/any_server/early.rs
+++ b/crates/millethook/tests/library/any_server/early.rs
@@ -118,8 +118,8 @@
     request: axum::extract::Request,
     next: axum::middleware::Next,
 ) -> axum::response::Response {
-    if let Some(name) = doubled(request.headers().iter().map(|(name, _)| name.as_str())) {
-        violation(format!("{}: {name} stands there twice", request.uri()));
+    if let Some(name) = repeated_field(request.headers().iter().map(|(name, _)| name.as_str())) {
+        record_violation(format!("{}: {name} stands there twice", request.uri()));
         return StatusCode::BAD_REQUEST.into_response();
     }
     next.run(request).await
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -78,7 +78,7 @@
 }
 
 pub(crate) fn order(body: &str, more: &str) -> String {
-    let (left, length) = (left(), body.len());
+    let (left, length) = (common_headers(), body.len());
     format!(
         "POST /order HTTP/1.1\r\nHost: app.svc\r\n{left}{more}Content-Length: {length}\r\n\r\n{body}"
     )
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -13,7 +13,7 @@
 
 fn head(class: &str, framing: &str) -> String {
     let key = if class == "keep" { "Idempotency-Key: 5c0f\r\n" } else { "" };
-    format!("POST /{class} HTTP/1.1\r\nHost: app.svc\r\n{}{key}{framing}\r\n\r\n", left())
+    format!("POST /{class} HTTP/1.1\r\nHost: app.svc\r\n{}{key}{framing}\r\n\r\n", common_headers())
 }
 
 fn with_length(class: &str, body: &[u8]) -> Vec<u8> {
--- a/crates/plankvale/tests/sidecar/narrow/settings.rs
+++ b/crates/plankvale/tests/sidecar/narrow/settings.rs
@@ -43,14 +43,14 @@
     wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
     let long = |request: String| request.replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: 15000");
     let mut client = sidecar.client();
-    client.send(long(safe_as("same")));
+    client.send(long(safe_with_id("same")));
     let go = receive(&told);
     // Time passes for the spans of the first settings, 0.6 s each, with a request in each.
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(700));
         assert_eq!(sidecar.request(safe()).status(), 200);
     }
-    assert_eq!(sidecar.request(long(safe_as("same"))).status(), 409);
+    assert_eq!(sidecar.request(long(safe_with_id("same"))).status(), 409);
     go.send(()).unwrap();
     assert_eq!(client.message().unwrap().status(), 200);
     assert_eq!(log.count(), 4);
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -14,7 +14,7 @@
         Some(conn)
     });
     let (sidecar, _agent) = Sidecar::with_servers(&list);
-    let got = sidecar.request(safe_as("9b1f"));
+    let got = sidecar.request(safe_with_id("9b1f"));
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"a\0b"[..]));
     assert_eq!((got.header("x-kept"), got.header("x-backend-load")), (Some("yes"), None));
     let request = receive(&seen).message;
@@ -150,8 +150,8 @@
             }
             let head = String::from_utf8(head).unwrap().to_ascii_lowercase();
             let names = head.lines().skip(1).filter_map(|l| Some(l.split_once(':')?.0));
-            if let Some(name) = doubled(names) {
-                return violation(format!("{name} stands there twice: {head}"));
+            if let Some(name) = repeated_field(names) {
+                return record_violation(format!("{name} stands there twice: {head}"));
             }
             let left = head.lines().find_map(|l| l.strip_prefix("x-time-left-ms: "));
             let left: u64 = left.unwrap().parse().unwrap();
