--- a/crates/millethook-bench/src/fleet.rs
+++ b/crates/millethook-bench/src/fleet.rs
@@ -181,7 +181,7 @@
     }
 
     fn list(&self) {
-        self.agent.change(self.servers.iter().map(|(name, at, _)| host(name, *at)).collect());
+        self.agent.set_hosts(self.servers.iter().map(|(name, at, _)| host(name, *at)).collect());
     }
 
     /// Puts a new server in place of the one that has been there longest. The old one takes no new
--- a/crates/millethook-testkit/src/agent.rs
+++ b/crates/millethook-testkit/src/agent.rs
@@ -58,13 +58,13 @@
     }
 
     /// Lists these hosts from now on, under the next version.
-    pub fn change(&self, hosts: Vec<Value>) {
+    pub fn set_hosts(&self, hosts: Vec<Value>) {
         let mut list = self.list.lock().unwrap();
         *list = (list.0 + 1, hosts);
     }
 
     /// Starts anew, and counts from the beginning: versions it has told of mean nothing to it.
-    pub fn restart(&self, hosts: Vec<Value>) {
+    pub fn restart_versions(&self, hosts: Vec<Value>) {
         *self.list.lock().unwrap() = (1, hosts);
     }
 
--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -36,4 +36,4 @@
 pub use unreachable::{BlackHole, FullBacklog, refusing_address, short_backlog};
 pub use violations::{record_violation, repeated_answer_field, repeated_field, violations};
 pub use wait::{WAIT_TIMEOUT, receive, wait_until};
-pub use worker::{Cold, Worker};
+pub use worker::{ColdStart, Worker};
--- a/crates/millethook-testkit/src/worker.rs
+++ b/crates/millethook-testkit/src/worker.rs
@@ -19,12 +19,12 @@
     /// How long the work of one request takes.
     pub work: Delay,
     /// How it warms up, if it has just started.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
 }
 
 /// How a server that has just started grows.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct ColdStart {
     /// When it started.
     pub since: Instant,
     /// How long it takes to be at its full speed.
@@ -33,7 +33,7 @@
     pub share: f64,
 }
 
-impl Cold {
+impl ColdStart {
     fn slower(&self) -> f64 {
         let age = self.since.elapsed().as_secs_f64() / self.warm_after.as_secs_f64().max(1e-9);
         1.0 / (self.share + (1.0 - self.share) * age.min(1.0)).max(1e-3)
--- a/crates/millethook/examples/demo.rs
+++ b/crates/millethook/examples/demo.rs
@@ -11,7 +11,7 @@
 use http::Request;
 use http_body_util::Full;
 use millethook::{ClassConfig, Error, Fleet, FleetConfig, RequestMeta};
-use millethook_testkit::{Cold, Delay, Fault, ServerGroup, Worker};
+use millethook_testkit::{ColdStart, Delay, Fault, ServerGroup, Worker};
 
 const SECONDS: u64 = 10;
 
@@ -56,7 +56,8 @@
         .class(ClassConfig::safe("look", aim, deadline));
     let work = |ms| Delay::Exponential(Duration::from_millis(ms));
     let worker = |ms, cold| Worker { slots: 4, queue: 12, work: work(ms), cold };
-    let cold = Cold { since: Instant::now(), warm_after: Duration::from_secs(SECONDS), share: 0.2 };
+    let cold =
+        ColdStart { since: Instant::now(), warm_after: Duration::from_secs(SECONDS), share: 0.2 };
     let failing = ServerGroup::new(1, |a| if a.nth % 2 == 0 { Fault::Error } else { Fault::Stall });
     let mut servers = vec![
         ("plain-1", worker(8, None).start(1)),
--- a/crates/millethook/examples/upload_helper.rs
+++ b/crates/millethook/examples/upload_helper.rs
@@ -16,7 +16,7 @@
 use axum::routing::post;
 use http_body_util::Full;
 use millethook::{ClassConfig, Error, Fleet, FleetConfig, InheritLayer, RequestMeta, RouteLayer};
-use millethook_testkit::{Cold, Delay, Server, Worker};
+use millethook_testkit::{ColdStart, Delay, Server, Worker};
 use tokio::net::{TcpListener, TcpStream};
 
 /// One upload: checked here, then kept by one of the log servers. Its remaining time, its tenant and
@@ -41,7 +41,7 @@
 fn servers() -> Vec<Server> {
     let worker = |n: u64| {
         // The last one has just started, and is slow until it is warm.
-        let cold = (n == 4).then(|| Cold {
+        let cold = (n == 4).then(|| ColdStart {
             since: std::time::Instant::now(),
             warm_after: Duration::from_secs(5),
             share: 0.2,
--- a/crates/millethook/tests/library/any_server/fleets.rs
+++ b/crates/millethook/tests/library/any_server/fleets.rs
@@ -77,7 +77,7 @@
         for (n, entry) in list.iter_mut().enumerate().skip(third * 22).take(22) {
             *entry = (format!("new-{n}"), start(n));
         }
-        agent.change(named(&list));
+        agent.set_hosts(named(&list));
     }
     runtime.block_on(load).expect("no caller panics");
     let ends = ends.lock().expect("no panic");
--- a/crates/millethook/tests/library/interleavings.rs
+++ b/crates/millethook/tests/library/interleavings.rs
@@ -76,7 +76,7 @@
                 let one = random.below(SERVERS as u64) as usize;
                 states[one] = if states[one] == "active" { "leaving" } else { "active" };
                 if states.iter().filter(|s| **s == "active").count() >= 2 {
-                    agent.change(listed(&states));
+                    agent.set_hosts(listed(&states));
                 } else {
                     states[one] = "active";
                 }
@@ -122,7 +122,7 @@
         // answered a call that came after the change, and the next one has come.
         let leaving = states.iter().position(|s| *s == "active").expect("two are active");
         states[leaving] = "leaving";
-        agent.change(listed(&states));
+        agent.set_hosts(listed(&states));
         let (calls, count) =
             (agent.calls(), || stage.seen().iter().filter(|a| a.server == leaving).count());
         tokio::task::block_in_place(|| {
--- a/crates/millethook/tests/library/members.rs
+++ b/crates/millethook/tests/library/members.rs
@@ -53,7 +53,7 @@
     let (file, members) = (folder.join("millethook.toml"), folder.join("members"));
     std::fs::write(&file, format!("[membership]\nsnapshot = {members:?}\n")).expect("written");
     let (server, agent) = (Server::named("a"), Agent::start(Vec::new()));
-    agent.change(vec![host("s-a", server.address)]);
+    agent.set_hosts(vec![host("s-a", server.address)]);
     let open = |name: &str, discovery| {
         let config = builder(name, &[]).discovery(discovery).build().expect("sound");
         Fleet::open(config.with_product(&file).expect("sound")).expect("open")
--- a/crates/plankvale/tests/conformance/ends.rs
+++ b/crates/plankvale/tests/conformance/ends.rs
@@ -100,7 +100,7 @@
         let asking = s.spawn(|| form.request(ask));
         std::thread::sleep(Duration::from_millis(AIM / 5));
         listed.push(host("s-0", stage.servers[0].address));
-        agent.change(listed);
+        agent.set_hosts(listed);
         asking.join().expect("no client panics")
     });
     let record = Record::of(vec![end], &stage);
@@ -126,7 +126,7 @@
     let agent = Agent::start(stage.hosts());
     let form = F::start(&config(agent.address, |_| {}));
     assert_eq!(form.request(Ask::safe()), served("fine"));
-    agent.change(Vec::new());
+    agent.set_hosts(Vec::new());
     wait_until("nobody is left", || form.request(Ask::safe()) == REFUSED);
     let before = stage.count();
     let ends: Vec<End> = Ask::each().into_iter().map(|ask| form.request(ask)).collect();
--- a/crates/plankvale/tests/conformance/lists.rs
+++ b/crates/plankvale/tests/conformance/lists.rs
@@ -37,7 +37,7 @@
         wait_until("the second serves", || form.request(Ask::safe()) == served("1"));
         let mut hosts = stage.hosts();
         hosts[0]["health"] = json!(health);
-        agent.change(hosts);
+        agent.set_hosts(hosts);
         let ends = until(&form, "only the second serves", |end| *end == served("1"));
         assert_eq!(ends, vec![served("1"); 20], "{health}");
         Record { ends, seen: Vec::new() }
@@ -50,7 +50,7 @@
     let agent = Agent::start(vec![host("s", stage.servers[0].address)]);
     let form = F::start(&config(agent.address, |_| {}));
     assert_eq!(form.request(Ask::safe()), served("0"));
-    agent.change(vec![host("s", stage.servers[1].address)]);
+    agent.set_hosts(vec![host("s", stage.servers[1].address)]);
     let ends = until(&form, "the new address", |end| *end == served("1"));
     assert_eq!(ends, vec![served("1"); 20]);
     Record { ends, seen: Vec::new() }
@@ -61,7 +61,7 @@
     let agent = Agent::start(vec![stage.hosts()[0].clone()]);
     let form = F::start(&config(agent.address, |_| {}));
     assert_eq!(form.request(Ask::safe()), served("0"));
-    agent.change(stage.hosts());
+    agent.set_hosts(stage.hosts());
     wait_until("the new one serves", || form.request(Ask::safe()) == served("1"));
     Record { ends: Vec::new(), seen: Vec::new() }
 }
--- a/crates/plankvale/tests/distribution/server_lists.rs
+++ b/crates/plankvale/tests/distribution/server_lists.rs
@@ -108,7 +108,7 @@
         false => of_sidecars.address,
     });
     until_all_served_by(&tier, "old");
-    of_control_nodes.change(pair.replaced());
+    of_control_nodes.set_hosts(pair.replaced());
     until_all_served_by(&tier, "new");
     stay_served_by(&tier, "new", Duration::from_millis(200));
     // Longer than a list lasts that nobody confirms.
@@ -133,7 +133,7 @@
     });
     until_all_served_by(&tier, "old");
     kill_control_nodes(&mut tier);
-    of_sidecars.change(pair.replaced());
+    of_sidecars.set_hosts(pair.replaced());
     until_all_served_by(&tier, "new");
     start_control_nodes(&mut tier);
     let writer = tier.writer();
@@ -141,7 +141,7 @@
     wait_until("the old list is confirmed", || figure(&tier, writer, "confirmed") > confirmed + 1);
     stay_served_by(&tier, "new", Duration::from_millis(500));
     assert!(sidecars().all(|member| figure(&tier, member, "asks") == 1), "discovery is newer");
-    of_control_nodes.change(pair.replaced());
+    of_control_nodes.set_hosts(pair.replaced());
     until_all_follow(&tier);
     stay_served_by(&tier, "new", Duration::from_millis(200));
     wait_until("nobody watches discovery", || of_sidecars.open() == 0);
@@ -157,7 +157,7 @@
     let mut tier = tier(&|member| agents.get(member).map_or(down, |agent| agent.address));
     until_all_served_by(&tier, "old");
     let writer = tier.writer();
-    agents[writer].change(pair.replaced());
+    agents[writer].set_hosts(pair.replaced());
     until_all_served_by(&tier, "new");
     tier.kill(writer);
     let next = tier.writer_but_stopped(writer);
@@ -165,9 +165,9 @@
     assert_eq!(figure(&tier, next, "published"), 0, "what it has is older");
     assert_eq!(figure(&tier, next, "confirmed"), 0, "it does not confirm what it has not");
     // Its discovery catches up.
-    agents[next].change(pair.replaced());
+    agents[next].set_hosts(pair.replaced());
     until_all_follow(&tier);
-    agents[next].change(vec![pair.old_entry()]);
+    agents[next].set_hosts(vec![pair.old_entry()]);
     until_all_served_by(&tier, "old");
 }
 
@@ -178,17 +178,17 @@
     let down = refusing_address();
     let mut tier = tier(&|member| if member < CONTROL_NODES { discovery.address } else { down });
     until_all_served_by(&tier, "old");
-    discovery.change(vec![pair.old_entry(), pair.new_entry()]);
-    discovery.change(vec![pair.old_entry()]);
+    discovery.set_hosts(vec![pair.old_entry(), pair.new_entry()]);
+    discovery.set_hosts(vec![pair.old_entry()]);
     wait_until("the third version", || sidecars().all(|member| figure(&tier, member, "seq") == 3));
-    discovery.restart(vec![pair.new_entry()]);
+    discovery.restart_versions(vec![pair.new_entry()]);
     until_all_served_by(&tier, "new");
     assert!(sidecars().all(|member| figure(&tier, member, "generation") == 1));
     // The next writer has seen it, too.
     let writer = tier.writer();
     tier.kill(writer);
     tier.writer_but_stopped(writer);
-    discovery.change(vec![pair.old_entry()]);
+    discovery.set_hosts(vec![pair.old_entry()]);
     until_all_served_by(&tier, "old");
     assert!(sidecars().all(|member| figure(&tier, member, "generation") == 1));
 }
@@ -210,7 +210,7 @@
         config["discovery"] = json!(refusing_address().to_string());
         tier.member(member).reload(&config.to_string());
     }
-    of_sidecars.change(pair.replaced());
+    of_sidecars.set_hosts(pair.replaced());
     until_all_served_by(&tier, "new");
 }
 
@@ -223,7 +223,7 @@
     let down = refusing_address();
     let mut tier = tier(&|member| if member < CONTROL_NODES { discovery.address } else { down });
     until_all_served_by(&tier, "old");
-    discovery.change(pair.replaced());
+    discovery.set_hosts(pair.replaced());
     until_all_served_by(&tier, "new");
     let member = CONTROL_NODES;
     wait_until("the list is kept", || {
@@ -281,6 +281,6 @@
     let metrics = tier.member(CONTROL_NODES).admin_request("GET /v1/metrics").body;
     let metrics = String::from_utf8(metrics).expect("text");
     assert!(!metrics.contains("distribution.list."), "{metrics}");
-    discovery.change(vec![pair.new_entry()]);
+    discovery.set_hosts(vec![pair.new_entry()]);
     until_all_served_by(&tier, "new");
 }
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -126,7 +126,7 @@
     let (text, code) = site.told(&["show"]);
     assert!(text.contains("2 kept") && code == Some(0), "{text}");
     let (server, seen) = counting();
-    agent.change(vec![host("s-b", server.address)]);
+    agent.set_hosts(vec![host("s-b", server.address)]);
     wait_until("both are done", || sidecar.metric("sidecar.edge.replayed") == 2);
     let bodies: Vec<Vec<u8>> = seen.lock().expect("a log").iter().map(|m| m.body.clone()).collect();
     assert_eq!(bodies, [b"one".to_vec(), b"two".to_vec()]);
@@ -155,7 +155,7 @@
     first.child.kill().expect("killed");
     first.child.wait().expect("ended");
     let (server, seen) = counting();
-    agent.change(vec![host("s-b", server.address)]);
+    agent.set_hosts(vec![host("s-b", server.address)]);
     let second = site.start(&agent);
     wait_until("all are done", || second.metric("sidecar.edge.replayed") == 20);
     let mut bodies: Vec<String> = (seen.lock().expect("a log").iter())
@@ -185,7 +185,7 @@
         }
         _ => Fault::Serve("done".into()),
     });
-    agent.change(stage.hosts());
+    agent.set_hosts(stage.hosts());
     wait_until("it is done", || sidecar.metric("sidecar.edge.replayed") == 1);
     let seen: Vec<Message> = stage.seen().into_iter().map(|a| a.message).collect();
     let told = told(&seen);
@@ -213,7 +213,7 @@
             conn.send(ok("done"));
         }
     });
-    agent.change(vec![host("s-b", server.address)]);
+    agent.set_hosts(vec![host("s-b", server.address)]);
     wait_until("in doubt", || sidecar.metric("sidecar.edge.doubt") == 1);
     assert_eq!(*count.lock().expect("a count"), 1);
     assert!(site.told(&["show"]).0.contains("in doubt"));
@@ -333,7 +333,7 @@
         status == 202
     });
     let (server, seen) = counting();
-    agent.change(vec![host("s-b", server.address)]);
+    agent.set_hosts(vec![host("s-b", server.address)]);
     // Writes without ties go out by their numbers: the slow one would be first.
     wait_until("what was kept is sent", || {
         site.told(&["show"]).0.lines().next().is_some_and(|store| store.contains("0 kept, 0 out"))
@@ -363,7 +363,7 @@
     assert_eq!(by_member("slow", ASKS), 502);
     disk.let_go(true);
     let (server, seen) = counting();
-    agent.change(vec![host("s-b", server.address)]);
+    agent.set_hosts(vec![host("s-b", server.address)]);
     wait_until("servers are reached", || {
         sidecar.request(order("nobody's", "")).is_some_and(|m| m.status() == 200)
     });
--- a/crates/plankvale/tests/sidecar/edge_death.rs
+++ b/crates/plankvale/tests/sidecar/edge_death.rs
@@ -76,7 +76,7 @@
     assert_eq!(site.told(&["show"]).0.lines().count(), 2, "it is in the file");
     drop(slow);
     let (server, seen) = counting();
-    agent.change(vec![host("s-b", server.address)]);
+    agent.set_hosts(vec![host("s-b", server.address)]);
     let next = site.start(&agent);
     // Sent or withdrawn, the next owner gives it an end.
     wait_until("the next owner is done with it", || {
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -233,13 +233,13 @@
     config["discovery"] = json!(agent.address.to_string());
     let sidecar = kept.launch(&config);
     wait_until("listed", || sidecar.request(safe()).status() == 200);
-    agent.change(Vec::new());
+    agent.set_hosts(Vec::new());
     sidecar.wait_for_log("suspect_list_held");
     for _ in 0..20 {
         assert_eq!(sidecar.request(safe()).status(), 200);
     }
     assert_eq!(sidecar.metric("sidecar.membership.held"), 1);
-    agent.change(all[..4].to_vec());
+    agent.set_hosts(all[..4].to_vec());
     wait_until("taken back", || sidecar.metric("sidecar.membership.held") == 0);
     assert_eq!(sidecar.metric("sidecar.membership.live"), 4);
 }
@@ -256,7 +256,7 @@
         config["discovery"] = json!(agent.address.to_string());
         let sidecar = kept.launch(&config);
         wait_until("listed", || sidecar.request(safe()).status() == 200);
-        agent.change(Vec::new());
+        agent.set_hosts(Vec::new());
         wait_until("the empty list holds", || sidecar.request(safe()).status() == 503);
     }
 }
--- a/crates/plankvale/tests/sidecar/narrow/commit.rs
+++ b/crates/plankvale/tests/sidecar/narrow/commit.rs
@@ -53,7 +53,7 @@
         taken(&sidecar);
         a["health"] = json!("leaving");
         let news = [host("s-b", b.address), a];
-        agent.change(news[..if unlisted { 1 } else { 2 }].to_vec());
+        agent.set_hosts(news[..if unlisted { 1 } else { 2 }].to_vec());
         // Another request shows that the news has come.
         wait_until("the news", || {
             let mut witness = sidecar.client();
--- a/crates/plankvale/tests/sidecar/narrow/lists.rs
+++ b/crates/plankvale/tests/sidecar/narrow/lists.rs
@@ -33,11 +33,11 @@
         let (a, b) = (Server::named("a"), Server::named("b"));
         let agent = Agent::start(vec![host("s-a", a.address)]);
         for _ in 0..5 {
-            agent.change(vec![host("s-a", a.address)]);
+            agent.set_hosts(vec![host("s-a", a.address)]);
         }
         let sidecar = Sidecar::start(&config(agent.address, asked(how, &[])));
         wait_until("the first list", || sidecar.served_by() == "a");
-        agent.restart(vec![host("s-b", b.address)]);
+        agent.restart_versions(vec![host("s-b", b.address)]);
         let began = Instant::now();
         wait_until("the news", || sidecar.served_by() == "b");
         assert!(began.elapsed() < TOLD_AFTER, "{how}: {:?}", began.elapsed());
--- a/crates/plankvale/tests/sidecar/operators.rs
+++ b/crates/plankvale/tests/sidecar/operators.rs
@@ -15,7 +15,7 @@
     let agent = Agent::start(Vec::new());
     let sidecar = Sidecar::launch(&operated(&agent));
     assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 503);
-    agent.change(hosts(&[Server::named("a")]));
+    agent.set_hosts(hosts(&[Server::named("a")]));
     wait_until("ready", || sidecar.admin_request("GET /v1/readyz").status() == 200);
     assert_eq!(sidecar.admin_request("PUT /v1/readyz").status(), 405);
     assert_eq!(sidecar.admin_request("GET /v1/nothing").status(), 404);
@@ -53,7 +53,7 @@
     assert_eq!(keeping.message().unwrap().status(), 200);
     // What is invalid is no request.
     assert_eq!(sidecar.request("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status(), 404);
-    agent.change(Vec::new());
+    agent.set_hosts(Vec::new());
     wait_until("an empty list", || sidecar.metric("sidecar.discovered") == 0);
     assert_eq!(sidecar.request(safe()).status(), 503);
     for (name, value) in [
--- a/crates/plankvale/tests/sidecar/pauses.rs
+++ b/crates/plankvale/tests/sidecar/pauses.rs
@@ -100,7 +100,7 @@
     thread::sleep(WATCH_ENDS);
     let mut hosts = stage.hosts();
     hosts[..DRAINING].iter_mut().for_each(|host| host["health"] = json!("leaving"));
-    agent.change(hosts);
+    agent.set_hosts(hosts);
     thread::scope(|scope| {
         let asked: Vec<_> =
             (0..AFTER).map(|_| scope.spawn(|| sidecar.request(safe()).status())).collect();
@@ -155,7 +155,7 @@
     let before = stage.count();
     sidecar.pause();
     thread::sleep(WATCH_ENDS);
-    agent.change(first_started_anew(stage.hosts()));
+    agent.set_hosts(first_started_anew(stage.hosts()));
     thread::scope(|scope| {
         let asked: Vec<_> =
             (0..AFTER).map(|_| scope.spawn(|| sidecar.request(safe()).status())).collect();
@@ -209,7 +209,7 @@
         assert!(out > DECIDED / 2, "{out} are out");
         gate.open();
         thread::sleep(WATCH_ENDS);
-        agent.change(first_started_anew(stage.hosts()));
+        agent.set_hosts(first_started_anew(stage.hosts()));
         thread::sleep(GRACE);
         sidecar.resume();
         for asked in asked {
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -30,7 +30,7 @@
     let b = Server::named("b");
     // Versions of the new one lie behind those of the old one.
     let old = Agent::start(hosts(&held));
-    old.change(hosts(&held));
+    old.set_hosts(hosts(&held));
     let new = Agent::start(vec![host("s-b", b.address)]);
     let mut sidecar = Sidecar::start(&config(old.address, |_| {}));
     let mut busy = sidecar.client();
@@ -76,7 +76,7 @@
         assert_eq!(sidecar.served_by(), "a", "{bad}");
     }
     // The old discovery is still listened to, and the next sound file counts.
-    agent.change(vec![host("s-b", b.address)]);
+    agent.set_hosts(vec![host("s-b", b.address)]);
     wait_until("its news", || sidecar.served_by() == "b");
     let other = Agent::start(vec![host("s-a", a.address)]);
     sidecar.reload(&config(other.address, |_| {}).to_string());
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -94,7 +94,7 @@
         c["settings"]["discovery"] = json!("on_request");
         c["settings"]["rules"]["mustAskIn"] = json!(1_000_000);
     }));
-    agent.change(vec![host("s-b", b.address)]);
+    agent.set_hosts(vec![host("s-b", b.address)]);
     wait_until("the news", || sidecar.served_by() == "b");
 }
 
