--- a/crates/millethook-testkit/src/agent.rs
+++ b/crates/millethook-testkit/src/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery.
+//! A stand-in discovery service.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,30 +8,30 @@
 
 use serde_json::{Value, json};
 
-use crate::violations::Checked;
+use crate::violations::ViolationGuard;
 use crate::{Conn, ok};
 
-/// A discovery agent that holds watches until there is news.
+/// A discovery agent with long polling: it holds a request until its list changes.
 #[derive(Clone)]
 pub struct Agent {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     list: Arc<Mutex<(u64, Vec<Value>)>>,
-    calls: Arc<AtomicUsize>,
+    requests: Arc<AtomicUsize>,
     open: Arc<AtomicUsize>,
-    _checked: Checked,
+    _guard: ViolationGuard,
 }
 
 impl Agent {
-    /// Starts one that lists these hosts.
+    /// Starts an agent that lists these hosts.
     pub fn start(hosts: Vec<Value>) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let agent = Agent {
             address: listener.local_addr().unwrap(),
             list: Arc::new(Mutex::new((1, hosts))),
-            calls: Arc::default(),
+            requests: Arc::default(),
             open: Arc::default(),
-            _checked: Checked::default(),
+            _guard: ViolationGuard::default(),
         };
         let serving = agent.clone();
         thread::spawn(move || {
@@ -47,43 +47,43 @@
         agent
     }
 
-    /// How many calls it has had.
+    /// The number of requests received so far.
     pub fn calls(&self) -> usize {
-        self.calls.load(Ordering::SeqCst)
+        self.requests.load(Ordering::SeqCst)
     }
 
-    /// How many connections to it are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Lists these hosts from now on, under the next version.
+    /// Replaces the list and increments its version.
     pub fn set_hosts(&self, hosts: Vec<Value>) {
         let mut list = self.list.lock().unwrap();
         *list = (list.0 + 1, hosts);
     }
 
-    /// Starts anew, and counts from the beginning: versions it has told of mean nothing to it.
+    /// Replaces the list and restarts versions at 1, as an agent that has lost its state does.
     pub fn restart_versions(&self, hosts: Vec<Value>) {
         *self.list.lock().unwrap() = (1, hosts);
     }
 
     fn serve(&self, mut conn: Conn) {
-        while let Some(call) = conn.head() {
-            self.calls.fetch_add(1, Ordering::SeqCst);
-            let figure = |key: &str| -> Option<u64> {
-                let at = call.first.find(key)? + key.len();
-                let digits = call.first[at..].chars().take_while(char::is_ascii_digit);
+        while let Some(request) = conn.head() {
+            self.requests.fetch_add(1, Ordering::SeqCst);
+            let parameter = |key: &str| -> Option<u64> {
+                let at = request.first.find(key)? + key.len();
+                let digits = request.first[at..].chars().take_while(char::is_ascii_digit);
                 digits.collect::<String>().parse().ok()
             };
-            let (from, hold) = (figure("from="), figure("hold_ms=").unwrap_or(0));
-            let end = Instant::now() + Duration::from_millis(hold);
+            let (from, hold_ms) = (parameter("from="), parameter("hold_ms=").unwrap_or(0));
+            let deadline = Instant::now() + Duration::from_millis(hold_ms);
             let body = loop {
                 let (seq, hosts) = self.list.lock().unwrap().clone();
                 if from.is_none_or(|from| from < seq) {
                     break full_list(seq, &hosts);
                 }
-                if Instant::now() >= end {
+                if Instant::now() >= deadline {
                     break json!({"seq": seq, "whole": false, "hosts": []}).to_string();
                 }
                 thread::sleep(Duration::from_millis(5));
@@ -93,7 +93,7 @@
     }
 }
 
-/// A complete list of this version, in discovery's form.
+/// A complete list of this version in the format of discovery.
 pub fn full_list(seq: u64, hosts: &[Value]) -> String {
     json!({"seq": seq, "whole": true, "hosts": hosts}).to_string()
 }
--- a/crates/millethook-testkit/src/daemon.rs
+++ b/crates/millethook-testkit/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon's process.
+//! Starts the daemon as a child process and sends requests and signals to it.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,14 +12,14 @@
 
 use serde_json::{Value, json};
 
-use crate::violations::Checked;
+use crate::violations::ViolationGuard;
 use crate::{Agent, Conn, Message, Server, hosts, receive, safe, settings_json, wait_until};
 
-/// The price of a handshake in the platform's settings, for each first attempt.
+/// The price of a handshake in the platform's settings, in units of one first attempt.
 const HANDSHAKE_PRICE: f64 = 0.08;
 
-/// A configuration for a sidecar of these peers.
-pub fn config(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Value {
+/// A daemon configuration that uses this discovery address, passed through `customize`.
+pub fn config(discovery: SocketAddr, customize: impl FnOnce(&mut Value)) -> Value {
     let mut settings = settings_json();
     settings["kinds"] = json!(["std"]);
     settings["prices"] = json!({"handshake": HANDSHAKE_PRICE});
@@ -31,14 +31,15 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": settings,
     });
-    change(&mut config);
+    customize(&mut config);
     config
 }
 
-/// The path of a program of this workspace, beside which the test's own program was built.
+/// The path of a workspace program, expected in the build directory of the running test.
 ///
 /// # Panics
-/// If it has not been built.
+///
+/// If the program has not been built.
 pub fn program(name: &str) -> PathBuf {
     let mut path = std::env::current_exe().expect("a test knows its own path");
     path.pop();
@@ -50,15 +51,15 @@
     path
 }
 
-static FILES: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
 
-/// The daemon's command for this configuration, and the file in which it stands.
+/// The daemon's command line for this configuration, and the path of the configuration file.
 pub fn command(config: &str) -> (Command, PathBuf) {
-    command_of(&program("plankvale"), config)
+    command_for(&program("plankvale"), config)
 }
 
-fn command_of(program: &Path, config: &str) -> (Command, PathBuf) {
-    let n = FILES.fetch_add(1, Ordering::SeqCst);
+fn command_for(program: &Path, config: &str) -> (Command, PathBuf) {
+    let n = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
     let name = format!("plankvale-test-{}-{n}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config).unwrap();
@@ -68,7 +69,7 @@
     (command, path)
 }
 
-/// Runs a sidecar that cannot start.
+/// Runs a daemon that is expected to fail at start, and returns its output.
 pub fn failed_start(config: &str, env: &[(&str, &str)]) -> Output {
     let (mut command, path) = command(config);
     let output = command.envs(env.iter().copied()).output().unwrap();
@@ -76,36 +77,36 @@
     output
 }
 
-/// A daemon in a process of its own. Dropped, it ends.
+/// A daemon in a child process, which is killed on drop.
 pub struct Sidecar {
-    /// The process.
+    /// The child process.
     pub child: Child,
-    /// Where clients connect.
+    /// The address on which it accepts clients.
     pub address: SocketAddr,
-    /// Where operators call, if they may.
+    /// The admin address, if one is configured.
     pub admin: Option<SocketAddr>,
     path: PathBuf,
     log: Mutex<Receiver<String>>,
-    _checked: Checked,
+    _guard: ViolationGuard,
 }
 
 impl Sidecar {
-    /// Starts one and waits until it is ready.
+    /// Starts the daemon and waits until it is ready.
     pub fn start(config: &Value) -> Sidecar {
         Sidecar::start_program(&program("plankvale"), config)
     }
 
-    /// The same with this build of the daemon.
+    /// Like [`Sidecar::start`], with this build of the daemon.
     pub fn start_program(program: &Path, config: &Value) -> Sidecar {
         Sidecar::launch_program(program, config).ready()
     }
 
-    /// The same with further variables.
+    /// Like [`Sidecar::start`], with these additional environment variables.
     pub fn start_with(config: &Value, env: &[(&str, &str)]) -> Sidecar {
         Sidecar::launch_with(config, env).ready()
     }
 
-    /// Waits until it is ready.
+    /// Waits until the readiness check succeeds.
     fn ready(self) -> Sidecar {
         wait_until("ready", || {
             let mut client = self.client();
@@ -115,27 +116,27 @@
         self
     }
 
-    /// Starts one with further variables, and waits until it listens.
+    /// Starts the daemon with additional environment variables and waits until it listens.
     pub fn launch_with(config: &Value, env: &[(&str, &str)]) -> Sidecar {
         let (mut command, path) = command(&config.to_string());
         command.envs(env.iter().copied());
         Sidecar::spawn((command, path))
     }
 
-    /// Starts one and waits until it listens.
+    /// Starts the daemon and waits until it listens.
     pub fn launch(config: &Value) -> Sidecar {
         Sidecar::launch_program(&program("plankvale"), config)
     }
 
     fn launch_program(program: &Path, config: &Value) -> Sidecar {
-        Sidecar::spawn(command_of(program, &config.to_string()))
+        Sidecar::spawn(command_for(program, &config.to_string()))
     }
 
-    /// Starts one that shares the clients' listening socket and a folder with others, as an upgrade does,
-    /// and waits until it listens.
+    /// Starts a daemon that shares the clients' listening socket and a folder with other processes,
+    /// as in an upgrade, and waits until it listens.
     pub fn launch_with_listener(config: &Value, listener: &TcpListener, folder: &Path) -> Sidecar {
-        let (command, path) = command_of(&program("plankvale"), &config.to_string());
-        // Only a shell can leave a descriptor open under a number without `unsafe`.
+        let (command, path) = command_for(&program("plankvale"), &config.to_string());
+        // Only a shell can pass an open descriptor under a given number without `unsafe` code.
         let mut shell = Command::new("/bin/sh");
         shell.args(["-c", "exec \"$0\" 7<&0 </dev/null"]).arg(command.get_program());
         let socket: OwnedFd = listener.try_clone().unwrap().into();
@@ -147,21 +148,25 @@
     fn spawn((mut command, path): (Command, PathBuf)) -> Sidecar {
         let mut child = command.spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let (tell, told) = channel();
-        let nowhere = ([0, 0, 0, 0], 0).into();
-        // A process that outlives its test connects to ports that are other tests' by then. From here on
-        // its end is this value's, also if what it writes cannot be read.
+        let (log_sender, log_receiver) = channel();
+        let unknown_address = ([0, 0, 0, 0], 0).into();
+        // A process that outlives its test would connect to ports that belong to other tests by
+        // then. From here on, drop kills the process, also if its output cannot be read.
         let mut sidecar = Sidecar {
             child,
-            address: nowhere,
+            address: unknown_address,
             admin: None,
             path,
-            log: Mutex::new(told),
-            _checked: Checked::default(),
+            log: Mutex::new(log_receiver),
+            _guard: ViolationGuard::default(),
         };
-        while sidecar.address == nowhere {
+        while sidecar.address == unknown_address {
             let mut line = String::new();
-            assert_ne!(log.read_line(&mut line).unwrap(), 0, "the sidecar ended");
+            assert_ne!(
+                log.read_line(&mut line).unwrap(),
+                0,
+                "the sidecar exited before it listened"
+            );
             if let Some((_, at)) = line.trim().split_once("operators call at ") {
                 sidecar.admin = Some(first_word(at).parse().unwrap());
             }
@@ -171,24 +176,24 @@
         }
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                let _ = tell.send(line);
+                let _ = log_sender.send(line);
             }
         });
         sidecar
     }
 
-    /// One with as many servers as given and an agent that lists them.
+    /// Starts a daemon with these servers and a discovery agent that lists them.
     pub fn with_servers(servers: &[Server]) -> (Sidecar, Agent) {
         let agent = Agent::start(hosts(servers));
         (Sidecar::start(&config(agent.address, |_| {})), agent)
     }
 
-    /// A new connection of a client.
+    /// Opens a new client connection.
     pub fn client(&self) -> Conn {
         Conn::new(TcpStream::connect(self.address).unwrap())
     }
 
-    /// One whose classes have long answers, with as many servers as given.
+    /// Like [`Sidecar::with_servers`], with streaming answers in all classes.
     pub fn streaming(servers: &[Server]) -> (Sidecar, Agent) {
         let agent = Agent::start(hosts(servers));
         let config = config(agent.address, |c| {
@@ -199,56 +204,57 @@
         (Sidecar::start(&config), agent)
     }
 
-    /// Sends one request on a new connection and reads its answer.
+    /// Sends one request on a new connection and reads the answer.
     pub fn request(&self, request: impl AsRef<[u8]>) -> Message {
         let mut client = self.client();
         client.send(request);
         client.message().expect("an answer")
     }
 
-    /// One call at the operators' address.
-    pub fn admin_request(&self, call: &str) -> Message {
+    /// Sends one request to the admin address; `call` is the method and path.
+    pub fn admin_request(&self, method_and_path: &str) -> Message {
         let mut operator = Conn::new(TcpStream::connect(self.admin.unwrap()).unwrap());
-        operator.send(format!("{call} HTTP/1.1\r\nHost: a\r\n\r\n"));
+        operator.send(format!("{method_and_path} HTTP/1.1\r\nHost: a\r\n\r\n"));
         operator.message().expect("an answer")
     }
 
-    /// A figure of `GET /v1/metrics`.
+    /// The value of one metric of `GET /v1/metrics`.
     pub fn metric(&self, name: &str) -> u64 {
         let metrics = String::from_utf8(self.admin_request("GET /v1/metrics").body).unwrap();
-        let figure = metrics.lines().find_map(|line| {
+        let value = metrics.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
             (key == name).then(|| value.split('|').next().unwrap().parse().unwrap())
         });
-        figure.unwrap_or_else(|| panic!("no {name} in {metrics}"))
+        value.unwrap_or_else(|| panic!("no {name} in {metrics}"))
     }
 
-    /// Who answers a safe request, where servers answer with their names.
+    /// The body of the answer to a safe request, which is the server's name if servers answer with
+    /// their names.
     pub fn served_by(&self) -> String {
         String::from_utf8(self.request(safe()).body).unwrap()
     }
 
-    fn signal(&self, which: &str) {
+    fn signal(&self, signal_option: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([which, &pid]).status().unwrap().success());
+        assert!(Command::new("kill").args([signal_option, &pid]).status().unwrap().success());
     }
 
-    /// Sends SIGTERM: it ends as planned.
+    /// Sends SIGTERM, which starts a graceful shutdown.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Takes the processor from it until [`Sidecar::resume`].
+    /// Stops the process with SIGSTOP until [`Sidecar::resume`].
     pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets it go on after [`Sidecar::pause`].
+    /// Resumes the process after [`Sidecar::pause`].
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Replaces the file of the configuration and tells the sidecar.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let new = self.path.with_extension("new");
         std::fs::write(&new, config).unwrap();
@@ -256,19 +262,19 @@
         self.signal("-HUP");
     }
 
-    /// Ends it as planned; its exit code.
+    /// Sends SIGTERM and returns the exit code.
     pub fn terminate_and_wait(&mut self) -> Option<i32> {
         self.terminate();
         self.exit_code()
     }
 
-    /// Waits for a line of its log that holds `text`.
+    /// Waits for a log line that contains `text`.
     pub fn wait_for_log(&self, text: &str) {
         let log = self.log.lock().unwrap();
         while !receive(&log).contains(text) {}
     }
 
-    /// Its exit code once it has ended, waited for within the bound.
+    /// Waits until the process has exited and returns the exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut status = None;
         wait_until("exit", || {
@@ -278,12 +284,12 @@
         status.and_then(|s| s.code())
     }
 
-    /// How many file descriptors it has open.
+    /// The number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// The most memory that it has had so far, in MB.
+    /// The peak resident memory so far, in MB.
     pub fn memory_mb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
@@ -291,7 +297,7 @@
     }
 }
 
-/// A message's end: fields of its event follow.
+/// The first word of the text; the fields of the log event follow it.
 fn first_word(text: &str) -> &str {
     text.split_whitespace().next().unwrap_or_default()
 }
--- a/crates/millethook-testkit/src/delay.rs
+++ b/crates/millethook-testkit/src/delay.rs
@@ -1,22 +1,22 @@
-//! How long a stand-in server takes for an answer.
+//! Response times of stand-in servers.
 
 use std::time::Duration;
 
 use crate::random::Random;
 
-/// How long an answer takes.
+/// The distribution of a response time.
 #[derive(Clone, Copy, Debug)]
 pub enum Delay {
-    /// Always as long.
+    /// A constant time.
     Fixed(Duration),
-    /// Evenly spread from the first to the second.
+    /// Uniform between the two bounds.
     Uniform(Duration, Duration),
-    /// Spread as service times often are, with this mean; ten times as long at most.
+    /// Exponential with this mean, as service times often are, and at most ten times the mean.
     Exponential(Duration),
 }
 
 impl Delay {
-    /// One draw.
+    /// Draws one response time.
     pub fn draw(&self, random: &mut Random) -> Duration {
         match *self {
             Delay::Fixed(t) => t,
--- a/crates/millethook-testkit/src/early_servers.rs
+++ b/crates/millethook-testkit/src/early_servers.rs
@@ -1,5 +1,5 @@
-//! Servers that begin with a request at the end of its head, as most HTTP servers do, and a record of
-//! what they began with.
+//! Servers that start a request when its head has arrived, as most HTTP servers do, and counts of
+//! the requests that they started.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,76 +7,76 @@
 
 use crate::{Random, Server, ok};
 
-/// What servers have begun with, by path.
+/// The requests that servers started, by path, and the number of answers.
 #[derive(Clone, Debug, Default)]
-pub struct RequestCounts(Arc<Mutex<Counts>>);
+pub struct RequestCounts(Arc<Mutex<CountsByPath>>);
 
 #[derive(Debug, Default)]
-struct Counts {
-    begun: HashMap<String, usize>,
-    answered: usize,
+struct CountsByPath {
+    starts: HashMap<String, usize>,
+    answers: usize,
 }
 
 impl RequestCounts {
-    fn counts(&self) -> MutexGuard<'_, Counts> {
+    fn counts(&self) -> MutexGuard<'_, CountsByPath> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A server has begun with the request for `path`.
+    /// Counts a started request for `path`.
     pub fn count_start(&self, path: &str) {
-        *self.counts().begun.entry(path.to_owned()).or_default() += 1;
+        *self.counts().starts.entry(path.to_owned()).or_default() += 1;
     }
 
-    /// A server has answered 200.
+    /// Counts an answer with status 200.
     pub fn count_answer(&self) {
-        self.counts().answered += 1;
+        self.counts().answers += 1;
     }
 
-    /// How often servers began with the request for `path`.
+    /// How often servers started the request for `path`.
     pub fn starts_of(&self, path: &str) -> usize {
-        self.counts().begun.get(path).copied().unwrap_or(0)
+        self.counts().starts.get(path).copied().unwrap_or(0)
     }
 
-    /// The paths with which servers began more than once.
+    /// The paths of requests that were started more than once.
     pub fn started_twice(&self) -> Vec<String> {
         let counts = self.counts();
-        counts.begun.iter().filter(|(_, n)| **n > 1).map(|(path, _)| path.clone()).collect()
+        counts.starts.iter().filter(|(_, n)| **n > 1).map(|(path, _)| path.clone()).collect()
     }
 
-    /// How many answers with the status 200 were written.
+    /// The number of answers with status 200.
     pub fn answered(&self) -> usize {
-        self.counts().answered
+        self.counts().answers
     }
 }
 
-/// What a server does with a request once its head has come. The answer's body is the path.
+/// What a server does once the head of a request has arrived. The path is the body of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlyAnswer {
-    /// It answers, and reads the body afterwards.
+    /// Answers, then reads the body.
     ThenRead,
-    /// It answers, and closes with the body unread.
+    /// Answers, then closes the connection without reading the body.
     ThenClose,
-    /// It answers, and resets the connection.
+    /// Answers, then resets the connection.
     ThenReset,
-    /// It sends these bytes, reads the body, and answers.
+    /// Sends these bytes, reads the body, then answers.
     BytesFirst(&'static str),
 }
 
-/// A server that does so with every request.
-pub fn early_answering_server(begun: &RequestCounts, what: EarlyAnswer) -> Server {
-    let begun = begun.clone();
+/// A server that handles every request in this way.
+pub fn early_answering_server(counts: &RequestCounts, behaviour: EarlyAnswer) -> Server {
+    let counts = counts.clone();
     Server::start(move |mut conn| {
         while let Some(head) = conn.head() {
             let path = path(&head.first);
-            begun.count_start(&path);
+            counts.count_start(&path);
             let length = head.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
-            if let EarlyAnswer::BytesFirst(bytes) = what {
+            if let EarlyAnswer::BytesFirst(bytes) = behaviour {
                 conn.send(bytes);
                 conn.body(length);
             }
             conn.send(ok(&path));
-            begun.count_answer();
-            match what {
+            counts.count_answer();
+            match behaviour {
                 EarlyAnswer::ThenRead => drop(conn.body(length)),
                 EarlyAnswer::BytesFirst(_) => {}
                 EarlyAnswer::ThenClose => return,
@@ -86,28 +86,34 @@
     })
 }
 
-/// The path of a request line.
-pub fn path(first: &str) -> String {
-    first.split(' ').nth(1).unwrap_or_default().to_owned()
+/// The path in a request line.
+pub fn path(request_line: &str) -> String {
+    request_line.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
-/// A server that closes each connection a while after its last answer, `pause` at the most, whatever
-/// has come by then. It begins at the head's end, or at the last byte, as `whole` says.
-pub fn closing_server(begun: &RequestCounts, whole: bool, pause: Duration, seed: u64) -> Server {
-    let begun = begun.clone();
+/// A server that closes each connection at a random time, at most `pause`, after its last answer,
+/// whatever has arrived by then. It starts a request at the last byte if `at_last_byte` is set, else at
+/// the end of the head.
+pub fn closing_server(
+    counts: &RequestCounts,
+    at_last_byte: bool,
+    pause: Duration,
+    seed: u64,
+) -> Server {
+    let counts = counts.clone();
     let random = Arc::new(Mutex::new(Random::new(seed)));
     Server::start(move |mut conn| {
         loop {
-            let rest = {
+            let delay = {
                 let mut random = random.lock().unwrap_or_else(PoisonError::into_inner);
                 pause.mul_f64(random.uniform())
             };
-            let until = Instant::now() + rest;
-            // Reading with a bound is too coarse: the close has to fall on any moment.
+            let close_at = Instant::now() + delay;
+            // A read timeout is too coarse: the close has to be possible at any moment.
             let _ = conn.socket.set_nonblocking(true);
             let mut byte = [0];
             while conn.socket.peek(&mut byte).is_err() {
-                if Instant::now() >= until {
+                if Instant::now() >= close_at {
                     return;
                 }
                 std::thread::yield_now();
@@ -115,54 +121,54 @@
             let _ = conn.socket.set_nonblocking(false);
             let Some(head) = conn.head() else { return };
             let path = path(&head.first);
-            if !whole {
-                begun.count_start(&path);
+            if !at_last_byte {
+                counts.count_start(&path);
             }
             let length = head.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
             if conn.body(length).is_none() {
                 return;
             }
-            if whole {
-                begun.count_start(&path);
+            if at_last_byte {
+                counts.count_start(&path);
             }
             conn.send(ok(&path));
-            begun.count_answer();
+            counts.count_answer();
         }
     })
 }
 
-/// How a server answers twice.
+/// How a server sends an answer twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DoubleAnswer {
-    /// Both copies go out at once.
+    /// Sends both copies in one write.
     AtOnce,
-    /// Noise goes out with the answer.
+    /// Sends garbage in the same write as the answer.
     Noise,
-    /// The second copy follows within half a millisecond; a server that did not get to it by then
-    /// leaves it out.
-    RightBehind,
+    /// Sends the second copy within half a millisecond of the first, or not at all if the server is
+    /// later than that.
+    ShortlyAfter,
 }
 
-/// A server that answers each request twice.
-pub fn double_answering_server(begun: &RequestCounts, how: DoubleAnswer) -> Server {
-    let begun = begun.clone();
+/// A server that sends each answer twice, or with garbage behind it.
+pub fn double_answering_server(counts: &RequestCounts, mode: DoubleAnswer) -> Server {
+    let counts = counts.clone();
     Server::start(move |mut conn| {
         while let Some(message) = conn.message().filter(|m| m.complete) {
             let path = path(&message.first);
-            begun.count_start(&path);
+            counts.count_start(&path);
             let answer = ok(&path);
-            match how {
+            match mode {
                 DoubleAnswer::AtOnce => conn.send(format!("{answer}{answer}")),
                 DoubleAnswer::Noise => conn.send(format!("{answer}\x16\x03 noise")),
-                DoubleAnswer::RightBehind => {
-                    let began = Instant::now();
+                DoubleAnswer::ShortlyAfter => {
+                    let sent_at = Instant::now();
                     conn.send(&answer);
-                    if began.elapsed() < Duration::from_micros(500) {
+                    if sent_at.elapsed() < Duration::from_micros(500) {
                         conn.send(&answer);
                     }
                 }
             }
-            begun.count_answer();
+            counts.count_answer();
         }
     })
 }
--- a/crates/millethook-testkit/src/fault.rs
+++ b/crates/millethook-testkit/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in server can be told to have.
+//! Faults that a stand-in server simulates.
 
 use std::time::Duration;
 
@@ -6,52 +6,52 @@
 use crate::random::Random;
 use crate::{Conn, answer, ok};
 
-/// What a server does with a request that has come whole.
+/// What a server does with a complete request.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// None: it answers 200 with this body.
+    /// No fault: answers 200 with this body.
     Serve(String),
-    /// It answers so after a while.
+    /// Answers 200 with this body after a delay.
     Delayed(Delay, String),
-    /// 503 with `X-Unprocessed: 1`: turned away unseen.
+    /// Answers 503 with `X-Unprocessed: 1`, so the request did not run.
     Reject,
-    /// 500.
+    /// Answers 500.
     Error,
-    /// 503 that says nothing of whether it ran.
+    /// Answers 503 without saying whether the request ran.
     Unavailable,
-    /// The connection is reset after the request's last byte.
+    /// Resets the connection after the last byte of the request.
     Reset,
-    /// Nothing is ever answered, and the connection stays open until the other side ends it.
+    /// Never answers and keeps the connection open until the other side closes it.
     Stall,
-    /// The answer comes in pieces of so many bytes, with a pause after each.
+    /// Sends the answer in pieces of this many bytes with a pause after each.
     Trickle(String, usize, Duration),
-    /// Noise in place of an answer, and the connection stays open.
+    /// Sends bytes that are not HTTP and keeps the connection open.
     Garbage,
-    /// An answer that announces more than it brings, and an end.
+    /// Sends less than the announced length and closes the connection.
     Truncated,
-    /// An answer that announces more than it brings, and silence.
+    /// Sends less than the announced length and keeps the connection open.
     StalledBody,
-    /// These bytes as they are, and the connection goes on.
+    /// Sends these bytes and keeps serving the connection.
     Raw(Vec<u8>),
-    /// These bytes as they are, and an end.
+    /// Sends these bytes and closes the connection.
     RawThenClose(Vec<u8>),
 }
 
-/// What a server does with a connection before a request has come whole.
+/// What a server does with a connection before a request is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFault {
-    /// It reads.
+    /// No fault: reads requests.
     None,
-    /// It resets as soon as it has accepted.
+    /// Resets the connection right after accept.
     ResetAtOnce,
-    /// It resets at the first byte: the last one is never read.
+    /// Resets the connection at the first byte, so the last byte is never read.
     ResetAtFirstByte,
-    /// It resets when the head has come, before the last byte of a body.
+    /// Resets the connection after a request's head, before the last byte of its body.
     ResetAfterHead,
 }
 
-/// Carries a fault out; None if the connection is done with.
-pub(crate) fn act(mut conn: Conn, fault: Fault, random: &mut Random) -> Option<Conn> {
+/// Applies a fault. None: the connection is not served any further.
+pub(crate) fn apply(mut conn: Conn, fault: Fault, random: &mut Random) -> Option<Conn> {
     match fault {
         Fault::Serve(body) => conn.send(ok(&body)),
         Fault::Delayed(delay, body) => {
--- a/crates/millethook-testkit/src/lib.rs
+++ b/crates/millethook-testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small scripted stand-ins for tests, all on loopback: servers, discovery, clients, and the daemon's
-//! process. Every wait has a bound, far beyond what it takes.
+//! Scripted stand-ins for tests, all on loopback: servers, discovery, clients, and the daemon's
+//! process. Every wait has a timeout that is much longer than the wait normally takes.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/millethook-testkit/src/message.rs
+++ b/crates/millethook-testkit/src/message.rs
@@ -1,55 +1,55 @@
-//! Messages, and one end of a connection that a test scripts.
+//! HTTP messages, and one end of a connection that a test scripts.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
 use crate::WAIT_TIMEOUT;
-use crate::violations::{Checked, record_violation, repeated_answer_field, repeated_field};
+use crate::violations::{ViolationGuard, record_violation, repeated_answer_field, repeated_field};
 
-/// A message as it came: its first line, its headers in lower case, and its body.
+/// A received message: its first line, its headers with names in lower case, and its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
-    /// The first line: the request line or the status line.
+    /// The request line or the status line.
     pub first: String,
-    /// Names in lower case, and values, in order.
+    /// Names in lower case and values, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body, without its framing.
+    /// The body, without framing.
     pub body: Vec<u8>,
-    /// It came to its end.
+    /// The message was received up to its end.
     pub complete: bool,
 }
 
 impl Message {
-    /// The value of a field.
+    /// The value of a header field.
     ///
     /// # Panics
-    /// It stands there more than once: a reader that takes one of several hides the others. The test fails, whatever
-    /// thread this is.
+    ///
+    /// If the field is repeated, as reading one of several values would hide the others. The test
+    /// fails, whichever thread this is called on.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut values = self.headers.iter().filter(|h| h.0 == name).map(|h| h.1.as_str());
         let first = values.next();
         if values.next().is_some() {
-            let text =
-                format!("{}: {name} is read as one field and stands there twice", self.first);
+            let text = format!("{}: {name} is read as one field and is repeated", self.first);
             record_violation(text.clone());
             panic!("{text}");
         }
         first
     }
 
-    /// Whether it is a request, and no answer.
+    /// Whether this is a request rather than an answer.
     pub fn is_request(&self) -> bool {
         self.first.rsplit(' ').next().is_some_and(|version| version.starts_with("HTTP/1."))
     }
 
-    /// The field that stands more than once though a message of its kind may hold it once only.
+    /// A field that is repeated although a message of its kind may contain it only once.
     pub fn repeated_field(&self) -> Option<&str> {
         let names = self.headers.iter().map(|h| h.0.as_str());
         if self.is_request() { repeated_field(names) } else { repeated_answer_field(names) }
     }
 
-    /// The status of an answer; 0 if the first line has none.
+    /// The status of an answer; 0 if the first line contains none.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
@@ -60,33 +60,34 @@
     /// The socket.
     pub socket: TcpStream,
     reader: BufReader<TcpStream>,
-    _checked: Checked,
+    _guard: ViolationGuard,
 }
 
 impl Conn {
-    /// A connection whose reads have the kit's bound.
+    /// Wraps a socket and sets the read timeout of the test kit.
     pub fn new(socket: TcpStream) -> Conn {
         socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         socket.set_nodelay(true).unwrap();
         let reader = BufReader::new(socket.try_clone().unwrap());
-        Conn { socket, reader, _checked: Checked::default() }
+        Conn { socket, reader, _guard: ViolationGuard::default() }
     }
 
     /// Sends these bytes.
     pub fn send(&mut self, bytes: impl AsRef<[u8]>) {
-        // A peer that has gone shows where its answer is read.
+        // A closed connection shows when the answer is read.
         let _ = self.socket.write_all(bytes.as_ref());
     }
 
-    /// Waits for the first byte of the next message, and leaves it there. False: the connection ended first.
+    /// Waits for the first byte of the next message without consuming it. False: the connection
+    /// ended first.
     pub fn has_next_message(&mut self) -> bool {
         self.reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty())
     }
 
-    /// Reads a head; None: the connection ended first.
+    /// Reads a head. None: the connection ended first.
     ///
-    /// A message that holds a field twice that may stand once only fails the test. Nobody gets it; a request is
-    /// answered 400.
+    /// A message that repeats a field which may occur only once fails the test. It is not returned;
+    /// a request is answered 400.
     pub fn head(&mut self) -> Option<Message> {
         let mut lines = Vec::new();
         loop {
@@ -108,8 +109,7 @@
         });
         let message = Message { first, headers: headers.collect(), ..Message::default() };
         if let Some(name) = message.repeated_field() {
-            let text =
-                format!("{}: {name} stands there twice: {:?}", message.first, message.headers);
+            let text = format!("{}: {name} is repeated: {:?}", message.first, message.headers);
             record_violation(text);
             if message.is_request() {
                 self.send("HTTP/1.1 400 Doubled\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
@@ -119,18 +119,19 @@
         Some(message)
     }
 
-    /// Reads a whole message. None: nothing came; one that breaks off is not `whole`.
+    /// Reads a message. None: the connection ended before its head was complete. `complete` is
+    /// false if it broke off after that.
     pub fn message(&mut self) -> Option<Message> {
         let head = self.head()?;
         Some(self.rest_of(head))
     }
 
-    /// Reads what belongs to a head that has been read.
+    /// Reads the body that follows a head.
     pub fn rest_of(&mut self, mut message: Message) -> Message {
         let length = message.header("content-length").map(|v| v.parse::<u64>().unwrap());
         let body = &mut message.body;
         message.complete = if message.headers.iter().any(|h| h.0 == "transfer-encoding") {
-            chunks(&mut self.reader, body).is_some()
+            read_chunks(&mut self.reader, body).is_some()
         } else {
             let length = length.unwrap_or(0);
             let got = (&mut self.reader).take(length).read_to_end(body);
@@ -145,14 +146,14 @@
         self.message()
     }
 
-    /// Reads so many bytes of a body whose head has been read. None: the connection ended first.
+    /// Reads a body of this length after its head. None: the connection ended first.
     pub fn body(&mut self, length: u64) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         let got = (&mut self.reader).take(length).read_to_end(&mut body);
         (got.is_ok() && body.len() as u64 == length).then_some(body)
     }
 
-    /// Whether the peer has ended or reset the connection, within the bound.
+    /// Whether the peer closes or resets the connection within the timeout.
     pub fn closed_by_peer(&mut self) -> bool {
         let mut rest = [0; 4096];
         loop {
@@ -167,23 +168,24 @@
         }
     }
 
-    /// From now on the connection is silently dead, as one whose host has vanished: a socket filter drops every packet
-    /// that comes for it, so nothing is acknowledged, and nothing is sent. It must be kept, as closing it would tell.
+    /// Makes the connection dead without closing it, as after the loss of the host: a socket filter
+    /// drops every packet that arrives, so nothing is acknowledged, and nothing is sent. Keep the
+    /// value alive, as closing the socket would notify the peer.
     pub fn drop_incoming_packets(&self) {
-        /// `BPF_RET | BPF_K`: the packet is cut down to so many bytes, here none.
+        /// `BPF_RET | BPF_K`: truncates the packet to this many bytes, here none.
         const RETURN: u16 = 0x06;
         let drop_all = [socket2::SockFilter::new(RETURN, 0, 0, 0)];
         socket2::SockRef::from(&self.socket).attach_filter(&drop_all).unwrap();
     }
 
-    /// Ends it by a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.socket);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
 }
 
-fn chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
+fn read_chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok()?;
@@ -202,12 +204,12 @@
     }
 }
 
-/// An answer of a server, its length announced.
+/// An answer with status 200 and a `Content-Length`.
 pub fn ok(body: &str) -> String {
     answer("200 OK", "", body)
 }
 
-/// An answer with this status and these header lines, its length announced.
+/// An answer with this status, these header lines and a `Content-Length`.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
 }
--- a/crates/millethook-testkit/src/requests.rs
+++ b/crates/millethook-testkit/src/requests.rs
@@ -4,7 +4,7 @@
 
 static IDS: AtomicUsize = AtomicUsize::new(0);
 
-/// The headers that all requests have, with an id that no other request has.
+/// The header lines that all requests have, with a unique correlation id.
 pub fn common_headers() -> String {
     let id = IDS.fetch_add(1, Ordering::SeqCst);
     format!("X-Correlation-Id: {id:04x}\r\nX-Account: acme\r\nX-Time-Left-Ms: 900\r\n")
@@ -15,7 +15,7 @@
     format!("GET /look/1?q=2 HTTP/1.1\r\nHost: app.svc\r\n{}\r\n", common_headers())
 }
 
-/// The same under this id.
+/// A request that is safe to repeat, with this correlation id.
 pub fn safe_with_id(id: &str) -> String {
     let rest = "X-Account: acme\r\nX-Time-Left-Ms: 900\r\n";
     format!("GET /look/1?q=2 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\n{rest}\r\n")
@@ -27,7 +27,7 @@
     format!("POST /order HTTP/1.1\r\nHost: app.svc\r\n{left}Content-Length: {length}\r\n\r\n{body}")
 }
 
-/// A keyed request.
+/// A request with an idempotency key.
 pub fn keyed() -> String {
     let left = common_headers();
     format!(
--- a/crates/millethook-testkit/src/server.rs
+++ b/crates/millethook-testkit/src/server.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers, and the lists that name them.
+//! Stand-in servers, and the discovery lists that contain them.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -8,27 +8,28 @@
 
 use serde_json::{Value, json};
 
-use crate::violations::Checked;
+use crate::violations::ViolationGuard;
 use crate::{Conn, Message, ok};
 
-/// What a server has seen.
+/// A request that a server received.
 #[derive(Clone, Debug)]
 pub struct SeenRequest {
-    /// How many whole requests all servers of the test had seen with this one.
+    /// The position of the request among all complete requests of the test's servers, counted from
+    /// 1.
     pub nth: usize,
     /// The request.
     pub message: Message,
 }
 
-/// A server that does the same with every connection.
+/// A server that handles every connection alike.
 pub struct Server {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    _checked: Checked,
+    _guard: ViolationGuard,
 }
 
 impl Server {
-    /// Starts one that runs `script` for each connection, in a thread of its own.
+    /// Starts a server that runs `script` for each connection in a thread of its own.
     pub fn start(script: impl Fn(Conn) + Send + Sync + 'static) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -39,10 +40,10 @@
                 thread::spawn(move || script(Conn::new(socket)));
             }
         });
-        Server { address, _checked: Checked::default() }
+        Server { address, _guard: ViolationGuard::default() }
     }
 
-    /// A server whose every answer is this.
+    /// A server that answers every request with this body.
     pub fn named(name: &'static str) -> Server {
         Server::start(move |mut conn| {
             while conn.message().is_some() {
@@ -52,41 +53,41 @@
     }
 }
 
-/// Counts and keeps the whole requests that a test's servers see.
+/// Counts and records the complete requests that a test's servers receive.
 #[derive(Clone)]
 pub struct RequestLog {
     count: Arc<AtomicUsize>,
-    tell: Sender<SeenRequest>,
+    entries: Sender<SeenRequest>,
 }
 
 impl RequestLog {
-    /// A log, and where its entries come out.
+    /// A log, and the channel on which its entries arrive.
     pub fn new() -> (RequestLog, Receiver<SeenRequest>) {
-        let (tell, told) = channel();
-        (RequestLog { count: Arc::default(), tell }, told)
+        let (entries, receiver) = channel();
+        (RequestLog { count: Arc::default(), entries }, receiver)
     }
 
-    /// Reads a whole request and takes it down.
+    /// Reads a complete request and records it.
     pub fn read_request(&self, conn: &mut Conn) -> Option<SeenRequest> {
         let message = conn.message().filter(|m| m.complete)?;
         Some(self.record(message))
     }
 
-    /// Takes down a request that was read.
+    /// Records a request that has been read already.
     pub fn record(&self, message: Message) -> SeenRequest {
         let nth = self.count.fetch_add(1, Ordering::SeqCst) + 1;
         let seen = SeenRequest { nth, message };
-        let _ = self.tell.send(seen.clone());
+        let _ = self.entries.send(seen.clone());
         seen
     }
 
-    /// How many requests it has taken down.
+    /// The number of recorded requests.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
 }
 
-/// A number of servers that answer the nth request they see together as `script` says.
+/// Starts `n` servers that share a request log and handle each request with `script`.
 pub fn servers(
     n: usize,
     script: impl Fn(Conn, SeenRequest) -> Option<Conn> + Clone + Send + Sync + 'static,
@@ -95,23 +96,23 @@
     let start = |_| {
         let (log, script) = (log.clone(), script.clone());
         Server::start(move |conn| {
-            let mut next = Some(conn);
-            while let Some(mut conn) = next.take() {
+            let mut open = Some(conn);
+            while let Some(mut conn) = open.take() {
                 let Some(seen) = log.read_request(&mut conn) else { return };
-                next = script(conn, seen);
+                open = script(conn, seen);
             }
         })
     };
     ((0..n).map(start).collect(), log, seen)
 }
 
-/// An entry of discovery's list for a server of this name.
+/// An entry of a discovery list for a server with this name and address.
 pub fn host(name: &str, at: SocketAddr) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": "a", "class": "std", "block": 0,
            "health": "active", "share": 1.0, "born_ms": 0})
 }
 
-/// Entries of discovery's list for these servers, named by their position.
+/// Entries of a discovery list for these servers, named by position.
 pub fn hosts(servers: &[Server]) -> Vec<Value> {
     servers.iter().enumerate().map(|(i, s)| host(&format!("s-{i}"), s.address)).collect()
 }
--- a/crates/millethook-testkit/src/server_group.rs
+++ b/crates/millethook-testkit/src/server_group.rs
@@ -1,54 +1,55 @@
-//! Several stand-in servers that follow one plan of faults, and the requests that they saw.
+//! A group of stand-in servers that share one fault plan and record the requests they receive.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use serde_json::Value;
 
-use crate::fault::{AcceptFault, Fault, act};
+use crate::fault::{AcceptFault, Fault, apply};
 use crate::random::Random;
 use crate::{Message, Server, hosts};
 
-/// A request as a server of a stage saw it.
+/// A request that a server of a group received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The server's number.
+    /// The index of the server.
     pub server: usize,
-    /// How many the stage had seen with this one.
+    /// The position of the request among all requests of the group, counted from 1.
     pub nth: usize,
-    /// Method and target.
+    /// The method and target.
     pub line: String,
-    /// The request's id.
+    /// The correlation id.
     pub id: String,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub key: Option<String>,
     /// The whole message.
     pub message: Message,
 }
 
-/// Servers that play by a plan, and what they saw, in order.
+/// Servers that follow a fault plan, and the requests they received, in order.
 pub struct ServerGroup {
-    /// The servers, by number.
+    /// The servers, by index.
     pub servers: Vec<Server>,
-    seen: Arc<Mutex<Vec<Attempt>>>,
+    received: Arc<Mutex<Vec<Attempt>>>,
 }
 
 impl ServerGroup {
-    /// So many servers whose `plan` tells for each whole request what becomes of it.
+    /// Starts `n` servers. `plan` decides what happens to each complete request.
     pub fn new(n: usize, plan: impl Fn(&Attempt) -> Fault + Send + Sync + 'static) -> ServerGroup {
         ServerGroup::with_accept_faults(n, |_, _| AcceptFault::None, plan)
     }
 
-    /// `door` tells for each server and the number of its connection, counted from 1, what becomes
-    /// of that before a request has come whole.
+    /// Like [`ServerGroup::new`], where `accept_fault` decides from the server and the number of its
+    /// connection, counted from 1, what happens before a request is complete.
     pub fn with_accept_faults(
         n: usize,
-        door: impl Fn(usize, usize) -> AcceptFault + Send + Sync + 'static,
+        accept_fault: impl Fn(usize, usize) -> AcceptFault + Send + Sync + 'static,
         plan: impl Fn(&Attempt) -> Fault + Send + Sync + 'static,
     ) -> ServerGroup {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let (plan, door) = (Arc::new(plan), Arc::new(door));
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (plan, accept_fault) = (Arc::new(plan), Arc::new(accept_fault));
         let start = |server: usize| {
-            let (seen, plan, door) = (seen.clone(), plan.clone(), door.clone());
+            let (received, plan, accept_fault) =
+                (received.clone(), plan.clone(), accept_fault.clone());
             let connections = Arc::new(Mutex::new(0));
             Server::start(move |mut conn| {
                 let nth = {
@@ -56,7 +57,7 @@
                     *count += 1;
                     *count
                 };
-                match door(server, nth) {
+                match accept_fault(server, nth) {
                     AcceptFault::None => {}
                     AcceptFault::ResetAtOnce => return conn.reset(),
                     AcceptFault::ResetAtFirstByte => {
@@ -69,43 +70,43 @@
                     }
                 }
                 let mut random = Random::new((server * 1000 + nth) as u64);
-                let mut next = Some(conn);
-                while let Some(mut conn) = next.take() {
+                let mut open = Some(conn);
+                while let Some(mut conn) = open.take() {
                     let Some(message) = conn.message().filter(|m| m.complete) else { return };
-                    let attempt = take(&seen, server, message);
-                    next = act(conn, plan(&attempt), &mut random);
+                    let attempt = record(&received, server, message);
+                    open = apply(conn, plan(&attempt), &mut random);
                 }
             })
         };
-        ServerGroup { servers: (0..n).map(start).collect(), seen }
+        ServerGroup { servers: (0..n).map(start).collect(), received }
     }
 
-    /// What discovery is to say of them.
+    /// Entries of a discovery list for these servers.
     pub fn hosts(&self) -> Vec<Value> {
         hosts(&self.servers)
     }
 
-    /// All whole requests so far, in the order in which they came.
+    /// All complete requests so far, in the order of arrival.
     pub fn seen(&self) -> Vec<Attempt> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.received.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// How many there were.
+    /// The number of complete requests so far.
     pub fn count(&self) -> usize {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).len()
+        self.received.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 }
 
-fn take(seen: &Mutex<Vec<Attempt>>, server: usize, message: Message) -> Attempt {
-    let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
+fn record(received: &Mutex<Vec<Attempt>>, server: usize, message: Message) -> Attempt {
+    let mut received = received.lock().unwrap_or_else(PoisonError::into_inner);
     let attempt = Attempt {
         server,
-        nth: seen.len() + 1,
+        nth: received.len() + 1,
         line: message.first.trim_end_matches(" HTTP/1.1").to_owned(),
         id: message.header("x-correlation-id").unwrap_or_default().to_owned(),
         key: message.header("idempotency-key").map(str::to_owned),
         message,
     };
-    seen.push(attempt.clone());
+    received.push(attempt.clone());
     attempt
 }
--- a/crates/millethook-testkit/src/settings.rs
+++ b/crates/millethook-testkit/src/settings.rs
@@ -1,8 +1,9 @@
-//! The module's settings as tests use them.
+//! The decision module's settings as tests use them.
 
 use serde_json::{Value, json};
 
-/// Settings with a safe class (0), a keyed one whose group is a zone (1) and an unsafe one (2).
+/// Settings with a safe class (0), a keyed one that is deduplicated within a zone (1) and an unsafe
+/// one (2).
 pub fn settings_json() -> Value {
     json!({
         "classes": [
--- a/crates/millethook-testkit/src/unreachable.rs
+++ b/crates/millethook-testkit/src/unreachable.rs
@@ -1,23 +1,23 @@
-//! Addresses to which no connection can be made: refused at once, or never accepted.
+//! Addresses to which no connection can be established: refused at once, or never accepted.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, PoisonError};
 
 use crate::Conn;
 
-/// An address at which connections are refused, for as long as the process lives. A port that is free
-/// again is soon another test's, whose server would then see what was sent here.
+/// An address that refuses connections for as long as the process lives. A free port would soon be
+/// given to another test, whose server would then receive the requests sent here.
 pub fn refusing_address() -> SocketAddr {
-    static WAIT_TIMEOUT: Mutex<Vec<socket2::Socket>> = Mutex::new(Vec::new());
+    static BOUND_SOCKETS: Mutex<Vec<socket2::Socket>> = Mutex::new(Vec::new());
     let socket = tcp_socket();
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).expect("a free port");
     let address = socket.local_addr().ok().and_then(|at| at.as_socket());
-    WAIT_TIMEOUT.lock().unwrap_or_else(PoisonError::into_inner).push(socket);
+    BOUND_SOCKETS.lock().unwrap_or_else(PoisonError::into_inner).push(socket);
     address.expect("a bound address")
 }
 
-/// A listener whose queue has room for one connection.
+/// A listener whose backlog holds one connection.
 pub fn short_backlog() -> TcpListener {
     let socket = tcp_socket();
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -26,16 +26,17 @@
     socket.into()
 }
 
-/// Clients that fill the queue of a [`short_backlog`], whose owner has stopped accepting: no other connection comes up.
+/// Clients that fill the backlog of a [`short_backlog`] that no longer accepts, so no other
+/// connection is established.
 pub struct FullBacklog(Vec<socket2::Socket>);
 
 impl FullBacklog {
-    /// Fills the queue of the listener at this address.
+    /// Fills the backlog of the listener at this address.
     pub fn of(address: SocketAddr) -> FullBacklog {
         let queued = (0..4).map(|_| {
             let client = tcp_socket();
             client.set_nonblocking(true).expect("a socket's flag");
-            // Those that find no place in the queue go on trying.
+            // Clients that find the backlog full keep retrying.
             let _ = client.connect(&address.into());
             client
         });
@@ -48,7 +49,7 @@
     socket2::Socket::new(domain, kind, None).expect("a socket")
 }
 
-/// An address at which connections never come up: its queue is full, and nobody accepts.
+/// An address at which connections are never established: its backlog is full and nobody accepts.
 pub struct BlackHole {
     /// The address.
     pub address: SocketAddr,
@@ -57,15 +58,16 @@
 }
 
 impl BlackHole {
-    /// Fills the queue of a new listener.
+    /// Fills the backlog of a new listener.
     pub fn start() -> BlackHole {
         let listener = short_backlog();
         let address = listener.local_addr().expect("a bound address");
         BlackHole { address, queued: FullBacklog::of(address), listener }
     }
 
-    /// Accepts from now on: each connection that is not of the queue here gets `script`. One that was refused room
-    /// comes up once its system tries again, a second or three after its first try.
+    /// Accepts from now on and runs `script` for each connection that is not one of the backlog's
+    /// fillers. A connection that found the backlog full is established when the kernel retries,
+    /// one or three seconds after its first attempt.
     pub fn start_accepting(self, script: impl Fn(Conn) + Send + Sync + 'static) {
         let script = Arc::new(script);
         let own: Vec<Option<SocketAddr>> = self.queued.0.iter().map(own_address).collect();
--- a/crates/millethook-testkit/tests/violations.rs
+++ b/crates/millethook-testkit/tests/violations.rs
@@ -1,5 +1,5 @@
-//! A request that tells one thing twice fails the test, whatever thread reads it. One test, as the record is the
-//! process's.
+//! A request that repeats a header field fails the test, whichever thread reads it. This is one
+//! test, as the record belongs to the process.
 
 use std::net::TcpStream;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -16,7 +16,7 @@
     assert_eq!(repeated_answer_field(["set-cookie", "date", "set-cookie"]), None);
     assert_eq!(repeated_answer_field(["date", "server", "date"]), Some("date"));
 
-    // An answer may repeat a field, and a request a list.
+    // An answer may repeat a field, and a request may repeat a list field.
     let lists = "GET / HTTP/1.1\r\nHost: a\r\nVia: b\r\nVia: c\r\n\r\n";
     let cookies = answer("200 OK", "Set-Cookie: a=1\r\nSet-Cookie: b=2\r\n", "fine");
     let sound = Server::start(move |mut conn| {
@@ -40,14 +40,14 @@
     let fails = |drops: Box<dyn FnOnce()>| {
         let failed = catch_unwind(AssertUnwindSafe(drops)).expect_err("it fails as it is dropped");
         let text = failed.downcast_ref::<String>().expect("a text");
-        assert!(text.contains("x-time-left-ms stands there twice"), "{text}");
+        assert!(text.contains("x-time-left-ms is repeated"), "{text}");
     };
     fails(Box::new(|| drop(client)));
     fails(Box::new(|| drop(stage)));
     fails(Box::new(|| drop(sound)));
     fails(Box::new(|| drop(Agent::start(Vec::new()))));
 
-    // A reader by name takes no first one of several.
+    // Reading a repeated field by name fails rather than returning the first value.
     let headers = vec![("a".to_owned(), "1".to_owned()), ("a".to_owned(), "2".to_owned())];
     let message = Message { first: "HTTP/1.1 200 OK".into(), headers, ..Message::default() };
     assert!(catch_unwind(|| message.header("a").map(str::to_owned)).is_err());
--- a/crates/millethook/tests/library/any_server/twice.rs
+++ b/crates/millethook/tests/library/any_server/twice.rs
@@ -8,7 +8,7 @@
 /// `orders` panics if a body is not its own request's.
 #[test]
 fn no_stray_bytes_are_served_as_another_requests_answer() {
-    for how in [DoubleAnswer::AtOnce, DoubleAnswer::Noise, DoubleAnswer::RightBehind] {
+    for how in [DoubleAnswer::AtOnce, DoubleAnswer::Noise, DoubleAnswer::ShortlyAfter] {
         let begun = RequestCounts::default();
         let servers: Vec<Server> = (0..2).map(|_| double_answering_server(&begun, how)).collect();
         let fleet = fleet(&servers);
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -151,7 +151,7 @@
             let head = String::from_utf8(head).unwrap().to_ascii_lowercase();
             let names = head.lines().skip(1).filter_map(|l| Some(l.split_once(':')?.0));
             if let Some(name) = repeated_field(names) {
-                return record_violation(format!("{name} stands there twice: {head}"));
+                return record_violation(format!("{name} is repeated: {head}"));
             }
             let left = head.lines().find_map(|l| l.strip_prefix("x-time-left-ms: "));
             let left: u64 = left.unwrap().parse().unwrap();
