--- a/crates/plankvale/tests/conformance/form.rs
+++ b/crates/plankvale/tests/conformance/form.rs
@@ -1,4 +1,4 @@
-//! The forms, and what a scenario tells of one.
+//! The two forms under test (daemon and library), and what a scenario records of each.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,20 +9,20 @@
 use millethook_testkit::*;
 use serde_json::Value;
 
-/// A request as a client makes it, in either form.
+/// A client request, for either form.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     pub method: &'static str,
     pub path: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-static IDS: AtomicUsize = AtomicUsize::new(0);
+static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
 
-impl Ask {
-    fn new(method: &'static str, path: &str, body: &[u8]) -> Ask {
-        let id = IDS.fetch_add(1, Ordering::SeqCst);
+impl ClientRequest {
+    fn new(method: &'static str, path: &str, body: &[u8]) -> ClientRequest {
+        let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
         let header = |name: &str, value: &str| (name.to_owned(), value.to_owned());
         let headers = vec![
             header("host", "app.svc"),
@@ -30,85 +30,85 @@
             header("x-account", "acme"),
             header("x-time-left-ms", "900"),
         ];
-        Ask { method, path: path.to_owned(), headers, body: body.to_vec() }
+        ClientRequest { method, path: path.to_owned(), headers, body: body.to_vec() }
     }
 
-    pub fn safe() -> Ask {
-        Ask::new("GET", "/look/1?q=2", b"")
+    pub fn safe() -> ClientRequest {
+        ClientRequest::new("GET", "/look/1?q=2", b"")
     }
 
-    pub fn keyed() -> Ask {
-        Ask::new("POST", "/keep", b"body").with("idempotency-key", "5c0f")
+    pub fn keyed() -> ClientRequest {
+        ClientRequest::new("POST", "/keep", b"body").with("idempotency-key", "5c0f")
     }
 
-    pub fn at_most_once() -> Ask {
-        Ask::new("POST", "/order", b"x")
+    pub fn at_most_once() -> ClientRequest {
+        ClientRequest::new("POST", "/order", b"x")
     }
 
-    /// One of each class.
-    pub fn each() -> [Ask; 3] {
-        [Ask::safe(), Ask::keyed(), Ask::at_most_once()]
+    /// One request of each class.
+    pub fn each() -> [ClientRequest; 3] {
+        [ClientRequest::safe(), ClientRequest::keyed(), ClientRequest::at_most_once()]
     }
 
-    /// With one more header.
-    pub fn with(mut self, name: &str, value: &str) -> Ask {
+    /// Adds a header.
+    pub fn with(mut self, name: &str, value: &str) -> ClientRequest {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// Without a header.
-    pub fn without(mut self, name: &str) -> Ask {
+    /// Removes a header.
+    pub fn without(mut self, name: &str) -> ClientRequest {
         self.headers.retain(|h| h.0 != name);
         self
     }
 
-    pub fn left(self, ms: u64) -> Ask {
+    pub fn left(self, ms: u64) -> ClientRequest {
         self.without("x-time-left-ms").with("x-time-left-ms", &ms.to_string())
     }
 
-    pub fn path(mut self, path: &str) -> Ask {
+    pub fn path(mut self, path: &str) -> ClientRequest {
         self.path = path.to_owned();
         self
     }
 
-    pub fn body(mut self, body: Vec<u8>) -> Ask {
+    pub fn body(mut self, body: Vec<u8>) -> ClientRequest {
         self.body = body;
         self
     }
 }
 
-/// How a request ended, as the protocol has it.
+/// How a request ended, in terms of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     Served(Vec<u8>),
-    /// Served, and visibly not whole.
-    Broken,
+    /// Served, and visibly incomplete.
+    Incomplete,
     /// Trying again is harmless.
     Refused {
-        /// The client was told when.
-        told: bool,
+        /// The client was told when to retry.
+        retry_after: bool,
     },
     Failed,
-    /// Not a request that can be taken.
+    /// Not an acceptable request, with the status.
     Invalid(u16),
 }
 
-pub fn served(body: &str) -> End {
-    End::Served(body.as_bytes().to_vec())
+pub fn served(body: &str) -> Outcome {
+    Outcome::Served(body.as_bytes().to_vec())
 }
 
-pub const REFUSED: End = End::Refused { told: false };
+pub const REFUSED: Outcome = Outcome::Refused { retry_after: false };
 
-/// One of the two.
+/// One of the two forms.
 pub trait Form: Sized + Sync {
-    /// Starts it and waits until it is ready.
+    /// Starts the form and waits until it is ready.
     fn start(config: &Value) -> Self;
-    /// The same with this text as the product's own file.
+    /// Like [`Form::start`], with this text as the product's configuration file.
     fn start_with(config: &Value, product: &str) -> Self;
-    /// Makes a request and waits for its end.
-    fn request(&self, ask: Ask) -> End;
-    /// Begins the planned end.
-    fn end(&self);
+    /// Sends a request and waits for its end.
+    fn request(&self, client_request: ClientRequest) -> Outcome;
+    /// Starts graceful shutdown.
+    fn shut_down(&self);
 }
 
 pub struct Daemon(Sidecar);
@@ -126,26 +126,30 @@
         Daemon(sidecar)
     }
 
-    fn request(&self, ask: Ask) -> End {
-        let fields: String = ask.headers.iter().map(|(n, v)| format!("{n}: {v}\r\n")).collect();
-        let length = match ask.method {
+    fn request(&self, client_request: ClientRequest) -> Outcome {
+        let fields: String =
+            client_request.headers.iter().map(|(n, v)| format!("{n}: {v}\r\n")).collect();
+        let length = match client_request.method {
             "GET" => String::new(),
-            _ => format!("Content-Length: {}\r\n", ask.body.len()),
+            _ => format!("Content-Length: {}\r\n", client_request.body.len()),
         };
-        let head = format!("{} {} HTTP/1.1\r\n{fields}{length}\r\n", ask.method, ask.path);
+        let head = format!(
+            "{} {} HTTP/1.1\r\n{fields}{length}\r\n",
+            client_request.method, client_request.path
+        );
         let mut client = self.0.client();
-        client.send([head.as_bytes(), &ask.body].concat());
+        client.send([head.as_bytes(), &client_request.body].concat());
         let got = client.message().expect("an answer");
         match got.status() {
-            200 if got.complete => End::Served(got.body),
-            200 => End::Broken,
-            429 | 503 => End::Refused { told: got.header("retry-after").is_some() },
-            502 | 504 => End::Failed,
-            other => End::Invalid(other),
+            200 if got.complete => Outcome::Served(got.body),
+            200 => Outcome::Incomplete,
+            429 | 503 => Outcome::Refused { retry_after: got.header("retry-after").is_some() },
+            502 | 504 => Outcome::Failed,
+            other => Outcome::Invalid(other),
         }
     }
 
-    fn end(&self) {
+    fn shut_down(&self) {
         self.0.terminate();
     }
 }
@@ -155,23 +159,23 @@
     fleet: Fleet,
 }
 
-static FILES: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
 
-/// A file with this text.
+/// Writes a temporary file with this text.
 fn product_file(text: &str) -> PathBuf {
-    let n = FILES.fetch_add(1, Ordering::SeqCst);
+    let n = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("conformance-{}-{n}.toml", std::process::id()));
     std::fs::write(&path, text).expect("a place for files");
     path
 }
 
-static FLEETS: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FLEET: AtomicUsize = AtomicUsize::new(0);
 
 impl Library {
-    /// A configuration under a name of its own.
-    fn configured(config: &Value) -> FleetConfig {
+    /// The configuration under a unique fleet name.
+    fn uniquely_named(config: &Value) -> FleetConfig {
         let mut config = config.clone();
-        config["name"] = format!("c{}", FLEETS.fetch_add(1, Ordering::SeqCst)).into();
+        config["name"] = format!("c{}", NEXT_FLEET.fetch_add(1, Ordering::SeqCst)).into();
         FleetConfig::from_json(&config.to_string()).expect("a sound configuration")
     }
 
@@ -192,91 +196,96 @@
 
 impl Form for Library {
     fn start(config: &Value) -> Library {
-        Library::open(Library::configured(config))
+        Library::open(Library::uniquely_named(config))
     }
 
     fn start_with(config: &Value, product: &str) -> Library {
         let file = product_file(product);
-        let config = Library::configured(config).with_product(&file).expect("a sound file");
+        let config = Library::uniquely_named(config).with_product(&file).expect("a sound file");
         std::fs::remove_file(&file).expect("it has been read");
         Library::open(config)
     }
 
-    fn request(&self, ask: Ask) -> End {
-        let mut request = http::Request::builder().method(ask.method).uri(&ask.path);
-        for (name, value) in &ask.headers {
+    fn request(&self, client_request: ClientRequest) -> Outcome {
+        let mut request =
+            http::Request::builder().method(client_request.method).uri(&client_request.path);
+        for (name, value) in &client_request.headers {
             request = request.header(name, value);
         }
-        // A client library would tell so at once: what is no URI is no request.
-        let Ok(request) = request.body(Full::new(bytes::Bytes::from(ask.body))) else {
-            return End::Invalid(400);
+        // What is not a valid URI is not a request; a client library rejects it at once.
+        let Ok(request) = request.body(Full::new(bytes::Bytes::from(client_request.body))) else {
+            return Outcome::Invalid(400);
         };
         self.runtime.block_on(async {
             match self.fleet.call(request).await {
                 Ok(answer) => match answer.into_body().collect().await {
-                    Ok(body) => End::Served(body.to_bytes().to_vec()),
-                    Err(_) => End::Broken,
+                    Ok(body) => Outcome::Served(body.to_bytes().to_vec()),
+                    Err(_) => Outcome::Incomplete,
                 },
                 Err(Error::Refused { retry_after, .. }) => {
-                    End::Refused { told: retry_after.is_some() }
+                    Outcome::Refused { retry_after: retry_after.is_some() }
                 }
                 Err(Error::Closed) => REFUSED,
-                Err(Error::Failed { .. }) => End::Failed,
-                Err(other) => End::Invalid(other.status().as_u16()),
+                Err(Error::Failed { .. }) => Outcome::Failed,
+                Err(other) => Outcome::Invalid(other.status().as_u16()),
             }
         })
     }
 
-    fn end(&self) {
+    fn shut_down(&self) {
         let fleet = self.fleet.clone();
         self.runtime.spawn(async move { fleet.drain(Duration::from_secs(5)).await });
     }
 }
 
-/// What is to be equal in both forms.
+/// The results that have to be equal in both forms.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Record {
-    /// How the requests ended, in the order in which they were made.
-    pub ends: Vec<End>,
-    /// What servers saw: which one, method and target, key, body; in the order in which it came.
+    /// How the requests ended, in the order in which they were sent.
+    pub outcomes: Vec<Outcome>,
+    /// What servers received, in order: server, method and target, key, body.
     pub seen: Vec<(usize, String, Option<String>, Vec<u8>)>,
 }
 
 impl Record {
-    pub fn of(ends: Vec<End>, stage: &ServerGroup) -> Record {
+    pub fn of(outcomes: Vec<Outcome>, group: &ServerGroup) -> Record {
         let line = |a: Attempt| (a.server, a.line, a.key, a.message.body);
-        Record { ends, seen: stage.seen().into_iter().map(line).collect() }
+        Record { outcomes, seen: group.seen().into_iter().map(line).collect() }
     }
 
-    /// The same without telling which server it was: where several may be chosen.
-    pub fn anywhere(ends: Vec<End>, stage: &ServerGroup) -> Record {
-        let mut record = Record::of(ends, stage);
+    /// Like [`Record::of`] without the server, where any of several may be chosen.
+    pub fn without_server(outcomes: Vec<Outcome>, group: &ServerGroup) -> Record {
+        let mut record = Record::of(outcomes, group);
         record.seen.iter_mut().for_each(|seen| seen.0 = 0);
         record
     }
 
-    /// How many attempts there were.
+    /// The number of attempts.
     pub fn attempts(&self) -> usize {
         self.seen.len()
     }
 }
 
-/// A form with a stage's servers, all of one zone.
-pub fn start<F: Form>(stage: &ServerGroup, change: impl FnOnce(&mut Value)) -> (F, Agent) {
-    let agent = Agent::start(stage.hosts());
-    (F::start(&config(agent.address, change)), agent)
+/// Starts a form with the servers of a group, all in one zone.
+pub fn start<F: Form>(group: &ServerGroup, customize: impl FnOnce(&mut Value)) -> (F, Agent) {
+    let agent = Agent::start(group.hosts());
+    (F::start(&config(agent.address, customize)), agent)
 }
 
-/// A form with a stage's servers and the usual settings; asks these one after another.
-pub fn asked<F: Form>(stage: &ServerGroup, asks: impl IntoIterator<Item = Ask>) -> Vec<End> {
-    let (form, _agent) = start::<F>(stage, |_| {});
-    asks.into_iter().map(|ask| form.request(ask)).collect()
+/// Starts a form with the servers of a group and default settings, and sends these requests one
+/// after another.
+pub fn send_all<F: Form>(
+    group: &ServerGroup,
+    requests: impl IntoIterator<Item = ClientRequest>,
+) -> Vec<Outcome> {
+    let (form, _agent) = start::<F>(group, |_| {});
+    requests.into_iter().map(|client_request| form.request(client_request)).collect()
 }
 
-/// A form whose settings put no price on handshakes.
-pub struct Unpriced<F>(F);
+/// A form whose settings have no price for handshakes.
+pub struct WithoutHandshakePrice<F>(F);
 
-impl<F: Form> Unpriced<F> {
+impl<F: Form> WithoutHandshakePrice<F> {
     fn without_price(config: &Value) -> Value {
         let mut config = config.clone();
         if let Some(prices) = config["settings"]["prices"].as_object_mut() {
@@ -286,38 +295,39 @@
     }
 }
 
-impl<F: Form> Form for Unpriced<F> {
-    fn start(config: &Value) -> Unpriced<F> {
-        Unpriced(F::start(&Self::without_price(config)))
+impl<F: Form> Form for WithoutHandshakePrice<F> {
+    fn start(config: &Value) -> WithoutHandshakePrice<F> {
+        WithoutHandshakePrice(F::start(&Self::without_price(config)))
     }
 
-    fn start_with(config: &Value, product: &str) -> Unpriced<F> {
-        Unpriced(F::start_with(&Self::without_price(config), product))
+    fn start_with(config: &Value, product: &str) -> WithoutHandshakePrice<F> {
+        WithoutHandshakePrice(F::start_with(&Self::without_price(config), product))
     }
 
-    fn request(&self, ask: Ask) -> End {
-        self.0.request(ask)
+    fn request(&self, client_request: ClientRequest) -> Outcome {
+        self.0.request(client_request)
     }
 
-    fn end(&self) {
-        self.0.end();
+    fn shut_down(&self) {
+        self.0.shut_down();
     }
 }
 
-/// The product's file of a deployment that has answers proven.
+/// The product file of a deployment with `reuse = "proven"`.
 pub const PROVEN: &str = "[connections]\nreuse = \"proven\"\n";
-/// That of one whose connections are used for any number of requests.
+/// The product file of a deployment that reuses connections without limit.
 pub const UNLIMITED: &str = "[connections]\nreuse = \"unlimited\"\n";
 
-/// A test of each scenario: it is played in both forms, and tells the same of both. Settings put no price on handshakes.
+/// Defines a test for each scenario, which runs it in both forms and compares the results. Settings
+/// have no price for handshakes.
 macro_rules! in_both_forms {
     ($($name:ident),* $(,)?) => {
         mod in_both_forms {
-            use crate::form::{Daemon, Library, Unpriced, alike};
+            use crate::form::{Daemon, Library, WithoutHandshakePrice, run_in_both_forms};
             $(
                 #[test]
                 fn $name() {
-                    alike(super::$name::<Unpriced<Daemon>>, super::$name::<Unpriced<Library>>);
+                    run_in_both_forms(super::$name::<WithoutHandshakePrice<Daemon>>, super::$name::<WithoutHandshakePrice<Library>>);
                 }
             )*
         }
@@ -325,15 +335,15 @@
 }
 pub(crate) use in_both_forms;
 
-/// The same where settings price a handshake, as the platform's do.
+/// Like [`in_both_forms`], with a price for handshakes, as in the platform's settings.
 macro_rules! where_handshakes_cost {
     ($($name:ident),* $(,)?) => {
         mod where_handshakes_cost {
-            use crate::form::{Daemon, Library, alike};
+            use crate::form::{Daemon, Library, run_in_both_forms};
             $(
                 #[test]
                 fn $name() {
-                    alike(super::$name::<Daemon>, super::$name::<Library>);
+                    run_in_both_forms(super::$name::<Daemon>, super::$name::<Library>);
                 }
             )*
         }
@@ -341,16 +351,16 @@
 }
 pub(crate) use where_handshakes_cost;
 
-/// Both.
-macro_rules! at_either_price {
+/// Defines the tests of both macros.
+macro_rules! with_and_without_handshake_price {
     ($($name:ident),* $(,)?) => {
         crate::form::in_both_forms!($($name),*);
         crate::form::where_handshakes_cost!($($name),*);
     };
 }
-pub(crate) use at_either_price;
+pub(crate) use with_and_without_handshake_price;
 
-/// Plays a scenario in both forms.
-pub fn alike<R: PartialEq + std::fmt::Debug>(daemon: fn() -> R, library: fn() -> R) {
+/// Runs a scenario in both forms and compares the results.
+pub fn run_in_both_forms<R: PartialEq + std::fmt::Debug>(daemon: fn() -> R, library: fn() -> R) {
     assert_eq!(daemon(), library(), "the daemon's record and the library's");
 }
--- a/crates/plankvale/tests/conformance/main.rs
+++ b/crates/plankvale/tests/conformance/main.rs
@@ -1,14 +1,14 @@
-//! One suite, two forms: every scenario runs against the daemon's process and against the library,
-//! and what clients got and servers saw has to be equal.
+//! One suite for two forms: every scenario runs against the daemon's process and against the
+//! library, and what clients and servers received has to be equal.
 
 mod form;
 
-mod asked_ends;
 mod bodies;
 mod copies;
-mod ends;
+mod deadlines;
 mod equal_answers;
 mod invalid;
 mod lists;
 mod outcomes;
+mod requested_closes;
 mod stale_copies;
--- a/crates/plankvale/tests/events.rs
+++ b/crates/plankvale/tests/events.rs
@@ -1,11 +1,12 @@
-//! The table of events in the operators' page names those of the code, with their levels, and no other.
+//! The table of events in the operators' documentation lists exactly the events of the code, with
+//! their levels.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
 const PAGE: &str = include_str!("../../../docs/operate/discovery-down.md");
 
-/// The events of each source file under a folder, with their levels.
+/// Collects the events of each source file in a folder, with their levels.
 fn collect(folder: &Path, found: &mut BTreeMap<String, String>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
@@ -34,7 +35,7 @@
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     for entry in std::fs::read_dir(crates).expect("a folder") {
         let entry = entry.expect("an entry");
-        // The lab is a tool of its own; the page is on the daemon and the library.
+        // The lab is a separate tool; the page describes the daemon and the library.
         if entry.file_name() == "millethook-lab" {
             continue;
         }
