--- a/crates/plankvale/tests/distribution/bursts.rs
+++ b/crates/plankvale/tests/distribution/bursts.rs
@@ -1,4 +1,4 @@
-//! Many changes at once, under load.
+//! Many configuration changes at once, under load.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
@@ -6,18 +6,18 @@
 
 use millethook_testkit::*;
 
-use crate::tier::{Tier, classes};
+use crate::tier::{Tier, document_with_classes};
 
-/// Changes within a second.
+/// The number of changes within one second.
 const CHANGES: usize = 100;
 
 #[test]
-fn a_hundred_changes_in_a_second_lose_no_request_and_the_last_one_holds() {
+fn a_hundred_changes_in_a_second_lose_no_request_and_the_last_one_is_in_force() {
     let tier = Tier::start(6);
     let writer = tier.writer();
     let (stop, served) = (AtomicBool::new(false), AtomicU64::new(0));
     thread::scope(|scope| {
-        for member in tier.all() {
+        for member in tier.running_members() {
             let (tier, stop, served) = (&tier, &stop, &served);
             scope.spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
@@ -30,20 +30,21 @@
         }
         let start = Instant::now();
         for n in 0..CHANGES {
-            tier.submit(writer, "burst", &classes(&[&format!("page-{n}")]));
+            tier.submit(writer, "burst", &document_with_classes(&[&format!("page-{n}")]));
             let due = Duration::from_millis(10) * (n as u32 + 1);
             thread::sleep(due.saturating_sub(start.elapsed()));
         }
         let last = format!("page-{}", CHANGES - 1);
-        tier.until_taken_by(&last, &tier.all());
+        tier.wait_until_accepted_by(&last, &tier.running_members());
         stop.store(true, Ordering::SeqCst);
     });
     assert!(served.load(Ordering::SeqCst) > 100, "there was a load");
-    assert_eq!(tier.all().len(), 6, "all run");
-    // Those that were overtaken are merged away, not queued.
+    assert_eq!(tier.running_members().len(), 6, "all run");
+    // Superseded changes are merged rather than queued.
     wait_until("all settled", || {
-        let said = tier.command(&["status", &tier.spool_path(writer)]);
+        let output = tier.command(&["status", &tier.spool_path(writer)]);
         let open = ["waits for the writer", "proposed", ": committed"];
-        said.text.lines().count() >= CHANGES && !open.iter().any(|word| said.text.contains(word))
+        output.text.lines().count() >= CHANGES
+            && !open.iter().any(|word| output.text.contains(word))
     });
 }
--- a/crates/plankvale/tests/distribution/main.rs
+++ b/crates/plankvale/tests/distribution/main.rs
@@ -1,4 +1,4 @@
-//! Configuration that reaches a fleet of real processes on loopback by control nodes.
+//! Distribution of configuration by control nodes to a fleet of real processes on loopback.
 
 mod bursts;
 mod faults;
--- a/crates/plankvale/tests/distribution/spool.rs
+++ b/crates/plankvale/tests/distribution/spool.rs
@@ -1,17 +1,17 @@
-//! The folder of requests and the commands around it.
+//! The spool folder of publish requests, and the commands that use it.
 
 use std::process::Command;
 
 use millethook_testkit::*;
 use serde_json::{Value, json};
 
-use crate::tier::{CONTROL_NODES, Tier, classes};
+use crate::tier::{CONTROL_NODES, Tier, document_with_classes};
 
 #[test]
-fn what_is_no_document_is_told_with_what_was_expected_and_not_published() {
+fn invalid_documents_are_rejected_with_what_was_expected() {
     let tier = Tier::start(CONTROL_NODES);
     let writer = tier.writer();
-    for (document, told) in [
+    for (document, expected_text) in [
         ("{\"settings\":", "no JSON: EOF"),
         ("[]", "the document: an object expected, found a list"),
         ("{}", "settings: expected, found no such key"),
@@ -21,46 +21,51 @@
         ("{\"settings\": {\"limits\": {\"mayTell\": false}}}", "settings.limits.mayTell: belongs"),
         ("{\"settings\": {\"limits\": null}}", "settings.limits: an object expected, found null"),
     ] {
-        let said = tier.publish_at(writer, "all", document);
-        assert!(said.code == Some(2) && said.text.contains(told), "{document}: {said:?}");
-        assert!(said.text.contains("document-all: "), "the file is named: {said:?}");
-        // Whoever goes past the command is told, too.
+        let output = tier.publish_at(writer, "all", document);
+        assert!(
+            output.code == Some(2) && output.text.contains(expected_text),
+            "{document}: {output:?}"
+        );
+        assert!(output.text.contains("document-all: "), "the file is named: {output:?}");
+        // A request that bypasses the command is rejected too.
         let request =
             json!({"scope": "all", "retract": false, "document": document, "asked_ms": now_ms()});
-        let status = leave(&tier, writer, &request.to_string());
+        let status = write_request(&tier, writer, &request.to_string());
         assert_eq!(status["stage"], "rejected", "{status}");
-        assert!(status["error"].as_str().is_some_and(|e| e.contains(told)), "{status}");
+        assert!(status["error"].as_str().is_some_and(|e| e.contains(expected_text)), "{status}");
     }
     let long = "x".repeat(70_000);
-    let said = tier.publish_at(writer, "all", &long);
-    assert!(said.code == Some(2) && said.text.contains("65536 at most expected"), "{said:?}");
-    let said = tier.publish_at(writer, "everybody", "{}");
-    assert!(said.code == Some(2) && said.text.contains("region:NAME"), "{said:?}");
-    let neither = json!({"scope": "all", "retract": false, "asked_ms": now_ms()}).to_string();
-    for text in ["no JSON", "{\"scope\": \"all\"}", "{\"scope\": \"al\"}", &neither] {
-        let status = leave(&tier, writer, text);
+    let output = tier.publish_at(writer, "all", &long);
+    assert!(output.code == Some(2) && output.text.contains("65536 at most expected"), "{output:?}");
+    let output = tier.publish_at(writer, "everybody", "{}");
+    assert!(output.code == Some(2) && output.text.contains("region:NAME"), "{output:?}");
+    let without_action =
+        json!({"scope": "all", "retract": false, "asked_ms": now_ms()}).to_string();
+    for text in ["no JSON", "{\"scope\": \"all\"}", "{\"scope\": \"al\"}", &without_action] {
+        let status = write_request(&tier, writer, text);
         assert_eq!(status["stage"], "rejected", "{status}");
     }
-    let old = json!({"scope": "all", "retract": false, "document": "{\"settings\": {}}", "asked_ms": now_ms() - 60_000});
-    let status = leave(&tier, writer, &old.to_string());
+    let expired = json!({"scope": "all", "retract": false, "document": "{\"settings\": {}}", "asked_ms": now_ms() - 60_000});
+    let status = write_request(&tier, writer, &expired.to_string());
     assert_eq!(status["stage"], "expired", "{status}");
     assert_eq!(tier.member(writer).metric("sidecar.distribution.control.committed"), 0);
-    let said = tier.command(&["status", tier.spool(writer).to_str().expect("a path")]);
-    assert!(said.code == Some(0) && said.text.contains("not published: too old"), "{said:?}");
-    assert!(said.text.lines().count() >= 10, "{said:?}");
+    let output = tier.command(&["status", tier.spool(writer).to_str().expect("a path")]);
+    assert!(output.code == Some(0) && output.text.contains("not published: too old"), "{output:?}");
+    assert!(output.text.lines().count() >= 10, "{output:?}");
 }
 
-/// Another control node cannot publish: it waits a while to become the writer, then says who it is.
+/// Another control node cannot publish: it waits for a while to become the writer, then names the
+/// writer.
 #[test]
-fn whoever_is_not_the_writer_says_who_is() {
+fn a_control_node_that_is_not_the_writer_names_it() {
     let tier = Tier::start(CONTROL_NODES);
     let writer = tier.writer();
     let other = (writer + 1) % CONTROL_NODES;
-    let said = tier.publish_at(other, "all", &classes(&["page"]).to_string());
-    assert_eq!(said.code, Some(1), "{said:?}");
-    assert!(said.text.contains("not the writer"), "{said:?}");
-    assert!(said.text.contains(&format!("member {writer} is")), "{said:?}");
-    tier.until_taken_by("page", &[]);
+    let output = tier.publish_at(other, "all", &document_with_classes(&["page"]).to_string());
+    assert_eq!(output.code, Some(1), "{output:?}");
+    assert!(output.text.contains("not the writer"), "{output:?}");
+    assert!(output.text.contains(&format!("member {writer} is")), "{output:?}");
+    tier.wait_until_accepted_by("page", &[]);
     assert_eq!(std::fs::read_dir(tier.spool(other)).expect("a folder").count(), 1, "only statuses");
 }
 
@@ -81,14 +86,17 @@
         let output = failed_start(&config.to_string(), &[("MILLETHOOK_CONFIG", path)]);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let (code, told) = start(&config);
-    assert!(code == Some(2) && told.contains("a section [lease] expected: member 0"), "{told}");
+    let (code, expected_text) = start(&config);
+    assert!(
+        code == Some(2) && expected_text.contains("a section [lease] expected: member 0"),
+        "{expected_text}"
+    );
     let beyond = text.replace("member = 0", "member = 3");
     std::fs::write(&product, beyond).expect("written");
-    let (code, told) = start(&config);
+    let (code, expected_text) = start(&config);
     let expected = "distribution.control_nodes[0].member: below 3 expected";
-    assert!(code == Some(2) && told.contains(expected), "{told}");
-    // The file by itself is sound.
+    assert!(code == Some(2) && expected_text.contains(expected), "{expected_text}");
+    // The file alone is valid.
     let checked = Command::new(program("plankvale")).args(["check", path]).status();
     assert_eq!(checked.expect("it runs").code(), Some(0));
 }
@@ -98,8 +106,8 @@
     now.expect("after 1970").as_millis() as u64
 }
 
-/// Leaves a request by hand and waits for what becomes of it.
-fn leave(tier: &Tier, node: usize, text: &str) -> Value {
+/// Writes a request file directly into the spool and waits for its status.
+fn write_request(tier: &Tier, node: usize, text: &str) -> Value {
     static COUNT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
     let name = format!("by-hand-{count:04}.json");
--- a/crates/plankvale/tests/distribution/tier.rs
+++ b/crates/plankvale/tests/distribution/tier.rs
@@ -1,4 +1,4 @@
-//! A tier of daemons, the first few of which are control nodes, and what operators do with it.
+//! A tier of daemons, of which the first few are control nodes, and the operators' commands for it.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -12,71 +12,74 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// Control nodes of a tier.
+/// The number of control nodes in a tier.
 pub const CONTROL_NODES: usize = 3;
-/// Seconds that `--wait` gets; far beyond what it takes.
+/// The value of `--wait` in seconds, far longer than the wait takes.
 const WAIT_S: &str = "20";
 
-/// Tiers at a time: with many daemons at once on a busy machine they would take their clocks from one another.
-const TIERS_AT_A_TIME: usize = 3;
-
-static RUNNING: Mutex<usize> = Mutex::new(0);
-static ONE_ENDED: Condvar = Condvar::new();
-/// Each tier has a loopback address of its own, so that no port that it has looked up is another's by then.
-static TIERS: AtomicU8 = AtomicU8::new(0);
-
-/// One of the tiers that may run.
-struct Turn;
-
-impl Turn {
-    /// Waits for it.
-    fn take() -> Turn {
-        let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut running = ONE_ENDED
-            .wait_while(running, |running| *running >= TIERS_AT_A_TIME)
+/// The number of tiers that run at a time: more daemons at once on a busy machine would delay each
+/// other's timers.
+const MAX_TIERS: usize = 3;
+
+static RUNNING_TIERS: Mutex<usize> = Mutex::new(0);
+static TIER_ENDED: Condvar = Condvar::new();
+/// Each tier has a loopback address of its own, so that no other tier can take a port between its
+/// lookup and its use.
+static NEXT_HOST: AtomicU8 = AtomicU8::new(0);
+
+/// A permit to run one tier.
+struct TierPermit;
+
+impl TierPermit {
+    /// Waits for a permit.
+    fn acquire() -> TierPermit {
+        let running = RUNNING_TIERS.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running = TIER_ENDED
+            .wait_while(running, |running| *running >= MAX_TIERS)
             .unwrap_or_else(PoisonError::into_inner);
         *running += 1;
-        Turn
+        TierPermit
     }
 }
 
-impl Drop for Turn {
+impl Drop for TierPermit {
     fn drop(&mut self) {
-        *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ONE_ENDED.notify_one();
+        *RUNNING_TIERS.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        TIER_ENDED.notify_one();
     }
 }
 
-/// What one member's configuration is.
-pub type Change = fn(usize, &mut Value);
+/// Changes one member's configuration.
+pub type ConfigChange = fn(usize, &mut Value);
 
-/// How the members of a tier differ from those of other tiers.
-pub struct Members<'m> {
+/// How the members of a tier differ from the default.
+pub struct MemberDifferences<'m> {
     /// Changes a member's configuration.
     pub change: &'m dyn Fn(usize, &mut Value),
-    /// Further lines of `[distribution]` in a member's file, and sections behind it. Gets the tier's folder.
+    /// Further lines of `[distribution]` in a member's product file, and sections after it, given
+    /// the tier's folder.
     pub product: &'m dyn Fn(usize, &Path) -> String,
 }
 
-/// The daemons, by member number. None: it does not run.
+/// The daemons, by member number; None if a member does not run.
 pub struct Tier {
     pub members: Vec<Option<Sidecar>>,
     configs: Vec<Value>,
     folder: TempDir,
     _agent: Agent,
-    // Last, so that all daemons have ended by then.
-    _turn: Turn,
+    // Declared last, so that all daemons have exited before the permit is released.
+    _permit: TierPermit,
 }
 
-/// What a command of the daemon's program said.
+/// The exit code and output of a command.
 #[derive(Debug)]
-pub struct Said {
+pub struct CommandOutput {
     pub code: Option<i32>,
     pub text: String,
 }
 
-/// Which region, zone and service a member is of.
-pub fn place(member: usize) -> (&'static str, &'static str, &'static str) {
+/// The region, zone and service of a member.
+pub fn location(member: usize) -> (&'static str, &'static str, &'static str) {
     let region = ["west", "east"][member % 2];
     let zone = ["a", "b", "c"][member % 3];
     let service = if member < CONTROL_NODES { "control" } else { ["orders", "pages"][member % 2] };
@@ -84,10 +87,10 @@
 }
 
 fn product(folder: &Path, member: usize) -> String {
-    let (region, zone, service) = place(member);
+    let (region, zone, service) = location(member);
     let nodes: Vec<String> = (0..CONTROL_NODES)
         .map(|node| {
-            let (region, zone, _) = place(node);
+            let (region, zone, _) = location(node);
             format!("{{ member = {node}, region = \"{region}\", zone = \"{zone}\" }}")
         })
         .collect();
@@ -110,31 +113,34 @@
     folder.join(format!("spool-{member}"))
 }
 
-/// Addresses that nobody has at the moment, and that no other tier gets.
-fn free(count: usize) -> Vec<SocketAddr> {
-    let host = Ipv4Addr::new(127, 0, 1, TIERS.fetch_add(1, Ordering::SeqCst));
+/// Addresses that are free at the moment and are not given to another tier.
+fn free_addresses(count: usize) -> Vec<SocketAddr> {
+    let host = Ipv4Addr::new(127, 0, 1, NEXT_HOST.fetch_add(1, Ordering::SeqCst));
     let sockets: Vec<UdpSocket> =
         (0..count).map(|_| UdpSocket::bind((host, 0)).expect("an address")).collect();
     sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect()
 }
 
 impl Tier {
-    /// So many daemons, each listed server of which answers.
+    /// Starts a tier of this many daemons with one server that answers.
     pub fn start(count: usize) -> Tier {
         Tier::start_with(count, |_, _| {})
     }
 
-    /// The same, each configuration changed.
-    pub fn start_with(count: usize, change: Change) -> Tier {
-        Tier::start_as(count, &Members { change: &change, product: &|_, _| String::new() })
+    /// Like [`Tier::start`], with a change to each configuration.
+    pub fn start_with(count: usize, change: ConfigChange) -> Tier {
+        Tier::start_with_members(
+            count,
+            &MemberDifferences { change: &change, product: &|_, _| String::new() },
+        )
     }
 
-    /// The same, each member as is said.
-    pub fn start_as(count: usize, of: &Members<'_>) -> Tier {
-        let turn = Turn::take();
+    /// Like [`Tier::start`], with these differences of the members.
+    pub fn start_with_members(count: usize, of: &MemberDifferences<'_>) -> Tier {
+        let permit = TierPermit::acquire();
         let folder = tempfile::tempdir().expect("a folder");
         let agent = Agent::start(hosts(&[Server::named("a")]));
-        let peers = free(count);
+        let peers = free_addresses(count);
         let configs = (0..count)
             .map(|member| {
                 let product_file = folder.path().join(format!("product-{member}"));
@@ -152,12 +158,12 @@
             })
             .collect();
         let members = (0..count).map(|_| None).collect();
-        let mut tier = Tier { members, configs, folder, _agent: agent, _turn: turn };
+        let mut tier = Tier { members, configs, folder, _agent: agent, _permit: permit };
         (0..count).for_each(|member| tier.start_member(member));
         tier
     }
 
-    /// Starts one that does not run.
+    /// Starts a member that does not run.
     pub fn start_member(&mut self, member: usize) {
         let product = self.folder.path().join(format!("product-{member}"));
         let product = product.to_str().expect("a path").to_owned();
@@ -167,14 +173,14 @@
         self.members[member] = Some(sidecar);
     }
 
-    /// SIGKILL.
+    /// Kills a member with SIGKILL.
     pub fn kill(&mut self, member: usize) {
         let mut sidecar = self.members[member].take().expect("it runs");
         sidecar.child.kill().expect("killed");
         sidecar.child.wait().expect("ended");
     }
 
-    /// SIGSTOP or SIGCONT.
+    /// Sends SIGSTOP or SIGCONT.
     pub fn signal(&self, member: usize, signal: &str) {
         let pid = self.member(member).child.id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().expect("it runs").success());
@@ -184,34 +190,35 @@
         self.members[member].as_ref().expect("it runs")
     }
 
-    /// Those that run.
+    /// The members that run.
     pub fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.members.len()).filter(|member| self.members[*member].is_some())
     }
 
-    /// The folder of a control node.
+    /// The spool folder of a control node.
     pub fn spool(&self, member: usize) -> PathBuf {
         spool(self.folder.path(), member)
     }
 
-    /// What a member keeps in its file of this name, as far as it is text; None: there is none.
-    pub fn kept_by(&self, member: usize, name: &str) -> Option<String> {
+    /// The content of the file of this name that a member stores, decoded as text; None if there is
+    /// no such file.
+    pub fn stored_text(&self, member: usize, name: &str) -> Option<String> {
         let bytes = std::fs::read(self.folder.path().join(format!("{name}-{member}"))).ok()?;
         Some(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// A file of this test's own.
+    /// Writes a file into the tier's folder.
     pub fn file(&self, name: &str, content: &str) -> PathBuf {
         let path = self.folder.path().join(name);
         std::fs::write(&path, content).expect("written");
         path
     }
 
-    /// Waits for a control node that may publish, other than this one.
-    fn writer_but(&self, not: Option<usize>) -> usize {
+    /// Waits for a control node, other than this one, that may publish.
+    fn writer_other_than(&self, excluded: Option<usize>) -> usize {
         let mut writer = None;
         wait_until("a writer", || {
-            let others = self.running().filter(|m| *m < CONTROL_NODES && Some(*m) != not);
+            let others = self.running().filter(|m| *m < CONTROL_NODES && Some(*m) != excluded);
             writer = others.into_iter().find(|member| {
                 self.member(*member).metric("sidecar.distribution.control.writer_ready") == 1
             });
@@ -221,21 +228,21 @@
     }
 
     pub fn writer(&self) -> usize {
-        self.writer_but(None)
+        self.writer_other_than(None)
     }
 
-    /// The same where this one stands still and cannot be asked.
-    pub fn writer_but_stopped(&self, stopped: usize) -> usize {
-        self.writer_but(Some(stopped))
+    /// Like [`Tier::writer`] while this control node is paused and cannot answer.
+    pub fn writer_other_than_paused(&self, stopped: usize) -> usize {
+        self.writer_other_than(Some(stopped))
     }
 
-    /// The configuration that a member started with.
+    /// The configuration with which a member started.
     pub fn config(&self, member: usize) -> Value {
         self.configs[member].clone()
     }
 
-    /// `plankvale config publish` at a control node.
-    pub fn publish_at(&self, node: usize, scope: &str, document: &str) -> Said {
+    /// Runs `plankvale config publish` at a control node.
+    pub fn publish_at(&self, node: usize, scope: &str, document: &str) -> CommandOutput {
         let file = self.file(&format!("document-{}", scope.replace(':', "-")), document);
         let file = file.to_str().expect("a path");
         self.command(&[
@@ -250,50 +257,59 @@
         ])
     }
 
-    /// Leaves a document for all members at a control node, without waiting for what becomes of it. `name` is that of
-    /// its file.
+    /// Submits a document for all members to a control node without waiting for the result. `name`
+    /// is the name of its file.
     pub fn submit(&self, node: usize, name: &str, document: &Value) {
         let file = self.file(name, &document.to_string());
         let file = file.to_str().expect("a path");
-        let said =
+        let output =
             self.command(&["publish", file, "--scope", "all", "--into", &self.spool_path(node)]);
-        assert_eq!(said.code, Some(0), "{said:?}");
+        assert_eq!(output.code, Some(0), "{output:?}");
     }
 
-    /// The same as [`Tier::publish_at`], at the writer, whoever it is.
-    pub fn publish(&self, scope: &str, document: &Value) -> Said {
+    /// Like [`Tier::publish_at`], at the current writer.
+    pub fn publish(&self, scope: &str, document: &Value) -> CommandOutput {
         self.publish_at(self.writer(), scope, &document.to_string())
     }
 
-    /// Publishes a document that comes to be in force everywhere.
-    pub fn puts_into_force(&self, scope: &str, document: &Value) -> Said {
-        let said = self.publish(scope, document);
-        assert_eq!(said.code, Some(0), "{said:?}");
-        said
+    /// Publishes a document that is expected to come into force everywhere.
+    pub fn publish_everywhere(&self, scope: &str, document: &Value) -> CommandOutput {
+        let output = self.publish(scope, document);
+        assert_eq!(output.code, Some(0), "{output:?}");
+        output
     }
 
-    /// `plankvale config publish --retract` at the writer.
-    pub fn retract(&self, scope: &str) -> Said {
-        let into = self.spool_path(self.writer());
-        self.command(&["publish", "--retract", "--scope", scope, "--into", &into, "--wait", WAIT_S])
+    /// Runs `plankvale config publish --retract` at the writer.
+    pub fn retract(&self, scope: &str) -> CommandOutput {
+        let spool_path = self.spool_path(self.writer());
+        self.command(&[
+            "publish",
+            "--retract",
+            "--scope",
+            scope,
+            "--into",
+            &spool_path,
+            "--wait",
+            WAIT_S,
+        ])
     }
 
-    /// The path of [`Tier::spool`] as text.
+    /// [`Tier::spool`] as text.
     pub fn spool_path(&self, node: usize) -> String {
         self.spool(node).to_str().expect("a path").to_owned()
     }
 
-    /// `plankvale config`.
-    pub fn command(&self, args: &[&str]) -> Said {
+    /// Runs `plankvale config`.
+    pub fn command(&self, args: &[&str]) -> CommandOutput {
         let output = Command::new(program("plankvale")).arg("config").args(args).output();
         let output = output.expect("it runs");
         let text = String::from_utf8_lossy(&output.stdout).into_owned()
             + &String::from_utf8_lossy(&output.stderr);
-        Said { code: output.status.code(), text }
+        CommandOutput { code: output.status.code(), text }
     }
 
-    /// Whether a member takes requests of a class.
-    pub fn takes(&self, member: usize, class: &str) -> bool {
+    /// Whether a member accepts requests of a class.
+    pub fn accepts_class(&self, member: usize, class: &str) -> bool {
         let answer = self.member(member).request(safe().replace("/look", &format!("/{class}")));
         match answer.status() {
             200 => true,
@@ -302,36 +318,37 @@
         }
     }
 
-    /// Waits until exactly these members take requests of a class.
-    pub fn until_taken_by(&self, class: &str, members: &[usize]) {
+    /// Waits until exactly these members accept requests of a class.
+    pub fn wait_until_accepted_by(&self, class: &str, members: &[usize]) {
         wait_until(&format!("{class} taken by {members:?} alone"), || {
-            self.running().all(|member| self.takes(member, class) == members.contains(&member))
+            self.running()
+                .all(|member| self.accepts_class(member, class) == members.contains(&member))
         });
     }
 
-    /// Looks for a while: these members, and no others, take requests of a class all the time.
-    pub fn stays_taken_by(&self, class: &str, members: &[usize], time: Duration) {
+    /// Checks for a while that exactly these members accept requests of a class.
+    pub fn check_accepted_by(&self, class: &str, members: &[usize], time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end {
             for member in self.running() {
-                let taken = self.takes(member, class);
+                let taken = self.accepts_class(member, class);
                 assert_eq!(taken, members.contains(&member), "{class} at member {member}");
             }
             sleep(Duration::from_millis(20));
         }
     }
 
-    /// Every member that runs.
-    pub fn all(&self) -> Vec<usize> {
+    /// The members that run.
+    pub fn running_members(&self) -> Vec<usize> {
         self.running().collect()
     }
 }
 
-/// A document by which the three classes of the tests and these further ones are taken.
-pub fn classes(further: &[&str]) -> Value {
+/// A document that defines the tests' three classes and these additional ones.
+pub fn document_with_classes(additional: &[&str]) -> Value {
     let mut classes = settings_json()["classes"].as_array().expect("a list").clone();
     let safe = classes[0].clone();
-    classes.extend(further.iter().map(|name| {
+    classes.extend(additional.iter().map(|name| {
         let mut class = safe.clone();
         class["name"] = json!(name);
         class
--- a/crates/plankvale/tests/sidecar/narrow/closing.rs
+++ b/crates/plankvale/tests/sidecar/races/closing.rs
@@ -1,4 +1,4 @@
-//! A client's connection that goes while its client sends.
+//! Client connections that the daemon closes while the client sends.
 
 use std::process::Command;
 use std::sync::mpsc::channel;
@@ -8,32 +8,33 @@
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 
-/// After SIGTERM, requests are taken for less than this.
-const LAST_TAKEN: Duration = Duration::from_millis(700);
+/// After SIGTERM, requests are accepted for less than this time.
+const LAST_ACCEPTED: Duration = Duration::from_millis(700);
 
 fn signal(sidecar: &Sidecar, which: &str) {
     let pid = sidecar.child.id().to_string();
     assert!(Command::new("kill").args([which, &pid]).status().unwrap().success());
 }
 
-/// Waits until `n` bytes have come on a connection, and leaves them there.
-fn arrived(conn: &Conn, n: usize) {
+/// Waits until `n` bytes have arrived on a connection, without consuming them.
+fn wait_for_bytes(conn: &Conn, n: usize) {
     let mut buf = vec![0; n];
     wait_until("bytes", || conn.socket.peek(&mut buf).unwrap() == n);
 }
 
-/// A client whose system takes a few bytes at a time, so that most of an answer waits in the sidecar's system.
-fn little_room(sidecar: &Sidecar) -> Conn {
+/// A client with a small receive buffer, so that most of an answer stays in the send buffer of the
+/// sidecar's kernel.
+fn client_with_small_buffer(sidecar: &Sidecar) -> Conn {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&sidecar.address.into()).unwrap();
     Conn::new(socket.into())
 }
 
-/// Danger: a close over bytes that nobody read resets the connection, and the reset takes away an answer that the
-/// sidecar's system has taken and the client has not read yet.
+/// Guards against closing a connection with unread bytes: this resets the connection, and the reset
+/// discards an answer that the sidecar's kernel has accepted and the client has not read yet.
 #[test]
-fn an_answer_outlives_what_is_sent_behind_it_as_its_connection_is_closed() {
+fn an_answer_survives_bytes_that_arrive_as_its_connection_is_closed() {
     let long = "first".repeat(12_000);
     let body = long.clone();
     let (servers, log, _) = servers(1, move |mut conn, _| {
@@ -41,30 +42,33 @@
         Some(conn)
     });
     let (mut sidecar, _agent) = Sidecar::with_servers(&servers);
-    let (mut witness, mut client) = (sidecar.client(), little_room(&sidecar));
+    let (mut witness, mut client) = (sidecar.client(), client_with_small_buffer(&sidecar));
     witness.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(witness.message().is_some());
     client.send(safe());
-    arrived(&client, 60);
+    wait_for_bytes(&client, 60);
     sidecar.terminate();
-    // Both rest, so both are closed in one go: this one's end tells of the other's.
+    // Both connections are idle, so both are closed at once, and the close of this one shows the
+    // close of the other.
     assert!(witness.closed_by_peer());
     client.send(safe());
     let first = client.message().expect("the answer that was here before the close");
     assert_eq!((first.complete, first.body == long.as_bytes()), (true, true));
-    // The second one crossed the close: it was read before it and is answered, or never was.
+    // The second request crossed the close: either it was read before and is answered, or it was
+    // never read.
     let second = client.message();
     assert_eq!(log.count(), 1 + usize::from(second.is_some_and(|m| m.status() == 200)));
     assert_eq!(sidecar.exit_code(), Some(0));
 }
 
-/// Danger: in a crowd, the connection that makes room may have a request on it by now that nobody has read. The
-/// process stands still while both come, so that it meets them at once.
+/// Guards against loss of a request on an idle connection that is closed to make room in a crowd,
+/// and that nobody has read yet. The process is paused while the request and the new connections
+/// arrive, so that it handles them at once.
 #[test]
-fn a_request_that_came_before_its_connection_makes_room_is_answered() {
+fn a_request_on_a_connection_closed_to_make_room_is_answered() {
     let a = Server::named("a");
     let agent = Agent::start(vec![host("s-a", a.address)]);
-    // 42 places for clients: four ninths of what is left beside 32 for other ends.
+    // There is room for 42 clients: four ninths of the descriptors beyond the 32 for other uses.
     let sidecar = Sidecar::start(&config(agent.address, |c| {
         c["limits"]["sockets"] = json!(128);
     }));
@@ -74,7 +78,7 @@
         assert_eq!(client.message().unwrap().status(), 200);
     }
     signal(&sidecar, "-STOP");
-    // The one that has rested longest is the first to go.
+    // The connection that has been idle longest is closed first.
     clients[0].send(safe());
     let mut newcomers: Vec<_> = (0..42).map(|_| sidecar.client()).collect();
     signal(&sidecar, "-CONT");
@@ -84,11 +88,12 @@
     assert_eq!(newcomers[41].message().unwrap().status(), 200);
 }
 
-/// At the planned end, a request whose last byte came before the last ones are taken is answered; one whose last
-/// byte comes after that is refused, and is not sent on. For the latter the process stands still beyond that moment,
-/// so that it meets the byte and the moment at once.
+/// During graceful shutdown, a request whose last byte arrives before the last requests are
+/// accepted is answered; one whose last byte arrives later is refused and not forwarded. In the
+/// latter case the process is paused past that moment, so that it handles the byte and the moment
+/// at once.
 #[test]
-fn a_last_byte_on_either_side_of_the_last_moment() {
+fn a_last_byte_before_or_after_the_end_of_acceptance() {
     for late in [false, true] {
         let (servers, log, _) = servers(1, |mut conn, _| {
             conn.send(ok("a"));
@@ -97,17 +102,17 @@
         let (mut sidecar, _agent) = Sidecar::with_servers(&servers);
         let (mut witness, mut client) = (sidecar.client(), sidecar.client());
         let request = unsafe_with("body");
-        let (begin, last) = request.split_at(request.len() - 1);
-        client.send(begin);
+        let (first_part, last) = request.split_at(request.len() - 1);
+        client.send(first_part);
         witness.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
         assert!(witness.message().is_some());
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         sidecar.terminate();
-        // Those that rest are closed first, those that have begun last.
+        // Idle connections are closed first, those with a partial request last.
         assert!(witness.closed_by_peer());
         if late {
             signal(&sidecar, "-STOP");
-            std::thread::sleep(LAST_TAKEN.saturating_sub(told.elapsed()));
+            std::thread::sleep(LAST_ACCEPTED.saturating_sub(signalled_at.elapsed()));
         }
         client.send(last);
         if late {
@@ -120,29 +125,30 @@
     }
 }
 
-/// An HTTP/1.0 answer of unknown length ends with its connection: where it breaks off, the end is a reset.
-/// Everywhere else a client can tell, and an orderly end lets it read what has come.
+/// An HTTP/1.0 answer of unknown length ends with its connection, so an answer that breaks off ends
+/// with a reset. In all other cases the client can tell, and an orderly close lets it read what has
+/// arrived.
 #[test]
-fn only_an_answer_that_the_end_delimits_breaks_off_by_a_reset() {
+fn only_a_close_delimited_answer_breaks_off_with_a_reset() {
     for version in ["HTTP/1.0", "HTTP/1.1"] {
-        let (go, going) = channel::<()>();
-        let going = std::sync::Arc::new(std::sync::Mutex::new(going));
+        let (release, released) = channel::<()>();
+        let released = std::sync::Arc::new(std::sync::Mutex::new(released));
         let server = Server::start(move |mut conn| {
             if conn.message().is_some() {
                 conn.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                // Long enough to be passed on before its end.
+                // Long enough to be forwarded before its end.
                 for _ in 0..12 {
                     conn.send(format!("{:x}\r\n{}\r\n", 8192, "x".repeat(8192)));
                 }
-                let _ = going.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
+                let _ = released.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
                 conn.reset();
             }
         });
         let (sidecar, _agent) = Sidecar::with_servers(&[server]);
         let mut client = sidecar.client();
         client.send(safe().replace("HTTP/1.1", version));
-        arrived(&client, 8192);
-        go.send(()).unwrap();
+        wait_for_bytes(&client, 8192);
+        release.send(()).unwrap();
         use std::io::Read;
         let mut all = Vec::new();
         let end = client.socket.read_to_end(&mut all);
--- a/crates/plankvale/tests/sidecar/narrow/servers.rs
+++ b/crates/plankvale/tests/sidecar/races/servers.rs
@@ -1,14 +1,14 @@
-//! Bytes and ends of servers in the instant in which a connection changes hands.
+//! Bytes and closes from servers at the moment in which a connection passes to another request.
 
 use std::io::Read;
 use std::sync::mpsc::channel;
 
 use millethook_testkit::*;
 
-/// A reset is no end: an answer that says nothing of its length is whole once its server ends it, and not when the
-/// connection breaks.
+/// A reset is not an orderly end: an answer without a length is complete once its server closes the
+/// connection, and not when the connection is reset.
 #[test]
-fn an_answer_without_length_that_is_reset_is_not_whole() {
+fn an_answer_without_length_that_is_reset_is_incomplete() {
     for reset in [false, true] {
         let (log, _seen) = RequestLog::new();
         let counted = log.clone();
@@ -17,7 +17,8 @@
                 return;
             }
             conn.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nthe beginning");
-            // What was sent has to be read before the reset: the sidecar's end of the answer is awaited here.
+            // The sent bytes have to be read before the reset: this waits until the sidecar has
+            // read them.
             if reset {
                 conn.send(" and more");
                 std::thread::sleep(std::time::Duration::from_millis(30));
@@ -32,46 +33,48 @@
     }
 }
 
-/// Half a status line on a connection that rests is nobody's answer: the connection goes as soon as it comes, and the
-/// next request takes another one. That the two cross is for the library's tests of strays.
+/// Half a status line on an idle connection is not an answer: the connection is closed as soon as
+/// it arrives, and the next request uses another one. The library's tests of stray bytes cover the
+/// case in which the two cross.
 #[test]
-fn what_comes_on_a_resting_connection_is_nobodys_answer() {
-    let (tell, told) = channel();
+fn bytes_on_an_idle_connection_are_no_answer() {
+    let (events, event_receiver) = channel();
     let (log, _seen) = RequestLog::new();
     let counted = log.clone();
     let server = Server::start(move |mut conn| {
         while counted.read_request(&mut conn).is_some() {
             conn.send(ok("a"));
-            let (go, going) = channel::<()>();
-            let _ = tell.send(go);
-            if going.recv_timeout(WAIT_TIMEOUT).is_err() {
-                // Nothing comes on this one.
+            let (release, released) = channel::<()>();
+            let _ = events.send(release);
+            if released.recv_timeout(WAIT_TIMEOUT).is_err() {
+                // Nothing is sent on this connection.
                 continue;
             }
             conn.send("HTTP/1.1 200 O");
-            let _ = tell.send(channel().0);
+            let _ = events.send(channel().0);
             assert!(conn.closed_by_peer(), "the connection stays");
-            let _ = tell.send(channel().0);
+            let _ = events.send(channel().0);
             return;
         }
     });
     let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     for n in 0..4 {
         assert_eq!(sidecar.request(unsafe_with(&n.to_string())).body, b"a");
-        let go = receive(&told);
+        let release = receive(&event_receiver);
         if n % 2 == 0 {
-            go.send(()).unwrap();
-            // Sent, and then seen to be gone.
-            receive(&told);
-            receive(&told);
+            release.send(()).unwrap();
+            // Sent, and then the close is observed.
+            receive(&event_receiver);
+            receive(&event_receiver);
         }
     }
     assert_eq!(log.count(), 4, "each ran once");
 }
 
-/// Clients that send a flood and go: all of it is let go of, and whoever comes then is served.
+/// Clients that send many requests and leave: all of their resources are released, and later
+/// clients are served.
 #[test]
-fn floods_whose_clients_go_leave_nothing_behind() {
+fn floods_of_departed_clients_release_all_resources() {
     let (servers, log, _) = servers(1, |mut conn, _| {
         conn.send(ok("a"));
         Some(conn)
@@ -85,12 +88,12 @@
         client.socket.set_nonblocking(true).unwrap();
         client.send(flood);
     }
-    // One byte, 60 MB that are announced, and noise.
-    for begin in
+    // One byte, 60 MB that are announced, and garbage.
+    for beginning in
         ["G", "POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\nx", "\0\r\n\r\n"]
     {
         let mut client = sidecar.client();
-        client.send(begin);
+        client.send(beginning);
     }
     wait_until("nothing left", || sidecar.descriptors() <= before + 2);
     assert_eq!(sidecar.request(safe()).status(), 200);
