--- a/crates/plankvale/tests/sidecar/clients.rs
+++ b/crates/plankvale/tests/sidecar/clients.rs
@@ -1,30 +1,30 @@
-//! Clients that come in crowds, stop in the middle, or go away.
+//! Clients that arrive in crowds, stop in the middle of a request, or leave.
 
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
 use millethook_testkit::*;
 
-/// Descriptors that a sidecar in a crowd may hold.
-const SOCKETS: usize = 256;
+/// The number of descriptors that a sidecar may hold in a crowd.
+const MAX_SOCKETS: usize = 256;
 
-fn fine() -> (Sidecar, Agent) {
+fn sidecar_with_two_servers() -> (Sidecar, Agent) {
     let (list, _, _) = servers(2, |mut conn, _| {
         conn.send(ok("fine"));
         Some(conn)
     });
-    few_sockets(&list)
+    sidecar_with_few_sockets(&list)
 }
 
-fn few_sockets(list: &[Server]) -> (Sidecar, Agent) {
+fn sidecar_with_few_sockets(list: &[Server]) -> (Sidecar, Agent) {
     let agent = Agent::start(hosts(list));
-    let limited = config(agent.address, |c| c["limits"]["sockets"] = SOCKETS.into());
+    let limited = config(agent.address, |c| c["limits"]["sockets"] = MAX_SOCKETS.into());
     (Sidecar::start(&limited), agent)
 }
 
 #[test]
-fn a_crowd_of_silent_and_half_finished_clients_keeps_nobody_out() {
-    let (sidecar, _agent) = fine();
+fn a_crowd_of_silent_and_half_finished_clients_does_not_block_others() {
+    let (sidecar, _agent) = sidecar_with_two_servers();
     let mut crowd = Vec::new();
     for n in 0..400 {
         let mut client = sidecar.client();
@@ -37,7 +37,7 @@
                 assert_eq!(client.message().unwrap().status(), 200, "client {n}");
             }
         }
-        assert!(sidecar.descriptors() < SOCKETS);
+        assert!(sidecar.descriptors() < MAX_SOCKETS);
         crowd.push(client.socket);
     }
     let before = Instant::now();
@@ -48,20 +48,21 @@
     assert!(sidecar.memory_mb() < 40);
 }
 
-/// Danger: clients that ask on ever new connections and keep each have no connection left when all of
-/// theirs rest, though places are free here; nothing then drives any of these out.
+/// Guards against keeping the idle connections of clients that send each request on a new
+/// connection and close none: such clients run out of connections of their own while the sidecar
+/// still has free descriptors, so that no crowd makes it close an idle connection.
 #[test]
-fn clients_that_ask_once_and_stay_do_not_hold_all_that_clients_may_hold() {
-    let (sidecar, _agent) = fine();
-    let mut often = sidecar.client();
+fn idle_clients_with_one_request_do_not_hold_all_client_connections() {
+    let (sidecar, _agent) = sidecar_with_two_servers();
+    let mut regular_client = sidecar.client();
     let mut ask_again = || {
-        often.send(safe());
-        assert_eq!(often.message().unwrap().status(), 200);
+        regular_client.send(safe());
+        assert_eq!(regular_client.message().unwrap().status(), 200);
     };
     ask_again();
     ask_again();
-    // Clients hold a third of the descriptors at most, and there are more places than that.
-    let mut stayed: Vec<Conn> = (0..SOCKETS / 3 - 5)
+    // Clients may hold at most a third of the descriptors, and there is room for more than these.
+    let mut idle_clients: Vec<Conn> = (0..MAX_SOCKETS / 3 - 5)
         .map(|_| {
             let mut client = sidecar.client();
             client.send(safe());
@@ -71,88 +72,90 @@
         })
         .collect();
     let before = Instant::now();
-    let mut gone = 0;
-    while gone < 25 {
-        assert!(before.elapsed() < Duration::from_secs(10), "{gone} gone");
-        // One at a time: never are all places taken.
+    let mut closed_count = 0;
+    while closed_count < 25 {
+        assert!(before.elapsed() < Duration::from_secs(10), "{closed_count} gone");
+        // One at a time, so that the limit is never reached.
         let mut new = sidecar.client();
         new.send("GET /health/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         assert!(new.closed_by_peer());
-        gone += stayed.extract_if(.., |c| matches!(c.socket.peek(&mut [0]), Ok(0))).count();
+        closed_count +=
+            idle_clients.extract_if(.., |c| matches!(c.socket.peek(&mut [0]), Ok(0))).count();
     }
-    assert!(stayed.len() >= 25, "{} left though places are free", stayed.len());
-    // Who has shown to ask again stays.
+    assert!(idle_clients.len() >= 25, "{} left though places are free", idle_clients.len());
+    // A client that has sent several requests keeps its connection.
     ask_again();
 }
 
-/// Danger: clients that never close what was ended here would hold all places for seconds.
+/// Guards against clients that never close connections that the sidecar has ended: they would hold
+/// all client connections for seconds.
 #[test]
-fn clients_that_do_not_close_ended_connections_keep_nobody_out() {
-    let (sidecar, _agent) = fine();
+fn clients_that_do_not_close_ended_connections_do_not_block_others() {
+    let (sidecar, _agent) = sidecar_with_two_servers();
     let before = Instant::now();
     let mut crowd = Vec::new();
     for _ in 0..500 {
         let mut client = sidecar.client();
         client.send(safe().replace("Host:", "Connection: close\r\nHost:"));
         assert_eq!(client.message().unwrap().status(), 200);
-        assert!(sidecar.descriptors() < SOCKETS);
+        assert!(sidecar.descriptors() < MAX_SOCKETS);
         crowd.push(client.socket);
     }
-    // Waiting for them would take two seconds for every hundred.
+    // Waiting for these clients to close would take two seconds for every hundred.
     assert!(before.elapsed() < Duration::from_secs(8), "{:?}", before.elapsed());
 }
 
 #[test]
-fn a_request_that_is_taken_is_not_given_up_for_a_crowd() {
-    let (asked, told) = channel();
+fn an_accepted_request_is_not_dropped_for_a_crowd() {
+    let (arrived, arrivals) = channel();
     let (list, _, _) = servers(1, move |mut conn, _| {
-        let (go, gone) = channel::<()>();
-        let _ = asked.send(go);
-        let _ = gone.recv_timeout(WAIT_TIMEOUT);
+        let (release, released) = channel::<()>();
+        let _ = arrived.send(release);
+        let _ = released.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("late"));
         Some(conn)
     });
-    let (sidecar, _agent) = few_sockets(&list);
+    let (sidecar, _agent) = sidecar_with_few_sockets(&list);
     let mut client = sidecar.client();
     client.send(safe().replace("Left-Ms: 900", "Left-Ms: 19000"));
-    let go = receive(&told);
+    let release = receive(&arrivals);
     let crowd: Vec<_> = (0..300).map(|_| sidecar.client().socket).collect();
-    assert!(sidecar.descriptors() < SOCKETS);
-    go.send(()).unwrap();
+    assert!(sidecar.descriptors() < MAX_SOCKETS);
+    release.send(()).unwrap();
     assert_eq!(client.message().unwrap().body, b"late");
     drop(crowd);
 }
 
 #[test]
-fn a_client_that_goes_calls_its_attempt_off() {
+fn a_departed_clients_attempt_is_cancelled() {
     for reset in [false, true] {
-        let (came, coming) = channel();
-        let (gone, going) = channel();
+        let (arrived, arrivals) = channel();
+        let (closed, closes) = channel();
         let (list, _, _) = servers(1, move |mut conn, _| {
-            let _ = came.send(());
-            let _ = gone.send(conn.closed_by_peer());
+            let _ = arrived.send(());
+            let _ = closed.send(conn.closed_by_peer());
             None
         });
         let (sidecar, _agent) = Sidecar::with_servers(&list);
         let mut client = sidecar.client();
         client.send(safe().replace("Left-Ms: 900", "Left-Ms: 60000"));
-        receive(&coming);
+        receive(&arrivals);
         if reset {
             client.reset();
         } else {
             drop(client);
         }
-        assert!(receive(&going), "the server sees its end");
+        assert!(receive(&closes), "the server sees its end");
     }
 }
 
 #[test]
-fn a_client_that_goes_within_its_answer_ends_it_at_the_server() {
-    let (gone, going) = channel();
+fn a_client_that_leaves_during_its_answer_ends_it_at_the_server() {
+    let (closed, closes) = channel();
     let (list, _, _) = servers(1, move |mut conn, _| {
         conn.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
         conn.send(vec![b'z'; 200_000]);
-        let _ = gone.send(conn.closed_by_peer());
+        let _ = closed.send(conn.closed_by_peer());
         None
     });
     let (sidecar, _agent) = Sidecar::streaming(&list);
@@ -160,12 +163,12 @@
     client.send(safe());
     assert_eq!(client.head().unwrap().status(), 200);
     drop(client);
-    assert!(receive(&going));
+    assert!(receive(&closes));
 }
 
 #[test]
-fn clients_that_go_anywhere_leave_nothing_behind() {
-    let (sidecar, _agent) = fine();
+fn clients_that_leave_at_any_byte_release_all_resources() {
+    let (sidecar, _agent) = sidecar_with_two_servers();
     let before = sidecar.descriptors();
     let request = unsafe_with("a body");
     for cut in 0..request.len() {
@@ -179,10 +182,10 @@
     wait_until("descriptors given back", || sidecar.descriptors() <= before + 4);
 }
 
-/// Danger: with the next request unread, an ordinary close would reset the connection, and take
-/// away what the client has not yet read.
+/// Guards against an ordinary close with the next request unread: this resets the connection and
+/// discards what the client has not read yet.
 #[test]
-fn the_last_answer_survives_what_comes_behind_it() {
+fn the_last_answer_survives_bytes_sent_after_its_request() {
     let body = "b".repeat(60_000);
     let sent = body.clone();
     let (list, _, _) = servers(1, move |mut conn, _| {
@@ -198,20 +201,21 @@
     assert!(client.closed_by_peer());
 }
 
-/// Danger: a connection that has to go for a crowd may bring a request in that instant. It is read
-/// and answered, or not read at all.
+/// Guards against losing a request that arrives at the moment its connection is closed to make room
+/// in a crowd. It is read and answered, or not read at all.
 #[test]
-fn no_request_is_read_from_a_connection_that_goes() {
+fn no_request_is_read_from_a_connection_being_closed() {
     let (list, log, _) = servers(2, |mut conn, _| {
         conn.send(ok("fine"));
         Some(conn)
     });
-    let (sidecar, _agent) = few_sockets(&list);
-    // As many at rest as there is room for, and more coming while each of them asks.
-    let mut resting: Vec<_> = (0..80).map(|_| sidecar.client()).collect();
+    let (sidecar, _agent) = sidecar_with_few_sockets(&list);
+    // As many idle connections as there is room for, and new ones while each of them sends a
+    // request.
+    let mut idle_clients: Vec<_> = (0..80).map(|_| sidecar.client()).collect();
     let mut answered = 0;
     for round in 0..5 {
-        for client in &mut resting {
+        for client in &mut idle_clients {
             let _newcomer = sidecar.client();
             client.send(safe());
             match client.message() {
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -1,4 +1,5 @@
-//! Writes that are kept while no server can be reached: on sockets, over SIGKILL, and as operators see them.
+//! Stored writes while no server can be reached: over sockets, across SIGKILL, and as operators see
+//! them.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -19,14 +20,14 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
-/// A folder of stores and the product's file, with the address of the only sidecar of its fleet.
-pub(crate) struct Site {
+/// A folder with the stores and the product file, and the address of the only sidecar of its fleet.
+pub(crate) struct StoreFolder {
     pub(crate) folder: tempfile::TempDir,
     peer: SocketAddr,
 }
 
-impl Site {
-    pub(crate) fn new() -> Site {
+impl StoreFolder {
+    pub(crate) fn new() -> StoreFolder {
         let folder = tempfile::tempdir().expect("a folder");
         let stores = folder.path().join("edge");
         let text = format!(
@@ -35,7 +36,7 @@
         );
         std::fs::write(folder.path().join("product.toml"), text).expect("written");
         let socket = UdpSocket::bind("127.0.0.1:0").expect("an address");
-        Site { folder, peer: socket.local_addr().expect("an address") }
+        StoreFolder { folder, peer: socket.local_addr().expect("an address") }
     }
 
     pub(crate) fn config(&self, agent: &Agent) -> Value {
@@ -60,7 +61,7 @@
         sidecar
     }
 
-    pub(crate) fn told(&self, args: &[&str]) -> (String, Option<i32>) {
+    pub(crate) fn edge_command(&self, args: &[&str]) -> (String, Option<i32>) {
         let stores = self.folder.path().join("edge");
         let mut command = Command::new(program("plankvale"));
         command.arg("edge").arg(args[0]).arg(stores).args(&args[1..]);
@@ -71,23 +72,23 @@
     }
 }
 
-/// Nobody listens there.
-pub(crate) fn nowhere() -> SocketAddr {
+/// An address on which nobody listens.
+pub(crate) fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     listener.local_addr().expect("an address")
 }
 
-pub(crate) fn order(body: &str, more: &str) -> String {
+pub(crate) fn order_request(body: &str, more: &str) -> String {
     let (left, length) = (common_headers(), body.len());
     format!(
         "POST /order HTTP/1.1\r\nHost: app.svc\r\n{left}{more}Content-Length: {length}\r\n\r\n{body}"
     )
 }
 
-pub(crate) const ASKS: &str = "Prefer: respond-async\r\n";
+pub(crate) const PREFER_ASYNC: &str = "Prefer: respond-async\r\n";
 
-/// A server that counts how often each body took effect.
-pub(crate) fn counting() -> (Server, Arc<Mutex<Vec<Message>>>) {
+/// A server that records the requests it executes.
+pub(crate) fn recording_server() -> (Server, Arc<Mutex<Vec<Message>>>) {
     let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
     let log = seen.clone();
     let server = Server::start(move |mut conn| {
@@ -99,33 +100,35 @@
     (server, seen)
 }
 
-/// What time each request told of, in milliseconds.
-fn told(seen: &[Message]) -> Vec<u64> {
+/// The remaining time that each request carried, in milliseconds.
+fn times_left(seen: &[Message]) -> Vec<u64> {
     let left = |m: &Message| m.header("x-time-left-ms").expect("a time").parse().expect("a number");
     seen.iter().map(left).collect()
 }
 
 #[test]
-fn a_write_is_kept_while_nobody_can_be_reached_and_sent_once_in_order() {
-    let site = Site::new();
-    let agent = Agent::start(vec![host("s-a", nowhere())]);
-    let sidecar = site.start(&agent);
-    // Whoever takes no receipt is refused, as ever.
-    assert_eq!(sidecar.request(order("no", "")).status(), 503);
-    let first = sidecar.request(order("one", ASKS));
+fn a_write_is_stored_while_no_server_is_reachable_and_sent_once_in_order() {
+    let store_folder = StoreFolder::new();
+    let agent = Agent::start(vec![host("s-a", unused_address())]);
+    let sidecar = store_folder.start(&agent);
+    // A client that does not accept a receipt is refused, as without stores.
+    assert_eq!(sidecar.request(order_request("no", "")).status(), 503);
+    let first = sidecar.request(order_request("one", PREFER_ASYNC));
     assert_eq!(first.status(), 202, "{first:?}");
     assert_eq!(first.header("preference-applied"), Some("respond-async"));
     let context = first.header("millethook-context").expect("a receipt").to_owned();
-    let second = sidecar.request(order("two", &format!("{ASKS}Millethook-After: {context}\r\n")));
+    let second = sidecar
+        .request(order_request("two", &format!("{PREFER_ASYNC}Millethook-After: {context}\r\n")));
     assert_eq!(second.status(), 202);
-    // A class that is not named is never kept.
-    let other = keyed().replace("Host:", &format!("{ASKS}Host:"));
+    // A class that the configuration does not name is never stored.
+    let other = keyed().replace("Host:", &format!("{PREFER_ASYNC}Host:"));
     assert_eq!(sidecar.request(other).status(), 503);
-    let wrong = sidecar.request(order("x", &format!("{ASKS}Millethook-After: never given\r\n")));
+    let wrong = sidecar
+        .request(order_request("x", &format!("{PREFER_ASYNC}Millethook-After: never given\r\n")));
     assert_eq!(wrong.status(), 400);
-    let (text, code) = site.told(&["show"]);
+    let (text, code) = store_folder.edge_command(&["show"]);
     assert!(text.contains("2 kept") && code == Some(0), "{text}");
-    let (server, seen) = counting();
+    let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
     wait_until("both are done", || sidecar.metric("sidecar.edge.replayed") == 2);
     let bodies: Vec<Vec<u8>> = seen.lock().expect("a log").iter().map(|m| m.body.clone()).collect();
@@ -134,29 +137,33 @@
     assert_eq!(seen[0].first, "POST /order HTTP/1.1");
     assert!(seen[0].header("prefer").is_none() && seen[0].header("x-correlation-id").is_some());
     // The client's 900 ms are over: a replay has the time of its class.
-    let told = told(&seen);
-    assert!(told.len() == 2 && told.iter().all(|left| (901..=1500).contains(left)), "{told:?}");
+    let times_left = times_left(&seen);
+    assert!(
+        times_left.len() == 2 && times_left.iter().all(|left| (901..=1500).contains(left)),
+        "{times_left:?}"
+    );
     drop(seen);
-    // What waits for one that nobody knows is not sent in its client's time.
+    // A write that depends on an unknown one is not sent within its client's time.
     let unknown = "Millethook-After: 00ff000000000001-1\r\n";
-    assert_eq!(sidecar.request(order("three", unknown)).status(), 503);
-    assert_eq!(sidecar.request(order("four", "")).status(), 200);
-    assert_eq!(site.told(&["show"]).0.lines().count(), 1);
+    assert_eq!(sidecar.request(order_request("three", unknown)).status(), 503);
+    assert_eq!(sidecar.request(order_request("four", "")).status(), 200);
+    assert_eq!(store_folder.edge_command(&["show"]).0.lines().count(), 1);
 }
 
 #[test]
-fn what_was_acknowledged_outlives_sigkill_and_is_sent_once_by_the_next_process() {
-    let site = Site::new();
-    let agent = Agent::start(vec![host("s-a", nowhere())]);
-    let mut first = site.start(&agent);
-    let kept: Vec<u16> =
-        (0..20).map(|n| first.request(order(&format!("w{n}"), ASKS)).status()).collect();
+fn acknowledged_writes_survive_sigkill_and_are_sent_once_by_the_next_process() {
+    let store_folder = StoreFolder::new();
+    let agent = Agent::start(vec![host("s-a", unused_address())]);
+    let mut first = store_folder.start(&agent);
+    let kept: Vec<u16> = (0..20)
+        .map(|n| first.request(order_request(&format!("w{n}"), PREFER_ASYNC)).status())
+        .collect();
     assert!(kept.iter().all(|status| *status == 202), "{kept:?}");
     first.child.kill().expect("killed");
     first.child.wait().expect("ended");
-    let (server, seen) = counting();
+    let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
-    let second = site.start(&agent);
+    let second = store_folder.start(&agent);
     wait_until("all are done", || second.metric("sidecar.edge.replayed") == 20);
     let mut bodies: Vec<String> = (seen.lock().expect("a log").iter())
         .map(|m| String::from_utf8_lossy(&m.body).into_owned())
@@ -167,20 +174,24 @@
     assert_eq!(bodies, expected);
 }
 
-/// The first server holds the write and turns it away. Its client had said 200 ms, which are long over and still stand in
-/// what is on disk.
+/// The first server holds the write and then rejects it. Its client had given 200 ms, which have
+/// long passed and are still in the stored request.
 #[test]
 fn a_replay_tells_the_time_of_its_class_once_and_its_next_attempt_less() {
-    const HELD: u64 = 250;
-    let site = Site::new();
-    let agent = Agent::start(vec![host("s-a", nowhere())]);
-    let sidecar = site.start(&agent);
-    let write = order("late", ASKS).replace("Left-Ms: 900", "Left-Ms: 200");
+    const HOLD_MS: u64 = 250;
+    let store_folder = StoreFolder::new();
+    let agent = Agent::start(vec![host("s-a", unused_address())]);
+    let sidecar = store_folder.start(&agent);
+    let write = order_request("late", PREFER_ASYNC).replace("Left-Ms: 900", "Left-Ms: 200");
     assert_eq!(sidecar.request(write).status(), 202);
-    assert!(site.told(&["export"]).0.contains("x-time-left-ms"), "{:?}", site.told(&["export"]));
+    assert!(
+        store_folder.edge_command(&["export"]).0.contains("x-time-left-ms"),
+        "{:?}",
+        store_folder.edge_command(&["export"])
+    );
     let stage = ServerGroup::new(2, |a| match a.nth {
         1 => {
-            std::thread::sleep(Duration::from_millis(HELD));
+            std::thread::sleep(Duration::from_millis(HOLD_MS));
             Fault::Reject
         }
         _ => Fault::Serve("done".into()),
@@ -188,19 +199,22 @@
     agent.set_hosts(stage.hosts());
     wait_until("it is done", || sidecar.metric("sidecar.edge.replayed") == 1);
     let seen: Vec<Message> = stage.seen().into_iter().map(|a| a.message).collect();
-    let told = told(&seen);
-    assert_eq!(told.len(), 2, "{seen:?}");
-    assert!((201..=1500).contains(&told[0]) && told[1] <= told[0] - HELD, "{told:?}");
+    let times_left = times_left(&seen);
+    assert_eq!(times_left.len(), 2, "{seen:?}");
+    assert!(
+        (201..=1500).contains(&times_left[0]) && times_left[1] <= times_left[0] - HOLD_MS,
+        "{times_left:?}"
+    );
 }
 
 #[test]
-fn a_write_in_doubt_waits_for_an_operators_word() {
-    let site = Site::new();
-    let agent = Agent::start(vec![host("s-a", nowhere())]);
-    let sidecar = site.start(&agent);
-    let receipt = sidecar.request(order("once", ASKS));
+fn a_write_in_doubt_waits_for_an_operators_command() {
+    let store_folder = StoreFolder::new();
+    let agent = Agent::start(vec![host("s-a", unused_address())]);
+    let sidecar = store_folder.start(&agent);
+    let receipt = sidecar.request(order_request("once", PREFER_ASYNC));
     let id = receipt.header("millethook-context").expect("a receipt").to_owned();
-    // It takes the first write and says nothing: the connection breaks.
+    // The server accepts the first write and does not answer: the connection breaks.
     let count = Arc::new(Mutex::new(0));
     let counted = count.clone();
     let server = Server::start(move |mut conn| {
@@ -216,59 +230,63 @@
     agent.set_hosts(vec![host("s-b", server.address)]);
     wait_until("in doubt", || sidecar.metric("sidecar.edge.doubt") == 1);
     assert_eq!(*count.lock().expect("a count"), 1);
-    assert!(site.told(&["show"]).0.contains("in doubt"));
-    assert!(site.told(&["export"]).0.contains("\"body\":\"6f6e6365\""));
-    assert_eq!(site.told(&["release", "00ff000000000001-1"]).1, Some(2));
-    let (text, code) = site.told(&["release", &id]);
+    assert!(store_folder.edge_command(&["show"]).0.contains("in doubt"));
+    assert!(store_folder.edge_command(&["export"]).0.contains("\"body\":\"6f6e6365\""));
+    assert_eq!(store_folder.edge_command(&["release", "00ff000000000001-1"]).1, Some(2));
+    let (text, code) = store_folder.edge_command(&["release", &id]);
     assert_eq!(code, Some(0), "{text}");
     wait_until("done", || sidecar.metric("sidecar.edge.replayed") == 1);
     assert_eq!(*count.lock().expect("a count"), 2);
-    // One that has its end takes no word.
-    assert_eq!(site.told(&["drop", &id]).1, Some(2));
+    // A write that is finished accepts no operator command.
+    assert_eq!(store_folder.edge_command(&["drop", &id]).1, Some(2));
 }
 
-/// A disk without space is a test of `edge::disk`; to clients all disks that take nothing are alike.
+/// A full disk is tested in `edge::disk`; to clients, all disks that fail writes are alike.
 #[test]
-fn a_disk_that_takes_nothing_refuses_at_once_and_says_when_to_come_back() {
-    let site = Site::new();
-    let agent = Agent::start(vec![host("s-a", nowhere())]);
-    let sidecar = site.start(&agent);
-    let stores = site.folder.path().join("edge");
+fn a_failing_disk_refuses_writes_at_once_with_a_retry_after() {
+    let store_folder = StoreFolder::new();
+    let agent = Agent::start(vec![host("s-a", unused_address())]);
+    let sidecar = store_folder.start(&agent);
+    let stores = store_folder.folder.path().join("edge");
     std::fs::remove_dir_all(&stores).expect("removed");
     std::fs::write(&stores, b"a file in its place").expect("written");
-    let refused = sidecar.request(order("cannot be kept", ASKS));
+    let refused = sidecar.request(order_request("cannot be kept", PREFER_ASYNC));
     assert_eq!(refused.status(), 503, "{refused:?}");
     assert!(refused.header("retry-after").is_some());
     assert_eq!(sidecar.metric("sidecar.edge.refused"), 1);
-    // As soon as there is a folder again writes are kept.
+    // Writes are stored again as soon as the folder exists.
     std::fs::remove_file(&stores).expect("removed");
     std::fs::create_dir(&stores).expect("a folder");
-    assert_eq!(sidecar.request(order("kept", ASKS)).status(), 202);
+    assert_eq!(sidecar.request(order_request("kept", PREFER_ASYNC)).status(), 202);
 }
 
-/// A disk that syncs what is taken in only as the test lets it.
+/// A storage that syncs the intake file only when the test allows it.
 #[derive(Clone, Default)]
-pub(crate) struct Held(Arc<(Mutex<bool>, Condvar)>);
+pub(crate) struct GatedStorage(Arc<(Mutex<bool>, Condvar)>);
 
-impl Held {
-    fn let_go(&self, go: bool) {
-        *self.0.0.lock().expect("a gate") = go;
+impl GatedStorage {
+    fn set_open(&self, open: bool) {
+        *self.0.0.lock().expect("a gate") = open;
         self.0.1.notify_all();
     }
 }
 
-impl Storage for Held {
+impl Storage for GatedStorage {
     fn sync(&mut self, name: StoreFile, file: &File) -> io::Result<()> {
         if name == StoreFile::Intake {
-            let (gate, moved) = &*self.0;
-            drop(moved.wait_while(gate.lock().expect("a gate"), |open| !*open).expect("a gate"));
+            let (gate, gate_changed) = &*self.0;
+            drop(
+                gate_changed
+                    .wait_while(gate.lock().expect("a gate"), |open| !*open)
+                    .expect("a gate"),
+            );
         }
         file.sync_data()
     }
 }
 
-/// Runs a daemon on a storage of the test's until it is told to stop.
-pub(crate) fn serve_on(
+/// Runs a daemon on a storage of the test until it is told to stop.
+pub(crate) fn run_on_storage(
     config: &str,
     product: &Path,
     storage: impl Storage,
@@ -282,31 +300,31 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), running).expect("it runs");
 }
 
-/// A daemon in this process, on a storage of the test's. It stops as this is dropped.
-struct Inside {
+/// A daemon in this process, on a storage of the test. It stops on drop.
+struct InProcessDaemon {
     address: SocketAddr,
     _stop: oneshot::Sender<()>,
 }
 
-impl Inside {
-    fn start(site: &Site, agent: &Agent, storage: impl Storage) -> Inside {
-        let address = nowhere();
-        let mut config = site.config(agent);
+impl InProcessDaemon {
+    fn start(store_folder: &StoreFolder, agent: &Agent, storage: impl Storage) -> InProcessDaemon {
+        let address = unused_address();
+        let mut config = store_folder.config(agent);
         config["listen"] = json!(address.to_string());
-        let product = site.folder.path().join("product.toml");
+        let product = store_folder.folder.path().join("product.toml");
         let (stop, stopped) = oneshot::channel::<()>();
         std::thread::spawn(move || {
-            serve_on(&config.to_string(), &product, storage, async {
+            run_on_storage(&config.to_string(), &product, storage, async {
                 let _ = stopped.await;
             });
         });
-        let inside = Inside { address, _stop: stop };
+        let daemon = InProcessDaemon { address, _stop: stop };
         wait_until("ready", || {
-            inside
+            daemon
                 .request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                 .is_some_and(|m| m.status() == 200)
         });
-        inside
+        daemon
     }
 
     fn request(&self, request: impl AsRef<[u8]>) -> Option<Message> {
@@ -315,79 +333,95 @@
     }
 }
 
-/// Danger: a write that is on its way to a slow disk as its client's time ends is answered 502, a final answer. The disk
-/// takes it all the same, and it was replayed: the request went out behind its answer.
+/// Guards against replaying a write that is being stored on a slow disk when its client's time
+/// ends: the client receives a 502, which is final, and the write, stored all the same, was sent
+/// after that answer.
 #[test]
-fn a_write_that_was_answered_before_a_slow_disk_had_it_is_never_sent() {
-    let site = Site::new();
-    let agent = Agent::start(vec![host("s-a", nowhere())]);
-    let disk = Held::default();
-    let sidecar = Inside::start(&site, &agent, disk.clone());
-    assert_eq!(sidecar.request(order("slow", ASKS)).expect("an answer").status(), 502);
-    assert!(site.told(&["show"]).0.contains("0 kept, 0 out"), "nobody else sends it");
-    disk.let_go(true);
+fn a_write_answered_before_a_slow_disk_stored_it_is_never_sent() {
+    let store_folder = StoreFolder::new();
+    let agent = Agent::start(vec![host("s-a", unused_address())]);
+    let disk = GatedStorage::default();
+    let sidecar = InProcessDaemon::start(&store_folder, &agent, disk.clone());
+    assert_eq!(
+        sidecar.request(order_request("slow", PREFER_ASYNC)).expect("an answer").status(),
+        502
+    );
+    assert!(
+        store_folder.edge_command(&["show"]).0.contains("0 kept, 0 out"),
+        "nobody else sends it"
+    );
+    disk.set_open(true);
     let mut kept = 0;
     wait_until("a write is kept", || {
-        let status = sidecar.request(order(&format!("w{kept}"), ASKS)).expect("an answer").status();
+        let status = sidecar
+            .request(order_request(&format!("w{kept}"), PREFER_ASYNC))
+            .expect("an answer")
+            .status();
         kept += u32::from(status == 202);
         status == 202
     });
-    let (server, seen) = counting();
+    let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
-    // Writes without ties go out by their numbers: the slow one would be first.
+    // Independent writes are sent in the order of their numbers, so the slow one would be first.
     wait_until("what was kept is sent", || {
-        site.told(&["show"]).0.lines().next().is_some_and(|store| store.contains("0 kept, 0 out"))
+        store_folder
+            .edge_command(&["show"])
+            .0
+            .lines()
+            .next()
+            .is_some_and(|store| store.contains("0 kept, 0 out"))
     });
     let bodies: Vec<Vec<u8>> = seen.lock().expect("a log").iter().map(|m| m.body.clone()).collect();
     assert_eq!(bodies, [b"w0".to_vec()]);
-    let text = site.told(&["show"]).0;
+    let text = store_folder.edge_command(&["show"]).0;
     assert!(text.contains("1 done, 1 set apart") && text.contains("withdrawn"), "{text}");
 }
 
-/// What a member sends after a write that was withdrawn waits for what was kept before that, here for a write that waits
-/// itself for one that nobody knows.
+/// What a member sends after a withdrawn write still waits for what was stored before that write,
+/// here for one that itself waits for an unknown write.
 #[test]
-fn what_a_member_kept_before_a_withdrawn_write_is_still_waited_for() {
-    let site = Site::new();
-    let agent = Agent::start(vec![host("s-a", nowhere())]);
-    let disk = Held::default();
-    disk.let_go(true);
-    let sidecar = Inside::start(&site, &agent, disk.clone());
+fn writes_stored_before_a_withdrawn_write_are_still_waited_for() {
+    let store_folder = StoreFolder::new();
+    let agent = Agent::start(vec![host("s-a", unused_address())]);
+    let disk = GatedStorage::default();
+    disk.set_open(true);
+    let sidecar = InProcessDaemon::start(&store_folder, &agent, disk.clone());
     let by_member = |body: &str, more: &str| {
-        let request = order(body, &format!("{more}Cookie: k=7\r\n"));
+        let request = order_request(body, &format!("{more}Cookie: k=7\r\n"));
         sidecar.request(request).expect("an answer").status()
     };
-    let first = format!("{ASKS}Millethook-After: 00ff000000000001-1\r\n");
+    let first = format!("{PREFER_ASYNC}Millethook-After: 00ff000000000001-1\r\n");
     assert_eq!(by_member("first", &first), 202);
-    disk.let_go(false);
-    assert_eq!(by_member("slow", ASKS), 502);
-    disk.let_go(true);
-    let (server, seen) = counting();
+    disk.set_open(false);
+    assert_eq!(by_member("slow", PREFER_ASYNC), 502);
+    disk.set_open(true);
+    let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
     wait_until("servers are reached", || {
-        sidecar.request(order("nobody's", "")).is_some_and(|m| m.status() == 200)
+        sidecar.request(order_request("nobody's", "")).is_some_and(|m| m.status() == 200)
     });
     assert_eq!(by_member("third", ""), 503);
     let seen = seen.lock().expect("a log");
     assert!(seen.iter().all(|m| m.body == b"nobody's"), "{seen:?}");
 }
 
-/// `cargo test -p plankvale --release --test sidecar -- --ignored kills`: KILLS of them, 100 without.
+/// Run with `cargo test -p plankvale --release --test sidecar -- --ignored kills`; the variable
+/// KILLS sets the number of kills, 100 by default.
 #[test]
 #[ignore = "some minutes"]
 fn kills_at_any_instant_lose_and_double_nothing() {
     let kills: usize = std::env::var("KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(100);
-    let site = Site::new();
-    let (server, seen) = counting();
+    let store_folder = StoreFolder::new();
+    let (server, seen) = recording_server();
     let mut random = Random::new(7);
     let mut acknowledged: Vec<String> = Vec::new();
     let mut sent = 0usize;
     for kill in 0..kills {
-        // Every other life servers can be reached: it is killed as it replays.
+        // In every other run servers can be reached, so that the process is killed during replay.
         let reachable = kill % 2 == 1;
-        let at = if reachable { server.address } else { nowhere() };
+        let at = if reachable { server.address } else { unused_address() };
         let agent = Agent::start(vec![host(&format!("s-{kill}"), at)]);
-        let mut sidecar = site.start(&agent);
+        let mut sidecar = store_folder.start(&agent);
         let life = Duration::from_millis(if reachable { 700 } else { 5 } + random.below(300));
         let begun = Instant::now();
         std::thread::scope(|scope| {
@@ -401,7 +435,7 @@
                             let Ok(socket) = std::net::TcpStream::connect(address) else { break };
                             let mut client = Conn::new(socket);
                             let body = format!("w{n}");
-                            match client.request(order(&body, ASKS)) {
+                            match client.request(order_request(&body, PREFER_ASYNC)) {
                                 Some(m) if m.status() == 202 || m.status() == 200 => {
                                     kept.push(body)
                                 }
@@ -422,11 +456,11 @@
         });
     }
     let agent = Agent::start(vec![host("s-end", server.address)]);
-    let sidecar = site.start(&agent);
-    let calm = |s: &Sidecar| s.metric("sidecar.edge.left") == s.metric("sidecar.edge.doubt");
+    let sidecar = store_folder.start(&agent);
+    let is_settled = |s: &Sidecar| s.metric("sidecar.edge.left") == s.metric("sidecar.edge.doubt");
     let end = Instant::now() + Duration::from_secs(300);
     let mut stores = 0;
-    while stores < kills / 2 || !calm(&sidecar) {
+    while stores < kills / 2 || !is_settled(&sidecar) {
         let (left, doubt) =
             (sidecar.metric("sidecar.edge.left"), sidecar.metric("sidecar.edge.doubt"));
         assert!(Instant::now() < end, "{stores} stores, {left} left, {doubt} in doubt");
--- a/crates/plankvale/tests/sidecar/fleet.rs
+++ b/crates/plankvale/tests/sidecar/fleet.rs
@@ -1,4 +1,4 @@
-//! The view of the fleet as datagrams and operators meet it. What many processes do together is the lab's.
+//! The fleet view as seen in datagrams and by operators. Tests with many processes are in the lab.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -8,10 +8,10 @@
 use millethook_testkit::*;
 use serde_json::{Value, json};
 
-/// The kind of the view's records.
+/// The record kind of the view.
 const VIEW: u8 = 1;
 
-/// A product's file that turns the view on, removed with the test.
+/// A product file that enables the view, removed on drop.
 struct Product(PathBuf);
 
 impl Product {
@@ -34,12 +34,12 @@
     }
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("an address");
     socket.local_addr().expect("an address")
 }
 
-fn peered(agent: &Agent, me: usize, peers: &[SocketAddr]) -> Value {
+fn config_with_peers(agent: &Agent, me: usize, peers: &[SocketAddr]) -> Value {
     config(agent.address, |c| {
         c["admin"] = json!("127.0.0.1:0");
         c["peer_listen"] = json!(peers[me].to_string());
@@ -54,9 +54,9 @@
 fn two_sidecars_see_each_other_and_operators_see_that_they_agree() {
     let product = Product::new("two");
     let agent = Agent::start(hosts(&[Server::named("a")]));
-    let peers = [free(), free()];
-    let first = product.start(&peered(&agent, 0, &peers));
-    let mut second = product.start(&peered(&agent, 1, &peers));
+    let peers = [free_address(), free_address()];
+    let first = product.start(&config_with_peers(&agent, 0, &peers));
+    let mut second = product.start(&config_with_peers(&agent, 1, &peers));
     wait_until("both alive", || {
         [&first, &second].iter().all(|s| s.metric("sidecar.fleet.alive") == 2)
     });
@@ -66,9 +66,9 @@
     let list = std::env::temp_dir().join(format!("millethook-fleet-{}-list", std::process::id()));
     let (a, b) = (first.admin.expect("one"), second.admin.expect("one"));
     std::fs::write(&list, format!("{a}\n{b}\n")).expect("written");
-    let show = |whom: &str| {
+    let show = |target: &str| {
         let output =
-            Command::new(program("plankvale")).args(["fleet", whom]).output().expect("it runs");
+            Command::new(program("plankvale")).args(["fleet", target]).output().expect("it runs");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         (output.status.code(), text + &String::from_utf8_lossy(&output.stderr))
     };
@@ -87,13 +87,13 @@
 }
 
 #[test]
-fn what_is_no_peers_word_is_dropped_counted_and_not_answered() {
+fn datagrams_from_non_peers_are_dropped_counted_and_not_answered() {
     let product = Product::new("words");
     let agent = Agent::start(hosts(&[Server::named("a")]));
     let peer = UdpSocket::bind("127.0.0.1:0").expect("an address");
     peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
-    let peers = [free(), peer.local_addr().expect("an address")];
-    let sidecar = product.start(&peered(&agent, 0, &peers));
+    let peers = [free_address(), peer.local_addr().expect("an address")];
+    let sidecar = product.start(&config_with_peers(&agent, 0, &peers));
     let frame = |fleet: &str, from: u16| {
         let epoch = 1_700_000_000_000;
         FrameWriter::new(Header { fleet: fleet_id(fleet), from, epoch })
@@ -101,20 +101,22 @@
     let send = |bytes: &[u8]| {
         peer.send_to(bytes, peers[0]).expect("sent");
     };
-    let figure = |name: &str| sidecar.metric(&format!("sidecar.fleet.{name}"));
+    let fleet_metric = |name: &str| sidecar.metric(&format!("sidecar.fleet.{name}"));
     send(b"no frame at all");
     let mut version = frame("tests", 1).finish();
     version[0] = 9;
     send(&version);
-    wait_until("unreadable", || figure("unreadable") == 2);
+    wait_until("unreadable", || fleet_metric("unreadable") == 2);
     send(&frame("another", 1).finish());
     send(&frame("tests", 0).finish());
-    wait_until("foreign and misnamed", || (figure("foreign"), figure("misnamed")) == (1, 1));
+    wait_until("foreign and misnamed", || {
+        (fleet_metric("foreign"), fleet_metric("misnamed")) == (1, 1)
+    });
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("an address");
     stranger.send_to(&frame("tests", 1).finish(), peers[0]).expect("sent");
-    wait_until("a stranger", || figure("strangers") == 1);
-    assert_eq!(figure("alive"), 1, "nobody was believed");
-    // A ping among records that nobody knows is answered by no more than came.
+    wait_until("a stranger", || fleet_metric("strangers") == 1);
+    assert_eq!(fleet_metric("alive"), 1, "nobody was believed");
+    // The answer to a ping among unknown records is no longer than the ping's datagram.
     let mut known = frame("tests", 1);
     assert!(known.push(200, b"of the future"));
     let mut ping = vec![0xff; 40];
@@ -132,14 +134,14 @@
     });
     let length = answered.take(1_000).flatten().next().expect("an answer");
     assert!(length <= bytes.len(), "{length} bytes for {}", bytes.len());
-    wait_until("it is known now", || figure("alive") == 2);
+    wait_until("it is known now", || fleet_metric("alive") == 2);
 }
 
 #[test]
-fn where_nothing_may_be_told_nothing_is() {
+fn without_may_tell_nothing_is_sent() {
     let product = Product::new("off");
     let agent = Agent::start(hosts(&[Server::named("a")]));
-    let mut config = peered(&agent, 0, &[free(), free()]);
+    let mut config = config_with_peers(&agent, 0, &[free_address(), free_address()]);
     config["settings"]["limits"]["mayTell"] = json!(false);
     let sidecar = product.start(&config);
     let metrics = String::from_utf8(sidecar.admin_request("GET /v1/metrics").body).expect("text");
--- a/crates/plankvale/tests/sidecar/framing.rs
+++ b/crates/plankvale/tests/sidecar/framing.rs
@@ -1,4 +1,4 @@
-//! All forms of HTTP/1.1, from clients and from servers, in pieces of any size.
+//! All forms of HTTP/1.1 framing, from clients and servers, in pieces of any size.
 
 use std::sync::mpsc::channel;
 use std::thread;
@@ -6,7 +6,7 @@
 
 use millethook_testkit::*;
 
-fn echo() -> (Sidecar, Agent, RequestLog) {
+fn sidecar_with_echo_server() -> (Sidecar, Agent, RequestLog) {
     let (list, log, _) = servers(1, |mut conn, seen| {
         let body = String::from_utf8_lossy(&seen.message.body).into_owned();
         conn.send(ok(&body));
@@ -16,8 +16,8 @@
     (sidecar, agent, log)
 }
 
-/// A sidecar whose only server answers with these bytes and ends the connection.
-fn answering(bytes: Vec<u8>) -> (Sidecar, Agent) {
+/// A sidecar whose only server answers with these bytes and closes the connection.
+fn sidecar_with_answer(bytes: Vec<u8>) -> (Sidecar, Agent) {
     let (list, _, _) = servers(1, move |mut conn, _| {
         conn.send(&bytes);
         None
@@ -25,11 +25,11 @@
     Sidecar::streaming(&list)
 }
 
-const HEAD: &str = "X-Correlation-ID: 77\r\nx-account:acme\r\nX-TIME-LEFT-MS: 5000\r\n";
+const COMMON_HEADERS: &str = "X-Correlation-ID: 77\r\nx-account:acme\r\nX-TIME-LEFT-MS: 5000\r\n";
 
 #[test]
 fn a_request_byte_by_byte() {
-    let (sidecar, _agent, _) = echo();
+    let (sidecar, _agent, _) = sidecar_with_echo_server();
     let mut client = sidecar.client();
     for byte in unsafe_with("in pieces").bytes() {
         client.send([byte]);
@@ -39,39 +39,40 @@
 
 #[test]
 fn a_request_in_chunks_with_extensions_and_trailers() {
-    let (sidecar, _agent, _) = echo();
+    let (sidecar, _agent, _) = sidecar_with_echo_server();
     let got = sidecar.request(format!(
-        "POST /order HTTP/1.1\r\nhost: a\r\n{HEAD}tRANSFER-eNCODING: chunked\r\nTrailer: X-Sum\r\n\r\n\
+        "POST /order HTTP/1.1\r\nhost: a\r\n{COMMON_HEADERS}tRANSFER-eNCODING: chunked\r\nTrailer: X-Sum\r\n\r\n\
          3;a=b;c=\"d e\"\r\none\r\n004\r\ntwo!\r\n0;last\r\nX-Sum: 9\r\n\r\n"
     ));
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"onetwo!"[..]));
 }
 
 #[test]
-fn expect_is_answered_and_the_body_may_come_unasked() {
-    let (sidecar, _agent, _) = echo();
+fn expect_is_answered_and_the_body_may_be_sent_without_waiting() {
+    let (sidecar, _agent, _) = sidecar_with_echo_server();
     let head = format!(
-        "POST /order HTTP/1.1\r\nHost: a\r\n{HEAD}Expect: 100-continue\r\nContent-Length: 4\r\n\r\n"
+        "POST /order HTTP/1.1\r\nHost: a\r\n{COMMON_HEADERS}Expect: 100-continue\r\nContent-Length: 4\r\n\r\n"
     );
-    let mut asking = sidecar.client();
-    asking.send(&head);
-    assert_eq!(asking.head().unwrap().status(), 100);
-    asking.send("body");
-    assert_eq!(asking.message().unwrap().body, b"body");
+    let mut waiting_client = sidecar.client();
+    waiting_client.send(&head);
+    assert_eq!(waiting_client.head().unwrap().status(), 100);
+    waiting_client.send("body");
+    assert_eq!(waiting_client.message().unwrap().body, b"body");
 
-    let mut hasty = sidecar.client();
-    hasty.send(head.replace("77", "78") + "body");
-    let first = hasty.head().unwrap();
-    let answer = if first.status() == 100 { hasty.message().unwrap() } else { first };
+    let mut eager_client = sidecar.client();
+    eager_client.send(head.replace("77", "78") + "body");
+    let first = eager_client.head().unwrap();
+    let answer = if first.status() == 100 { eager_client.message().unwrap() } else { first };
     assert_eq!(answer.status(), 200);
 }
 
 #[test]
 fn long_headers_pass() {
-    let (sidecar, _agent, _) = echo();
+    let (sidecar, _agent, _) = sidecar_with_echo_server();
     let long = "v".repeat(30_000);
-    let got =
-        sidecar.request(format!("GET /look HTTP/1.1\r\nHost: a\r\nX-Long: {long}\r\n{HEAD}\r\n"));
+    let got = sidecar.request(format!(
+        "GET /look HTTP/1.1\r\nHost: a\r\nX-Long: {long}\r\n{COMMON_HEADERS}\r\n"
+    ));
     assert_eq!(got.status(), 200);
 }
 
@@ -101,7 +102,7 @@
         "HTTP/1.1 200 OK\r\nX-Folded: a\r\n b\r\nContent-Length: 4\r\n\r\nfine",
     ];
     for form in forms {
-        let (sidecar, _agent) = answering(form.into());
+        let (sidecar, _agent) = sidecar_with_answer(form.into());
         let got = sidecar.request(unsafe_with("x"));
         assert_eq!(
             (got.status(), got.body.as_slice(), got.complete),
@@ -146,24 +147,27 @@
     assert!(memory < 32, "{memory} MB");
 }
 
-/// Danger: an answer that breaks off after it was passed on must not look whole to the client.
+/// Guards against an answer that breaks off after it was partly passed on and looks complete to the
+/// client.
 #[test]
-fn a_long_answer_that_breaks_off_is_visibly_unwhole() {
+fn a_long_answer_that_breaks_off_is_visibly_incomplete() {
     let part = "x".repeat(200_000);
     for head in ["Content-Length: 900000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n61a80\r\n"] {
-        let (sidecar, _agent) = answering(format!("HTTP/1.1 200 OK\r\n{head}{part}").into());
+        let (sidecar, _agent) =
+            sidecar_with_answer(format!("HTTP/1.1 200 OK\r\n{head}{part}").into());
         let got = sidecar.request(unsafe_with("x"));
         assert_eq!((got.status(), got.complete), (200, false), "{head}");
     }
 }
 
-/// Also where the client is told neither length nor chunks, and an end is a sign of nothing.
+/// The same for a client that receives neither a length nor chunks, for which a close means the
+/// end.
 #[test]
-fn an_old_client_sees_a_break_as_a_reset() {
+fn an_http_1_0_client_sees_a_break_as_a_reset() {
     use std::io::Read;
     let part = "x".repeat(200_000);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n61a80\r\n";
-    let (sidecar, _agent) = answering(format!("{head}{part}").into());
+    let (sidecar, _agent) = sidecar_with_answer(format!("{head}{part}").into());
     let mut client = sidecar.client();
     client.send(unsafe_with("x").replace("HTTP/1.1", "HTTP/1.0"));
     assert!(client.socket.read_to_end(&mut Vec::new()).is_err());
@@ -187,7 +191,7 @@
 
 #[test]
 fn a_client_that_does_not_read_holds_the_server_back() {
-    let (wrote, written) = channel();
+    let (bytes_sender, bytes_receiver) = channel();
     let (list, _, _) = servers(1, move |mut conn, _| {
         use std::io::Write;
         conn.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
@@ -196,35 +200,35 @@
         while sent < 32 << 20 && conn.socket.write_all(&[b'z'; 1 << 16]).is_ok() {
             sent += 1 << 16;
         }
-        let _ = wrote.send(sent);
+        let _ = bytes_sender.send(sent);
         None
     });
     let (sidecar, _agent) = Sidecar::streaming(&list);
     let mut client = sidecar.client();
     client.send(safe());
     assert_eq!(client.head().unwrap().status(), 200);
-    assert!(receive(&written) < 32 << 20);
+    assert!(receive(&bytes_receiver) < 32 << 20);
     assert!(sidecar.memory_mb() < 40);
 }
 
 #[test]
-fn what_cannot_be_understood_gets_a_4xx_and_reaches_no_server() {
-    let (sidecar, _agent, log) = echo();
+fn invalid_requests_get_a_4xx_and_reach_no_server() {
+    let (sidecar, _agent, log) = sidecar_with_echo_server();
     let get = |path: &str, head: &str| format!("GET {path} HTTP/1.1\r\nHost: a\r\n{head}\r\n");
     let post = |path: &str, head: &str| {
         format!("POST {path} HTTP/1.1\r\nHost: a\r\n{head}Content-Length: 0\r\n\r\n")
     };
     let without = |name: &str| {
-        let kept = HEAD.lines().filter(|l| !l.to_ascii_lowercase().starts_with(name));
+        let kept = COMMON_HEADERS.lines().filter(|l| !l.to_ascii_lowercase().starts_with(name));
         kept.map(|l| format!("{l}\r\n")).collect::<String>()
     };
-    let wrong = [
-        (404, get("/unknown/1", HEAD)),
-        (404, get("/", HEAD)),
-        (405, post("/look", HEAD)),
-        (405, get("/order", HEAD)),
-        (400, post("/keep", HEAD)),
-        (400, post("/order", &format!("{HEAD}Idempotency-Key: 1\r\n"))),
+    let invalid = [
+        (404, get("/unknown/1", COMMON_HEADERS)),
+        (404, get("/", COMMON_HEADERS)),
+        (405, post("/look", COMMON_HEADERS)),
+        (405, get("/order", COMMON_HEADERS)),
+        (400, post("/keep", COMMON_HEADERS)),
+        (400, post("/order", &format!("{COMMON_HEADERS}Idempotency-Key: 1\r\n"))),
         (400, get("/look", &without("x-time-left"))),
         (400, get("/look", &(without("x-time-left") + "X-Time-Left-Ms: soon\r\n"))),
         (400, get("/look", &(without("x-account") + "X-Account: nobody\r\n"))),
@@ -232,7 +236,7 @@
         (400, get("/look", &without("x-correlation"))),
     ];
     let mut client = sidecar.client();
-    for (status, request) in wrong {
+    for (status, request) in invalid {
         client.send(&request);
         assert_eq!(client.message().unwrap().status(), status, "{request}");
         if status == 400 {
@@ -247,7 +251,7 @@
     let long = "v".repeat(200_000);
     for (status, request) in [
         (400, "what is this\r\n\r\n".to_owned()),
-        (431, get("/look", &format!("{HEAD}X-Long: {long}\r\n"))),
+        (431, get("/look", &format!("{COMMON_HEADERS}X-Long: {long}\r\n"))),
     ] {
         let got = sidecar.request(request);
         assert_eq!(got.status(), status);
@@ -256,11 +260,12 @@
 }
 
 #[test]
-fn a_body_that_is_too_long_is_told() {
-    let (sidecar, _agent, log) = echo();
+fn a_body_that_is_too_long_is_rejected() {
+    let (sidecar, _agent, log) = sidecar_with_echo_server();
     let mut client = sidecar.client();
-    client
-        .send(format!("POST /order HTTP/1.1\r\nHost: a\r\n{HEAD}Content-Length: 90000000\r\n\r\n"));
+    client.send(format!(
+        "POST /order HTTP/1.1\r\nHost: a\r\n{COMMON_HEADERS}Content-Length: 90000000\r\n\r\n"
+    ));
     let piece = vec![b'x'; 1 << 20];
     thread::scope(|s| {
         let mut socket = client.socket.try_clone().unwrap();
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -1,4 +1,4 @@
-//! Bodies and answers that are too long to be held: they pass through as they come, in little memory.
+//! Bodies and answers that are too long to be buffered: they are streamed with little memory.
 
 use std::sync::mpsc::channel;
 use std::thread;
@@ -6,7 +6,7 @@
 use millethook_testkit::*;
 use serde_json::json;
 
-/// Bytes that differ from place to place, so that what is lost, doubled or swapped shows.
+/// Bytes that differ by position, so that lost, repeated or swapped bytes are detected.
 fn bytes(n: usize) -> Vec<u8> {
     (0..n).map(|i| (i / 251 + i * 7) as u8).collect()
 }
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn long_bodies_arrive_as_they_were_sent() {
+fn long_bodies_arrive_unchanged() {
     let (servers, log, seen) = servers(2, |mut conn, seen| {
         conn.send(ok(&seen.message.body.len().to_string()));
         Some(conn)
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn long_answers_arrive_as_they_were_made_whatever_the_class() {
+fn long_answers_arrive_unchanged_in_every_class() {
     let body = bytes(2 << 20);
     let served = body.clone();
     let server = Server::start(move |mut conn| {
@@ -83,9 +83,9 @@
     }
 }
 
-/// Far more than its memory passes through at once, read and written by peers that are all slow.
+/// Far more data than the memory limit is forwarded at once, read and written by slow peers.
 #[test]
-fn memory_holds_what_is_on_its_way_only() {
+fn memory_use_is_limited_to_data_in_flight() {
     const SIZE: usize = 8 << 20;
     const CLIENTS: usize = 12;
     let server = Server::start(move |mut conn| {
@@ -110,9 +110,9 @@
 }
 
 #[test]
-fn as_long_as_no_more_than_is_held_has_gone_out_another_server_may_get_it() {
+fn a_body_that_is_still_buffered_may_go_to_another_server() {
     let body = bytes(300_000);
-    // One refuses connections.
+    // One server refuses connections.
     let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let alive = Server::start(|mut conn| {
         while let Some(message) = conn.message() {
@@ -126,15 +126,15 @@
     }
 }
 
-/// A server that leaves in the middle never had the last byte, so nothing ran; nor does the client's
-/// half-read body run anywhere else.
+/// A server that leaves in the middle of a body never received the last byte, so the request did
+/// not run; nor is the half-read body sent to another server.
 #[test]
-fn what_breaks_within_a_long_body_has_never_run() {
-    let (tell, told) = channel();
+fn a_long_body_that_breaks_off_never_ran() {
+    let (results, result_receiver) = channel();
     let server = Server::start(move |mut conn| {
         if conn.head().is_some() {
             let got = conn.body(200_000);
-            let _ = tell.send(got.is_some());
+            let _ = results.send(got.is_some());
         }
     });
     let (sidecar, _agent) = Sidecar::with_servers(&[server]);
@@ -143,13 +143,13 @@
         client.send(head(class, "Content-Length: 10000000"));
         client.send(bytes(9_000_000));
         assert_eq!(client.message().expect("an answer").status(), 503, "{class}");
-        assert!(receive(&told), "the server had a part of it");
-        assert!(told.try_recv().is_err(), "another attempt");
+        assert!(receive(&result_receiver), "the server had a part of it");
+        assert!(result_receiver.try_recv().is_err(), "another attempt");
     }
 }
 
 #[test]
-fn a_long_body_that_is_turned_away_is_refused() {
+fn a_rejected_long_body_is_refused() {
     let server = Server::start(|mut conn| {
         while conn.head().is_some() {
             conn.send(answer("503 Full", "X-Unprocessed: 1\r\n", ""));
@@ -163,11 +163,11 @@
 }
 
 #[test]
-fn a_client_that_goes_within_its_body_leaves_no_request() {
-    let (tell, told) = channel();
+fn a_client_that_leaves_during_its_body_leaves_no_request() {
+    let (results, result_receiver) = channel();
     let server = Server::start(move |mut conn| {
         let message = conn.message();
-        let _ = tell.send(message.is_some_and(|m| m.complete));
+        let _ = results.send(message.is_some_and(|m| m.complete));
     });
     let agent = Agent::start(hosts(&[server]));
     let sidecar = Sidecar::start(&config(agent.address, |c| c["admin"] = json!("127.0.0.1:0")));
@@ -180,13 +180,13 @@
         client.send(bytes(200_000));
         wait_until("it passes on", || sidecar.metric("sidecar.outstanding") == 1);
         drop(client);
-        assert!(!receive(&told), "the server took it for whole");
+        assert!(!receive(&result_receiver), "the server took it for whole");
         wait_until("it is forgotten", || sidecar.metric("sidecar.outstanding") == 0);
     }
     assert_eq!(sidecar.metric("sidecar.forwards"), 0);
 }
 
-/// The time runs from the last byte on, and then there is an answer whatever the server does.
+/// The deadline runs from the last byte on, and then there is an answer whatever the server does.
 #[test]
 fn a_long_body_without_an_answer_ends_in_time() {
     let server = Server::start(|mut conn| while conn.message().is_some() {});
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_told_so_at_once() {
+fn a_body_that_is_too_long_is_rejected_at_once() {
     let (servers, log, _) = servers(1, |mut conn, _| {
         conn.send(ok("served"));
         Some(conn)
@@ -203,7 +203,7 @@
     let (sidecar, _agent) = Sidecar::with_servers(&servers);
     let too_long = head("order", &format!("Content-Length: {}", (32 << 20) + 1));
     assert_eq!(sidecar.request(too_long).status(), 413);
-    // One that does not say how long it is, is cut off where it is too long.
+    // A body without an announced length is cut off where it becomes too long.
     let mut client = sidecar.client();
     client.send(head("order", "Transfer-Encoding: chunked"));
     let piece = bytes(1 << 20);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_body_that_stops_coming_is_given_up() {
+fn a_stalled_body_is_rejected() {
     let (servers, log, _) = servers(1, |mut conn, _| {
         conn.send(ok("served"));
         Some(conn)
@@ -233,10 +233,10 @@
     assert_eq!(log.count(), 0);
 }
 
-/// An answer that announces more than any answer has is spoilt, and one that never ends is cut off so
-/// that its client can tell.
+/// An answer that announces more than the maximum length is invalid, and one that never ends is cut
+/// off in a way that its client can detect.
 #[test]
-fn answers_without_sense_or_end_are_not_taken_for_long_ones() {
+fn answers_of_excessive_or_endless_length_are_not_served_completely() {
     let announced = Server::start(|mut conn| {
         while conn.message().is_some() {
             conn.send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
@@ -261,7 +261,7 @@
     assert!(!answer.complete && answer.body.len() <= 32 << 20);
 }
 
-/// A server of any kind may answer at the head. That is the answer; the rest of the body is not needed.
+/// Any server may answer after the head. That is the answer; the rest of the body is not needed.
 #[test]
 fn an_early_answer_to_a_long_body_is_its_answer() {
     let long = "long ".repeat(40_000);
@@ -269,7 +269,7 @@
     let server = Server::start(move |mut conn| {
         if conn.head().is_some() {
             conn.send(ok(&served));
-            // What was sent is read, or closing would take the answer away.
+            // The sent bytes are read, as closing with unread bytes would discard the answer.
             conn.body(200_000);
         }
     });
@@ -283,12 +283,12 @@
     assert_eq!(answer.body, long.into_bytes());
 }
 
-/// Of a long answer the first bytes are waited for. One that does not say how long it is, and comes slowly,
-/// is passed on before it is known to be long.
+/// The first bytes of a long answer are buffered. A slow answer without a length is passed on
+/// before it is known to be long.
 #[test]
 fn a_slow_answer_without_a_length_is_passed_on_as_it_comes() {
-    let (go, going) = channel::<()>();
-    let going = std::sync::Mutex::new(going);
+    let (release, released) = channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let server = Server::start(move |mut conn| {
         while conn.message().is_some() {
             conn.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -296,11 +296,11 @@
                 conn.send("400\r\n");
                 conn.send(bytes(1024));
                 conn.send("\r\n");
-                // A fifth of the aim in all.
+                // A fifth of the aim in total.
                 thread::sleep(std::time::Duration::from_millis(10));
             }
-            // The rest comes when the client has seen the beginning.
-            let _ = going.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
+            // The rest is sent once the client has read the beginning.
+            let _ = released.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
             conn.send("0\r\n\r\n");
         }
     });
@@ -309,7 +309,7 @@
     client.send(unsafe_with("x"));
     let head = client.head().expect("the head, ahead of the answer's end");
     assert_eq!(head.status(), 200);
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     let rest = client.rest_of(head);
     assert!(rest.complete && rest.body.len() == 6 << 10);
 }
--- a/crates/plankvale/tests/sidecar/rough.rs
+++ b/crates/plankvale/tests/sidecar/malformed.rs
@@ -1,4 +1,4 @@
-//! Clients that send what can't be read, and servers whose answers come spoilt.
+//! Clients that send invalid bytes, and servers whose answers are invalid.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,7 +6,7 @@
 
 use millethook_testkit::*;
 
-fn echo(n: usize) -> (Sidecar, Agent, RequestLog) {
+fn sidecar_with_echo_servers(n: usize) -> (Sidecar, Agent, RequestLog) {
     let (list, log, _) = servers(n, |mut conn, seen| {
         conn.send(ok(&String::from_utf8_lossy(&seen.message.body)));
         Some(conn)
@@ -15,8 +15,9 @@
     (sidecar, agent, log)
 }
 
-/// The first request that any server sees is answered with `first` and nothing more, others well.
-fn first_spoilt(first: &'static str) -> (Sidecar, Agent, RequestLog) {
+/// The first request that any server receives is answered with `first` and nothing more, others
+/// correctly.
+fn sidecar_with_first_answer(first: &'static str) -> (Sidecar, Agent, RequestLog) {
     let (list, log, _) = servers(3, move |mut conn, seen| {
         if seen.nth == 1 {
             conn.send(first);
@@ -30,11 +31,12 @@
     (sidecar, agent, log)
 }
 
-/// Danger: of a length and chunks one reader may take the one, the next the other, and see a
-/// request where the first saw a body. hyper drops the length without a word.
+/// Guards against request smuggling: with both a length and chunks, one reader may use the length
+/// and the next the chunks, and see a request where the first saw a body. hyper drops the length
+/// silently.
 #[test]
 fn a_request_with_two_framings_goes_nowhere() {
-    let (sidecar, _agent, log) = echo(1);
+    let (sidecar, _agent, log) = sidecar_with_echo_servers(1);
     let hidden = "GET /look HTTP/1.1\r\nHost: a\r\n\r\n";
     for fields in [
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
@@ -52,11 +54,11 @@
     assert_eq!(log.count(), 0);
 }
 
-/// Every such client is done with long before a patient one would give up.
+/// Each of these clients is disconnected long before a client would give up.
 #[test]
-fn clients_that_never_finish_are_let_go() {
-    let (sidecar, _agent, log) = echo(1);
-    let begun = Instant::now();
+fn clients_that_never_finish_are_disconnected() {
+    let (sidecar, _agent, log) = sidecar_with_echo_servers(1);
+    let started_at = Instant::now();
     let mut silent = sidecar.client();
     let mut half = sidecar.client();
     half.send("GET /look HTTP/1.1\r\nHost: a\r\nX-");
@@ -65,42 +67,42 @@
     // A byte now and then is no progress.
     let mut slow = sidecar.client();
     slow.send("GET /look HTTP/1.1\r\n");
-    let mut dribbling = slow.socket.try_clone().unwrap();
+    let mut slow_socket = slow.socket.try_clone().unwrap();
     std::thread::spawn(move || {
         use std::io::Write;
-        while dribbling.write_all(b"a").is_ok() {
+        while slow_socket.write_all(b"a").is_ok() {
             std::thread::sleep(Duration::from_millis(50));
         }
     });
     for client in [&mut silent, &mut half, &mut short, &mut slow] {
         assert!(client.closed_by_peer());
     }
-    assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(5), "{:?}", started_at.elapsed());
     assert_eq!(log.count(), 0);
 }
 
-/// Danger: a length that is too great, or a head without end, keeps its request until it is too
-/// late for another attempt.
+/// Guards against an answer with too large a length, or a head without end, that keeps its request
+/// until it is too late for another attempt.
 #[test]
-fn an_answer_that_stands_still_is_a_failed_attempt() {
+fn a_stalled_answer_is_a_failed_attempt() {
     for first in [
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nsome",
         "HTTP/1.1 200 OK\r\nX-No-End: a",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\nsome",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome",
     ] {
-        let (sidecar, _agent, log) = first_spoilt(first);
+        let (sidecar, _agent, log) = sidecar_with_first_answer(first);
         let got = sidecar.request(safe());
         assert_eq!((got.status(), got.body.as_slice(), log.count()), (200, &b"fine"[..], 2));
-        let (sidecar, _agent, log) = first_spoilt(first);
+        let (sidecar, _agent, log) = sidecar_with_first_answer(first);
         assert_eq!((sidecar.request(unsafe_with("x")).status(), log.count()), (502, 1), "{first}");
     }
 }
 
-/// It keeps coming, and is not kept. Nothing tells it from a long one until it is longer than any; then
-/// its client sees that it is not whole.
+/// The answer keeps arriving and is not buffered. It is not different from a long answer until it
+/// exceeds the maximum length; then its client sees that it is incomplete.
 #[test]
-fn an_answer_without_end_costs_no_memory() {
+fn an_endless_answer_uses_no_memory() {
     let (list, log, _) = servers(2, |mut conn, seen| {
         if seen.nth == 1 {
             use std::io::Write;
@@ -120,10 +122,10 @@
 }
 
 #[test]
-fn a_late_answer_behind_an_interim_one_is_waited_for() {
+fn a_late_answer_after_an_interim_one_is_waited_for() {
     let (list, log, _) = servers(1, |mut conn, _| {
         conn.send("HTTP/1.1 100 Continue\r\n\r\n");
-        // Longer than an answer that has begun may stand still.
+        // Longer than a started answer may stall.
         std::thread::sleep(Duration::from_millis(250));
         conn.send(ok("fine"));
         Some(conn)
@@ -132,7 +134,7 @@
     assert_eq!((sidecar.request(unsafe_with("x")).body.as_slice(), log.count()), (&b"fine"[..], 1));
 }
 
-/// Servers name the fields of their reports as the settings do.
+/// Servers use the field names of the settings in their reports.
 #[test]
 fn load_reports_are_read() {
     let served = [Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0))];
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -1,4 +1,5 @@
-//! The list of servers over restarts: a snapshot in place of discovery, weighed by its age.
+//! The list of servers across restarts: a snapshot in place of discovery, trusted according to its
+//! age.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -14,24 +15,24 @@
 
 const DAY: u64 = 86_400_000;
 
-/// A folder with the product's file and the snapshot of one sidecar.
-struct Kept(PathBuf);
+/// A folder with the product file and the snapshot of one sidecar.
+struct SnapshotFolder(PathBuf);
 
-impl Kept {
-    /// `more` goes into `[membership]`.
-    fn new(more: &str) -> Kept {
+impl SnapshotFolder {
+    /// `more` is appended to `[membership]`.
+    fn new(more: &str) -> SnapshotFolder {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let n = NEXT.fetch_add(1, Ordering::SeqCst);
         let folder =
             std::env::temp_dir().join(format!("plankvale-kept-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let kept = Kept(folder);
+        let folder = SnapshotFolder(folder);
         let text = format!(
             "[membership]\nsnapshot = {:?}\ntrial_spread_s = 0\ntrials_per_second = 50\nwrite_every_s = 0.1\n{more}\n",
-            kept.snapshot()
+            folder.snapshot()
         );
-        std::fs::write(kept.file(), text).expect("written");
-        kept
+        std::fs::write(folder.file(), text).expect("written");
+        folder
     }
 
     fn file(&self) -> String {
@@ -42,7 +43,7 @@
         self.0.join("members")
     }
 
-    /// Servers that were last confirmed so long ago.
+    /// Writes a snapshot of servers that were last confirmed `age_ms` ago.
     fn remember(&self, hosts: &[Value], age_ms: u64) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis() as u64;
         let confirmed_ms = now - age_ms;
@@ -64,20 +65,20 @@
     }
 }
 
-impl Drop for Kept {
+impl Drop for SnapshotFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn down() -> Value {
+fn config_with_discovery_down() -> Value {
     config(refusing_address(), |c| {
         c["admin"] = json!("127.0.0.1:0");
         c["settings"]["limits"]["connectTimeout"] = json!(250_000);
     })
 }
 
-/// A server of the fleet: it tells its name on its own page, and answers requests with it.
+/// A server of the fleet: its health page reports its name, and it answers requests with its name.
 fn member(name: &'static str) -> (Server, RequestLog) {
     let (list, log, _) = servers(1, move |mut conn, seen| {
         if seen.message.first.starts_with("GET /health/live ") {
@@ -90,8 +91,8 @@
     (list.into_iter().next().expect("one"), log)
 }
 
-/// The whole request is asked again, as a client would, until it is served.
-fn served_within(sidecar: &Sidecar, by: &str) {
+/// Repeats the request, as a client would, until it is served.
+fn wait_until_served_by(sidecar: &Sidecar, by: &str) {
     wait_until("served", || {
         let message = sidecar.request(safe());
         message.status() == 200 && message.body == by.as_bytes()
@@ -99,45 +100,47 @@
 }
 
 #[test]
-fn a_young_snapshot_serves_at_once_while_discovery_is_down() {
+fn a_recent_snapshot_serves_at_once_while_discovery_is_down() {
     let (server, _) = member("s-a");
-    let kept = Kept::new("");
-    kept.remember(&[host("s-a", server.address)], 60_000);
-    let sidecar = kept.launch(&down());
+    let folder = SnapshotFolder::new("");
+    folder.remember(&[host("s-a", server.address)], 60_000);
+    let sidecar = folder.launch(&config_with_discovery_down());
     assert_eq!(sidecar.served_by(), "s-a", "the very first request");
     assert_eq!(sidecar.metric("sidecar.membership.remembered"), 1);
     assert_eq!(sidecar.metric("sidecar.membership.trials"), 0);
 }
 
-/// All servers of a fresh list stand in another zone: they are used until discovery brings others.
+/// All servers of a recent snapshot are in another zone: they are used until discovery lists
+/// others.
 #[test]
 fn a_snapshot_of_another_zone_is_used_across_zones() {
-    let (far, _) = member("s-far");
-    let (near, _) = member("s-near");
+    let (remote, _) = member("s-far");
+    let (local, _) = member("s-near");
     let zoned = |name: &str, server: &Server, zone: &str| {
         let mut entry = host(name, server.address);
         entry["site"] = json!(zone);
         entry
     };
-    let kept = Kept::new("");
-    kept.remember(&[zoned("s-far", &far, "b")], 60_000);
-    let sidecar = kept.launch(&down());
+    let folder = SnapshotFolder::new("");
+    folder.remember(&[zoned("s-far", &remote, "b")], 60_000);
+    let sidecar = folder.launch(&config_with_discovery_down());
     assert_eq!(sidecar.served_by(), "s-far");
-    let agent = Agent::start(vec![zoned("s-far", &far, "b"), zoned("s-near", &near, "a")]);
-    let mut live = down();
-    live["discovery"] = json!(agent.address.to_string());
-    sidecar.reload(&live.to_string());
-    served_within(&sidecar, "s-near");
+    let agent = Agent::start(vec![zoned("s-far", &remote, "b"), zoned("s-near", &local, "a")]);
+    let mut config_with_discovery = config_with_discovery_down();
+    config_with_discovery["discovery"] = json!(agent.address.to_string());
+    sidecar.reload(&config_with_discovery.to_string());
+    wait_until_served_by(&sidecar, "s-near");
 }
 
-/// Up and down by turns, with an older version each time: nothing under way is lost, and nobody is forgotten.
+/// Discovery alternates between available and unavailable, each time with an older version: no open
+/// request is lost, and no server is dropped.
 #[test]
 fn discovery_that_flaps_changes_nothing() {
     let (server, _) = member("s-a");
-    let kept = Kept::new("");
-    kept.remember(&[host("s-a", server.address)], 60_000);
-    let mut config = down();
-    let sidecar = kept.launch(&config);
+    let folder = SnapshotFolder::new("");
+    folder.remember(&[host("s-a", server.address)], 60_000);
+    let mut config = config_with_discovery_down();
+    let sidecar = folder.launch(&config);
     for _ in 0..5 {
         let agent = Agent::start(vec![host("s-a", server.address)]);
         config["discovery"] = json!(agent.address.to_string());
@@ -150,88 +153,89 @@
     }
 }
 
-/// No list at all: refused at once, and served once the first list is there.
+/// Without any list requests are refused at once, and served once the first list arrives.
 #[test]
 fn without_any_list_requests_are_refused_until_one_comes() {
     let (server, _) = member("s-a");
-    let kept = Kept::new("");
-    let sidecar = kept.launch(&down());
+    let folder = SnapshotFolder::new("");
+    let sidecar = folder.launch(&config_with_discovery_down());
     for request in [safe(), unsafe_with("an order")] {
         assert_eq!(sidecar.request(request).status(), 503, "trying again is harmless");
     }
     let agent = Agent::start(vec![host("s-a", server.address)]);
-    let mut live = down();
-    live["discovery"] = json!(agent.address.to_string());
-    sidecar.reload(&live.to_string());
-    served_within(&sidecar, "s-a");
+    let mut config_with_discovery = config_with_discovery_down();
+    config_with_discovery["discovery"] = json!(agent.address.to_string());
+    sidecar.reload(&config_with_discovery.to_string());
+    wait_until_served_by(&sidecar, "s-a");
     wait_until("ready", || {
         sidecar.request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
     });
 }
 
-/// Danger: an address of last month may be held by another program, which must not get an order.
+/// Guards against an order that is sent to another program, which now has an address from last
+/// month.
 #[test]
-fn of_an_old_snapshot_only_who_answers_as_itself_gets_requests() {
+fn an_old_snapshot_serves_only_servers_that_confirm_their_identity() {
     let (good, _) = member("s-a");
-    let (stranger, stranger_seen) = member("somebody-else");
-    let (mute, mute_seen, _) = servers(1, |_, _| None);
-    let kept = Kept::new("identity_header = \"X-Server-Name\"");
-    let gone = refusing_address();
+    let (stranger, stranger_log) = member("somebody-else");
+    let (silent, silent_log, _) = servers(1, |_, _| None);
+    let folder = SnapshotFolder::new("identity_header = \"X-Server-Name\"");
+    let refusing = refusing_address();
     let list = [
         host("s-a", good.address),
         host("s-b", stranger.address),
-        host("s-c", mute[0].address),
-        host("s-d", gone),
+        host("s-c", silent[0].address),
+        host("s-d", refusing),
     ];
-    kept.remember(&list, 20 * DAY);
-    let sidecar = kept.launch(&down());
-    served_within(&sidecar, "s-a");
+    folder.remember(&list, 20 * DAY);
+    let sidecar = folder.launch(&config_with_discovery_down());
+    wait_until_served_by(&sidecar, "s-a");
     wait_until("the others fell out", || sidecar.metric("sidecar.membership.dropped") >= 2);
     for _ in 0..20 {
         let body = "an order";
         let status = sidecar.request(unsafe_with(body)).status();
         assert!(status == 200 || status == 503, "{status}");
     }
-    // Each of them has seen trials, and nothing else.
-    assert!(stranger_seen.count() >= 1);
-    assert_eq!(stranger_seen.count(), 1, "one trial, and no request");
-    assert!(mute_seen.count() <= 4, "trials alone");
+    // Each of these servers has received trials and nothing else.
+    assert!(stranger_log.count() >= 1);
+    assert_eq!(stranger_log.count(), 1, "one trial, and no request");
+    assert!(silent_log.count() <= 4, "trials alone");
     assert_eq!(sidecar.metric("sidecar.membership.confirmed"), 1);
 }
 
 #[test]
-fn a_snapshot_too_old_to_be_tried_is_refused_by_and_discovery_puts_it_right() {
-    let (old, old_seen) = member("s-old");
+fn a_snapshot_too_old_for_trials_is_unused_until_discovery_answers() {
+    let (old, old_log) = member("s-old");
     let (new, _) = member("s-new");
-    let kept = Kept::new("");
-    kept.remember(&[host("s-old", old.address)], 2_000 * DAY);
+    let folder = SnapshotFolder::new("");
+    folder.remember(&[host("s-old", old.address)], 2_000 * DAY);
     let agent = Agent::start(vec![host("s-new", new.address)]);
-    let sidecar = kept.launch(&down());
+    let sidecar = folder.launch(&config_with_discovery_down());
     let answer = sidecar.request(safe());
     assert_eq!(answer.status(), 503, "refused at once: there is nobody to send it to");
-    let mut live = down();
-    live["discovery"] = json!(agent.address.to_string());
-    sidecar.reload(&live.to_string());
-    served_within(&sidecar, "s-new");
-    assert_eq!(old_seen.count(), 0);
-    // The kept list is the live one from now on.
+    let mut config_with_discovery = config_with_discovery_down();
+    config_with_discovery["discovery"] = json!(agent.address.to_string());
+    sidecar.reload(&config_with_discovery.to_string());
+    wait_until_served_by(&sidecar, "s-new");
+    assert_eq!(old_log.count(), 0);
+    // The stored list is the live one from now on.
     wait_until("written", || {
-        show(&kept.snapshot())
+        show(&folder.snapshot())
             .is_ok_and(|s| s.servers.len() == 1 && s.servers[0].host.host == "s-new")
     });
 }
 
 #[test]
-fn an_empty_registry_does_not_wipe_a_good_list() {
+fn an_empty_registry_does_not_clear_a_good_list() {
     let members: Vec<_> = ["s-a", "s-b", "s-c", "s-d", "s-e"].into_iter().map(member).collect();
     let names = ["s-a", "s-b", "s-c", "s-d", "s-e"];
     let all: Vec<_> =
         members.iter().zip(names).map(|((s, _), name)| host(name, s.address)).collect();
     let agent = Agent::start(all.clone());
-    let kept = Kept::new("suspect_hold_s = 3600");
-    let mut config = down();
+    let folder = SnapshotFolder::new("suspect_hold_s = 3600");
+    let mut config = config_with_discovery_down();
     config["discovery"] = json!(agent.address.to_string());
-    let sidecar = kept.launch(&config);
+    let sidecar = folder.launch(&config);
     wait_until("listed", || sidecar.request(safe()).status() == 200);
     agent.set_hosts(Vec::new());
     sidecar.wait_for_log("suspect_list_held");
@@ -245,16 +249,16 @@
 }
 
 #[test]
-fn without_the_guard_or_after_its_time_an_empty_list_holds() {
+fn without_the_guard_or_after_its_time_an_empty_list_is_applied() {
     let members: Vec<_> = ["s-a", "s-b", "s-c", "s-d", "s-e"].into_iter().map(member).collect();
     let listed = members.iter().enumerate().map(|(i, (s, _))| host(&format!("s-{i}"), s.address));
     let all: Vec<_> = listed.collect();
     for more in ["suspect_share = 0", "suspect_hold_s = 0.2"] {
         let agent = Agent::start(all.clone());
-        let kept = Kept::new(more);
-        let mut config = down();
+        let folder = SnapshotFolder::new(more);
+        let mut config = config_with_discovery_down();
         config["discovery"] = json!(agent.address.to_string());
-        let sidecar = kept.launch(&config);
+        let sidecar = folder.launch(&config);
         wait_until("listed", || sidecar.request(safe()).status() == 200);
         agent.set_hosts(Vec::new());
         wait_until("the empty list holds", || sidecar.request(safe()).status() == 503);
@@ -262,92 +266,98 @@
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_used_is_told_and_nothing_else() {
+fn an_unusable_snapshot_is_ignored() {
     let (server, _) = member("s-a");
     let agent = Agent::start(vec![host("s-a", server.address)]);
-    let kept = Kept::new("");
-    std::fs::write(kept.snapshot(), "millethook-membership 1 00000000 5\nhello").expect("written");
-    let mut config = down();
+    let folder = SnapshotFolder::new("");
+    std::fs::write(folder.snapshot(), "millethook-membership 1 00000000 5\nhello")
+        .expect("written");
+    let mut config = config_with_discovery_down();
     config["discovery"] = json!(agent.address.to_string());
-    // What is logged before it listens is not kept by the stand-in; its effect is.
-    let mut sidecar = kept.launch(&config);
-    served_within(&sidecar, "s-a");
+    // The test kit does not keep log lines from before the daemon listens, so only the effect is
+    // checked.
+    let mut sidecar = folder.launch(&config);
+    wait_until_served_by(&sidecar, "s-a");
     assert_eq!(sidecar.terminate_and_wait(), Some(0));
-    let kept = show(&kept.snapshot()).expect("written anew");
-    assert_eq!((kept.fleet.as_str(), kept.servers.len()), ("n0", 1));
+    let snapshot = show(&folder.snapshot()).expect("written anew");
+    assert_eq!((snapshot.fleet.as_str(), snapshot.servers.len()), ("n0", 1));
 }
 
 #[test]
-fn a_folder_that_cannot_be_written_costs_the_snapshot_alone() {
+fn an_unwritable_folder_only_prevents_the_snapshot() {
     let (server, _) = member("s-a");
     let agent = Agent::start(vec![host("s-a", server.address)]);
-    let kept = Kept::new("");
-    // A folder stands where the file is to be.
-    std::fs::create_dir(kept.snapshot()).expect("a folder");
-    let mut config = down();
+    let folder = SnapshotFolder::new("");
+    // A folder is in the place of the file.
+    std::fs::create_dir(folder.snapshot()).expect("a folder");
+    let mut config = config_with_discovery_down();
     config["discovery"] = json!(agent.address.to_string());
-    let sidecar = kept.launch(&config);
-    served_within(&sidecar, "s-a");
+    let sidecar = folder.launch(&config);
+    wait_until_served_by(&sidecar, "s-a");
     sidecar.wait_for_log("snapshot_not_written");
     assert_eq!(sidecar.request(safe()).status(), 200);
 }
 
 #[test]
-fn a_changed_file_is_told_key_by_key_and_kept() {
+fn a_changed_product_file_is_reported_key_by_key_and_not_applied() {
     let (server, _) = member("s-a");
     let agent = Agent::start(vec![host("s-a", server.address)]);
-    let kept = Kept::new("");
-    let mut config = down();
+    let folder = SnapshotFolder::new("");
+    let mut config = config_with_discovery_down();
     config["discovery"] = json!(agent.address.to_string());
-    let sidecar = kept.launch(&config);
-    served_within(&sidecar, "s-a");
-    let text = std::fs::read_to_string(kept.file()).expect("read");
-    std::fs::write(kept.file(), format!("{text}\n[connections]\nspare = 1\n")).expect("written");
+    let sidecar = folder.launch(&config);
+    wait_until_served_by(&sidecar, "s-a");
+    let text = std::fs::read_to_string(folder.file()).expect("read");
+    std::fs::write(folder.file(), format!("{text}\n[connections]\nspare = 1\n")).expect("written");
     sidecar.reload(&config.to_string());
     sidecar.wait_for_log("[connections]");
-    std::fs::write(kept.file(), "[membership]\nsnapsot = 3\n").expect("written");
+    std::fs::write(folder.file(), "[membership]\nsnapsot = 3\n").expect("written");
     sidecar.reload(&config.to_string());
     sidecar.wait_for_log("line 2: membership.snapsot: no such key");
     assert_eq!(sidecar.request(safe()).status(), 200);
 }
 
-fn cli(args: &[&str]) -> Output {
+fn run_program(args: &[&str]) -> Output {
     Command::new(program("plankvale")).env_clear().args(args).output().expect("it runs")
 }
 
 #[test]
 fn the_command_line_does_as_its_help_says() {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    let version = cli(&["--version"]);
+    let version = run_program(&["--version"]);
     assert!(version.status.success() && text(&version.stdout).starts_with("plankvale "));
-    let help = text(&cli(&["--help"]).stdout);
+    let help = text(&run_program(&["--help"]).stdout);
     assert!(help.contains("check") && help.contains("--config"), "{help}");
 
-    let kept = Kept::new("usable_above = 2");
-    let wrong = cli(&["check", &kept.file()]);
+    let folder = SnapshotFolder::new("usable_above = 2");
+    let wrong = run_program(&["check", &folder.file()]);
     assert_eq!(wrong.status.code(), Some(2));
-    let told = text(&wrong.stderr);
-    assert!(told.contains("millethook.toml: line 6: membership.usable_above: a share"), "{told}");
-    let good = Kept::new("");
-    assert_eq!(cli(&["check", &good.file()]).status.code(), Some(0));
+    let output = text(&wrong.stderr);
+    assert!(
+        output.contains("millethook.toml: line 6: membership.usable_above: a share"),
+        "{output}"
+    );
+    let good = SnapshotFolder::new("");
+    assert_eq!(run_program(&["check", &good.file()]).status.code(), Some(0));
 
     good.remember(&[host("s-a", refusing_address())], 3 * DAY);
-    let shown = cli(&["membership", "show", &good.snapshot().to_string_lossy()]);
+    let shown = run_program(&["membership", "show", &good.snapshot().to_string_lossy()]);
     let shown = text(&shown.stdout);
     assert!(
         shown.contains("fleet n0, version 900") && shown.contains("confirmed 3 days ago"),
         "{shown}"
     );
-    assert_eq!(cli(&["membership", "show", "/nowhere"]).status.code(), Some(2));
-    let unknown = cli(&["--config", "/nowhere/at/all"]);
+    assert_eq!(run_program(&["membership", "show", "/nowhere"]).status.code(), Some(2));
+    let unknown = run_program(&["--config", "/nowhere/at/all"]);
     assert_eq!(unknown.status.code(), Some(2));
     assert!(text(&unknown.stderr).contains("/nowhere/at/all"));
 }
 
-/// An empty list, then changes, then the end of the wait for the empty list: what the changes said holds on. The list
-/// that was held would take the server off again, and would bring back one that has left.
+/// An empty list, then changes, then the end of the hold period of the empty list: the changes
+/// remain in force. The held list would remove the added server, and would bring back one that has
+/// left.
 #[test]
-fn changes_after_a_suspect_list_outlast_it() {
+fn changes_after_a_suspect_list_remain_in_force() {
     let names = ["s-a", "s-b", "s-c", "s-d", "s-e"];
     let members: Vec<_> = names.into_iter().map(member).collect();
     let all: Vec<_> =
@@ -368,10 +378,10 @@
         conn.send(ok(&list));
         Some(conn)
     });
-    let kept = Kept::new("suspect_hold_s = 1");
-    let mut config = down();
+    let folder = SnapshotFolder::new("suspect_hold_s = 1");
+    let mut config = config_with_discovery_down();
     config["discovery"] = json!(registry[0].address.to_string());
-    let sidecar = kept.launch(&config);
+    let sidecar = folder.launch(&config);
     sidecar.wait_for_log("suspect_list_taken");
     wait_until("only the one that changes named is left", || {
         sidecar.metric("sidecar.membership.live") == 1
--- a/crates/plankvale/tests/sidecar/operators.rs
+++ b/crates/plankvale/tests/sidecar/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' address: readiness, figures that agree with what peers saw, and callers that stay.
+//! The admin address: readiness, metrics that agree with what peers received, and callers that stay
+//! connected.
 
 use std::net::TcpStream;
 use std::sync::mpsc::channel;
@@ -6,14 +7,14 @@
 use millethook_testkit::*;
 use serde_json::{Value, json};
 
-fn operated(agent: &Agent) -> Value {
+fn config_with_admin(agent: &Agent) -> Value {
     config(agent.address, |c| c["admin"] = json!("127.0.0.1:0"))
 }
 
 #[test]
 fn ready_once_there_is_a_list() {
     let agent = Agent::start(Vec::new());
-    let sidecar = Sidecar::launch(&operated(&agent));
+    let sidecar = Sidecar::launch(&config_with_admin(&agent));
     assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 503);
     agent.set_hosts(hosts(&[Server::named("a")]));
     wait_until("ready", || sidecar.admin_request("GET /v1/readyz").status() == 200);
@@ -23,16 +24,16 @@
 }
 
 #[test]
-fn figures_agree_with_what_peers_saw() {
-    let (asked, told) = channel();
-    // Orders fail, and what is kept is held until the test says so.
+fn metrics_agree_with_what_peers_received() {
+    let (arrived, arrivals) = channel();
+    // Orders fail, and requests of class `keep` are held until the test releases them.
     let (servers, log, _) = servers(2, move |mut conn, seen| {
         match seen.message.first.split(['/', ' ']).nth(2) {
             Some("order") => conn.send(answer("500 No", "", "")),
             Some("keep") => {
-                let (go, going) = channel::<()>();
-                let _ = asked.send(go);
-                let _ = going.recv_timeout(WAIT_TIMEOUT);
+                let (release, released) = channel::<()>();
+                let _ = arrived.send(release);
+                let _ = released.recv_timeout(WAIT_TIMEOUT);
                 conn.send(ok("kept"));
             }
             _ => conn.send(ok("seen")),
@@ -40,18 +41,18 @@
         Some(conn)
     });
     let agent = Agent::start(hosts(&servers));
-    let sidecar = Sidecar::start(&operated(&agent));
+    let sidecar = Sidecar::start(&config_with_admin(&agent));
     for _ in 0..5 {
         assert_eq!(sidecar.request(safe()).status(), 200);
     }
     assert_eq!(sidecar.request(unsafe_with("x")).status(), 502);
-    let mut keeping = sidecar.client();
-    keeping.send(keyed());
-    let go = receive(&told);
+    let mut keep_client = sidecar.client();
+    keep_client.send(keyed());
+    let release = receive(&arrivals);
     assert_eq!(sidecar.metric("sidecar.outstanding"), 1);
-    go.send(()).unwrap();
-    assert_eq!(keeping.message().unwrap().status(), 200);
-    // What is invalid is no request.
+    release.send(()).unwrap();
+    assert_eq!(keep_client.message().unwrap().status(), 200);
+    // An invalid request is not counted as a request.
     assert_eq!(sidecar.request("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n").status(), 404);
     agent.set_hosts(Vec::new());
     wait_until("an empty list", || sidecar.metric("sidecar.discovered") == 0);
@@ -72,11 +73,11 @@
 }
 
 #[test]
-fn a_server_without_signs_of_life_is_ejected() {
+fn an_unresponsive_server_is_ejected() {
     let dead = Server::start(drop);
     let agent =
         Agent::start(vec![host("s-dead", dead.address), host("s-b", Server::named("b").address)]);
-    let sidecar = Sidecar::start(&operated(&agent));
+    let sidecar = Sidecar::start(&config_with_admin(&agent));
     wait_until("it is avoided", || {
         sidecar.request(safe());
         sidecar.metric("sidecar.ejected") == 1
@@ -87,7 +88,7 @@
 #[test]
 fn configurations_are_counted() {
     let agent = Agent::start(hosts(&[Server::named("a")]));
-    let config = operated(&agent);
+    let config = config_with_admin(&agent);
     let sidecar = Sidecar::start(&config);
     assert_eq!(sidecar.metric("sidecar.sighup_applied"), 0);
     sidecar.reload(&config.to_string());
@@ -97,11 +98,12 @@
     assert_eq!(sidecar.metric("sidecar.sighup_applied"), 1);
 }
 
-/// Danger: callers that connect and say nothing, or half a call, must not lock out those that ask.
+/// Guards against callers that connect and send nothing, or half a request, and lock out other
+/// callers.
 #[test]
-fn callers_that_stay_keep_nobody_out() {
+fn idle_admin_callers_do_not_block_others() {
     let agent = Agent::start(hosts(&[Server::named("a")]));
-    let sidecar = Sidecar::start(&operated(&agent));
+    let sidecar = Sidecar::start(&config_with_admin(&agent));
     let before = sidecar.descriptors();
     let admin = sidecar.admin.unwrap();
     let mut silent: Vec<_> = (0..200)
@@ -115,13 +117,13 @@
         .collect();
     assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 200);
     assert!(sidecar.descriptors() <= before + 20, "{} descriptors", sidecar.descriptors());
-    // Each of them is let go in the end.
+    // Each of them is disconnected in the end.
     assert!(silent.iter_mut().all(|caller| caller.closed_by_peer()));
     assert_eq!(sidecar.admin_request("GET /v1/readyz").status(), 200);
 }
 
 #[test]
-fn an_operators_address_that_is_none_is_named() {
+fn an_invalid_admin_address_is_reported() {
     let agent = Agent::start(Vec::new());
     let output =
         failed_start(&config(agent.address, |c| c["admin"] = json!("here")).to_string(), &[]);
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts end, as far as only the daemon's sockets can show it; `conformance` has the rest.
+//! Ends of attempts that only show on the daemon's sockets; the other cases are in `conformance`.
 
 use std::io::Read;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,7 +8,7 @@
 use millethook_testkit::*;
 
 #[test]
-fn served_passes_body_and_head_on() {
+fn a_served_answer_keeps_its_body_and_head() {
     let (list, _, seen) = servers(1, |mut conn, _| {
         conn.send(answer("200 OK", "X-Kept: yes\r\nX-Backend-Load: inflight=1\r\n", "a\0b"));
         Some(conn)
@@ -25,7 +25,7 @@
 }
 
 /// A server that resets a connection at the first byte of its nth request, counted from 1.
-fn resets_at(nth: usize) -> (Server, RequestLog) {
+fn server_that_resets_at(nth: usize) -> (Server, RequestLog) {
     let (log, _) = RequestLog::new();
     let taken = log.clone();
     let server = Server::start(move |mut conn| {
@@ -42,29 +42,30 @@
     (server, log)
 }
 
-/// Danger: what has rested may be reset by the first byte written to it. The reset has a few
-/// milliseconds to be seen, so on a busy machine it may be missed, but not each time. What has rested for
-/// less is not tried.
+/// Guards against losing a request to an idle connection that is reset at the first byte written to
+/// it. The sidecar waits a few milliseconds for the reset, so a busy machine may miss it, but not
+/// every time. A connection that has been idle for a shorter time is not checked.
 #[test]
-fn a_reset_by_the_first_byte_costs_a_used_connection_only() {
-    let (server, log) = resets_at(2);
+fn a_reset_at_the_first_byte_costs_only_the_connection() {
+    let (server, log) = server_that_resets_at(2);
     let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let ask = |_: &i32| {
         std::thread::sleep(Duration::from_millis(10));
         sidecar.request(unsafe_with("x")).status() == 200
     };
     let served = (0..8).filter(ask).count();
-    // Without a trial every other request is lost.
+    // Without the check every other request is lost.
     assert!(served > 5, "{served} of 8");
     assert!(log.count() <= 8);
 }
 
-/// Danger: a reset while a request comes leaves it unbegun, also where all of it would have gone
-/// out in one piece. It is refused, which says that it never ran.
+/// Guards against a failure for a request whose connection is reset while it is sent, so that it
+/// never started, also if it would have fit into one write. It is refused, which says that it never
+/// ran.
 #[test]
-fn a_reset_while_a_short_request_comes_never_ran() {
+fn a_short_request_reset_while_it_is_sent_never_ran() {
     let refused = (0..5).any(|_| {
-        let (server, _) = resets_at(1);
+        let (server, _) = server_that_resets_at(1);
         let (sidecar, _agent) = Sidecar::with_servers(&[server]);
         sidecar.request(unsafe_with("x")).status() == 503
     });
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_connection_closed_without_a_word_is_not_used_again() {
+fn a_silently_closed_connection_is_not_reused() {
     let (list, log, _) = servers(1, |mut conn, _| {
         conn.send(ok("fine"));
         None
@@ -82,21 +83,21 @@
     for n in 1..=10 {
         client.send(unsafe_with("x"));
         let status = client.message().unwrap().status();
-        // The end may cross the next request; then it may have run, and is not sent again.
+        // The close may cross the next request, which then may have run and is not sent again.
         assert!(status == 200 || status == 502, "{status}");
         assert!(log.count() <= n);
     }
     assert!(log.count() >= 5);
 }
 
-/// What nothing more can come of is answered then and there, however late it is, not when its
-/// client's time is up; what may have run as a failure. A refusal tells when to come back: not the
-/// same to all, and no later than the settings allow.
+/// A request for which no attempt is left is answered at once, however late it is, rather than at
+/// the end of its client's time; as a failure if it may have run. A refusal says when to retry:
+/// with different times for different clients, and no later than the settings allow.
 #[test]
-fn nothing_is_held_back() {
-    let long = |request: String| request.replace("Left-Ms: 900", "Left-Ms: 15000");
+fn final_outcomes_are_answered_at_once() {
+    let with_long_time = |request: String| request.replace("Left-Ms: 900", "Left-Ms: 15000");
     let (list, log, _) = servers(1, |conn, _| {
-        // Past every aim.
+        // Longer than every aim.
         std::thread::sleep(Duration::from_millis(400));
         conn.reset();
         None
@@ -113,12 +114,12 @@
         }))
     };
     let before = Instant::now();
-    let got = start().request(long(unsafe_with("x")));
+    let got = start().request(with_long_time(unsafe_with("x")));
     assert_eq!((got.status(), got.header("retry-after"), log.count()), (502, None, 1));
     let sidecar = start();
-    let told: std::collections::BTreeSet<String> = (0..6)
+    let retry_times: std::collections::BTreeSet<String> = (0..6)
         .map(|_| {
-            let got = sidecar.request(long(safe()));
+            let got = sidecar.request(with_long_time(safe()));
             assert_eq!(got.status(), 503);
             got.header("retry-after").expect("a time").to_owned()
         })
@@ -126,16 +127,16 @@
     assert!(before.elapsed() < Duration::from_secs(14), "{:?}", before.elapsed());
     assert!(log.count() >= 2, "one of these at the least was sent");
     let seconds = |t: &String| t.parse::<f64>().unwrap();
-    assert!(told.iter().map(seconds).all(|t| t > 0.1 && t <= 0.4), "{told:?}");
-    assert!(told.len() > 3, "{told:?}");
+    assert!(retry_times.iter().map(seconds).all(|t| t > 0.1 && t <= 0.4), "{retry_times:?}");
+    assert!(retry_times.len() > 3, "{retry_times:?}");
 }
 
-/// Danger: of a few tens of milliseconds that a client waits, holding back a request's last byte and
-/// stopping ahead of time take a fifth.
+/// Guards against loss of a client's time: if a client waits only a few tens of milliseconds,
+/// holding back a request's last byte and stopping early take a fifth of that.
 #[test]
-fn a_hurried_clients_time_is_the_servers() {
-    let (tell, told) = channel();
-    // Each answer differs: where they are alike, connections are not used for many.
+fn a_hurried_clients_time_is_left_to_the_server() {
+    let (pieces_sender, pieces_receiver) = channel();
+    // Each answer differs, as connections with equal answers are not reused for many requests.
     let count = AtomicUsize::new(0);
     let server = Server::start(move |mut conn| {
         let mut buf = [0; 4096];
@@ -155,7 +156,7 @@
             }
             let left = head.lines().find_map(|l| l.strip_prefix("x-time-left-ms: "));
             let left: u64 = left.unwrap().parse().unwrap();
-            if nth > 0 && tell.send((pieces, left)).is_err() {
+            if nth > 0 && pieces_sender.send((pieces, left)).is_err() {
                 return;
             }
             conn.send(ok(&format!("fine {}", count.fetch_add(1, Ordering::SeqCst))));
@@ -163,14 +164,14 @@
     });
     let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let mut seen: Vec<(i32, u64)> = Vec::new();
-    // Between two of them the connection rests.
+    // The connection is idle between two requests.
     wait_until("twenty on connections that have rested", || {
         sidecar.request(safe().replace("Left-Ms: 900", "Left-Ms: 40"));
-        seen.extend(told.try_iter());
+        seen.extend(pieces_receiver.try_iter());
         seen.len() >= 20
     });
-    let whole = seen.iter().filter(|s| s.0 == 1).count();
-    assert!(whole >= 10, "{whole} of {} came in one piece", seen.len());
+    let in_one_piece = seen.iter().filter(|s| s.0 == 1).count();
+    assert!(in_one_piece >= 10, "{in_one_piece} of {} came in one piece", seen.len());
     let most = seen.iter().map(|s| s.1).max();
     assert!(most >= Some(36), "{most:?} of 40 ms");
 }
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -1,4 +1,4 @@
-//! New configurations at SIGHUP, and a start with little of everything.
+//! New configurations at SIGHUP, and starts with minimal limits.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
@@ -6,9 +6,9 @@
 use millethook_testkit::*;
 use serde_json::json;
 
-/// Danger: a limit that the platform does set must not keep the sidecar from starting.
+/// Guards against a sidecar that does not start under limits that the platform does set.
 #[test]
-fn the_least_limits_of_the_platform_are_enough() {
+fn the_platforms_minimum_limits_suffice() {
     let a = Server::named("a");
     let agent = Agent::start(hosts(&[a]));
     let sidecar = Sidecar::start(&config(agent.address, |c| {
@@ -18,27 +18,27 @@
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_keeps_what_is_under_way() {
-    let (asked, told) = channel();
+fn a_new_configuration_changes_discovery_and_keeps_open_requests() {
+    let (arrived, arrivals) = channel();
     let (held, _, _) = servers(1, move |mut conn, _| {
-        let (go, going) = channel::<()>();
-        let _ = asked.send(go);
-        let _ = going.recv_timeout(WAIT_TIMEOUT);
+        let (release, released) = channel::<()>();
+        let _ = arrived.send(release);
+        let _ = released.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("held"));
         Some(conn)
     });
     let b = Server::named("b");
-    // Versions of the new one lie behind those of the old one.
+    // The versions of the new discovery are lower than those of the old one.
     let old = Agent::start(hosts(&held));
     old.set_hosts(hosts(&held));
     let new = Agent::start(vec![host("s-b", b.address)]);
     let mut sidecar = Sidecar::start(&config(old.address, |_| {}));
     let mut busy = sidecar.client();
     busy.send(safe());
-    let go = receive(&told);
+    let release = receive(&arrivals);
     sidecar.reload(&config(new.address, |_| {}).to_string());
     wait_until("the new discovery asked", || new.calls() > 0);
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(busy.message().unwrap().body, b"held");
     wait_until("the old discovery left", || old.open() == 0);
     wait_until("the new list", || sidecar.served_by() == "b");
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn discovery_moves_where_it_is_asked_too() {
+fn discovery_on_request_changes_too() {
     let (a, b) = (Server::named("a"), Server::named("b"));
     let old = Agent::start(vec![host("s-a", a.address)]);
     let new = Agent::start(vec![host("s-b", b.address)]);
-    let asked = |agent: &Agent| {
+    let on_request = |agent: &Agent| {
         let known = json!({"seq": 0, "whole": true, "hosts": [host("s-a", a.address)]});
         config(agent.address, |c| {
             c["known"] = known;
@@ -58,8 +58,8 @@
             c["settings"]["rules"]["mustAskIn"] = json!(1_000_000);
         })
     };
-    let sidecar = Sidecar::start(&asked(&old));
-    sidecar.reload(&asked(&new).to_string());
+    let sidecar = Sidecar::start(&on_request(&old));
+    sidecar.reload(&on_request(&new).to_string());
     wait_until("the new list", || sidecar.served_by() == "b");
     wait_until("the old discovery left", || old.open() == 0);
 }
@@ -75,7 +75,7 @@
         sidecar.wait_for_log("the configuration stays as it was");
         assert_eq!(sidecar.served_by(), "a", "{bad}");
     }
-    // The old discovery is still listened to, and the next sound file counts.
+    // The old discovery is still in use, and the next valid file is applied.
     agent.set_hosts(vec![host("s-b", b.address)]);
     wait_until("its news", || sidecar.served_by() == "b");
     let other = Agent::start(vec![host("s-a", a.address)]);
@@ -84,11 +84,12 @@
     assert!(sidecar.child.try_wait().unwrap().is_none());
 }
 
-/// Guards against answers that go on unproven once handshakes have no price any more.
+/// Guards against answers on reused connections that are not proven to be their requests' own once
+/// handshakes have no price.
 #[test]
 fn a_new_price_of_handshakes_counts_for_open_connections() {
     const REQUESTS: usize = 8;
-    // Each answer differs: where they are alike, they are proven at any price.
+    // Each answer differs, as equal answers are proven at any price.
     let count = AtomicUsize::new(0);
     let server = Server::start(move |mut conn| {
         while let Some(message) = conn.message().filter(|message| message.complete) {
@@ -112,8 +113,8 @@
     wait_until("answers are proven no more", all_kept);
 }
 
-/// A configuration whose settings are changed so.
-fn retuned(agent: &Agent, change: impl FnOnce(&mut serde_json::Value)) -> String {
+/// A configuration with changed settings, as text.
+fn config_with(agent: &Agent, change: impl FnOnce(&mut serde_json::Value)) -> String {
     let mut whole = config(agent.address, |c| c["admin"] = json!("127.0.0.1:0"));
     change(&mut whole);
     whole.to_string()
@@ -121,13 +122,13 @@
 
 #[test]
 fn classes_come_and_go_and_open_requests_keep_their_rules() {
-    let (asked, told) = channel();
+    let (arrived, arrivals) = channel();
     let (held, log, _) = servers(2, move |conn, seen| {
         if seen.message.first.contains("/order/held") {
-            let (go, going) = channel::<()>();
-            let _ = asked.send(go);
-            let _ = going.recv_timeout(WAIT_TIMEOUT);
-            // Whether it ran, nobody can tell.
+            let (release, released) = channel::<()>();
+            let _ = arrived.send(release);
+            let _ = released.recv_timeout(WAIT_TIMEOUT);
+            // Whether the request ran is unknown.
             return None;
         }
         let mut conn = conn;
@@ -135,11 +136,11 @@
         Some(conn)
     });
     let agent = Agent::start(hosts(&held));
-    let sidecar = Sidecar::start(&serde_json::from_str(&retuned(&agent, |_| {})).unwrap());
+    let sidecar = Sidecar::start(&serde_json::from_str(&config_with(&agent, |_| {})).unwrap());
     let mut busy = sidecar.client();
     busy.send(unsafe_with("x").replace("/order", "/order/held"));
-    let go = receive(&told);
-    sidecar.reload(&retuned(&agent, |c| {
+    let release = receive(&arrivals);
+    sidecar.reload(&config_with(&agent, |c| {
         let classes = c["settings"]["classes"].as_array_mut().unwrap();
         let mut page = classes[0].clone();
         page["name"] = json!("page");
@@ -148,8 +149,8 @@
         classes.remove(0);
     }));
     wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
-    // The open order is still one that must not run twice.
-    go.send(()).unwrap();
+    // The open order still must not run twice.
+    release.send(()).unwrap();
     assert_eq!(busy.message().unwrap().status(), 502);
     let of = |class: &str| safe().replace("/look", class);
     assert_eq!(sidecar.request(of("/page")).status(), 200);
@@ -162,23 +163,23 @@
     assert_eq!(log.count(), 4);
 }
 
-/// A head that was read under the old settings, whose body ends after the new ones hold.
+/// A head was read under the old settings, and its body ends after the new ones are in force.
 #[test]
-fn a_request_half_here_is_of_the_settings_under_which_it_began() {
+fn a_partly_read_request_keeps_the_settings_under_which_it_began() {
     let (servers, log, _) = servers(1, |mut conn, seen| {
         conn.send(ok(std::str::from_utf8(&seen.message.body).unwrap()));
         Some(conn)
     });
     let agent = Agent::start(hosts(&servers));
-    let sidecar = Sidecar::start(&serde_json::from_str(&retuned(&agent, |_| {})).unwrap());
+    let sidecar = Sidecar::start(&serde_json::from_str(&config_with(&agent, |_| {})).unwrap());
     let request = unsafe_with("body");
     let (head, rest) = request.split_at(request.len() - 2);
     let mut client = sidecar.client();
     client.send(head);
-    // Its head has been read once a request behind it has been served.
+    // The head has been read once a request sent after it has been served.
     assert_eq!(sidecar.request(safe()).status(), 200);
     for n in 0..3 {
-        sidecar.reload(&retuned(&agent, |c| {
+        sidecar.reload(&config_with(&agent, |c| {
             c["settings"]["classes"][2]["name"] = json!(format!("other-{n}"));
         }));
         wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == n + 1);
@@ -190,38 +191,38 @@
 }
 
 #[test]
-fn nothing_is_taken_from_a_file_that_is_not_whole() {
+fn nothing_is_applied_from_an_invalid_file() {
     let agent = Agent::start(hosts(&[Server::named("a")]));
-    let sidecar = Sidecar::start(&serde_json::from_str(&retuned(&agent, |_| {})).unwrap());
-    // Each of them would also drop a class.
-    let broken = |spoil: fn(&mut serde_json::Value)| {
-        retuned(&agent, |c| {
+    let sidecar = Sidecar::start(&serde_json::from_str(&config_with(&agent, |_| {})).unwrap());
+    // Each of these files would also remove a class.
+    let invalid_file = |invalidate: fn(&mut serde_json::Value)| {
+        config_with(&agent, |c| {
             c["settings"]["classes"].as_array_mut().unwrap().remove(1);
-            spoil(c);
+            invalidate(c);
         })
     };
     fn remove(of: &mut serde_json::Value, key: &str) {
         of.as_object_mut().unwrap().remove(key).expect("it was there");
     }
     let files = [
-        broken(|c| c["settings"]["classes"][0]["deadline"] = json!(0)),
-        broken(|c| c["settings"]["classes"][1]["deadline"] = json!(-5)),
-        broken(|c| c["settings"]["classes"][0]["deadline"] = json!("soon")),
-        broken(|c| c["settings"]["limits"]["maxAttempts"] = json!(0)),
-        broken(|c| c["settings"]["limits"]["maxAttempts"] = json!(-1)),
-        broken(|c| c["settings"]["limits"]["maxAttempts"] = json!(2.5)),
-        broken(|c| remove(&mut c["settings"]["limits"], "maxAttempts")),
-        broken(|c| remove(&mut c["settings"], "limits")),
-        broken(|c| remove(&mut c["settings"]["classes"][0], "name")),
-        broken(|c| remove(&mut c["settings"]["classes"][1], "window")),
-        broken(|c| remove(&mut c["settings"], "tenants")),
-        broken(|c| remove(c, "discovery")),
-        broken(|c| c["settings"]["classes"] = json!([])),
-        broken(|c| c["settings"]["classes"] = json!({})),
-        broken(|c| c["settings"]["classes"][0]["name"] = json!("order")),
+        invalid_file(|c| c["settings"]["classes"][0]["deadline"] = json!(0)),
+        invalid_file(|c| c["settings"]["classes"][1]["deadline"] = json!(-5)),
+        invalid_file(|c| c["settings"]["classes"][0]["deadline"] = json!("soon")),
+        invalid_file(|c| c["settings"]["limits"]["maxAttempts"] = json!(0)),
+        invalid_file(|c| c["settings"]["limits"]["maxAttempts"] = json!(-1)),
+        invalid_file(|c| c["settings"]["limits"]["maxAttempts"] = json!(2.5)),
+        invalid_file(|c| remove(&mut c["settings"]["limits"], "maxAttempts")),
+        invalid_file(|c| remove(&mut c["settings"], "limits")),
+        invalid_file(|c| remove(&mut c["settings"]["classes"][0], "name")),
+        invalid_file(|c| remove(&mut c["settings"]["classes"][1], "window")),
+        invalid_file(|c| remove(&mut c["settings"], "tenants")),
+        invalid_file(|c| remove(c, "discovery")),
+        invalid_file(|c| c["settings"]["classes"] = json!([])),
+        invalid_file(|c| c["settings"]["classes"] = json!({})),
+        invalid_file(|c| c["settings"]["classes"][0]["name"] = json!("order")),
         String::new(),
         "null".to_owned(),
-        retuned(&agent, |_| {})[..300].to_owned(),
+        config_with(&agent, |_| {})[..300].to_owned(),
     ];
     for (n, file) in files.iter().enumerate() {
         sidecar.reload(file);
@@ -229,13 +230,14 @@
         assert_eq!(sidecar.request(keyed()).status(), 200, "{file}");
     }
     assert_eq!(sidecar.metric("sidecar.sighup_applied"), 0);
-    sidecar.reload(&broken(|_| {}));
+    sidecar.reload(&invalid_file(|_| {}));
     wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
     assert_eq!(sidecar.request(keyed()).status(), 404);
 }
 
-/// Where discovery is asked, those that start together ask one after the other. Whoever has a list from before
-/// serves by it until then; here discovery never answers, and would not be asked for hours.
+/// With discovery on request, sidecars that start together query it one after another. A sidecar
+/// with a remembered list serves by it until its turn; here discovery never answers, and would not
+/// be queried for hours.
 #[test]
 fn a_remembered_list_serves_until_discovery_is_asked() {
     let a = Server::named("a");
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -1,4 +1,4 @@
-//! Start, discovery, and the planned end.
+//! Start, discovery, and graceful shutdown.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 use serde_json::json;
 
 #[test]
-fn a_bad_start_is_one_line_and_a_code() {
-    let at = TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = at.local_addr().unwrap();
+fn a_failed_start_prints_one_line_and_exits_with_a_code() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let taken = listener.local_addr().unwrap();
     let sound = config(taken, |_| {});
     let with = |change: &dyn Fn(&mut serde_json::Value)| {
         let mut config = sound.clone();
@@ -32,9 +32,9 @@
         ("classes", with(&|c| c["settings"]["classes"][1]["name"] = json!("look"))),
     ];
     let check = |key: &str, output: std::process::Output| {
-        let told = String::from_utf8(output.stderr).unwrap();
-        assert_eq!((output.status.code(), told.lines().count()), (Some(2), 1), "{key}: {told}");
-        assert!(told.contains(key), "{key}: {told}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!((output.status.code(), stderr.lines().count()), (Some(2), 1), "{key}: {stderr}");
+        assert!(stderr.contains(key), "{key}: {stderr}");
     };
     for (key, config) in cases {
         check(key, failed_start(&config, &[]));
@@ -44,13 +44,13 @@
     check("LB_CONFIG", failed_start("{}", &[("LB_CONFIG", "")]));
 }
 
-/// Discovery whose nth answer is cut off, malformed, silent or wrong; the news comes through all
-/// the same, and none of the rest counts.
+/// Discovery's answers are truncated, malformed, missing or wrong by turns; the update arrives all
+/// the same, and none of the invalid answers is applied.
 #[test]
-fn only_whole_answers_of_discovery_count() {
+fn only_complete_discovery_answers_are_applied() {
     let (a, b) = (Server::named("a"), Server::named("b"));
     let first = full_list(1, &[host("s-a", a.address)]);
-    let news = full_list(2, &[host("s-b", b.address)]);
+    let update = full_list(2, &[host("s-b", b.address)]);
     let calls = Arc::new(AtomicUsize::new(0));
     let discovery = {
         let calls = calls.clone();
@@ -58,19 +58,19 @@
             while conn.head().is_some() {
                 match calls.fetch_add(1, Ordering::SeqCst) {
                     0 => conn.send(ok(&first)),
-                    // In the middle, with an end.
-                    1 => return conn.send(&ok(&news)[..120]),
-                    // In the middle, and open.
+                    // Truncated, then closed.
+                    1 => return conn.send(&ok(&update)[..120]),
+                    // Truncated, and kept open.
                     2 => {
-                        conn.send(&ok(&news)[..120]);
+                        conn.send(&ok(&update)[..120]);
                         conn.closed_by_peer();
                     }
                     3 => drop(conn.closed_by_peer()),
                     4 => conn.send(ok("{\"seq\":9,\"whole\":true,\"hosts\":[{}]}")),
-                    5 => conn.send(answer("503 Down", "", &news)),
+                    5 => conn.send(answer("503 Down", "", &update)),
                     6 => conn.send("HTTP/1.1 what\r\n\r\n"),
                     7 => return conn.reset(),
-                    _ => conn.send(ok(&news)),
+                    _ => conn.send(ok(&update)),
                 }
             }
         })
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_list_that_is_asked_for_is_watched() {
+fn a_list_on_request_is_watched() {
     let (a, b) = (Server::named("a"), Server::named("b"));
     let agent = Agent::start(vec![host("s-a", a.address)]);
     let known = json!({"seq": 0, "whole": true, "hosts": [host("s-a", a.address)]});
@@ -99,12 +99,12 @@
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_and_exits() {
-    let (asked, told) = channel();
+fn sigterm_answers_accepted_requests_and_exits() {
+    let (arrived, arrivals) = channel();
     let (list, _, _) = servers(1, move |mut conn, _| {
-        let (go, going) = channel::<()>();
-        let _ = asked.send(go);
-        let _ = going.recv_timeout(WAIT_TIMEOUT);
+        let (release, released) = channel::<()>();
+        let _ = arrived.send(release);
+        let _ = released.recv_timeout(WAIT_TIMEOUT);
         conn.send(ok("late"));
         Some(conn)
     });
@@ -112,16 +112,16 @@
     let mut idle = sidecar.client();
     let mut busy = sidecar.client();
     busy.send(safe());
-    let go = receive(&told);
+    let release = receive(&arrivals);
     sidecar.terminate();
-    // New connections go on coming, and are served.
+    // New connections are still accepted and served.
     let mut new = sidecar.client();
     new.send(safe());
-    let new_go = receive(&told);
-    new_go.send(()).unwrap();
+    let new_release = receive(&arrivals);
+    new_release.send(()).unwrap();
     let got = new.message().unwrap();
     assert_eq!(got.body, b"late");
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     let got = busy.message().unwrap();
     assert_eq!((got.body.as_slice(), got.header("connection")), (&b"late"[..], Some("close")));
     assert!(idle.closed_by_peer());
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn sigterm_is_not_held_up_by_the_silent_and_the_unfinished() {
+fn sigterm_does_not_wait_for_silent_or_unfinished_clients() {
     let (list, _, seen) = servers(1, |mut conn, _| {
         conn.closed_by_peer();
         None
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn datagrams_of_strangers_do_no_harm() {
+fn datagrams_of_strangers_are_harmless() {
     let a = Server::named("a");
     let agent = Agent::start(vec![host("s-a", a.address)]);
     let peer = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -166,9 +166,9 @@
     assert_eq!(sidecar.served_by(), "a");
 }
 
-/// Danger: one entry that cannot be understood would void every list that holds it.
+/// Guards against rejecting a whole list because one entry cannot be parsed.
 #[test]
-fn a_server_in_an_unknown_state_gets_nothing_and_spoils_nothing() {
+fn a_server_in_an_unknown_state_gets_no_requests_and_the_list_is_used() {
     let (a, b) = (Server::named("a"), Server::named("b"));
     let mut odd = host("s-a", a.address);
     odd["health"] = json!("pondering");
@@ -179,12 +179,13 @@
     }
 }
 
-/// Danger: an answer of discovery that never ends but always moves would be the last one read.
+/// Guards against waiting forever for a discovery answer that never ends although bytes keep
+/// arriving.
 #[test]
-fn discovery_that_trickles_is_asked_again() {
+fn discovery_that_trickles_is_queried_again() {
     let (a, b) = (Server::named("a"), Server::named("b"));
     let first = full_list(1, &[host("s-a", a.address)]);
-    let news = full_list(2, &[host("s-b", b.address)]);
+    let update = full_list(2, &[host("s-b", b.address)]);
     let calls = Arc::new(AtomicUsize::new(0));
     let discovery = Server::start(move |mut conn| {
         use std::io::Write;
@@ -197,7 +198,7 @@
                         std::thread::sleep(std::time::Duration::from_millis(20));
                     }
                 }
-                _ => conn.send(ok(&news)),
+                _ => conn.send(ok(&update)),
             }
         }
     });
@@ -206,36 +207,38 @@
     wait_until("the news", || sidecar.served_by() == "b");
 }
 
-/// What became of the requests of one client.
+/// The results of one client's requests.
 #[derive(Default)]
-struct Tally {
+struct ClientResults {
     answered: usize,
     refused: usize,
     /// A new connection was closed without a byte of an answer.
     closed: usize,
-    /// Anything else: half an answer, a foreign one, or none where the request was taken.
+    /// Anything else: a partial answer, one of another request, or none although the request was
+    /// accepted.
     lost: usize,
 }
 
-/// Sends on one connection for as long as it stays open; one that ends before an answer began is crossed by the
-/// request, which goes out once more on a new one. New ones are opened until `last_connect`.
-fn sends_on(
-    at: std::net::SocketAddr,
+/// Sends requests on one connection for as long as it stays open. If a reused connection ends
+/// before an answer begins, the close has crossed the request, which is sent once more on a new
+/// connection. New connections are opened until `last_connect` returns true.
+fn send_until_closed(
+    address: std::net::SocketAddr,
     last_connect: &dyn Fn() -> bool,
     answered: &AtomicUsize,
-) -> Tally {
-    let mut tally = Tally::default();
-    let connect = || std::net::TcpStream::connect(at).ok().map(Conn::new);
+) -> ClientResults {
+    let mut results = ClientResults::default();
+    let connect = || std::net::TcpStream::connect(address).ok().map(Conn::new);
     let mut open = connect();
     loop {
         let reused = open.is_some();
         if !reused {
             if last_connect() {
-                return tally;
+                return results;
             }
             open = connect();
         }
-        let Some(mut client) = open.take() else { return tally };
+        let Some(mut client) = open.take() else { return results };
         let mut answer = client.request(safe());
         let mut fresh = !reused;
         if answer.is_none() && reused {
@@ -245,12 +248,12 @@
         }
         match &answer {
             Some(m) if m.complete && m.status() == 200 && m.body == b"a" => {
-                tally.answered += 1;
+                results.answered += 1;
                 answered.fetch_add(1, Ordering::SeqCst);
             }
-            Some(m) if m.complete && [429, 503].contains(&m.status()) => tally.refused += 1,
-            None if fresh => tally.closed += 1,
-            _ => tally.lost += 1,
+            Some(m) if m.complete && [429, 503].contains(&m.status()) => results.refused += 1,
+            None if fresh => results.closed += 1,
+            _ => results.lost += 1,
         }
         let closes = |m: &Message| m.header("connection") == Some("close");
         open = answer.filter(|m| m.complete && !closes(m)).map(|_| client);
@@ -258,7 +261,7 @@
 }
 
 #[test]
-fn what_clients_still_send_on_open_connections_after_sigterm_is_answered() {
+fn requests_on_open_connections_after_sigterm_are_answered() {
     let server = Server::start(|mut conn| {
         while conn.message().is_some() {
             thread::sleep(Duration::from_millis(2));
@@ -266,21 +269,22 @@
         }
     });
     let (mut sidecar, _agent) = Sidecar::with_servers(&[server]);
-    let (at, told) = (sidecar.address, std::sync::OnceLock::<Instant>::new());
-    // New connections come for up to 0.4 s after the signal.
-    let last = || told.get().is_some_and(|at| at.elapsed() > Duration::from_millis(300));
-    let so_far = AtomicUsize::new(0);
-    let tallies: Vec<Tally> = thread::scope(|scope| {
-        let clients: Vec<_> =
-            (0..12).map(|_| scope.spawn(|| sends_on(at, &last, &so_far))).collect();
-        // All are under way.
-        wait_until("clients at work", || so_far.load(Ordering::SeqCst) > 500);
+    let (address, signalled_at) = (sidecar.address, std::sync::OnceLock::<Instant>::new());
+    // New connections are accepted for up to 0.4 s after the signal.
+    let last = || signalled_at.get().is_some_and(|at| at.elapsed() > Duration::from_millis(300));
+    let answered_so_far = AtomicUsize::new(0);
+    let results_by_client: Vec<ClientResults> = thread::scope(|scope| {
+        let clients: Vec<_> = (0..12)
+            .map(|_| scope.spawn(|| send_until_closed(address, &last, &answered_so_far)))
+            .collect();
+        // All clients are at work.
+        wait_until("clients at work", || answered_so_far.load(Ordering::SeqCst) > 500);
         sidecar.terminate();
-        told.set(Instant::now()).expect("once");
+        signalled_at.set(Instant::now()).expect("once");
         assert_eq!(sidecar.exit_code(), Some(0));
         clients.into_iter().map(|c| c.join().expect("a client")).collect()
     });
-    let sum = |of: fn(&Tally) -> usize| tallies.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&ClientResults) -> usize| results_by_client.iter().map(of).sum::<usize>();
     let (answered, closed) = (sum(|t| t.answered), sum(|t| t.closed));
     assert_eq!(sum(|t| t.lost), 0);
     assert!(answered > 500, "{answered}");
@@ -288,10 +292,11 @@
     assert!(closed * 200 <= all, "{closed} of {all} were closed without an answer");
 }
 
-/// A watch that says nothing any more, while the agent would tell whoever asks anew.
-fn news_behind_a_silent_watch(how: &str) -> Duration {
+/// Runs a watch that stops answering although the agent would answer a new request. Returns how
+/// long the update took.
+fn update_delay_behind_a_silent_watch(mode: &str) -> Duration {
     let (a, b) = (Server::named("a"), Server::named("b"));
-    let (first, news) =
+    let (first, update) =
         (full_list(1, &[host("s-a", a.address)]), full_list(2, &[host("s-b", b.address)]));
     let silent = Arc::new(std::sync::OnceLock::<Instant>::new());
     let discovery = {
@@ -300,33 +305,34 @@
             while conn.head().is_some() {
                 match calls.fetch_add(1, Ordering::SeqCst) {
                     0 => conn.send(ok(&first)),
-                    // Open, and silent.
+                    // Open, without an answer.
                     1 => {
                         let _ = silent.set(Instant::now());
                         conn.closed_by_peer();
                     }
-                    _ => conn.send(ok(&news)),
+                    _ => conn.send(ok(&update)),
                 }
             }
         })
     };
-    let how = how.to_owned();
+    let mode = mode.to_owned();
     let sidecar = Sidecar::start(&config(discovery.address, |c| {
-        c["settings"]["discovery"] = json!(how);
+        c["settings"]["discovery"] = json!(mode);
         c["settings"]["rules"]["mustAskIn"] = json!(10_000_000);
     }));
     wait_until("the news", || sidecar.served_by() == "b");
     silent.get().expect("it fell silent").elapsed()
 }
 
-/// What a silent watch misses counts as told 6 s after it fell silent; half a second more is there to act on it.
+/// An update that a silent watch misses is due 6 s after the watch fell silent; another half second
+/// is allowed to act on it.
 #[test]
-fn a_watch_that_falls_silent_is_begun_anew_in_time() {
+fn a_watch_that_falls_silent_is_restarted_in_time() {
     thread::scope(|scope| {
-        for how in ["pushed", "on_request"] {
+        for mode in ["pushed", "on_request"] {
             scope.spawn(move || {
-                let took = news_behind_a_silent_watch(how);
-                assert!(took < Duration::from_millis(6_500), "{how}: {took:?}");
+                let took = update_delay_behind_a_silent_watch(mode);
+                assert!(took < Duration::from_millis(6_500), "{mode}: {took:?}");
             });
         }
     });
