--- a/crates/plankvale/tests/conformance/copies.rs
+++ b/crates/plankvale/tests/conformance/copies.rs
@@ -83,7 +83,7 @@
                 _ => {}
             }
         }
-        assert!(own > 0, "some are served while it is well");
+        assert!(own > 0, "some are served while the server is healthy");
         AnswerCounts { copies: copies.load(Ordering::SeqCst), wrong }
     }
 }
--- a/crates/plankvale/tests/conformance/deadlines.rs
+++ b/crates/plankvale/tests/conformance/deadlines.rs
@@ -144,7 +144,7 @@
     let form = F::start(&config(agent.address, |_| {}));
     assert_eq!(form.request(ClientRequest::safe()), served("fine"));
     agent.set_hosts(Vec::new());
-    wait_until("nobody is left", || form.request(ClientRequest::safe()) == REFUSED);
+    wait_until("no server is left", || form.request(ClientRequest::safe()) == REFUSED);
     let before = group.count();
     let outcomes: Vec<Outcome> =
         ClientRequest::each().into_iter().map(|request| form.request(request)).collect();
--- a/crates/plankvale/tests/conformance/invalid.rs
+++ b/crates/plankvale/tests/conformance/invalid.rs
@@ -98,7 +98,7 @@
     let duplicate = || request().with("x-correlation-id", "twin");
     let outcomes = std::thread::scope(|s| {
         let first = s.spawn(|| form.request(duplicate()));
-        wait_until("the first is with a server", || group.count() == 1);
+        wait_until("the first request is at a server", || group.count() == 1);
         let second = form.request(duplicate());
         let another = form.request(request().with("x-correlation-id", "no-twin"));
         vec![first.join().expect("no client panics"), second, another]
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -259,7 +259,7 @@
         form.request(ClientRequest::safe())
     };
     let wrong = (0..16).map(send).filter(|outcome| *outcome == served("a copy")).count();
-    assert_eq!(wrong, 0, "of 16 requests so many got another one's answer");
+    assert_eq!(wrong, 0, "requests of 16 that got another one's answer");
     true
 }
 
@@ -310,7 +310,7 @@
         || ClientRequest::safe().without("x-correlation-id").with("x-correlation-id", "silent");
     let outcomes = std::thread::scope(|s| {
         let first = s.spawn(|| form.request(silent().left(18_000)));
-        wait_until("the first is with a server", || group.count() >= 1);
+        wait_until("the first request is at a server", || group.count() >= 1);
         // Other requests overtake it at both servers for as long as it waits.
         while !first.is_finished() {
             assert_eq!(form.request(ClientRequest::safe()), served("fine"));
@@ -337,7 +337,7 @@
         "{outcomes:?}"
     );
     let bad = group.seen().iter().filter(|a| a.server == 0).count();
-    assert!(bad <= 6, "{bad} of 40 at a server that spoils all");
+    assert!(bad <= 6, "{bad} of 40 at a server whose answers are all invalid");
     Record { outcomes: Vec::new(), seen: Vec::new() }
 }
 
--- a/crates/plankvale/tests/conformance/stale_copies.rs
+++ b/crates/plankvale/tests/conformance/stale_copies.rs
@@ -210,8 +210,8 @@
     };
     let may_send_copies = script.closes || product != PROVEN;
     assert_eq!(result.copies > 0, may_send_copies, "whether copies were sent: {result:?}");
-    assert_eq!(result.wrong, 0, "so many got another one's answer: {result:?}");
-    assert_eq!(result.repeated, 0, "so many unsafe ones ran twice: {result:?}");
+    assert_eq!(result.wrong, 0, "requests that got another one's answer: {result:?}");
+    assert_eq!(result.repeated, 0, "unsafe requests that ran twice: {result:?}");
     result
 }
 
--- a/crates/plankvale/tests/distribution/bursts.rs
+++ b/crates/plankvale/tests/distribution/bursts.rs
@@ -38,10 +38,10 @@
         tier.wait_until_accepted_by(&last, &tier.running_members());
         stop.store(true, Ordering::SeqCst);
     });
-    assert!(served.load(Ordering::SeqCst) > 100, "there was a load");
+    assert!(served.load(Ordering::SeqCst) > 100, "there was load");
     assert_eq!(tier.running_members().len(), 6, "all run");
     // Superseded changes are merged rather than queued.
-    wait_until("all settled", || {
+    wait_until("all changes are finished", || {
         let output = tier.command(&["status", &tier.spool_path(writer)]);
         let open = ["waits for the writer", "proposed", ": committed"];
         output.text.lines().count() >= CHANGES
--- a/crates/plankvale/tests/distribution/faults.rs
+++ b/crates/plankvale/tests/distribution/faults.rs
@@ -37,7 +37,7 @@
     );
     (0..CONTROL_NODES).for_each(|node| tier.kill(node));
     (0..CONTROL_NODES).for_each(|node| tier.start_member(node));
-    wait_until("all control nodes know it", || {
+    wait_until("all control nodes have the document", || {
         (0..CONTROL_NODES)
             .all(|node| tier.member(node).metric("sidecar.distribution.control.documents") == 1)
     });
@@ -123,7 +123,7 @@
     tier.submit(paused, "late", &document_with_classes(&["late"]));
     let output = tier.publish_at(successor, "all", &document_with_classes(&["newer"]).to_string());
     assert!(output.text.contains("version"), "{output:?}");
-    wait_until("the newer one", || {
+    wait_until("the newer document is in force", || {
         others().iter().all(|member| tier.accepts_class(*member, "newer"))
     });
     tier.signal(paused, "-CONT");
--- a/crates/plankvale/tests/distribution/rollout.rs
+++ b/crates/plankvale/tests/distribution/rollout.rs
@@ -77,6 +77,8 @@
     config["settings"]["classes"].as_array_mut().expect("a list").pop();
     tier.member(3).reload(&config.to_string());
     tier.member(3).wait_for_log("LB_CONFIG with the documents in force: settings: zone");
-    wait_until("turned down", || tier.member(3).metric("sidecar.sighup_rejected") == 1);
+    wait_until("the configuration is rejected", || {
+        tier.member(3).metric("sidecar.sighup_rejected") == 1
+    });
     assert!(tier.accepts_class(3, "page"));
 }
--- a/crates/plankvale/tests/distribution/server_lists.rs
+++ b/crates/plankvale/tests/distribution/server_lists.rs
@@ -113,7 +113,7 @@
     check_all_served_by(&tier, "new", Duration::from_millis(200));
     // Longer than the lifetime of a list that nobody confirms.
     std::thread::sleep(Duration::from_secs(4));
-    assert_eq!(sidecar_discovery.calls(), 0, "no sidecar asks discovery");
+    assert_eq!(sidecar_discovery.calls(), 0, "no sidecar queries discovery");
     for member in sidecar_members() {
         assert_eq!(list_metric(&tier, member, "silences"), 0, "member {member}");
         assert_eq!(list_metric(&tier, member, "taken"), 2, "member {member}");
@@ -168,8 +168,12 @@
     tier.kill(writer);
     let next = tier.writer_other_than_paused(writer);
     check_all_served_by(&tier, "new", Duration::from_secs(2));
-    assert_eq!(list_metric(&tier, next, "published"), 0, "what it has is older");
-    assert_eq!(list_metric(&tier, next, "confirmed"), 0, "it does not confirm what it has not");
+    assert_eq!(list_metric(&tier, next, "published"), 0, "its list is older");
+    assert_eq!(
+        list_metric(&tier, next, "confirmed"),
+        0,
+        "it does not confirm a list that it does not have"
+    );
     // Its discovery catches up.
     agents[next].set_hosts(pair.with_old_draining());
     wait_until_all_follow(&tier);
@@ -250,7 +254,9 @@
     assert_eq!(list_metric(&tier, member, "taken"), 0);
     start_control_nodes(&mut tier);
     wait_until("the list of the control nodes", || list_metric(&tier, member, "follows") == 1);
-    wait_until("it is live", || tier.member(member).metric("sidecar.membership.remembered") == 0);
+    wait_until("the list is live", || {
+        tier.member(member).metric("sidecar.membership.remembered") == 0
+    });
 }
 
 /// The configuration of all sidecars changes the discovery address: sidecars that take the list
@@ -276,7 +282,7 @@
         || sidecar_members().map(|member| list_metric(&tier, member, "silences")).sum::<u64>();
     let before = silences();
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!((moved.calls(), silences()), (0, before), "no sidecar calls it");
+    assert_eq!((moved.calls(), silences()), (0, before), "no sidecar queries it");
     kill_control_nodes(&mut tier);
     wait_until_all_served_by(&tier, "new");
 }
--- a/crates/plankvale/tests/sidecar/choice.rs
+++ b/crates/plankvale/tests/sidecar/choice.rs
@@ -48,7 +48,7 @@
         client.send(with_long_time(safe()));
         open.push(client);
     }
-    wait_until("all are out", || local_log.count() + remote_log.count() == 120);
+    wait_until("all requests are open", || local_log.count() + remote_log.count() == 120);
     // By the share alone, some twelve of 120 would cross. No local server may have more than four
     // open requests above the remote one's.
     assert!(remote_log.count() >= 27, "{} crossed of 120", remote_log.count());
@@ -74,7 +74,7 @@
     let agent = Agent::start(hosts(&[full, other]));
     let config = config(agent.address, |c| set_aim_and_deadline(c, 10, 16));
     let sidecar = Sidecar::start(&config);
-    wait_until("refused once", || {
+    wait_until("the server has rejected one request", || {
         assert_eq!(sidecar.request(with_long_time(safe())).status(), 200);
         full_server_log.count() == 1
     });
@@ -121,13 +121,15 @@
     // A sidecar with more than twenty requests a second, by its own count, is not idle.
     for _ in 0..400 {
         let before = ask();
-        wait_until("asked", || (short_log.count(), long_log.count()) != before);
+        wait_until("a server receives the request", || {
+            (short_log.count(), long_log.count()) != before
+        });
     }
     full.store(true, Ordering::SeqCst);
     let before = short_log.count();
     for _ in 0..40 {
         let (_, waiting_before) = ask();
-        wait_until("waits", || long_log.count() > waiting_before);
+        wait_until("the request waits at the slow server", || long_log.count() > waiting_before);
     }
     let tried_count = short_log.count() - before;
     assert!(tried_count >= 20, "tried for {tried_count} of 40");
@@ -164,7 +166,7 @@
         open.push(client);
     }
     let counts_by_server = || (counts[0].0.count(), counts[1].0.count());
-    wait_until("all are out", || counts_by_server().0 + counts_by_server().1 == 12);
+    wait_until("all requests are open", || counts_by_server().0 + counts_by_server().1 == 12);
     let (a, b) = counts_by_server();
     assert!(a >= 3 && b >= 3, "{a} and {b} of 12");
 }
--- a/crates/plankvale/tests/sidecar/clients.rs
+++ b/crates/plankvale/tests/sidecar/clients.rs
@@ -44,7 +44,7 @@
     assert_eq!(sidecar.request(safe()).status(), 200);
     assert!(before.elapsed() < Duration::from_secs(1));
     drop(crowd);
-    wait_until("descriptors given back", || sidecar.descriptors() < 40);
+    wait_until("descriptors are released", || sidecar.descriptors() < 40);
     assert!(sidecar.memory_mb() < 40);
 }
 
@@ -145,7 +145,7 @@
         } else {
             drop(client);
         }
-        assert!(receive(&closes), "the server sees its end");
+        assert!(receive(&closes), "the server sees the close");
     }
 }
 
@@ -179,7 +179,7 @@
         }
     }
     assert_eq!(sidecar.request(safe()).status(), 200);
-    wait_until("descriptors given back", || sidecar.descriptors() <= before + 4);
+    wait_until("descriptors are released", || sidecar.descriptors() <= before + 4);
 }
 
 /// Guards against an ordinary close with the next request unread: this resets the connection and
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -130,7 +130,7 @@
     assert!(text.contains("2 kept") && code == Some(0), "{text}");
     let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
-    wait_until("both are done", || sidecar.metric("sidecar.edge.replayed") == 2);
+    wait_until("both writes are replayed", || sidecar.metric("sidecar.edge.replayed") == 2);
     let bodies: Vec<Vec<u8>> = seen.lock().expect("a log").iter().map(|m| m.body.clone()).collect();
     assert_eq!(bodies, [b"one".to_vec(), b"two".to_vec()]);
     let seen = seen.lock().expect("a log");
@@ -164,7 +164,7 @@
     let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
     let second = store_folder.start(&agent);
-    wait_until("all are done", || second.metric("sidecar.edge.replayed") == 20);
+    wait_until("all writes are replayed", || second.metric("sidecar.edge.replayed") == 20);
     let mut bodies: Vec<String> = (seen.lock().expect("a log").iter())
         .map(|m| String::from_utf8_lossy(&m.body).into_owned())
         .collect();
@@ -197,7 +197,7 @@
         _ => Fault::Serve("done".into()),
     });
     agent.set_hosts(stage.hosts());
-    wait_until("it is done", || sidecar.metric("sidecar.edge.replayed") == 1);
+    wait_until("the write is replayed", || sidecar.metric("sidecar.edge.replayed") == 1);
     let seen: Vec<Message> = stage.seen().into_iter().map(|a| a.message).collect();
     let times_left = times_left(&seen);
     assert_eq!(times_left.len(), 2, "{seen:?}");
@@ -363,7 +363,7 @@
     let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
     // Independent writes are sent in the order of their numbers, so the slow one would be first.
-    wait_until("what was kept is sent", || {
+    wait_until("the stored write is sent", || {
         store_folder
             .edge_command(&["show"])
             .0
@@ -397,7 +397,7 @@
     disk.set_open(true);
     let (server, seen) = recording_server();
     agent.set_hosts(vec![host("s-b", server.address)]);
-    wait_until("servers are reached", || {
+    wait_until("a server is reached", || {
         sidecar.request(order_request("nobody's", "")).is_some_and(|m| m.status() == 200)
     });
     assert_eq!(by_member("third", ""), 503);
--- a/crates/plankvale/tests/sidecar/edge_death.rs
+++ b/crates/plankvale/tests/sidecar/edge_death.rs
@@ -86,7 +86,7 @@
     agent.set_hosts(vec![host("s-b", server.address)]);
     let next = store_folder.start(&agent);
     // Sent or withdrawn, the next owner finishes the write.
-    wait_until("the next owner is done with it", || {
+    wait_until("the next owner has finished the write", || {
         next.metric("sidecar.edge.stores") == 1 && next.metric("sidecar.edge.left") == 0
     });
     // The server can be reached.
--- a/crates/plankvale/tests/sidecar/fleet.rs
+++ b/crates/plankvale/tests/sidecar/fleet.rs
@@ -77,7 +77,7 @@
     let (code, text) = show(&a.to_string());
     assert!(code == Some(0) && text.contains("alive 2"), "{text}");
     assert_eq!(second.terminate_and_wait(), Some(0));
-    wait_until("it left", || first.metric("sidecar.fleet.left") == 1);
+    wait_until("the second sidecar has left", || first.metric("sidecar.fleet.left") == 1);
     let (_, text) = show(&a.to_string());
     assert!(text.contains("1 left"), "{text}");
     std::fs::write(&list, "no address\n").expect("written");
@@ -115,7 +115,7 @@
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("an address");
     stranger.send_to(&frame("tests", 1).finish(), peers[0]).expect("sent");
     wait_until("a stranger", || fleet_metric("strangers") == 1);
-    assert_eq!(fleet_metric("alive"), 1, "nobody was believed");
+    assert_eq!(fleet_metric("alive"), 1, "no datagram was accepted");
     // The answer to a ping among unknown records is no longer than the ping's datagram.
     let mut known = frame("tests", 1);
     assert!(known.push(200, b"of the future"));
@@ -134,7 +134,7 @@
     });
     let length = answered.take(1_000).flatten().next().expect("an answer");
     assert!(length <= bytes.len(), "{length} bytes for {}", bytes.len());
-    wait_until("it is known now", || fleet_metric("alive") == 2);
+    wait_until("the peer is known now", || fleet_metric("alive") == 2);
 }
 
 #[test]
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -178,10 +178,10 @@
             client.send("30d40\r\n");
         }
         client.send(bytes(200_000));
-        wait_until("it passes on", || sidecar.metric("sidecar.outstanding") == 1);
+        wait_until("the body is being forwarded", || sidecar.metric("sidecar.outstanding") == 1);
         drop(client);
-        assert!(!receive(&result_receiver), "the server took it for whole");
-        wait_until("it is forgotten", || sidecar.metric("sidecar.outstanding") == 0);
+        assert!(!receive(&result_receiver), "the server received a complete request");
+        wait_until("the request is no longer open", || sidecar.metric("sidecar.outstanding") == 0);
     }
     assert_eq!(sidecar.metric("sidecar.forwards"), 0);
 }
--- a/crates/plankvale/tests/sidecar/membership.rs
+++ b/crates/plankvale/tests/sidecar/membership.rs
@@ -145,7 +145,7 @@
         let agent = Agent::start(vec![host("s-a", server.address)]);
         config["discovery"] = json!(agent.address.to_string());
         sidecar.reload(&config.to_string());
-        wait_until("asked", || agent.calls() > 0);
+        wait_until("discovery is queried", || agent.calls() > 0);
         assert_eq!(sidecar.request(safe()).status(), 200);
         config["discovery"] = json!(refusing_address().to_string());
         sidecar.reload(&config.to_string());
@@ -190,7 +190,9 @@
     folder.remember(&list, 20 * DAY);
     let sidecar = folder.launch(&config_with_discovery_down());
     wait_until_served_by(&sidecar, "s-a");
-    wait_until("the others fell out", || sidecar.metric("sidecar.membership.dropped") >= 2);
+    wait_until("the other servers are dropped", || {
+        sidecar.metric("sidecar.membership.dropped") >= 2
+    });
     for _ in 0..20 {
         let body = "an order";
         let status = sidecar.request(unsafe_with(body)).status();
@@ -199,7 +201,7 @@
     // Each of these servers has received trials and nothing else.
     assert!(stranger_log.count() >= 1);
     assert_eq!(stranger_log.count(), 1, "one trial, and no request");
-    assert!(silent_log.count() <= 4, "trials alone");
+    assert!(silent_log.count() <= 4, "only trials");
     assert_eq!(sidecar.metric("sidecar.membership.confirmed"), 1);
 }
 
@@ -212,7 +214,7 @@
     let agent = Agent::start(vec![host("s-new", new.address)]);
     let sidecar = folder.launch(&config_with_discovery_down());
     let answer = sidecar.request(safe());
-    assert_eq!(answer.status(), 503, "refused at once: there is nobody to send it to");
+    assert_eq!(answer.status(), 503, "refused at once, as there is no server");
     let mut config_with_discovery = config_with_discovery_down();
     config_with_discovery["discovery"] = json!(agent.address.to_string());
     sidecar.reload(&config_with_discovery.to_string());
@@ -236,7 +238,7 @@
     let mut config = config_with_discovery_down();
     config["discovery"] = json!(agent.address.to_string());
     let sidecar = folder.launch(&config);
-    wait_until("listed", || sidecar.request(safe()).status() == 200);
+    wait_until("the list is applied", || sidecar.request(safe()).status() == 200);
     agent.set_hosts(Vec::new());
     sidecar.wait_for_log("suspect_list_held");
     for _ in 0..20 {
@@ -244,7 +246,7 @@
     }
     assert_eq!(sidecar.metric("sidecar.membership.held"), 1);
     agent.set_hosts(all[..4].to_vec());
-    wait_until("taken back", || sidecar.metric("sidecar.membership.held") == 0);
+    wait_until("the held list is released", || sidecar.metric("sidecar.membership.held") == 0);
     assert_eq!(sidecar.metric("sidecar.membership.live"), 4);
 }
 
@@ -259,9 +261,9 @@
         let mut config = config_with_discovery_down();
         config["discovery"] = json!(agent.address.to_string());
         let sidecar = folder.launch(&config);
-        wait_until("listed", || sidecar.request(safe()).status() == 200);
+        wait_until("the list is applied", || sidecar.request(safe()).status() == 200);
         agent.set_hosts(Vec::new());
-        wait_until("the empty list holds", || sidecar.request(safe()).status() == 503);
+        wait_until("the empty list is applied", || sidecar.request(safe()).status() == 503);
     }
 }
 
@@ -383,7 +385,7 @@
     config["discovery"] = json!(registry[0].address.to_string());
     let sidecar = folder.launch(&config);
     sidecar.wait_for_log("suspect_list_taken");
-    wait_until("only the one that changes named is left", || {
+    wait_until("only the server in the changes is left", || {
         sidecar.metric("sidecar.membership.live") == 1
     });
     assert_eq!(sidecar.served_by(), "s-a");
--- a/crates/plankvale/tests/sidecar/operators.rs
+++ b/crates/plankvale/tests/sidecar/operators.rs
@@ -78,7 +78,7 @@
     let agent =
         Agent::start(vec![host("s-dead", dead.address), host("s-b", Server::named("b").address)]);
     let sidecar = Sidecar::start(&config_with_admin(&agent));
-    wait_until("it is avoided", || {
+    wait_until("the server is ejected", || {
         sidecar.request(safe());
         sidecar.metric("sidecar.ejected") == 1
     });
@@ -92,9 +92,9 @@
     let sidecar = Sidecar::start(&config);
     assert_eq!(sidecar.metric("sidecar.sighup_applied"), 0);
     sidecar.reload(&config.to_string());
-    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
+    wait_until("the configuration is applied", || sidecar.metric("sidecar.sighup_applied") == 1);
     sidecar.reload("{");
-    wait_until("turned down", || sidecar.metric("sidecar.sighup_rejected") == 1);
+    wait_until("the configuration is rejected", || sidecar.metric("sidecar.sighup_rejected") == 1);
     assert_eq!(sidecar.metric("sidecar.sighup_applied"), 1);
 }
 
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -125,7 +125,7 @@
         })
         .collect();
     assert!(before.elapsed() < Duration::from_secs(14), "{:?}", before.elapsed());
-    assert!(log.count() >= 2, "one of these at the least was sent");
+    assert!(log.count() >= 2, "at least one of these was sent");
     let seconds = |t: &String| t.parse::<f64>().unwrap();
     assert!(retry_times.iter().map(seconds).all(|t| t > 0.1 && t <= 0.4), "{retry_times:?}");
     assert!(retry_times.len() > 3, "{retry_times:?}");
@@ -165,7 +165,7 @@
     let (sidecar, _agent) = Sidecar::with_servers(&[server]);
     let mut seen: Vec<(i32, u64)> = Vec::new();
     // The connection is idle between two requests.
-    wait_until("twenty on connections that have rested", || {
+    wait_until("twenty requests on idle connections", || {
         sidecar.request(safe().replace("Left-Ms: 900", "Left-Ms: 40"));
         seen.extend(pieces_receiver.try_iter());
         seen.len() >= 20
--- a/crates/plankvale/tests/sidecar/pauses.rs
+++ b/crates/plankvale/tests/sidecar/pauses.rs
@@ -53,15 +53,15 @@
         let open_requests: Vec<_> = (0..OPEN_REQUESTS)
             .map(|_| scope.spawn(|| sidecar.request(unsafe_with("x")).status()))
             .collect();
-        wait_until("all are out", || log.count() == OPEN_REQUESTS);
+        wait_until("all requests are open", || log.count() == OPEN_REQUESTS);
         sidecar.pause();
         gate.open();
         (0..OPEN_REQUESTS).for_each(|_| receive(&answered));
         // The pause itself is under test; nothing is waited for.
         thread::sleep(pause);
         sidecar.resume();
-        for open_requests in open_requests {
-            assert_eq!(open_requests.join().unwrap(), 200, "its answer was there");
+        for open_request in open_requests {
+            assert_eq!(open_request.join().unwrap(), 200, "its answer had arrived");
         }
     });
     (0..LATER_REQUESTS).filter(|_| sidecar.request(unsafe_with("x")).status() != 200).count()
@@ -111,13 +111,13 @@
         thread::sleep(DRAIN_GRACE);
         sidecar.resume();
         // Each request has an answer; those that waited for long may be refused.
-        for open_requests in open_requests {
-            let status = open_requests.join().unwrap();
+        for open_request in open_requests {
+            let status = open_request.join().unwrap();
             assert!(matches!(status, 200 | 503), "{status}");
         }
     });
     let to_draining = group.seen()[before..].iter().filter(|seen| seen.server < DRAINING).count();
-    assert_eq!(to_draining, 0, "of {LATER_REQUESTS} requests so many went to servers that drain");
+    assert_eq!(to_draining, 0, "requests of {LATER_REQUESTS} that went to draining servers");
 }
 
 /// The number of requests that a server which has just started can handle, if `expected` is its
@@ -166,8 +166,8 @@
             (0..LATER_REQUESTS).map(|_| scope.spawn(|| sidecar.request(safe()).status())).collect();
         thread::sleep(DRAIN_GRACE);
         sidecar.resume();
-        for open_requests in open_requests {
-            let status = open_requests.join().unwrap();
+        for open_request in open_requests {
+            let status = open_request.join().unwrap();
             assert!(matches!(status, 200 | 503), "{status}");
         }
     });
@@ -176,7 +176,7 @@
         cold_capacity(LATER_REQUESTS as f64 * COLD_SHARE / (SERVERS as f64 - 1.0 + COLD_SHARE));
     assert!(
         cold <= capacity,
-        "{cold} of {LATER_REQUESTS} requests went to a cold server, it bears {capacity}"
+        "{cold} of {LATER_REQUESTS} requests went to a cold server, which can handle {capacity}"
     );
 }
 
@@ -214,8 +214,8 @@
         // Under load some may be refused.
         let out = || group.count() - before;
         let refused =
-            || open_requests.iter().filter(|open_requests| open_requests.is_finished()).count();
-        wait_until("all are out", || out() + refused() >= DECIDED_REQUESTS);
+            || open_requests.iter().filter(|open_request| open_request.is_finished()).count();
+        wait_until("all requests are open", || out() + refused() >= DECIDED_REQUESTS);
         sidecar.pause();
         let out = out();
         assert!(out > DECIDED_REQUESTS / 2, "{out} are out");
@@ -224,8 +224,8 @@
         agent.set_hosts(with_first_restarted(group.hosts()));
         thread::sleep(DRAIN_GRACE);
         sidecar.resume();
-        for open_requests in open_requests {
-            let status = open_requests.join().unwrap();
+        for open_request in open_requests {
+            let status = open_request.join().unwrap();
             assert!(matches!(status, 200 | 503), "{status}");
         }
         let seen = group.seen();
@@ -236,6 +236,6 @@
         cold_capacity(repeated as f64 * COLD_SHARE / (SERVERS as f64 - 1.0 + COLD_SHARE));
     assert!(
         cold <= capacity,
-        "{cold} of {repeated} repeats went to a cold server, it bears {capacity}"
+        "{cold} of {repeated} repeats went to a cold server, which can handle {capacity}"
     );
 }
--- a/crates/plankvale/tests/sidecar/races/closing.rs
+++ b/crates/plankvale/tests/sidecar/races/closing.rs
@@ -52,7 +52,7 @@
     // close of the other.
     assert!(witness.closed_by_peer());
     client.send(safe());
-    let first = client.message().expect("the answer that was here before the close");
+    let first = client.message().expect("the answer that had arrived before the close");
     assert_eq!((first.complete, first.body == long.as_bytes()), (true, true));
     // The second request crossed the close: either it was read before and is answered, or it was
     // never read.
@@ -82,7 +82,7 @@
     clients[0].send(safe());
     let mut newcomers: Vec<_> = (0..42).map(|_| sidecar.client()).collect();
     signal(&sidecar, "-CONT");
-    let answer = clients[0].message().expect("a request that was taken has an answer");
+    let answer = clients[0].message().expect("an accepted request has an answer");
     assert_eq!(answer.status(), 200);
     newcomers[41].send(safe());
     assert_eq!(newcomers[41].message().unwrap().status(), 200);
@@ -118,7 +118,7 @@
         if late {
             signal(&sidecar, "-CONT");
         }
-        let answer = client.message().expect("taken, so there is an answer");
+        let answer = client.message().expect("an accepted request has an answer");
         assert_eq!(answer.status(), if late { 503 } else { 200 });
         assert_eq!(log.count(), usize::from(!late));
         assert_eq!(sidecar.exit_code(), Some(0));
--- a/crates/plankvale/tests/sidecar/races/late_connections.rs
+++ b/crates/plankvale/tests/sidecar/races/late_connections.rs
@@ -23,7 +23,7 @@
 
 /// Waits until a request is open and its attempt is establishing a connection.
 fn wait_for_open_request(sidecar: &Sidecar) {
-    wait_until("a request under way", || sidecar.metric("sidecar.outstanding") == 1);
+    wait_until("a request is open", || sidecar.metric("sidecar.outstanding") == 1);
     // The first metrics request may have been handled before the attempt started; the next one
     // cannot.
     assert_eq!(sidecar.metric("sidecar.outstanding"), 1);
@@ -56,7 +56,7 @@
         let update = [host("s-b", b.address), a];
         agent.set_hosts(update[..if unlisted { 1 } else { 2 }].to_vec());
         // Another request shows that the new list has arrived.
-        wait_until("the news", || {
+        wait_until("the updated list is used", || {
             let mut witness = sidecar.client();
             witness.send(safe());
             witness.message().is_some_and(|m| m.body == b"b")
@@ -85,10 +85,10 @@
         client.send("GET /look");
         client.socket.shutdown(std::net::Shutdown::Write).unwrap();
         assert!(client.closed_by_peer());
-        wait_until("no request", || sidecar.metric("sidecar.outstanding") == 0);
+        wait_until("no request is open", || sidecar.metric("sidecar.outstanding") == 0);
         let request_arrived = accept_and_report(silent);
         if !cancel {
-            assert!(!receive(&request_arrived), "a request for nobody");
+            assert!(!receive(&request_arrived), "a request of a departed client");
         }
         // If the attempt is cancelled, no connection is established for it, and the next connection
         // carries another request.
@@ -134,13 +134,13 @@
     }
     // As many connections as may be established to one server at once, so that no request waits for
     // another one's handshake.
-    wait_until("all under way", || sidecar.metric("sidecar.outstanding") == 8);
+    wait_until("all requests are open", || sidecar.metric("sidecar.outstanding") == 8);
     assert_eq!(sidecar.metric("sidecar.outstanding"), 8);
     // Some clients close, others reset.
     for (n, client) in clients.into_iter().enumerate() {
         if n % 2 == 0 { drop(client) } else { client.reset() }
     }
-    wait_until("none under way", || sidecar.metric("sidecar.outstanding") == 0);
+    wait_until("no request is open", || sidecar.metric("sidecar.outstanding") == 0);
     let (report, request_arrived) = channel();
     silent.start_accepting(move |mut conn| {
         while let Some(message) = conn.message() {
@@ -150,5 +150,8 @@
     });
     // The server receives only the request that is sent now.
     wait_until("served", || sidecar.request(with_long_time(safe())).body == b"a");
-    assert!(request_arrived.try_iter().all(|first| first.starts_with("GET")), "an order of nobody");
+    assert!(
+        request_arrived.try_iter().all(|first| first.starts_with("GET")),
+        "an order of a departed client"
+    );
 }
--- a/crates/plankvale/tests/sidecar/races/lists.rs
+++ b/crates/plankvale/tests/sidecar/races/lists.rs
@@ -40,7 +40,7 @@
         wait_until("the first list", || sidecar.served_by() == "a");
         agent.restart_versions(vec![host("s-b", b.address)]);
         let began = Instant::now();
-        wait_until("the news", || sidecar.served_by() == "b");
+        wait_until("the updated list is used", || sidecar.served_by() == "b");
         assert!(began.elapsed() < UPDATE_DUE, "{mode}: {:?}", began.elapsed());
     }
 }
@@ -73,10 +73,10 @@
         let sidecar = Sidecar::start(&at(first.address));
         assert_eq!(sidecar.served_by(), "a");
         sidecar.reload(&at(second.address).to_string());
-        wait_until("the second place asked", || trickling.load(Ordering::SeqCst));
+        wait_until("the second discovery address is queried", || trickling.load(Ordering::SeqCst));
         sidecar.reload(&at(third.address).to_string());
         let began = Instant::now();
-        wait_until("the news", || sidecar.served_by() == "b");
+        wait_until("the updated list is used", || sidecar.served_by() == "b");
         // A third of that time: waiting for the end of the slow request alone would take 3 s.
         assert!(began.elapsed() < MOVED_UPDATE_DUE / 3, "{mode}: {:?}", began.elapsed());
     }
@@ -118,7 +118,7 @@
         discovery.address,
         with_discovery_mode("pushed", &[host("s-a", a.address)]),
     ));
-    wait_until("the news", || sidecar.served_by() == "b");
+    wait_until("the updated list is used", || sidecar.served_by() == "b");
 }
 
 /// Idle clients may hold every descriptor available to clients while discovery is down. Discovery,
@@ -142,7 +142,7 @@
     let agent = Agent::start(vec![host("s-b", b.address)]);
     sidecar.reload(&crowded(agent.address).to_string());
     let began = Instant::now();
-    wait_until("the news", || {
+    wait_until("the updated list is used", || {
         // Clients whose connection was closed reconnect and stay idle.
         crowd.rotate_left(1);
         crowd[0] = sidecar.client();
--- a/crates/plankvale/tests/sidecar/races/servers.rs
+++ b/crates/plankvale/tests/sidecar/races/servers.rs
@@ -95,7 +95,7 @@
         let mut client = sidecar.client();
         client.send(beginning);
     }
-    wait_until("nothing left", || sidecar.descriptors() <= before + 2);
+    wait_until("all descriptors are released", || sidecar.descriptors() <= before + 2);
     assert_eq!(sidecar.request(safe()).status(), 200);
     assert!(sidecar.memory_mb() < 32, "{} MB", sidecar.memory_mb());
     assert!(log.count() < 60 * 200);
--- a/crates/plankvale/tests/sidecar/races/settings.rs
+++ b/crates/plankvale/tests/sidecar/races/settings.rs
@@ -41,7 +41,7 @@
     let agent = Agent::start(hosts(&servers));
     let sidecar = Sidecar::start(&config_with(&agent, deadlines(100_000)));
     sidecar.reload(&config_with(&agent, deadlines(15_000_000)).to_string());
-    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
+    wait_until("the configuration is applied", || sidecar.metric("sidecar.sighup_applied") == 1);
     let with_long_time =
         |request: String| request.replace("X-Time-Left-Ms: 900", "X-Time-Left-Ms: 15000");
     let mut client = sidecar.client();
@@ -91,7 +91,7 @@
         })
         .to_string(),
     );
-    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
+    wait_until("the configuration is applied", || sidecar.metric("sidecar.sighup_applied") == 1);
     thread::sleep(Duration::from_millis(300));
     release.send(()).unwrap();
     assert_eq!(client.message().unwrap().status(), 502);
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -37,10 +37,10 @@
     busy.send(safe());
     let release = receive(&arrivals);
     sidecar.reload(&config(new.address, |_| {}).to_string());
-    wait_until("the new discovery asked", || new.calls() > 0);
+    wait_until("the new discovery is queried", || new.calls() > 0);
     release.send(()).unwrap();
     assert_eq!(busy.message().unwrap().body, b"held");
-    wait_until("the old discovery left", || old.open() == 0);
+    wait_until("the connection to the old discovery is closed", || old.open() == 0);
     wait_until("the new list", || sidecar.served_by() == "b");
     assert!(sidecar.child.try_wait().unwrap().is_none());
 }
@@ -61,7 +61,7 @@
     let sidecar = Sidecar::start(&on_request(&old));
     sidecar.reload(&on_request(&new).to_string());
     wait_until("the new list", || sidecar.served_by() == "b");
-    wait_until("the old discovery left", || old.open() == 0);
+    wait_until("the connection to the old discovery is closed", || old.open() == 0);
 }
 
 #[test]
@@ -77,7 +77,7 @@
     }
     // The old discovery is still in use, and the next valid file is applied.
     agent.set_hosts(vec![host("s-b", b.address)]);
-    wait_until("its news", || sidecar.served_by() == "b");
+    wait_until("the updated list is used", || sidecar.served_by() == "b");
     let other = Agent::start(vec![host("s-a", a.address)]);
     sidecar.reload(&config(other.address, |_| {}).to_string());
     wait_until("the new list", || sidecar.served_by() == "a");
@@ -108,9 +108,11 @@
     let all_kept = || (0..REQUESTS).all(|_| sidecar.served_by().starts_with("kept open"));
     assert!(all_kept());
     sidecar.reload(&unpriced.to_string());
-    wait_until("answers are proven", || sidecar.served_by() == "asked to close");
+    wait_until("connections are closed to prove answers", || {
+        sidecar.served_by() == "asked to close"
+    });
     sidecar.reload(&priced.to_string());
-    wait_until("answers are proven no more", all_kept);
+    wait_until("connections are kept open again", all_kept);
 }
 
 /// A configuration with changed settings, as text.
@@ -148,7 +150,7 @@
         classes.push(page);
         classes.remove(0);
     }));
-    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
+    wait_until("the configuration is applied", || sidecar.metric("sidecar.sighup_applied") == 1);
     // The open order still must not run twice.
     release.send(()).unwrap();
     assert_eq!(busy.message().unwrap().status(), 502);
@@ -182,7 +184,9 @@
         sidecar.reload(&config_with(&agent, |c| {
             c["settings"]["classes"][2]["name"] = json!(format!("other-{n}"));
         }));
-        wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == n + 1);
+        wait_until("the configuration is applied", || {
+            sidecar.metric("sidecar.sighup_applied") == n + 1
+        });
     }
     client.send(rest);
     assert_eq!(client.message().unwrap().body, b"body");
@@ -226,12 +230,14 @@
     ];
     for (n, file) in files.iter().enumerate() {
         sidecar.reload(file);
-        wait_until("turned down", || sidecar.metric("sidecar.sighup_rejected") == n as u64 + 1);
+        wait_until("the configuration is rejected", || {
+            sidecar.metric("sidecar.sighup_rejected") == n as u64 + 1
+        });
         assert_eq!(sidecar.request(keyed()).status(), 200, "{file}");
     }
     assert_eq!(sidecar.metric("sidecar.sighup_applied"), 0);
     sidecar.reload(&invalid_file(|_| {}));
-    wait_until("taken", || sidecar.metric("sidecar.sighup_applied") == 1);
+    wait_until("the configuration is applied", || sidecar.metric("sidecar.sighup_applied") == 1);
     assert_eq!(sidecar.request(keyed()).status(), 404);
 }
 
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -76,7 +76,7 @@
         })
     };
     let sidecar = Sidecar::start(&config(discovery.address, |_| {}));
-    wait_until("the news", || {
+    wait_until("the updated list is used", || {
         let before = calls.load(Ordering::SeqCst);
         let by = sidecar.served_by();
         assert!(by == "a" || (by == "b" && calls.load(Ordering::SeqCst) > 8) || before > 7, "{by}");
@@ -95,7 +95,7 @@
         c["settings"]["rules"]["mustAskIn"] = json!(1_000_000);
     }));
     agent.set_hosts(vec![host("s-b", b.address)]);
-    wait_until("the news", || sidecar.served_by() == "b");
+    wait_until("the updated list is used", || sidecar.served_by() == "b");
 }
 
 #[test]
@@ -204,7 +204,7 @@
     });
     let sidecar = Sidecar::start(&config(discovery.address, |_| {}));
     assert_eq!(sidecar.served_by(), "a");
-    wait_until("the news", || sidecar.served_by() == "b");
+    wait_until("the updated list is used", || sidecar.served_by() == "b");
 }
 
 /// The results of one client's requests.
@@ -278,7 +278,7 @@
             .map(|_| scope.spawn(|| send_until_closed(address, &last, &answered_so_far)))
             .collect();
         // All clients are at work.
-        wait_until("clients at work", || answered_so_far.load(Ordering::SeqCst) > 500);
+        wait_until("all clients send requests", || answered_so_far.load(Ordering::SeqCst) > 500);
         sidecar.terminate();
         signalled_at.set(Instant::now()).expect("once");
         assert_eq!(sidecar.exit_code(), Some(0));
@@ -320,7 +320,7 @@
         c["settings"]["discovery"] = json!(mode);
         c["settings"]["rules"]["mustAskIn"] = json!(10_000_000);
     }));
-    wait_until("the news", || sidecar.served_by() == "b");
+    wait_until("the updated list is used", || sidecar.served_by() == "b");
     silent.get().expect("it fell silent").elapsed()
 }
 
--- a/crates/plankvale/tests/sidecar/upgrade_limits.rs
+++ b/crates/plankvale/tests/sidecar/upgrade_limits.rs
@@ -58,14 +58,16 @@
         orders.iter().map(client).collect()
     };
     let mut clients = open(&old, first);
-    wait_until("all of the old one's are out", || log.count() == OPEN_REQUESTS);
+    wait_until("all requests of the old process are open", || log.count() == OPEN_REQUESTS);
     let new = Sidecar::launch_with_listener(&config, &listener, &folder.0);
     wait_until("the new one is ready", || new.admin_request("GET /v1/readyz").status() == 200);
     old.terminate();
     old.wait_for_log("a successor goes on");
     clients.extend(open(&new, later));
     // The rest may be refused, or wait for room.
-    wait_until("some of the new one's are out", || log.count() > OPEN_REQUESTS + OPEN_REQUESTS / 2);
+    wait_until("some requests of the new process are open", || {
+        log.count() > OPEN_REQUESTS + OPEN_REQUESTS / 2
+    });
     let held = sockets(&old).union(&sockets(&new)).count();
     for release in arrivals.try_iter() {
         let _ = release.send(());
