--- a/crates/millethook-testkit/src/requests.rs
+++ b/crates/millethook-testkit/src/requests.rs
@@ -17,21 +17,25 @@
 
 /// A request that is safe to repeat, with this correlation id.
 pub fn safe_with_id(id: &str) -> String {
-    let rest = "X-Account: acme\r\nX-Time-Left-Ms: 900\r\n";
-    format!("GET /look/1?q=2 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\n{rest}\r\n")
+    let other_headers = "X-Account: acme\r\nX-Time-Left-Ms: 900\r\n";
+    format!(
+        "GET /look/1?q=2 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\n{other_headers}\r\n"
+    )
 }
 
 /// A request that is unsafe to repeat.
 pub fn unsafe_with(body: &str) -> String {
-    let (left, length) = (common_headers(), body.len());
-    format!("POST /order HTTP/1.1\r\nHost: app.svc\r\n{left}Content-Length: {length}\r\n\r\n{body}")
+    let (headers, length) = (common_headers(), body.len());
+    format!(
+        "POST /order HTTP/1.1\r\nHost: app.svc\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
+    )
 }
 
 /// A request with an idempotency key.
 pub fn keyed() -> String {
-    let left = common_headers();
+    let headers = common_headers();
     format!(
-        "POST /keep HTTP/1.1\r\nHost: app.svc\r\n{left}Idempotency-Key: 5c0f\r\n\
+        "POST /keep HTTP/1.1\r\nHost: app.svc\r\n{headers}Idempotency-Key: 5c0f\r\n\
          Content-Length: 4\r\n\r\nbody"
     )
 }
--- a/crates/millethook-testkit/tests/violations.rs
+++ b/crates/millethook-testkit/tests/violations.rs
@@ -19,21 +19,21 @@
     // An answer may repeat a field, and a request may repeat a list field.
     let lists = "GET / HTTP/1.1\r\nHost: a\r\nVia: b\r\nVia: c\r\n\r\n";
     let cookies = answer("200 OK", "Set-Cookie: a=1\r\nSet-Cookie: b=2\r\n", "fine");
-    let sound = Server::start(move |mut conn| {
+    let healthy = Server::start(move |mut conn| {
         while conn.message().is_some() {
             conn.send(&cookies);
         }
     });
-    let mut client = Conn::new(TcpStream::connect(sound.address).unwrap());
+    let mut client = Conn::new(TcpStream::connect(healthy.address).unwrap());
     let got = client.request(lists).expect("an answer");
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"fine"[..]));
     assert_eq!(violations(), Vec::<String>::new());
     drop(client);
 
-    let stage = ServerGroup::new(1, |_| Fault::Serve("not to be served".into()));
-    let mut client = Conn::new(TcpStream::connect(stage.servers[0].address).unwrap());
+    let group = ServerGroup::new(1, |_| Fault::Serve("not to be served".into()));
+    let mut client = Conn::new(TcpStream::connect(group.servers[0].address).unwrap());
     assert_eq!(client.request(TWICE).expect("an answer").status(), 400);
-    assert_eq!(stage.count(), 0);
+    assert_eq!(group.count(), 0);
     let found = violations();
     assert!(found.len() == 1 && found[0].contains("x-time-left-ms"), "{found:?}");
 
@@ -43,8 +43,8 @@
         assert!(text.contains("x-time-left-ms is repeated"), "{text}");
     };
     fails(Box::new(|| drop(client)));
-    fails(Box::new(|| drop(stage)));
-    fails(Box::new(|| drop(sound)));
+    fails(Box::new(|| drop(group)));
+    fails(Box::new(|| drop(healthy)));
     fails(Box::new(|| drop(Agent::start(Vec::new()))));
 
     // Reading a repeated field by name fails rather than returning the first value.
--- a/crates/plankvale/tests/conformance/deadlines.rs
+++ b/crates/plankvale/tests/conformance/deadlines.rs
@@ -31,7 +31,7 @@
         let group = ServerGroup::new(2, |_| Fault::Stall);
         let (form, _agent) = start::<F>(&group, |_| {});
         let before = Instant::now();
-        let record = Record::without_server(vec![form.request(request.left(400))], &group);
+        let record = Record::without_server(vec![form.request(request.time_left(400))], &group);
         assert_eq!(record.outcomes, [outcome]);
         // The protocol's slack is 50 ms; the rest allows for a busy machine. It is far below the
         // class's deadline.
@@ -44,7 +44,7 @@
 fn without_time_left_there_is_no_attempt<F: Form>() -> Record {
     let group = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let record = Record::of(
-        send_all::<F>(&group, ClientRequest::each().map(|request| request.left(0))),
+        send_all::<F>(&group, ClientRequest::each().map(|request| request.time_left(0))),
         &group,
     );
     assert_eq!((record.outcomes.as_slice(), record.attempts()), (&vec![REFUSED; 3][..], 0));
@@ -54,7 +54,7 @@
 fn servers_are_told_what_time_is_left<F: Form>() -> Record {
     let group = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let record = Record::of(
-        send_all::<F>(&group, ClientRequest::each().map(|request| request.left(700))),
+        send_all::<F>(&group, ClientRequest::each().map(|request| request.time_left(700))),
         &group,
     );
     for attempt in group.seen() {
@@ -83,7 +83,7 @@
             c["settings"]["limits"]["mayDuplicate"] = json!(false);
         });
         let record =
-            Record::without_server(vec![form.request(request.left(CLIENT_TIME_MS))], &group);
+            Record::without_server(vec![form.request(request.time_left(CLIENT_TIME_MS))], &group);
         assert_eq!(record.outcomes, [served("fine")]);
         let times_left: Vec<u64> = (group.seen().iter())
             .map(|a| a.message.header("x-time-left-ms").unwrap().parse().unwrap())
@@ -111,7 +111,7 @@
     let form = F::start(&config(agent.address, |c| {
         c["settings"]["classes"][2]["aim"] = json!(AIM_MS * 1_000);
     }));
-    let request = ClientRequest::at_most_once().left(CLIENT_TIME_MS).body(vec![7; 300_000]);
+    let request = ClientRequest::at_most_once().time_left(CLIENT_TIME_MS).body(vec![7; 300_000]);
     let outcome = std::thread::scope(|s| {
         let client = s.spawn(|| form.request(request));
         std::thread::sleep(Duration::from_millis(AIM_MS / 5));
@@ -131,7 +131,8 @@
 fn a_time_beyond_the_deadline_is_capped<F: Form>() -> Record {
     let group = ServerGroup::new(1, |_| Fault::Stall);
     let before = Instant::now();
-    let record = Record::of(send_all::<F>(&group, [ClientRequest::safe().left(60_000)]), &group);
+    let record =
+        Record::of(send_all::<F>(&group, [ClientRequest::safe().time_left(60_000)]), &group);
     assert_eq!(record.outcomes, [REFUSED]);
     // The class's deadline is one second.
     assert!(before.elapsed() < Duration::from_secs(10), "{:?}", before.elapsed());
--- a/crates/plankvale/tests/conformance/form.rs
+++ b/crates/plankvale/tests/conformance/form.rs
@@ -62,7 +62,7 @@
         self
     }
 
-    pub fn left(self, ms: u64) -> ClientRequest {
+    pub fn time_left(self, ms: u64) -> ClientRequest {
         self.without("x-time-left-ms").with("x-time-left-ms", &ms.to_string())
     }
 
--- a/crates/plankvale/tests/conformance/invalid.rs
+++ b/crates/plankvale/tests/conformance/invalid.rs
@@ -94,7 +94,7 @@
             class["deadline"] = 3_000_000.into();
         }
     });
-    let request = || ClientRequest::at_most_once().left(2_500).without("x-correlation-id");
+    let request = || ClientRequest::at_most_once().time_left(2_500).without("x-correlation-id");
     let duplicate = || request().with("x-correlation-id", "twin");
     let outcomes = std::thread::scope(|s| {
         let first = s.spawn(|| form.request(duplicate()));
--- a/crates/plankvale/tests/conformance/outcomes.rs
+++ b/crates/plankvale/tests/conformance/outcomes.rs
@@ -309,7 +309,7 @@
     let silent =
         || ClientRequest::safe().without("x-correlation-id").with("x-correlation-id", "silent");
     let outcomes = std::thread::scope(|s| {
-        let first = s.spawn(|| form.request(silent().left(18_000)));
+        let first = s.spawn(|| form.request(silent().time_left(18_000)));
         wait_until("the first request is at a server", || group.count() >= 1);
         // Other requests overtake it at both servers for as long as it waits.
         while !first.is_finished() {
--- a/crates/plankvale/tests/conformance/stale_copies.rs
+++ b/crates/plankvale/tests/conformance/stale_copies.rs
@@ -324,12 +324,12 @@
 /// Guards against serving the copy because too little time was left to tell it from the true
 /// answer.
 fn a_request_with_little_time_left_gets_no_copy<F: Form>() {
-    run_safe_variant::<F>(SHORT_WORK, "", || ClientRequest::safe().left(90));
+    run_safe_variant::<F>(SHORT_WORK, "", || ClientRequest::safe().time_left(90));
 }
 
 /// The same with `reuse = "proven"`.
 fn proven_a_request_with_little_time_left_gets_no_copy<F: Form>() {
-    run_safe_variant::<F>(SHORT_WORK, PROVEN, || ClientRequest::safe().left(90));
+    run_safe_variant::<F>(SHORT_WORK, PROVEN, || ClientRequest::safe().time_left(90));
 }
 
 /// Guards against serving the copy of a server that neither announces a close nor closes.
--- a/crates/plankvale/tests/distribution/server_lists.rs
+++ b/crates/plankvale/tests/distribution/server_lists.rs
@@ -18,8 +18,8 @@
     if member < CONTROL_NODES {
         return "list = \"orders\"\nlist_from_discovery = true\n".to_owned();
     }
-    let kept = folder.join(format!("kept-{member}"));
-    format!("list = \"orders\"\n[membership]\nsnapshot = {kept:?}\nwrite_every_s = 0.1\n")
+    let snapshot = folder.join(format!("kept-{member}"));
+    format!("list = \"orders\"\n[membership]\nsnapshot = {snapshot:?}\nwrite_every_s = 0.1\n")
 }
 
 /// A tier in which each member has this discovery.
@@ -242,7 +242,7 @@
     wait_until_all_served_by(&tier, "new");
     let member = CONTROL_NODES;
     wait_until("the list is kept", || {
-        tier.stored_text(member, "kept").is_some_and(|kept| kept.contains("s-new"))
+        tier.stored_text(member, "kept").is_some_and(|snapshot| snapshot.contains("s-new"))
     });
     kill_control_nodes(&mut tier);
     tier.kill(member);
--- a/crates/plankvale/tests/distribution/tier.rs
+++ b/crates/plankvale/tests/distribution/tier.rs
@@ -331,8 +331,8 @@
         let end = Instant::now() + time;
         while Instant::now() < end {
             for member in self.running() {
-                let taken = self.accepts_class(member, class);
-                assert_eq!(taken, members.contains(&member), "{class} at member {member}");
+                let accepted = self.accepts_class(member, class);
+                assert_eq!(accepted, members.contains(&member), "{class} at member {member}");
             }
             sleep(Duration::from_millis(20));
         }
--- a/crates/plankvale/tests/sidecar/choice.rs
+++ b/crates/plankvale/tests/sidecar/choice.rs
@@ -61,9 +61,9 @@
     const FULL: &str = "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     let log = |full: bool| {
         let (log, seen) = RequestLog::new();
-        let taken = log.clone();
+        let server_log = log.clone();
         let server = Server::start(move |mut conn| {
-            while let Some(seen) = taken.read_request(&mut conn) {
+            while let Some(seen) = server_log.read_request(&mut conn) {
                 let first = full && seen.nth == 1;
                 conn.send(if first { FULL.to_owned() } else { ok("fine") });
             }
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -79,9 +79,9 @@
 }
 
 pub(crate) fn order_request(body: &str, more: &str) -> String {
-    let (left, length) = (common_headers(), body.len());
+    let (headers, length) = (common_headers(), body.len());
     format!(
-        "POST /order HTTP/1.1\r\nHost: app.svc\r\n{left}{more}Content-Length: {length}\r\n\r\n{body}"
+        "POST /order HTTP/1.1\r\nHost: app.svc\r\n{headers}{more}Content-Length: {length}\r\n\r\n{body}"
     )
 }
 
@@ -155,10 +155,10 @@
     let store_folder = StoreFolder::new();
     let agent = Agent::start(vec![host("s-a", unused_address())]);
     let mut first = store_folder.start(&agent);
-    let kept: Vec<u16> = (0..20)
+    let statuses: Vec<u16> = (0..20)
         .map(|n| first.request(order_request(&format!("w{n}"), PREFER_ASYNC)).status())
         .collect();
-    assert!(kept.iter().all(|status| *status == 202), "{kept:?}");
+    assert!(statuses.iter().all(|status| *status == 202), "{statuses:?}");
     first.child.kill().expect("killed");
     first.child.wait().expect("ended");
     let (server, seen) = recording_server();
@@ -189,16 +189,16 @@
         "{:?}",
         store_folder.edge_command(&["export"])
     );
-    let stage = ServerGroup::new(2, |a| match a.nth {
+    let group = ServerGroup::new(2, |a| match a.nth {
         1 => {
             std::thread::sleep(Duration::from_millis(HOLD_MS));
             Fault::Reject
         }
         _ => Fault::Serve("done".into()),
     });
-    agent.set_hosts(stage.hosts());
+    agent.set_hosts(group.hosts());
     wait_until("the write is replayed", || sidecar.metric("sidecar.edge.replayed") == 1);
-    let seen: Vec<Message> = stage.seen().into_iter().map(|a| a.message).collect();
+    let seen: Vec<Message> = group.seen().into_iter().map(|a| a.message).collect();
     let times_left = times_left(&seen);
     assert_eq!(times_left.len(), 2, "{seen:?}");
     assert!(
@@ -351,13 +351,13 @@
         "nobody else sends it"
     );
     disk.set_open(true);
-    let mut kept = 0;
+    let mut stored = 0;
     wait_until("a write is kept", || {
         let status = sidecar
-            .request(order_request(&format!("w{kept}"), PREFER_ASYNC))
+            .request(order_request(&format!("w{stored}"), PREFER_ASYNC))
             .expect("an answer")
             .status();
-        kept += u32::from(status == 202);
+        stored += u32::from(status == 202);
         status == 202
     });
     let (server, seen) = recording_server();
@@ -423,31 +423,31 @@
         let agent = Agent::start(vec![host(&format!("s-{kill}"), at)]);
         let mut sidecar = store_folder.start(&agent);
         let life = Duration::from_millis(if reachable { 700 } else { 5 } + random.below(300));
-        let begun = Instant::now();
+        let started_at = Instant::now();
         std::thread::scope(|scope| {
             let writers: Vec<_> = (0..4)
                 .map(|_| {
                     let (first, address) = (sent, sidecar.address);
                     sent += 200;
                     scope.spawn(move || {
-                        let mut kept = Vec::new();
+                        let mut acknowledged_bodies = Vec::new();
                         for n in first..first + 200 {
                             let Ok(socket) = std::net::TcpStream::connect(address) else { break };
                             let mut client = Conn::new(socket);
                             let body = format!("w{n}");
                             match client.request(order_request(&body, PREFER_ASYNC)) {
                                 Some(m) if m.status() == 202 || m.status() == 200 => {
-                                    kept.push(body)
+                                    acknowledged_bodies.push(body)
                                 }
                                 Some(_) => {}
                                 None => break,
                             }
                         }
-                        kept
+                        acknowledged_bodies
                     })
                 })
                 .collect();
-            std::thread::sleep(life.saturating_sub(begun.elapsed()));
+            std::thread::sleep(life.saturating_sub(started_at.elapsed()));
             sidecar.child.kill().expect("killed");
             sidecar.child.wait().expect("ended");
             for writer in writers {
--- a/crates/plankvale/tests/sidecar/outcomes.rs
+++ b/crates/plankvale/tests/sidecar/outcomes.rs
@@ -27,10 +27,10 @@
 /// A server that resets a connection at the first byte of its nth request, counted from 1.
 fn server_that_resets_at(nth: usize) -> (Server, RequestLog) {
     let (log, _) = RequestLog::new();
-    let taken = log.clone();
+    let server_log = log.clone();
     let server = Server::start(move |mut conn| {
         for _ in 1..nth {
-            if taken.read_request(&mut conn).is_none() {
+            if server_log.read_request(&mut conn).is_none() {
                 return;
             }
             conn.send(ok("fine"));
--- a/crates/plankvale/tests/sidecar/races/lists.rs
+++ b/crates/plankvale/tests/sidecar/races/lists.rs
@@ -39,9 +39,9 @@
         let sidecar = Sidecar::start(&config(agent.address, with_discovery_mode(mode, &[])));
         wait_until("the first list", || sidecar.served_by() == "a");
         agent.restart_versions(vec![host("s-b", b.address)]);
-        let began = Instant::now();
+        let started_at = Instant::now();
         wait_until("the updated list is used", || sidecar.served_by() == "b");
-        assert!(began.elapsed() < UPDATE_DUE, "{mode}: {:?}", began.elapsed());
+        assert!(started_at.elapsed() < UPDATE_DUE, "{mode}: {:?}", started_at.elapsed());
     }
 }
 
@@ -75,10 +75,10 @@
         sidecar.reload(&at(second.address).to_string());
         wait_until("the second discovery address is queried", || trickling.load(Ordering::SeqCst));
         sidecar.reload(&at(third.address).to_string());
-        let began = Instant::now();
+        let started_at = Instant::now();
         wait_until("the updated list is used", || sidecar.served_by() == "b");
         // A third of that time: waiting for the end of the slow request alone would take 3 s.
-        assert!(began.elapsed() < MOVED_UPDATE_DUE / 3, "{mode}: {:?}", began.elapsed());
+        assert!(started_at.elapsed() < MOVED_UPDATE_DUE / 3, "{mode}: {:?}", started_at.elapsed());
     }
 }
 
@@ -93,9 +93,9 @@
     let never_accepting = BlackHole::start();
     for mode in ["pushed", "on_request"] {
         for discovery in [refusing_address(), silent.address, never_accepting.address] {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let sidecar = Sidecar::start(&config(discovery, with_discovery_mode(mode, &known)));
-            assert!(began.elapsed() < READY_DUE, "{mode}: {:?}", began.elapsed());
+            assert!(started_at.elapsed() < READY_DUE, "{mode}: {:?}", started_at.elapsed());
             assert_eq!(sidecar.served_by(), "a");
         }
     }
@@ -141,14 +141,14 @@
     assert_eq!(sidecar.served_by(), "a");
     let agent = Agent::start(vec![host("s-b", b.address)]);
     sidecar.reload(&crowded(agent.address).to_string());
-    let began = Instant::now();
+    let started_at = Instant::now();
     wait_until("the updated list is used", || {
         // Clients whose connection was closed reconnect and stay idle.
         crowd.rotate_left(1);
         crowd[0] = sidecar.client();
         sidecar.served_by() == "b"
     });
-    assert!(began.elapsed() < MOVED_UPDATE_DUE, "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < MOVED_UPDATE_DUE, "{:?}", started_at.elapsed());
     assert_eq!(sidecar.request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     assert!(sidecar.descriptors() < 128, "{}", sidecar.descriptors());
 }
--- a/crates/plankvale/tests/sidecar/reload.rs
+++ b/crates/plankvale/tests/sidecar/reload.rs
@@ -117,9 +117,9 @@
 
 /// A configuration with changed settings, as text.
 fn config_with(agent: &Agent, change: impl FnOnce(&mut serde_json::Value)) -> String {
-    let mut whole = config(agent.address, |c| c["admin"] = json!("127.0.0.1:0"));
-    change(&mut whole);
-    whole.to_string()
+    let mut value = config(agent.address, |c| c["admin"] = json!("127.0.0.1:0"));
+    change(&mut value);
+    value.to_string()
 }
 
 #[test]
--- a/crates/plankvale/tests/sidecar/service.rs
+++ b/crates/plankvale/tests/sidecar/service.rs
@@ -13,16 +13,16 @@
 #[test]
 fn a_failed_start_prints_one_line_and_exits_with_a_code() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = listener.local_addr().unwrap();
-    let sound = config(taken, |_| {});
+    let bound_address = listener.local_addr().unwrap();
+    let valid_config = config(bound_address, |_| {});
     let with = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut config = sound.clone();
+        let mut config = valid_config.clone();
         change(&mut config);
         config.to_string()
     };
     let cases = [
         ("line 1", "{".to_owned()),
-        ("listen", with(&|c| c["listen"] = json!(taken.to_string()))),
+        ("listen", with(&|c| c["listen"] = json!(bound_address.to_string()))),
         ("listen", with(&|c| c["listen"] = json!("nowhere"))),
         ("discovery", with(&|c| c["discovery"] = json!(null))),
         ("seed", with(&|c| c["seed"] = json!("x"))),
@@ -39,7 +39,7 @@
     for (key, config) in cases {
         check(key, failed_start(&config, &[]));
     }
-    check("listen", failed_start(&sound.to_string(), &[("LB_LISTEN", "127.0.0.1:9")]));
+    check("listen", failed_start(&valid_config.to_string(), &[("LB_LISTEN", "127.0.0.1:9")]));
     check("LB_CONFIG", failed_start("{}", &[("LB_CONFIG", "/nowhere/at/all.json")]));
     check("LB_CONFIG", failed_start("{}", &[("LB_CONFIG", "")]));
 }
