--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -214,7 +214,9 @@
     assert!(most_a.load(Ordering::SeqCst) <= 4 && most_b.load(Ordering::SeqCst) <= 4);
     assert!(open_a.load(Ordering::SeqCst) + open_b.load(Ordering::SeqCst) <= 4);
     drop((first, second));
-    wait_until("all sockets and bytes are released", || budget.sockets() == 0 && budget.bytes() == 0);
+    wait_until("all sockets and bytes are released", || {
+        budget.sockets() == 0 && budget.bytes() == 0
+    });
 }
 
 /// Waits until all sockets of the budget are idle connections of the two fleets.
