--- a/crates/millethook-distribution/src/control/writing.rs
+++ b/crates/millethook-distribution/src/control/writing.rs
@@ -13,18 +13,19 @@
 use crate::mutant::{self, Mutant};
 use crate::outgoing::Receiver;
 use crate::writer::{Publication, Writer, round_length};
-use crate::{Document, DocumentId, DocumentKey, MOST_CONTENT, Rollout, Version};
+use crate::{Document, DocumentId, DocumentKey, MAX_CONTENT_BYTES, Rollout, Version};
 
 impl ControlNode {
-    /// This control node holds the writer's lease under this token: it asks the others to admit it, and learns what
-    /// they hold. To be called again with each higher token; with the same one it changes nothing.
+    /// This control node holds the writer's lease under this token: it asks the others to acknowledge the token, and
+    /// learns what they store. The host has to call this again with each higher token; a call with the same token has
+    /// no effect.
     pub fn announce_writer(&mut self, now: Micros, token: Token) {
         if self.writer.as_ref().is_some_and(|writer| writer.token >= token) {
             return;
         }
         let by = self.fence.highest();
         if token < by && !mutant::is(Mutant::NoFence) || token.owner != self.config.me {
-            self.tell(ControlEvent::Deposed { token, by });
+            self.queue_event(ControlEvent::Deposed { token, by });
             return;
         }
         if self.recovery.is_some() {
@@ -34,15 +35,17 @@
         self.step_down();
         let _ = self.fence.admit(token);
         self.writer = Some(Writer::new(token));
-        self.begin_announcing(now);
+        self.start_announcing(now);
         self.become_ready(now);
     }
 
-    /// It holds the lease no more. What is not committed is left to the next writer.
+    /// This control node does not hold the lease any more. Documents that are not committed are left to the next
+    /// writer.
     pub fn resign(&mut self, _now: Micros) {
         self.step_down();
     }
 
+    /// Stops being the writer and drops its proposals.
     pub(super) fn step_down(&mut self) {
         self.pending = None;
         if self.writer.take().is_some() {
@@ -50,27 +53,29 @@
         }
     }
 
-    /// A number by which the answers of a round are known; never 0.
+    /// A number that identifies the answers of a round; never 0.
     pub(super) fn next_round(&mut self) -> u32 {
         self.random.next_u32().max(1)
     }
 
-    fn begin_announcing(&mut self, now: Micros) {
+    /// Starts a new round of announcements.
+    fn start_announcing(&mut self, now: Micros) {
         let (me, round) = (self.config.me, self.next_round());
         // What was learned in an earlier round does not count in this one.
-        self.sessions.retain(|_, session| !session.learns_votes());
+        self.sessions.retain(|_, session| !session.learns_accepted());
         if let Some(writer) = &mut self.writer {
-            writer.begin(now, me, round);
+            writer.start_round(now, me, round);
         }
     }
 
-    /// Asks again whoever has not answered.
-    pub(super) fn announce(&mut self, now: Micros) {
+    /// Sends the announcement again to control nodes that have not answered.
+    pub(super) fn retry_announcement(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return };
-        let over = now > writer.sent.saturating_add(length) && !mutant::is(Mutant::RoundsForever);
-        if !writer.ready && over {
-            self.begin_announcing(now);
+        let expired =
+            now > writer.sent.saturating_add(length) && !mutant::is(Mutant::RoundsForever);
+        if !writer.ready && expired {
+            self.start_announcing(now);
         }
         let Some(writer) = &mut self.writer else { return };
         if !writer.is_due(now) {
@@ -78,16 +83,17 @@
         }
         let message = Message::Announce { token: writer.token, round: writer.round };
         let learned = writer.learned.clone();
-        for other in self.others() {
-            // What is being compared with it once a second says nothing of its votes.
-            let learning = self.sessions.get(&other).is_some_and(|session| session.learns_votes());
+        for other in self.other_control_nodes() {
+            // The comparison that is made once a second does not include the other's votes.
+            let learning =
+                self.sessions.get(&other).is_some_and(|session| session.learns_accepted());
             if !learned.contains(&other) && !learning {
-                self.say(other, &message);
+                self.send(other, &message);
             }
         }
     }
 
-    /// Another control node takes no lower token any more.
+    /// Another control node accepts no lower token any more.
     pub(super) fn on_promise(
         &mut self,
         now: Micros,
@@ -107,10 +113,10 @@
             self.sessions.remove(&from);
             self.on_learned(now, from);
         }
-        self.look_at_sessions(now);
+        self.finish_sessions(now);
     }
 
-    /// All that another control node holds is known here.
+    /// Everything that another control node stores is known here.
     pub(super) fn on_learned(&mut self, now: Micros, from: u16) {
         if let Some(writer) = self.writer.as_mut().filter(|w| w.promised.contains(&from)) {
             writer.learned.insert(from);
@@ -118,31 +124,33 @@
         }
     }
 
-    /// The writer may publish once all that a majority holds is known, and it is told in time.
+    /// The writer may publish once it knows everything that a majority stores, if the round has not expired.
     fn become_ready(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &mut self.writer else { return };
         let in_time =
             now <= writer.sent.saturating_add(length) || mutant::is(Mutant::RoundsForever);
-        if writer.ready || !in_time || !self.quorum.holds(&writer.learned) {
+        if writer.ready || !in_time || !self.quorum.is_majority(&writer.learned) {
             return;
         }
         writer.ready = true;
         let token = writer.token;
-        self.tell(ControlEvent::WriterReady(token));
-        // What a majority may have accepted is published again, under a version that is greater.
+        self.queue_event(ControlEvent::WriterReady(token));
+        // Documents that a majority may have accepted are published again, under a higher version.
         if !mutant::is(Mutant::LeftoversForgotten) {
-            for document in self.store.leftovers() {
-                self.begin(now, document.key, document.body.clone());
+            for document in self.store.uncommitted() {
+                self.start_publication(now, document.key, document.body.clone());
             }
         }
     }
 
-    /// Publishes a document, or with None retracts the one of this key. The version is known at once; it is in force
-    /// nowhere before [`ControlEvent::Committed`]. Of several for one key in a row only the latest need be committed.
+    /// Publishes a document, or retracts the document of this key if `body` is None. The version is known at once; it
+    /// is not in force anywhere before [`ControlEvent::Committed`]. Of several consecutive documents for one key, only
+    /// the latest has to be committed.
     ///
     /// # Errors
-    /// Says why not.
+    ///
+    /// Returns the reason why it was not published.
     pub fn publish(
         &mut self,
         now: Micros,
@@ -158,17 +166,22 @@
             return Err(PublishError::NotWriter(highest));
         }
         let found = body.as_ref().map_or(0, Vec::len);
-        if found > MOST_CONTENT {
-            return Err(PublishError::TooLong { found, most: MOST_CONTENT });
+        if found > MAX_CONTENT_BYTES {
+            return Err(PublishError::TooLong { found, most: MAX_CONTENT_BYTES });
         }
-        self.store.room_for(key, found)?;
-        let version = self.begin(now, key, body);
+        self.store.check_room(key, found)?;
+        let version = self.start_publication(now, key, body);
         self.tick(now);
         version.ok_or(PublishError::NotWriter(highest))
     }
 
-    /// Makes the next document of a key; it goes out when the one before it is committed.
-    fn begin(&mut self, now: Micros, key: DocumentKey, body: Option<Vec<u8>>) -> Option<Version> {
+    /// Creates the next document of a key; it is proposed when the previous one is committed.
+    fn start_publication(
+        &mut self,
+        now: Micros,
+        key: DocumentKey,
+        body: Option<Vec<u8>>,
+    ) -> Option<Version> {
         let writer = self.writer.as_mut()?;
         let version = writer.next_version();
         let document = Arc::new(Document::new(key, version, body));
@@ -193,31 +206,31 @@
         let publication =
             Publication { document: document.clone(), round, sent: now, accepted, waiting };
         writer.publications.insert(key, publication);
-        for other in self.others() {
+        for other in self.other_control_nodes() {
             let to = Receiver { number: other, role: Role::ControlNode };
             self.outgoing.push(now, to, &document, Stage::Proposed(round), true);
         }
         self.count_votes(now, key);
     }
 
-    /// Asks again for votes where a round is over.
-    pub(super) fn propose_again(&mut self, now: Micros) {
+    /// Starts a new vote where a round has expired.
+    pub(super) fn retry_proposals(&mut self, now: Micros) {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return };
-        let over = |publication: &&Publication| now > publication.sent.saturating_add(length);
-        let over = writer.publications.values().filter(over);
-        let over: Vec<Arc<Document>> = over.map(|p| p.document.clone()).collect();
+        let expired = |publication: &&Publication| now > publication.sent.saturating_add(length);
+        let expired = writer.publications.values().filter(expired);
+        let expired: Vec<Arc<Document>> = expired.map(|p| p.document.clone()).collect();
         if mutant::is(Mutant::RoundsForever) {
             return;
         }
-        over.into_iter().for_each(|document| self.propose(now, document));
+        expired.into_iter().for_each(|document| self.propose(now, document));
     }
 
-    /// When a round of votes is over.
-    pub(super) fn rounds_until(&self) -> Micros {
+    /// The time at which the next round of votes expires.
+    pub(super) fn next_round_end(&self) -> Micros {
         let length = round_length(&self.config.limits);
         let Some(writer) = &self.writer else { return Micros::MAX };
-        let announcing = if writer.ready { Micros::MAX } else { writer.ask_at };
+        let announcing = if writer.ready { Micros::MAX } else { writer.announce_at };
         let sent = writer.publications.values().map(|publication| publication.sent).min();
         announcing.min(sent.map_or(Micros::MAX, |sent| sent.saturating_add(length + 1)))
     }
@@ -225,7 +238,7 @@
     /// A control node has accepted a document.
     pub(super) fn on_accepted(&mut self, now: Micros, from: u16, id: DocumentId, round: u32) {
         let to = Receiver { number: from, role: Role::ControlNode };
-        self.outgoing.accepted(to, id, round);
+        self.outgoing.on_accepted(to, id, round);
         let length = round_length(&self.config.limits);
         let Some(writer) = &mut self.writer else { return };
         let Some(publication) = writer.publications.get_mut(&id.key) else { return };
@@ -238,11 +251,11 @@
         }
     }
 
-    /// A document that a majority has accepted is committed.
+    /// Commits a document that a majority has accepted.
     fn count_votes(&mut self, now: Micros, key: DocumentKey) {
         let Some(writer) = &mut self.writer else { return };
         let Some(publication) = writer.publications.get(&key) else { return };
-        if !self.quorum.holds(&publication.accepted) {
+        if !self.quorum.is_majority(&publication.accepted) {
             return;
         }
         let Some(Publication { document, accepted, waiting, .. }) =
@@ -251,9 +264,9 @@
             return;
         };
         self.figures.committed += 1;
-        self.tell(ControlEvent::Committed(document.id()));
+        self.queue_event(ControlEvent::Committed(document.id()));
         self.commit(now, document.clone());
-        for other in self.others() {
+        for other in self.other_control_nodes() {
             let to = Receiver { number: other, role: Role::ControlNode };
             let lacks = !accepted.contains(&other);
             self.outgoing.push(now, to, &document, Stage::Committed, lacks);
@@ -263,7 +276,7 @@
         }
     }
 
-    /// How far a document has come: at the writer in sum, elsewhere among those that this control node counts.
+    /// The rollout of a document: the total at the writer; elsewhere, the part that this control node counts.
     pub(super) fn sum(&self, now: Micros, id: DocumentId) -> Rollout {
         let own = self.rollout(now, id);
         match &self.writer {
@@ -272,7 +285,7 @@
         }
     }
 
-    /// Puts back what was before a document that too many refuse.
+    /// Restores the previous content of a document that too many sidecars refuse.
     pub(super) fn stop_refused(&mut self, now: Micros) {
         let Some(writer) = self.writer.as_ref().filter(|writer| writer.ready) else { return };
         let limits = self.config.limits;
@@ -287,12 +300,12 @@
             let too_many = rollout.refused >= limits.refused_least.max(1)
                 && f64::from(rollout.refused) > share
                 && !mutant::is(Mutant::NeverStopped);
-            too_many.then(|| (committed.id(), rollout, slot.good.clone()))
+            too_many.then(|| (committed.id(), rollout, slot.last_good.clone()))
         });
         let refused: Vec<_> = refused.collect();
         for (stopped, rollout, good) in refused {
             let body = good.and_then(|good| good.body.clone());
-            let Some(restored) = self.begin(now, stopped.key, body) else { continue };
+            let Some(restored) = self.start_publication(now, stopped.key, body) else { continue };
             self.figures.stopped += 1;
             if let Some(writer) = &mut self.writer {
                 writer.restored.insert(restored);
@@ -301,7 +314,7 @@
                 }
             }
             let first_refusal = rollout.first_refusal.clone();
-            self.tell(ControlEvent::Stopped { stopped, rollout, first_refusal, restored });
+            self.queue_event(ControlEvent::Stopped { stopped, rollout, first_refusal, restored });
         }
     }
 }
--- a/crates/millethook-engine/src/evidence.rs
+++ b/crates/millethook-engine/src/evidence.rs
@@ -6,7 +6,7 @@
 use coppercart::api::{Health, Micros, Outcome, ServerEntry, ServerId};
 use millethook_lease::{JobId, Token};
 use millethook_replica::{
-    Departure, EntryValue, Figures, Key, ObservedOutcome, Replica, ReplicaConfig, Standing,
+    Departure, EntryValue, Figures, Key, ObservedOutcome, Replica, ReplicaConfig, ServerStatus,
 };
 use millethook_view::View;
 
@@ -26,11 +26,11 @@
 }
 
 /// Converts a verdict of the replica to the balancer's type.
-fn to_server_verdict(verdict: Standing) -> coppercart::api::ServerVerdict {
+fn to_server_verdict(verdict: ServerStatus) -> coppercart::api::ServerVerdict {
     match verdict {
-        Standing::Trusted => coppercart::api::ServerVerdict::Trusted,
-        Standing::Suspected => coppercart::api::ServerVerdict::Suspected,
-        Standing::Leaving => coppercart::api::ServerVerdict::Leaving,
+        ServerStatus::Trusted => coppercart::api::ServerVerdict::Trusted,
+        ServerStatus::Suspected => coppercart::api::ServerVerdict::Suspected,
+        ServerStatus::Leaving => coppercart::api::ServerVerdict::Leaving,
     }
 }
 
@@ -100,7 +100,7 @@
     /// Sends a part of the shared entries to a member that has joined or returned, if this process is one of the
     /// senders.
     pub fn on_joined(&self, now: Micros, number: u16, view: &View) {
-        if let Some(part) = view.place_after(number, STATE_SENDERS) {
+        if let Some(part) = view.position_after(number, STATE_SENDERS) {
             self.replica.borrow_mut().send_state(now, number, part, STATE_SENDERS);
         }
     }
@@ -134,9 +134,9 @@
         loop {
             let event = self.replica.borrow_mut().poll_event();
             let Some(event) = event else { return };
-            observer(ServerId(event.server), to_server_verdict(event.standing));
+            observer(ServerId(event.server), to_server_verdict(event.status));
             if let Some(sink) = sink.as_deref() {
-                sink.apply_verdict(ServerId(event.server), to_server_verdict(event.standing));
+                sink.apply_verdict(ServerId(event.server), to_server_verdict(event.status));
             }
         }
     }
@@ -181,9 +181,9 @@
         for entry in entries.iter().filter(|_| self.shares_evidence) {
             let (server, epoch) = (entry.id.0, entry.started / 1_000);
             match entry.health {
-                Health::Ready => replica.listed(now, server, epoch),
+                Health::Ready => replica.on_server_listed(now, server, epoch),
                 Health::Draining => {
-                    replica.listed(now, server, epoch);
+                    replica.on_server_listed(now, server, epoch);
                     replica.on_departure(now, server, epoch, Departure::Leaving);
                 }
                 Health::Gone => replica.on_departure(now, server, epoch, Departure::Gone),
@@ -194,12 +194,12 @@
     /// Records that the own list no longer has these servers.
     pub fn on_unlisted(&self, servers: &[ServerId]) {
         let mut replica = self.replica.borrow_mut();
-        servers.iter().for_each(|server| replica.unlisted(server.0));
+        servers.iter().for_each(|server| replica.on_server_unlisted(server.0));
     }
 
     /// Returns the verdict on a server.
     pub fn verdict(&self, server: ServerId) -> coppercart::api::ServerVerdict {
-        to_server_verdict(self.replica.borrow().standing(server.0))
+        to_server_verdict(self.replica.borrow().server_status(server.0))
     }
 
     /// Returns the counts of the replica.
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -143,8 +143,8 @@
             // An announcement is as old as the last renewal of the lease; without a newer one the lease has expired.
             let other_owner =
                 owner_of(entry.job).filter(|(_, age)| own_token.is_none() && *age < lease_length);
-            let holder = match lease.standing(now, entry.job) {
-                Some(millethook_lease::Standing::Held(token, until)) => Some((token, until)),
+            let holder = match lease.status(now, entry.job) {
+                Some(millethook_lease::LeaseStatus::Held(token, until)) => Some((token, until)),
                 _ => other_owner.map(|(token, age)| (token, now + lease_length - age)),
             };
             match (own_token, holder) {
