--- a/crates/millethook-testkit/src/unreachable.rs
+++ b/crates/millethook-testkit/src/unreachable.rs
@@ -1,24 +1,24 @@
-//! Addresses to which no connection can be made: refused at once, or never accepted.
+//! Addresses to which no connection can be established: refused at once, or never accepted.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, PoisonError};
 
 use crate::Conn;
 
-/// An address at which connections are refused, for as long as the process lives. A port that is free
-/// again is soon another test's, whose server would then see what was sent here.
-pub fn refusing() -> SocketAddr {
-    static BOUND: Mutex<Vec<socket2::Socket>> = Mutex::new(Vec::new());
+/// An address that refuses connections for as long as the process lives. A free port would soon be
+/// given to another test, whose server would then receive the requests sent here.
+pub fn refusing_address() -> SocketAddr {
+    static BOUND_SOCKETS: Mutex<Vec<socket2::Socket>> = Mutex::new(Vec::new());
     let socket = tcp_socket();
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).expect("a free port");
     let address = socket.local_addr().ok().and_then(|at| at.as_socket());
-    BOUND.lock().unwrap_or_else(PoisonError::into_inner).push(socket);
+    BOUND_SOCKETS.lock().unwrap_or_else(PoisonError::into_inner).push(socket);
     address.expect("a bound address")
 }
 
-/// A listener whose queue has room for one connection.
-pub fn short_queue() -> TcpListener {
+/// A listener whose backlog holds one connection.
+pub fn short_backlog() -> TcpListener {
     let socket = tcp_socket();
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).expect("a free port");
@@ -26,20 +26,21 @@
     socket.into()
 }
 
-/// Clients that fill the queue of a [`short_queue`], whose owner has stopped accepting: no other connection comes up.
-pub struct FullQueue(Vec<socket2::Socket>);
+/// Clients that fill the backlog of a [`short_backlog`] that no longer accepts, so no other
+/// connection is established.
+pub struct FullBacklog(Vec<socket2::Socket>);
 
-impl FullQueue {
-    /// Fills the queue of the listener at this address.
-    pub fn of(address: SocketAddr) -> FullQueue {
+impl FullBacklog {
+    /// Fills the backlog of the listener at this address.
+    pub fn of(address: SocketAddr) -> FullBacklog {
         let queued = (0..4).map(|_| {
             let client = tcp_socket();
             client.set_nonblocking(true).expect("a socket's flag");
-            // Those that find no place in the queue go on trying.
+            // Clients that find the backlog full keep retrying.
             let _ = client.connect(&address.into());
             client
         });
-        FullQueue(queued.collect())
+        FullBacklog(queued.collect())
     }
 }
 
@@ -48,25 +49,26 @@
     socket2::Socket::new(domain, kind, None).expect("a socket")
 }
 
-/// An address at which connections never come up: its queue is full, and nobody accepts.
-pub struct Silent {
+/// An address at which connections are never established: its backlog is full and nobody accepts.
+pub struct BlackHole {
     /// The address.
     pub address: SocketAddr,
     listener: TcpListener,
-    queued: FullQueue,
+    queued: FullBacklog,
 }
 
-impl Silent {
-    /// Fills the queue of a new listener.
-    pub fn start() -> Silent {
-        let listener = short_queue();
+impl BlackHole {
+    /// Fills the backlog of a new listener.
+    pub fn start() -> BlackHole {
+        let listener = short_backlog();
         let address = listener.local_addr().expect("a bound address");
-        Silent { address, queued: FullQueue::of(address), listener }
+        BlackHole { address, queued: FullBacklog::of(address), listener }
     }
 
-    /// Accepts from now on: each connection that is not of the queue here gets `script`. One that was refused room
-    /// comes up once its system tries again, a second or three after its first try.
-    pub fn open(self, script: impl Fn(Conn) + Send + Sync + 'static) {
+    /// Accepts from now on and runs `script` for each connection that is not one of the backlog's
+    /// fillers. A connection that found the backlog full is established when the kernel retries,
+    /// one or three seconds after its first attempt.
+    pub fn start_accepting(self, script: impl Fn(Conn) + Send + Sync + 'static) {
         let script = Arc::new(script);
         let own: Vec<Option<SocketAddr>> = self.queued.0.iter().map(own_address).collect();
         std::thread::spawn(move || {
--- a/crates/millethook/tests/library/new_connections.rs
+++ b/crates/millethook/tests/library/new_connections.rs
@@ -33,7 +33,7 @@
 
 impl MixedServer {
     fn start() -> MixedServer {
-        let listener = short_queue();
+        let listener = short_backlog();
         let address = listener.local_addr().expect("a bound address");
         let (stopped, held) = (Arc::new(AtomicBool::new(false)), Arc::default());
         let (acceptor, stop) = (listener.try_clone().expect("a descriptor"), stopped.clone());
@@ -59,17 +59,17 @@
     }
 
     /// Makes all further handshakes hang until the returned values are dropped.
-    fn stop_accepting(self) -> (TcpListener, FullQueue) {
+    fn stop_accepting(self) -> (TcpListener, FullBacklog) {
         self.stopped.store(true, Ordering::SeqCst);
         let last = TcpStream::connect(self.address).expect("the last accepted connection");
         self.accepting.join().expect("no panic");
         drop(last);
-        (self.listener, FullQueue::of(self.address))
+        (self.listener, FullBacklog::of(self.address))
     }
 }
 
 fn answer_all(mut conn: Conn, held: &Mutex<Option<HeldRequest>>) {
-    while let Some(message) = conn.message().filter(|message| message.whole) {
+    while let Some(message) = conn.message().filter(|message| message.complete) {
         let held = held.lock().expect("no panic").take();
         if let Some(held) = held {
             held.seen.send(()).expect("the test waits");
@@ -99,7 +99,7 @@
 }
 
 async fn wait_for(fleet: &Fleet, what: &str, holds: impl Fn(Usage) -> bool) {
-    let end = Instant::now() + BOUND;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds(fleet.usage().await.expect("the fleet lives")) {
         assert!(Instant::now() < end, "{what}");
         tokio::task::yield_now().await;
@@ -163,7 +163,9 @@
             let recorded = recorded.clone();
             thread::spawn(move || {
                 let mut conn = Conn::new(socket);
-                let Some(message) = conn.message().filter(|message| message.whole) else { return };
+                let Some(message) = conn.message().filter(|message| message.complete) else {
+                    return;
+                };
                 recorded.lock().expect("no panic").insert(nth, message.first.clone());
                 conn.send(ok("done"));
             });
