--- a/crates/millethook-distribution/src/message.rs
+++ b/crates/millethook-distribution/src/message.rs
@@ -11,7 +11,7 @@
 use millethook_machine::codec::{self, BufMut};
 
 use crate::chunks::Wanted;
-use crate::{DocumentId, DocumentKey, LONGEST, Rollout, Version};
+use crate::{DocumentId, DocumentKey, MAX_MESSAGE_BYTES, Rollout, Version};
 pub(crate) use fields::{
     Delta, Digest, ListEntry, ListsPayload, ListsUpdate, Offer, Role, Stage, State, Status,
 };
@@ -29,13 +29,13 @@
 /// Bytes of an offer before an inline content.
 const OFFER_HEADER_BYTES: usize = 40;
 /// The longest content that fits into a committed offer.
-pub(crate) const MAX_INLINE_BYTES: usize = LONGEST - OFFER_HEADER_BYTES;
+pub(crate) const MAX_INLINE_BYTES: usize = MAX_MESSAGE_BYTES - OFFER_HEADER_BYTES;
 /// Bytes of one list entry: key, committed and accepted version.
 const ENTRY_BYTES: usize = 37;
 /// The maximum number of list entries in one message.
-pub(crate) const MAX_LIST_ENTRIES: usize = (LONGEST - 7) / ENTRY_BYTES;
+pub(crate) const MAX_LIST_ENTRIES: usize = (MAX_MESSAGE_BYTES - 7) / ENTRY_BYTES;
 /// The maximum number of members named in one message.
-pub(crate) const MAX_MOVED_MEMBERS: usize = (LONGEST - 1) / 2;
+pub(crate) const MAX_MOVED_MEMBERS: usize = (MAX_MESSAGE_BYTES - 1) / 2;
 /// Flag in the first byte: the message is for the receiver's sidecar.
 const FOR_SIDECAR: u8 = 0x80;
 
@@ -98,11 +98,11 @@
 impl Message {
     /// Encodes the message, addressed to the given role of the receiver.
     pub fn write(&self, to: Role) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(LONGEST);
+        let mut bytes = Vec::with_capacity(MAX_MESSAGE_BYTES);
         let flag = if to == Role::Sidecar { FOR_SIDECAR } else { 0 };
         bytes.put_u8(flag | self.type_code());
         self.write_fields(&mut bytes);
-        debug_assert!(bytes.len() <= LONGEST, "{} bytes: {self:?}", bytes.len());
+        debug_assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{} bytes: {self:?}", bytes.len());
         bytes
     }
 
@@ -213,7 +213,7 @@
     /// The content is malformed; no part of it may be used.
     pub fn read(bytes: &[u8]) -> Result<(Role, Message), Malformed> {
         let mut rest = bytes;
-        let first = codec::byte(&mut rest).ok_or(Malformed)?;
+        let first = codec::take_u8(&mut rest).ok_or(Malformed)?;
         let to = if first & FOR_SIDECAR > 0 { Role::Sidecar } else { Role::ControlNode };
         let message = read_fields(first & !FOR_SIDECAR, &mut rest).ok_or(Malformed)?;
         Ok((to, message))
@@ -223,35 +223,38 @@
 fn read_fields(type_code: u8, bytes: &mut &[u8]) -> Option<Message> {
     Some(match type_code {
         1 => Message::Digest(read_digest(bytes)?),
-        2 => Message::DigestReply { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
+        2 => Message::DigestReply {
+            hash: codec::take_uint(bytes, 8)?,
+            known: codec::take_u8(bytes)? > 0,
+        },
         3 => Message::Offer(read_offer(bytes)?),
         4 => {
             let version = Version::read(bytes)?;
-            let (index, count) = (codec::short(bytes)?, codec::short(bytes)?);
+            let (index, count) = (codec::take_u16(bytes)?, codec::take_u16(bytes)?);
             Message::Chunk { version, index, count, bytes: bytes.to_vec() }
         }
         5 => {
-            let flags = codec::byte(bytes)?;
+            let flags = codec::take_u8(bytes)?;
             let of = if flags & 1 > 0 { Role::Sidecar } else { Role::ControlNode };
             let key = if flags & HAS_KEY > 0 { Some(DocumentKey::read(bytes)?) } else { None };
             let version = Version::read(bytes)?;
             Message::Fetch { of, key, version, wanted: Wanted::read(bytes) }
         }
-        6 => Message::Accepted { id: read_id(bytes)?, round: codec::word(bytes)? },
-        7 => Message::Announce { token: Token::read(bytes)?, round: codec::word(bytes)? },
+        6 => Message::Accepted { id: read_id(bytes)?, round: codec::take_u32(bytes)? },
+        7 => Message::Announce { token: Token::read(bytes)?, round: codec::take_u32(bytes)? },
         8 => {
-            let (token, round) = (Token::read(bytes)?, codec::word(bytes)?);
+            let (token, round) = (Token::read(bytes)?, codec::take_u32(bytes)?);
             Message::Promise { token, round, buckets: read_buckets(bytes)? }
         }
         9 => Message::Stale { highest: Token::read(bytes)? },
         10 => Message::Compare { highest: Token::read(bytes)?, buckets: read_buckets(bytes)? },
         11 => {
-            let (bucket, round) = (codec::byte(bytes)?, codec::word(bytes)?);
+            let (bucket, round) = (codec::take_u8(bytes)?, codec::take_u32(bytes)?);
             Message::ListBucket { bucket, round, after: DocumentKey::read(bytes) }
         }
         12 => {
-            let (bucket, round) = (codec::byte(bytes)?, codec::word(bytes)?);
-            let more = codec::byte(bytes)? > 0;
+            let (bucket, round) = (codec::take_u8(bytes)?, codec::take_u32(bytes)?);
+            let more = codec::take_u8(bytes)? > 0;
             let entries = codec::records(bytes, |bytes| {
                 let key = DocumentKey::read(bytes)?;
                 let (committed, accepted) = (Version::read(bytes)?, Version::read(bytes)?);
@@ -259,16 +262,19 @@
             });
             Message::BucketEntries { bucket, more, round, entries: entries.collect() }
         }
-        13 => Message::Recover { round: codec::word(bytes)? },
+        13 => Message::Recover { round: codec::take_u32(bytes)? },
         14 => {
-            let (round, recovering) = (codec::word(bytes)?, codec::byte(bytes)? > 0);
+            let (round, recovering) = (codec::take_u32(bytes)?, codec::take_u8(bytes)? > 0);
             let highest = Token::read(bytes)?;
             Message::Recovered { round, recovering, highest, buckets: read_buckets(bytes)? }
         }
         15 => Message::Report { id: read_id(bytes)?, rollout: read_rollout(bytes)? },
-        16 => Message::Moved { members: codec::records(bytes, codec::short).collect() },
+        16 => Message::Moved { members: codec::records(bytes, codec::take_u16).collect() },
         17 => Message::ListsUpdate(read_lists(bytes)?),
-        18 => Message::ListsReply { hash: codec::uint(bytes, 8)?, known: codec::byte(bytes)? > 0 },
+        18 => Message::ListsReply {
+            hash: codec::take_uint(bytes, 8)?,
+            known: codec::take_u8(bytes)? > 0,
+        },
         19 => Message::Delta(read_delta(bytes)?),
         _ => return None,
     })
--- a/crates/millethook-hollow/src/sidecar.rs
+++ b/crates/millethook-hollow/src/sidecar.rs
@@ -124,10 +124,10 @@
         let lease = Config {
             me: number,
             epoch,
-            seats: config.seats,
-            longest,
-            change: 3_600_000_000,
-            drift: 0.01,
+            acceptors: config.seats,
+            max_lease: longest,
+            change_timeout: 3_600_000_000,
+            max_drift: 0.01,
             seed,
         };
         let mut lease = Lease::new(lease, Members::new(list), now);
@@ -141,7 +141,7 @@
         let (view, channel) = (&mut self.view, &mut self.channel);
         let Some(replica) = &mut self.replica else { return Micros::MAX };
         for number in joined {
-            if let Some(part) = view.place_after(*number, WELCOMING) {
+            if let Some(part) = view.position_after(*number, WELCOMING) {
                 replica.send_state(now, *number, part, WELCOMING);
             }
         }
@@ -223,7 +223,7 @@
     }
 
     fn pump(&mut self, now: Micros, send: &mut dyn FnMut(u16, Vec<u8>)) -> Micros {
-        let short = self.channel.is_short(now);
+        let short = self.channel.is_congested(now);
         self.view.set_congested(short);
         let joined = self.pump_view(now);
         let mut next = self.view.poll_timeout();
--- a/crates/millethook-lab/examples/rogue.rs
+++ b/crates/millethook-lab/examples/rogue.rs
@@ -66,7 +66,7 @@
     fn read_list(&self, discovery: &str) {
         let Ok(socket) = TcpStream::connect(discovery) else { return };
         let request_text = "GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n";
-        let Some(list) = Conn::new(socket).message_to(request_text) else { return };
+        let Some(list) = Conn::new(socket).request(request_text) else { return };
         let list: Value = serde_json::from_slice(&list.body).expect("a list");
         let mut hosts: Vec<(u64, SocketAddr)> = Vec::new();
         for host in list["hosts"].as_array().expect("hosts") {
@@ -100,7 +100,7 @@
         }
         let mut bytes = (text + extra_headers + "\r\n").into_bytes();
         bytes.extend_from_slice(&request.body);
-        conn.message_to(bytes)
+        conn.request(bytes)
     }
 
     /// Answers a request; returns false if the connection has to be closed.
--- a/crates/millethook-testkit/src/fault.rs
+++ b/crates/millethook-testkit/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in server can be told to have.
+//! Faults that a stand-in server simulates.
 
 use std::time::Duration;
 
@@ -6,67 +6,67 @@
 use crate::random::Random;
 use crate::{Conn, answer, ok};
 
-/// What a server does with a request that has come whole.
+/// What a server does with a complete request.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// None: it answers 200 with this body.
+    /// No fault: answers 200 with this body.
     Serve(String),
-    /// It answers so after a while.
-    Late(Delay, String),
-    /// 503 with `X-Unprocessed: 1`: turned away unseen.
-    TurnAway,
-    /// 500.
+    /// Answers 200 with this body after a delay.
+    Delayed(Delay, String),
+    /// Answers 503 with `X-Unprocessed: 1`, so the request did not run.
+    Reject,
+    /// Answers 500.
     Error,
-    /// 503 that says nothing of whether it ran.
-    Unclear,
-    /// The connection is reset after the request's last byte.
+    /// Answers 503 without saying whether the request ran.
+    Unavailable,
+    /// Resets the connection after the last byte of the request.
     Reset,
-    /// Nothing is ever answered, and the connection stays open until the other side ends it.
+    /// Never answers and keeps the connection open until the other side closes it.
     Stall,
-    /// The answer comes in pieces of so many bytes, with a pause after each.
+    /// Sends the answer in pieces of this many bytes with a pause after each.
     Trickle(String, usize, Duration),
-    /// Noise in place of an answer, and the connection stays open.
-    Garble,
-    /// An answer that announces more than it brings, and an end.
-    Short,
-    /// An answer that announces more than it brings, and silence.
-    Stop,
-    /// These bytes as they are, and the connection goes on.
+    /// Sends bytes that are not HTTP and keeps the connection open.
+    Garbage,
+    /// Sends less than the announced length and closes the connection.
+    Truncated,
+    /// Sends less than the announced length and keeps the connection open.
+    StalledBody,
+    /// Sends these bytes and keeps serving the connection.
     Raw(Vec<u8>),
-    /// These bytes as they are, and an end.
-    Cut(Vec<u8>),
+    /// Sends these bytes and closes the connection.
+    RawThenClose(Vec<u8>),
 }
 
-/// What a server does with a connection before a request has come whole.
+/// What a server does with a connection before a request is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
-    /// It reads.
-    Open,
-    /// It resets as soon as it has accepted.
+pub enum AcceptFault {
+    /// No fault: reads requests.
+    None,
+    /// Resets the connection right after accept.
     ResetAtOnce,
-    /// It resets at the first byte: the last one is never read.
+    /// Resets the connection at the first byte, so the last byte is never read.
     ResetAtFirstByte,
-    /// It resets when the head has come, before the last byte of a body.
+    /// Resets the connection after a request's head, before the last byte of its body.
     ResetAfterHead,
 }
 
-/// Carries a fault out; None if the connection is done with.
-pub(crate) fn act(mut conn: Conn, fault: Fault, random: &mut Random) -> Option<Conn> {
+/// Applies a fault. None: the connection is not served any further.
+pub(crate) fn apply(mut conn: Conn, fault: Fault, random: &mut Random) -> Option<Conn> {
     match fault {
         Fault::Serve(body) => conn.send(ok(&body)),
-        Fault::Late(delay, body) => {
+        Fault::Delayed(delay, body) => {
             std::thread::sleep(delay.draw(random));
             conn.send(ok(&body));
         }
-        Fault::TurnAway => conn.send(answer("503 Full", "X-Unprocessed: 1\r\n", "")),
+        Fault::Reject => conn.send(answer("503 Full", "X-Unprocessed: 1\r\n", "")),
         Fault::Error => conn.send(answer("500 Oops", "", "bad")),
-        Fault::Unclear => conn.send(answer("503 Busy", "", "busy")),
+        Fault::Unavailable => conn.send(answer("503 Busy", "", "busy")),
         Fault::Reset => {
             conn.reset();
             return None;
         }
         Fault::Stall => {
-            conn.ended();
+            conn.closed_by_peer();
             return None;
         }
         Fault::Trickle(body, piece, pause) => {
@@ -75,22 +75,22 @@
                 std::thread::sleep(pause);
             }
         }
-        Fault::Garble => {
+        Fault::Garbage => {
             conn.send("\x16\x03\x01 no such protocol\r\n\r\n");
-            conn.ended();
+            conn.closed_by_peer();
             return None;
         }
-        Fault::Short => {
+        Fault::Truncated => {
             conn.send("HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nshort");
             return None;
         }
-        Fault::Stop => {
+        Fault::StalledBody => {
             conn.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nsome");
-            conn.ended();
+            conn.closed_by_peer();
             return None;
         }
         Fault::Raw(bytes) => conn.send(bytes),
-        Fault::Cut(bytes) => {
+        Fault::RawThenClose(bytes) => {
             conn.send(bytes);
             return None;
         }
--- a/crates/millethook/tests/library/common.rs
+++ b/crates/millethook/tests/library/common.rs
@@ -86,7 +86,7 @@
 
 /// Waits until the fleet has no request in progress and holds only idle connections.
 pub async fn wait_until_idle(fleet: &Fleet) {
-    let end = std::time::Instant::now() + BOUND;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         let usage = fleet.usage().await.expect("the fleet is open");
         if usage.is_idle() {
--- a/crates/millethook/tests/library/interleavings.rs
+++ b/crates/millethook/tests/library/interleavings.rs
@@ -20,14 +20,14 @@
 fn fault(seed: u64, nth: usize) -> Fault {
     let mut random = Random::new(seed ^ (nth as u64) << 8);
     match random.below(12) {
-        0 | 1 => Fault::TurnAway,
+        0 | 1 => Fault::Reject,
         2 => Fault::Error,
         3 => Fault::Reset,
-        4 => Fault::Garble,
+        4 => Fault::Garbage,
         5 => Fault::Stall,
-        6 => Fault::Short,
+        6 => Fault::Truncated,
         7 | 8 => {
-            Fault::Late(Delay::Uniform(Duration::ZERO, Duration::from_millis(20)), "late".into())
+            Fault::Delayed(Delay::Uniform(Duration::ZERO, Duration::from_millis(20)), "late".into())
         }
         _ => Fault::Serve("fine".into()),
     }
@@ -43,7 +43,7 @@
 }
 
 fn run_seed(seed: u64) {
-    let stage = Stage::new(SERVERS, move |a| fault(seed, a.nth));
+    let stage = ServerGroup::new(SERVERS, move |a| fault(seed, a.nth));
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     // Two zones with two servers each. Servers of one zone drop each other's keyed repeats.
     let listed = |states: &[&str; SERVERS]| {
@@ -77,7 +77,7 @@
                 let one = random.below(SERVERS as u64) as usize;
                 states[one] = if states[one] == "active" { "leaving" } else { "active" };
                 if states.iter().filter(|s| **s == "active").count() >= 2 {
-                    agent.change(listed(&states));
+                    agent.set_hosts(listed(&states));
                 } else {
                     states[one] = "active";
                 }
@@ -123,10 +123,12 @@
         // answered a call that arrived after the change, and the next call has arrived.
         let leaving = states.iter().position(|s| *s == "active").expect("two are active");
         states[leaving] = "leaving";
-        agent.change(listed(&states));
+        agent.set_hosts(listed(&states));
         let (calls, count) =
             (agent.calls(), || stage.seen().iter().filter(|a| a.server == leaving).count());
-        tokio::task::block_in_place(|| within("the drain is known", || agent.calls() >= calls + 2));
+        tokio::task::block_in_place(|| {
+            wait_until("the drain is known", || agent.calls() >= calls + 2)
+        });
         let before = count();
         for n in 0..30 {
             let class = ["look", "keep", "order"][n % 3];
@@ -141,7 +143,7 @@
 
 fn check_rules(seed: u64, seen: &[Attempt], outcomes: &HashMap<String, (&'static str, Outcome)>) {
     assert_eq!(outcomes.len(), STEPS, "seed {seed}: each request has one outcome");
-    let turned_away = |a: &Attempt| matches!(fault(seed, a.nth), Fault::TurnAway);
+    let turned_away = |a: &Attempt| matches!(fault(seed, a.nth), Fault::Reject);
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     seen.iter().for_each(|a| by_id.entry(&a.id).or_default().push(a));
     // Rule 4: a cold server gets about its share, a twentieth, whatever happens at the others.
@@ -172,7 +174,7 @@
         // Rule 1: a served request was answered by a server.
         if matches!(outcome, Outcome::Served) {
             let answered =
-                |a: &&&Attempt| matches!(fault(seed, a.nth), Fault::Serve(_) | Fault::Late(..));
+                |a: &&&Attempt| matches!(fault(seed, a.nth), Fault::Serve(_) | Fault::Delayed(..));
             assert!(ran.iter().any(answered), "seed {seed}: served by no server: {ran:?}");
         }
     }
--- a/crates/millethook/tests/library/sharing.rs
+++ b/crates/millethook/tests/library/sharing.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn two_openings_share_one_engine_whichever_closes_first() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let name = name();
     let config = || builder(&name, &stage.servers).reuse(Reuse::Unlimited);
     let open = || Fleet::open(config().build().expect("valid"));
@@ -51,7 +51,7 @@
     drop(second);
     assert_eq!(send_in_turn(std::slice::from_ref(&third), 5, "look"), 5);
     drop(third);
-    within("the thread's end", || !has_thread(&thread));
+    wait_until("the thread's end", || !has_thread(&thread));
     // The fleet can be opened again after its end.
     let again = open().expect("open");
     assert_eq!(send_in_turn(&[again], 5, "look"), 5);
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_conflicting_opening_names_the_first_difference() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let name = name();
     let config = || builder(&name, &stage.servers);
     let fleet = Fleet::open(config().build().expect("valid")).expect("open");
@@ -80,8 +80,8 @@
 /// fleets, each with its own retry budget, make more.
 #[test]
 fn two_handles_have_one_retry_budget() {
-    let errors = || Stage::new(3, |_| Fault::Error);
-    let attempts = |stage: &Stage, handles: &[Fleet]| {
+    let errors = || ServerGroup::new(3, |_| Fault::Error);
+    let attempts = |stage: &ServerGroup, handles: &[Fleet]| {
         assert_eq!(send_in_turn(handles, 48, "look"), 0);
         stage.count()
     };
@@ -105,7 +105,7 @@
     let server = Server::start(move |mut conn| {
         let n = now.fetch_add(1, Ordering::SeqCst) + 1;
         peak.fetch_max(n, Ordering::SeqCst);
-        while conn.message().is_some_and(|m| m.whole) {
+        while conn.message().is_some_and(|m| m.complete) {
             std::thread::sleep(Duration::from_millis(2));
             conn.send(ok("fine"));
         }
@@ -154,7 +154,7 @@
     let count = opened.clone();
     let server = Server::start(move |mut conn| {
         count.fetch_add(1, Ordering::SeqCst);
-        while conn.message().is_some_and(|m| m.whole) {
+        while conn.message().is_some_and(|m| m.complete) {
             std::thread::sleep(Duration::from_millis(2));
             conn.send(ok("fine"));
         }
@@ -214,12 +214,14 @@
     assert!(most_a.load(Ordering::SeqCst) <= 4 && most_b.load(Ordering::SeqCst) <= 4);
     assert!(open_a.load(Ordering::SeqCst) + open_b.load(Ordering::SeqCst) <= 4);
     drop((first, second));
-    within("all sockets and bytes are released", || budget.sockets() == 0 && budget.bytes() == 0);
+    wait_until("all sockets and bytes are released", || {
+        budget.sockets() == 0 && budget.bytes() == 0
+    });
 }
 
 /// Waits until all sockets of the budget are idle connections of the two fleets.
 async fn wait_until_all_idle(a: &Fleet, b: &Fleet, budget: &Budget) {
-    let end = std::time::Instant::now() + BOUND;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         let idle = a.usage().await.expect("alive").idle + b.usage().await.expect("alive").idle;
         if idle == budget.sockets() {
@@ -233,7 +235,7 @@
 /// Two sockets and three servers: a call that needs a socket closes one idle connection, not both.
 #[test]
 fn a_call_that_needs_a_socket_closes_one_connection() {
-    let stage = Stage::new(3, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(3, |_| Fault::Serve("fine".into()));
     let config = reusing(&stage.servers).sockets(2).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     runtime().block_on(async {
@@ -253,7 +255,7 @@
 /// Requests beyond the limit on open requests are refused immediately and not sent.
 #[test]
 fn too_many_open_requests_are_refused_at_once() {
-    let stage = Stage::new(1, |_| Fault::Stall);
+    let stage = ServerGroup::new(1, |_| Fault::Stall);
     let config = builder(&name(), &stage.servers).open(3).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let runtime = runtime();
@@ -263,7 +265,7 @@
             runtime.spawn(async move { fleet.call(request("order")).await.is_ok() })
         })
         .collect();
-    within("the server has three requests", || stage.count() == 3);
+    wait_until("the server has three requests", || stage.count() == 3);
     let refused = runtime.block_on(fleet.call(request("order"))).expect_err("refused");
     assert_eq!((refused.execution(), refused.status().as_u16()), (Execution::NeverRan, 503));
     waiting.iter().for_each(|task| task.abort());
--- a/crates/plankvale/src/distribution/files.rs
+++ b/crates/plankvale/src/distribution/files.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write as _};
 use std::path::Path;
 
-use millethook_membership::whole_file;
+use millethook_membership::atomic_file;
 
 use super::request::{MAX_REQUEST_BYTES, Request};
 use super::status::{self, Status};
@@ -52,7 +52,7 @@
 
 fn read(folder: &Path, name: &str) -> Result<Request, String> {
     let path = folder.join(format!("{name}{EXTENSION}"));
-    let bytes = whole_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| e.to_string())?;
+    let bytes = atomic_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| e.to_string())?;
     let bytes = bytes.ok_or("the request's file has been removed")?;
     serde_json::from_slice(&bytes).map_err(|e| format!("a request expected: {e}"))
 }
@@ -99,7 +99,7 @@
     let path = status::path(folder, name);
     let add_context = |e: String| format!("{}: {e}", path.display());
     let Some(bytes) =
-        whole_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| add_context(e.to_string()))?
+        atomic_file::read(&path, MAX_REQUEST_BYTES).map_err(|e| add_context(e.to_string()))?
     else {
         return Ok(None);
     };
--- a/crates/plankvale/src/lib.rs
+++ b/crates/plankvale/src/lib.rs
@@ -39,7 +39,7 @@
 use admin::AdminState;
 use config::Config;
 use distribution::{DistributionStart, Spool};
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use reloader::{Reloader, StartupConfig};
 
 /// Length of the listen queue. Many clients may connect within the same second.
@@ -203,7 +203,7 @@
 
 /// Starts publishing requests from the folder that the product's file names.
 fn start_spool(
-    product: &Product,
+    product: &ProductConfig,
     engine: &Engine,
     distribution: Option<&Rc<Distribution>>,
 ) -> Result<Option<Rc<Spool>>, String> {
@@ -217,7 +217,7 @@
 
 /// Starts the store of kept writes if the product's file configures one.
 fn start_edge(
-    product: &Product,
+    product: &ProductConfig,
     engine: &Engine,
     ingress: &Ingress,
     storage: impl Storage,
