--- a/crates/millethook-lab/tests/it/figures_golden.rs
+++ b/crates/millethook-lab/tests/it/figures_golden.rs
@@ -14,7 +14,7 @@
 const SIDECARS: u64 = 4;
 const SERVERS: u64 = 6;
 
-/// A timeline with expectations that the outcome does not meet.
+/// A timeline whose expectations all have limits that the outcome misses.
 const TIMELINE: &str = r#"
 about = "An outcome made by rule"
 duration_s = 20
--- a/crates/millethook-lab/tests/it/relay.rs
+++ b/crates/millethook-lab/tests/it/relay.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 const COUNT: usize = 4;
-/// Time limit for a datagram on loopback.
+/// Time limit for a datagram on loopback, which arrives far sooner unless something is wrong.
 const BOUND: Duration = Duration::from_secs(20);
 
 struct Net {
@@ -168,7 +168,7 @@
     assert_eq!(first.digest(), again.digest());
     assert_eq!(first.steps, again.steps);
     assert_ne!(first.digest(), other.digest());
-    // 28 is seven in ten of 40 sidecars.
+    // 28 is seven in ten of 40 sidecars. The partition separates one zone, so there are two classes of streams.
     let killed = first.steps.iter().filter(|s| format!("{s:?}").contains("Kill")).count();
     assert_eq!((killed, first.stream_classes), (28, 2));
     let passes = |seed| {
--- a/crates/millethook-lab/tests/processes.rs
+++ b/crates/millethook-lab/tests/processes.rs
@@ -142,7 +142,7 @@
     });
 }
 
-/// The printed file must be a valid timeline, since it is meant for repeating the run.
+/// The printed timeline is the one that `soak` plays, so it has to be valid.
 #[test]
 fn a_printed_timeline_is_valid() {
     let printed = lab().args(["soak", "--seed", "3", "--print"]).output().expect("the lab starts");
@@ -218,7 +218,7 @@
     let folder = std::env::temp_dir().join(format!("millethook-lab-late-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("late.toml");
-    // The load is 500 times what one machine can send.
+    // Three client connections at a time have to send 500 times what one machine can.
     let overload = "about = \"Too much for any machine\"\nduration_s = 3\nwarm_up_s = 0\nlate_p99_ms = 1\n\
                     [sidecars]\ncount = 2\n[servers]\ncount = 2\n[load]\nper_sidecar = 1000\nretries = 0\n\
                     [[event]]\nat_s = 0\ndo = \"load\"\namount = 60\n[[class]]\ndeadline_ms = 300\n";
