--- a/crates/millethook-engine/src/upstream/probe.rs
+++ b/crates/millethook-engine/src/upstream/probe.rs
@@ -62,7 +62,7 @@
         let Ok(AttemptOutcome::End { outcome, answer, .. }) =
             timeout(2 * connect_timeout, attempt).await
         else {
-            return TrialOutcome::NoAnswer;
+            return TrialOutcome::Silent;
         };
         match (outcome, answer) {
             (Outcome::Served, Some((head, _))) if head.status == StatusCode::OK => {
@@ -71,19 +71,19 @@
                     Some(Some(name)) if name.as_bytes() == host.host.as_bytes() => {
                         TrialOutcome::Answered
                     }
-                    Some(_) => TrialOutcome::OtherProgram,
+                    Some(_) => TrialOutcome::Stranger,
                     None => TrialOutcome::Answered,
                 }
             }
             // A handshake that times out ends like one that is refused, only later.
             (Outcome::ConnectFailed, _) if started.elapsed() >= connect_timeout => {
-                TrialOutcome::NoAnswer
+                TrialOutcome::Silent
             }
             (Outcome::ConnectFailed, _) => TrialOutcome::Refused,
             (Outcome::NeverSent | Outcome::TimedOut | Outcome::Cancelled, _) => {
-                TrialOutcome::NoAnswer
+                TrialOutcome::Silent
             }
-            _ => TrialOutcome::OtherProgram,
+            _ => TrialOutcome::Stranger,
         }
     }
 }
--- a/crates/millethook-membership/src/membership/trials.rs
+++ b/crates/millethook-membership/src/membership/trials.rs
@@ -21,17 +21,17 @@
     pub host: Host,
 }
 
-/// The outcome of a trial.
+/// The outcome of a trial. The names of the variants appear in the log, as `outcome` of the event `server_tried`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrialOutcome {
     /// The server answered as a member of the fleet.
     Answered,
     /// The connection was refused.
     Refused,
-    /// Another program answered at the address.
-    OtherProgram,
+    /// A program other than the expected server answered at the address.
+    Stranger,
     /// There was no answer before the timeout.
-    NoAnswer,
+    Silent,
 }
 
 impl Membership {
@@ -73,7 +73,7 @@
             return Update::changes(Vec::new());
         }
         let trust_other_program =
-            outcome == TrialOutcome::OtherProgram && mutant::is(Mutant::StrangerTrusted);
+            outcome == TrialOutcome::Stranger && mutant::is(Mutant::StrangerTrusted);
         match if trust_other_program { TrialOutcome::Answered } else { outcome } {
             TrialOutcome::Answered => {
                 (known.trust, known.confirmed_ms) = (Trust::Live, now);
@@ -81,12 +81,12 @@
                 self.totals.confirmed += 1;
                 return Update::changes(vec![host]);
             }
-            TrialOutcome::NoAnswer
+            TrialOutcome::Silent
                 if known.trials < MAX_UNANSWERED_TRIALS || mutant::is(Mutant::TrialsWithoutEnd) =>
             {
                 known.next_trial_ms = now + (TRIAL_RETRY_MS << known.trials.min(8));
             }
-            TrialOutcome::NoAnswer | TrialOutcome::Refused | TrialOutcome::OtherProgram => {
+            TrialOutcome::Silent | TrialOutcome::Refused | TrialOutcome::Stranger => {
                 self.servers.remove(host);
                 self.totals.dropped += 1;
             }
--- a/crates/millethook-membership/tests/common/script.rs
+++ b/crates/millethook-membership/tests/common/script.rs
@@ -87,8 +87,8 @@
     prop_oneof![
         1 => Just(TrialOutcome::Answered),
         1 => Just(TrialOutcome::Refused),
-        1 => Just(TrialOutcome::OtherProgram),
-        3 => Just(TrialOutcome::NoAnswer),
+        1 => Just(TrialOutcome::Stranger),
+        3 => Just(TrialOutcome::Silent),
     ]
 }
 
--- a/crates/millethook-membership/tests/common/world.rs
+++ b/crates/millethook-membership/tests/common/world.rs
@@ -136,7 +136,7 @@
                 for _ in 0..*times {
                     self.now = self.now.max(self.membership.next_due().unwrap_or(self.now));
                     self.run_due_actions()?;
-                    self.end_trial(0, TrialOutcome::NoAnswer)?;
+                    self.end_trial(0, TrialOutcome::Silent)?;
                 }
             }
             Step::ContentLost(times, gap) => {
@@ -327,8 +327,8 @@
         self.notify_balancer(&update);
         let after = trust_of(&self.membership);
         let unanswered = self.unanswered.entry(name.clone()).or_default();
-        *unanswered += usize::from(outcome == TrialOutcome::NoAnswer);
-        let kept = outcome == TrialOutcome::NoAnswer && *unanswered < MAX_UNANSWERED_TRIALS;
+        *unanswered += usize::from(outcome == TrialOutcome::Silent);
+        let kept = outcome == TrialOutcome::Silent && *unanswered < MAX_UNANSWERED_TRIALS;
         let expected = match (before, outcome) {
             (Some(Trust::Doubtful), TrialOutcome::Answered) => Some(Trust::Live),
             (Some(Trust::Doubtful), _) if kept => Some(Trust::Doubtful),
--- a/crates/millethook-membership/tests/membership.rs
+++ b/crates/millethook-membership/tests/membership.rs
@@ -89,8 +89,8 @@
         let outcome = match trial.host.host.as_str() {
             "s-0" => TrialOutcome::Answered,
             "s-1" => TrialOutcome::Refused,
-            "s-2" => TrialOutcome::OtherProgram,
-            _ => TrialOutcome::NoAnswer,
+            "s-2" => TrialOutcome::Stranger,
+            _ => TrialOutcome::Silent,
         };
         let update = m.trial_ended(now, &trial.host.host, outcome);
         used.extend(update.hosts.iter().map(|h| h.host.clone()));
