--- a/crates/coppercart/src/api.rs
+++ b/crates/coppercart/src/api.rs
@@ -177,11 +177,11 @@
         data: &'a [u8],
     },
     /// The fleet's verdict on a server has changed. Sent only where sidecars share their evidence.
-    Stands {
+    ServerVerdict {
         /// The server.
         server: ServerId,
         /// The new verdict.
-        standing: ServerVerdict,
+        verdict: ServerVerdict,
     },
 }
 
--- a/crates/coppercart/src/decide/mod.rs
+++ b/crates/coppercart/src/decide/mod.rs
@@ -262,7 +262,7 @@
             }
             Event::ClientGone { id } => self.close_request(id, out),
             Event::Timer { token } => self.on_timer(token, out),
-            Event::Stands { server, standing } => self.apply_verdict(server, standing),
+            Event::ServerVerdict { server, verdict } => self.apply_verdict(server, verdict),
             Event::Probed { .. } | Event::Note { .. } => {}
         }
     }
--- a/crates/coppercart/tests/it/decide/servers.rs
+++ b/crates/coppercart/tests/it/decide/servers.rs
@@ -48,8 +48,8 @@
     let count_sends = |harness: &mut Harness| {
         (0..60).filter(|_| harness.round(0, 0.0) == Some(ServerId(0))).count()
     };
-    let apply_verdict = |harness: &mut Harness, n, standing| {
-        harness.event(Event::Stands { server: ServerId(n), standing });
+    let apply_verdict = |harness: &mut Harness, n, verdict| {
+        harness.event(Event::ServerVerdict { server: ServerId(n), verdict });
     };
     let mut harness = Harness::new(settings(|_| {}), 5, &servers);
     apply_verdict(&mut harness, 0, ServerVerdict::Leaving);
@@ -91,7 +91,8 @@
     let servers: Vec<_> = [0, 2, 4, 6].map(server).to_vec();
     let mut harness = Harness::new(settings(|_| {}), 5, &servers);
     for _ in 0..40 {
-        harness.event(Event::Stands { server: ServerId(0), standing: ServerVerdict::Suspected });
+        harness
+            .event(Event::ServerVerdict { server: ServerId(0), verdict: ServerVerdict::Suspected });
         // A round takes 20 ms, so repeats arrive well within the time that a verdict holds.
         for _ in 0..12 {
             assert_ne!(harness.round(0, 0.0), Some(ServerId(0)), "at {} us", harness.now);
--- a/crates/coppercart/tests/it/rules.rs
+++ b/crates/coppercart/tests/it/rules.rs
@@ -22,7 +22,7 @@
     Whole { mask: u8 },
     Gone { which: usize },
     Failed,
-    Verdict { server: u64, standing: ServerVerdict },
+    Verdict { server: u64, verdict: ServerVerdict },
 }
 
 #[derive(Debug)]
@@ -269,9 +269,9 @@
                     self.event(Event::ClientGone { id });
                 }
             }
-            Step::Verdict { server: s, standing } => {
+            Step::Verdict { server: s, verdict } => {
                 let server = ServerId(s);
-                self.event(Event::Stands { server, standing });
+                self.event(Event::ServerVerdict { server, verdict });
             }
             Step::Failed => self.event(Event::Servers { kind: ListKind::Failed, entries: &[] }),
         }
@@ -290,9 +290,9 @@
         1 => any::<u8>().prop_map(|mask| Step::Whole { mask }),
         1 => (0..4usize).prop_map(|which| Step::Gone { which }),
         1 => Just(Step::Failed),
-        2 => (0..6u64, 0..3u8).prop_map(|(server, standing)| Step::Verdict {
+        2 => (0..6u64, 0..3u8).prop_map(|(server, verdict)| Step::Verdict {
             server,
-            standing: [ServerVerdict::Trusted, ServerVerdict::Suspected, ServerVerdict::Leaving][usize::from(standing)],
+            verdict: [ServerVerdict::Trusted, ServerVerdict::Suspected, ServerVerdict::Leaving][usize::from(verdict)],
         }),
     ]
 }
--- a/crates/millethook-engine/src/driver/membership.rs
+++ b/crates/millethook-engine/src/driver/membership.rs
@@ -31,9 +31,9 @@
 struct VerdictListener(Weak<Driver>);
 
 impl VerdictSink for VerdictListener {
-    fn apply_verdict(&self, server: ServerId, standing: ServerVerdict) {
+    fn apply_verdict(&self, server: ServerId, verdict: ServerVerdict) {
         if let Some(driver) = self.0.upgrade() {
-            driver.event(Event::Stands { server, standing });
+            driver.event(Event::ServerVerdict { server, verdict });
         }
     }
 }
@@ -116,8 +116,8 @@
         self.event(Event::Servers { kind, entries: &entries });
         if let Some(fleet) = self.fleet.get() {
             // An old list that names a dead server again would otherwise bring it back.
-            for (server, standing) in fleet.on_listed(&entries) {
-                self.event(Event::Stands { server, standing });
+            for (server, verdict) in fleet.on_listed(&entries) {
+                self.event(Event::ServerVerdict { server, verdict });
             }
         }
     }
--- a/crates/millethook-engine/src/trials.rs
+++ b/crates/millethook-engine/src/trials.rs
@@ -85,11 +85,11 @@
         &mut self,
         now: Micros,
         server: ServerId,
-        standing: ServerVerdict,
+        verdict: ServerVerdict,
         lease: &mut Lease,
     ) {
         let is_known = self.suspected.contains_key(&server.0);
-        if standing == ServerVerdict::Suspected && !is_known && self.suspected.len() < MAX_TRIALS {
+        if verdict == ServerVerdict::Suspected && !is_known && self.suspected.len() < MAX_TRIALS {
             // Requests are spread over time, so that the others learn of the first owner before they request the
             // lease.
             let request_at = now + self.random_delay(self.verdict_hold);
@@ -98,7 +98,7 @@
                 server.0,
                 SuspectedServer { job, request_at, repeat_at: now, ownership: None },
             );
-        } else if standing != ServerVerdict::Suspected
+        } else if verdict != ServerVerdict::Suspected
             && let Some(entry) = self.suspected.remove(&server.0)
         {
             lease.release(now, entry.job, None);
--- a/crates/millethook-engine/tests/unit/trials.rs
+++ b/crates/millethook-engine/tests/unit/trials.rs
@@ -155,8 +155,8 @@
         self.trials.tick(self.now, &mut self.lease, &|_| None, &mut actions);
         for action in actions {
             match action {
-                TrialAction::ApplyVerdict(server, standing) => {
-                    self.event(Event::Stands { server, standing })
+                TrialAction::ApplyVerdict(server, verdict) => {
+                    self.event(Event::ServerVerdict { server, verdict })
                 }
                 TrialAction::Release(..) => self.released.push(self.now),
                 TrialAction::Announce(..) => {}
@@ -179,7 +179,10 @@
         // By itself the sidecar makes its trials rarer and rarer.
         sidecar.run(60 * SECOND);
         let start = sidecar.now;
-        sidecar.event(Event::Stands { server: SILENT_SERVER, standing: ServerVerdict::Suspected });
+        sidecar.event(Event::ServerVerdict {
+            server: SILENT_SERVER,
+            verdict: ServerVerdict::Suspected,
+        });
         sidecar.trials.apply_verdict(
             start,
             SILENT_SERVER,
