--- a/crates/millethook-engine/src/discovery/list_fetch.rs
+++ b/crates/millethook-engine/src/discovery/list_fetch.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Place a call, and report it to [`ListFetch::on_placed`].
-    Place,
+    PlaceCall,
     /// Wait until then, or until a call ends.
     Wait(Instant),
     /// Drop all calls: nothing has arrived for as long as an answer can be expected.
@@ -71,7 +71,7 @@
             return Step::Wait(end);
         }
         if now >= self.next_due {
-            return Step::Place;
+            return Step::PlaceCall;
         }
         Step::Wait(if self.queued_calls > 0 { self.next_due.min(end) } else { self.next_due })
     }
--- a/crates/millethook-engine/src/discovery/on_request.rs
+++ b/crates/millethook-engine/src/discovery/on_request.rs
@@ -100,7 +100,7 @@
         let now = Instant::now();
         match fetch.poll(now.into_std(), &self.timing) {
             Step::Wait(until) => Some(until.into()),
-            Step::Place | Step::GiveUp => Some(now),
+            Step::PlaceCall | Step::GiveUp => Some(now),
         }
     }
 
@@ -110,7 +110,7 @@
         let State::Fetching(fetch) = &mut self.state else { return };
         match fetch.poll(now, &self.timing) {
             Step::Wait(_) => {}
-            Step::Place => {
+            Step::PlaceCall => {
                 fetch.on_placed(now, &self.timing, random);
                 // The fetch decides how long the call may wait in the queue.
                 self.place_call(Duration::ZERO, Duration::MAX);
--- a/crates/millethook-engine/tests/it/discovery.rs
+++ b/crates/millethook-engine/tests/it/discovery.rs
@@ -166,7 +166,7 @@
             Event::Caller(n) if callers[n].listed_at.is_none() => {
                 let caller = &mut callers[n];
                 match caller.fetch.poll(now, &caller.timing) {
-                    Step::Place => {
+                    Step::PlaceCall => {
                         caller.placed += 1;
                         caller.fetch.on_placed(now, &caller.timing, draw());
                         if let Some(since) = caller.dead_since.take() {
@@ -189,7 +189,7 @@
                 }
                 let due = match caller.fetch.poll(now, &caller.timing) {
                     Step::Wait(until) => until,
-                    Step::Place | Step::GiveUp => now,
+                    Step::PlaceCall | Step::GiveUp => now,
                 };
                 events.push(Reverse((due.max(now + ms(1)), Event::Caller(n))));
             }
@@ -336,7 +336,7 @@
         fetch.on_placed(now, &timing, 0.0);
         let Step::Wait(second) = fetch.poll(now, &timing) else { panic!("expected a wait") };
         assert!(second - now <= ms(2_500));
-        assert_eq!(fetch.poll(second, &timing), Step::Place);
+        assert_eq!(fetch.poll(second, &timing), Step::PlaceCall);
         fetch.on_placed(second, &timing, 0.0);
         let Step::Wait(end) = fetch.poll(second, &timing) else { panic!("expected no third call") };
         assert_eq!(fetch.poll(end, &timing), Step::GiveUp);
@@ -380,7 +380,7 @@
         let max_backoff = MAX_WAIT.max(ms(10) * fleet);
         for event in events {
             match fetch.poll(now, &timing) {
-                Step::Place => {
+                Step::PlaceCall => {
                     fetch.on_placed(now, &timing, 0.5);
                     queued_calls += 1;
                     prop_assert!(queued_calls <= 2);
@@ -419,7 +419,7 @@
                     fetch.on_lost(now, random);
                     let delay = match fetch.poll(now, &timing) {
                         Step::Wait(until) => until - now,
-                        Step::Place | Step::GiveUp => Duration::ZERO,
+                        Step::PlaceCall | Step::GiveUp => Duration::ZERO,
                     };
                     // Whatever happened before, a caller without a queued call places one in time.
                     let is_in_time = ACK_TIMEOUT + delay + CONNECT_TIMEOUT < DELIVERY_DEADLINE;
--- a/crates/millethook/src/fleet.rs
+++ b/crates/millethook/src/fleet.rs
@@ -71,8 +71,8 @@
     /// Cancel-safe.
     pub async fn ready(&self) -> bool {
         let mut state = self.shared().state.clone();
-        let reached = state.wait_for(|state| *state != EngineState::Starting).await;
-        reached.is_ok_and(|state| *state == EngineState::Ready)
+        let state_after_start = state.wait_for(|state| *state != EngineState::Starting).await;
+        state_after_start.is_ok_and(|state| *state == EngineState::Ready)
     }
 
     /// Sends a request and returns its answer. Under [`Begins::Head`](crate::Begins::Head), that is any
