--- a/crates/millethook-connect/tests/answers.rs
+++ b/crates/millethook-connect/tests/answers.rs
@@ -27,12 +27,12 @@
 #[test]
 fn fingerprints_cover_the_status_and_the_first_bytes_of_the_body() {
     let key = FingerprintKey::default();
-    let long = |tail: &str| "-".repeat(COMPARED_BODY_BYTES) + tail;
+    let large_body = |tail: &str| "-".repeat(COMPARED_BODY_BYTES) + tail;
     assert_eq!(answer(&key, "a"), answer(&key, "a"));
     assert_ne!(answer(&key, "a"), answer(&key, "b"));
     assert_ne!(answer(&key, "a"), key.fingerprint(StatusCode::CREATED, b"a"));
     // A long answer is forwarded once those bytes have come, so what follows may not tell it from its copy.
-    assert_eq!(answer(&key, &long("a")), answer(&key, &long("b")));
+    assert_eq!(answer(&key, &large_body("a")), answer(&key, &large_body("b")));
     assert_ne!(
         answer(&key, "a"),
         answer(&FingerprintKey::default(), "a"),
--- a/crates/millethook-connect/tests/response.rs
+++ b/crates/millethook-connect/tests/response.rs
@@ -100,8 +100,8 @@
     ] {
         assert_eq!(read_all(text), Err(why), "{text:?}");
     }
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(MAX_HEAD_BYTES));
-    assert_eq!(read_all(&long), Err(Malformed::Head));
+    let oversized_head = format!("HTTP/1.1 200 OK\r\nX: {}", "y".repeat(MAX_HEAD_BYTES));
+    assert_eq!(read_all(&oversized_head), Err(Malformed::Head));
     let line =
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;{}", "y".repeat(2000));
     assert_eq!(read_all(&line), Err(Malformed::Chunk));
--- a/crates/millethook-distribution/examples/scale/lists.rs
+++ b/crates/millethook-distribution/examples/scale/lists.rs
@@ -260,9 +260,9 @@
         }
         took.sort_unstable();
         let at = |share: f64| {
-            let place = (took.len() as f64 * share) as usize;
-            let place = place.min(took.len().saturating_sub(1));
-            took.get(place).map_or(f64::INFINITY, |took| *took as f64 / S as f64)
+            let index = (took.len() as f64 * share) as usize;
+            let index = index.min(took.len().saturating_sub(1));
+            took.get(index).map_or(f64::INFINITY, |took| *took as f64 / S as f64)
         };
         let name = format!("lists_{}_start_in_30s_{what}", self.count);
         self.row(&format!("{name}_50"), "s", at(0.5));
--- a/crates/millethook-distribution/examples/scale/main.rs
+++ b/crates/millethook-distribution/examples/scale/main.rs
@@ -309,12 +309,12 @@
         run.measure_report_delay();
         run.measure_change("quiet", 0, 2_048, |_| true);
         run.control_events();
-        let long = parts != "short";
-        if long {
+        let with_64_kib = parts != "short";
+        if with_64_kib {
             run.measure_change("quiet", 0, 65_536, |_| true);
         }
         run.fleet.loss = 0.2;
-        for length in [200, 2_048, 65_536].into_iter().take(if long { 3 } else { 2 }) {
+        for length in [200, 2_048, 65_536].into_iter().take(if with_64_kib { 3 } else { 2 }) {
             run.measure_change("loss20", 0, length, |_| true);
         }
         run.fleet.loss = 0.0;
--- a/crates/millethook-distribution/tests/it/interface.rs
+++ b/crates/millethook-distribution/tests/it/interface.rs
@@ -35,9 +35,9 @@
     world.lease(0);
     assert_eq!(world.publish(0, all, None), Some(Err(PublishError::CatchingUp(5))));
     world.run(S);
-    let long = world.publish(0, all, Some(vec![0; MAX_CONTENT_BYTES + 1]));
+    let result = world.publish(0, all, Some(vec![0; MAX_CONTENT_BYTES + 1]));
     let (found, most) = (MAX_CONTENT_BYTES + 1, MAX_CONTENT_BYTES);
-    assert_eq!(long, Some(Err(PublishError::TooLong { found, most })));
+    assert_eq!(result, Some(Err(PublishError::TooLong { found, most })));
     for n in 0..16 {
         let service = DocumentKey::configuration(Scope::Service(100 + n));
         assert!(matches!(world.publish(0, service, Some(vec![1])), Some(Ok(_))));
--- a/crates/millethook-distribution/tests/it/lists.rs
+++ b/crates/millethook-distribution/tests/it/lists.rs
@@ -371,8 +371,8 @@
     ) {
         let mut second = Vec::new();
         for (begin, end, between) in pieces {
-            let place = |n: u16| usize::from(n) * first.len() / 65_536;
-            let (begin, end) = (place(begin), place(end));
+            let offset = |n: u16| usize::from(n) * first.len() / 65_536;
+            let (begin, end) = (offset(begin), offset(end));
             second.extend_from_slice(first.get(begin..end).unwrap_or_default());
             second.extend(between);
         }
--- a/crates/millethook-distribution/tests/it/main.rs
+++ b/crates/millethook-distribution/tests/it/main.rs
@@ -3,8 +3,8 @@
 mod common;
 mod durability;
 mod interface;
+mod large_documents;
 mod lists;
-mod long;
 mod moves;
 mod overload;
 mod restart;
--- a/crates/millethook-machine/tests/codec.rs
+++ b/crates/millethook-machine/tests/codec.rs
@@ -41,8 +41,8 @@
         kind: Kind,
         number: u16,
         byte: u8,
-        word: u32,
-        long: u64,
+        four_bytes: u32,
+        eight_bytes: u64,
         epoch: u64 as U48,
     }
 }
@@ -53,8 +53,8 @@
         kind: Kind::Ping,
         number: 0x0203,
         byte: 4,
-        word: 0x0506_0708,
-        long: 0x090a_0b0c_0d0e_0f10,
+        four_bytes: 0x0506_0708,
+        eight_bytes: 0x090a_0b0c_0d0e_0f10,
         epoch: 0x1112_1314_1516,
     };
     let bytes: Vec<u8> = (1..=0x16).collect();
--- a/crates/millethook-replica/src/attempt_monitor.rs
+++ b/crates/millethook-replica/src/attempt_monitor.rs
@@ -91,8 +91,8 @@
     /// Returns servers that have been silent for `silence` microseconds, and marks them as reported. Servers that are
     /// already reported are left out.
     pub fn take_silent_servers(&mut self, now: Micros, silence: Micros) -> Vec<u64> {
-        let long = self.awaiting_answer.iter().filter(|(_, since)| now >= **since + silence);
-        let found: Vec<u64> = long.map(|(server, _)| *server).collect();
+        let overdue = self.awaiting_answer.iter().filter(|(_, since)| now >= **since + silence);
+        let found: Vec<u64> = overdue.map(|(server, _)| *server).collect();
         for server in &found {
             self.awaiting_answer.remove(server);
             if let Some(record) = self.servers.get_mut(server) {
--- a/crates/millethook-view/src/message/tests.rs
+++ b/crates/millethook-view/src/message/tests.rs
@@ -21,18 +21,18 @@
     assert_eq!((read, rest.remaining()), (header, &[][..]));
     assert_eq!(read_message::<MessageHeader>(&bytes[..16]).err(), Some(Malformed::Length));
     let from = 1_000;
-    let near =
+    let recent =
         Fact { number: 1, epoch: 990, incarnation: 0, status: Status::Alive, reported_by: 1 };
-    let far =
+    let distant =
         Fact { number: 2, epoch: 1 << 40, incarnation: 3, status: Status::Dead, reported_by: 9 };
     let mut facts = Vec::new();
-    assert!(write_fact(&mut facts, &near, from, 241));
-    assert!(!write_fact(&mut facts, &far, from, 19));
-    assert!(write_fact(&mut facts, &far, from, 20));
-    let near_form = [0, 1, Status::Alive.wire(), 0xff, 0xff, 0xff, 0xf6];
-    let far_form = [0, 2, Status::Dead.wire() | 0x30, 1, 0, 0, 0, 0, 0, 0, 3, 0, 9];
-    assert_eq!(facts, [&near_form[..], &far_form].concat());
+    assert!(write_fact(&mut facts, &recent, from, 241));
+    assert!(!write_fact(&mut facts, &distant, from, 19));
+    assert!(write_fact(&mut facts, &distant, from, 20));
+    let recent_form = [0, 1, Status::Alive.wire(), 0xff, 0xff, 0xff, 0xf6];
+    let distant_form = [0, 2, Status::Dead.wire() | 0x30, 1, 0, 0, 0, 0, 0, 0, 3, 0, 9];
+    assert_eq!(facts, [&recent_form[..], &distant_form].concat());
     let mut reader = Reader::new(&facts);
     let read: Vec<Fact> = reader.records(|reader| read_fact(reader, from)).collect();
-    assert_eq!(read, [near, far]);
+    assert_eq!(read, [recent, distant]);
 }
--- a/crates/plankvale/tests/conformance/copies.rs
+++ b/crates/plankvale/tests/conformance/copies.rs
@@ -96,12 +96,18 @@
     // the check see a copy that arrives right after the answer.
     let (work, pause) = (Duration::from_millis(150), Duration::from_millis(10));
     let each = std::iter::repeat_with(ClientRequest::each).flatten().take(2 * HEALTHY_REQUESTS);
-    let short =
+    let small =
         DuplicatingServer { work, padding: 0, max_copies: usize::MAX }.send_all::<F>(pause, each);
     let safe = std::iter::repeat_with(ClientRequest::safe).take(2 * HEALTHY_REQUESTS);
-    let long = DuplicatingServer { work, padding: 80 << 10, max_copies: usize::MAX }
+    let large = DuplicatingServer { work, padding: 80 << 10, max_copies: usize::MAX }
         .send_all::<F>(pause, safe);
-    assert_eq!((short.wrong, long.wrong), (0, 0), "of {} and {} copies", short.copies, long.copies);
+    assert_eq!(
+        (small.wrong, large.wrong),
+        (0, 0),
+        "of {} and {} copies",
+        small.copies,
+        large.copies
+    );
     true
 }
 
--- a/crates/plankvale/tests/conformance/requested_closes.rs
+++ b/crates/plankvale/tests/conformance/requested_closes.rs
@@ -55,11 +55,11 @@
     let form = F::start_with(&config(agent.address, |_| {}), PROVEN);
     let short = || form.request(ClientRequest::safe());
     thread::scope(|scope| {
-        let long = scope.spawn(|| form.request(ClientRequest::safe().path(LONG_PATH)));
+        let long_request = scope.spawn(|| form.request(ClientRequest::safe().path(LONG_PATH)));
         wait_until("the long answer has begun", || long_begun.load(Ordering::SeqCst));
         assert_eq!(short(), served("short"));
         release_long_answer.store(true, Ordering::SeqCst);
-        assert_eq!(long.join().expect("an end"), served(&"x".repeat(LONG_LENGTH)));
+        assert_eq!(long_request.join().expect("an end"), served(&"x".repeat(LONG_LENGTH)));
     });
     for _ in 0..REQUESTS {
         assert_eq!(short(), served("short"));
--- a/crates/plankvale/tests/distribution/spool.rs
+++ b/crates/plankvale/tests/distribution/spool.rs
@@ -34,8 +34,8 @@
         assert_eq!(status["stage"], "rejected", "{status}");
         assert!(status["error"].as_str().is_some_and(|e| e.contains(expected_text)), "{status}");
     }
-    let long = "x".repeat(70_000);
-    let output = tier.publish_at(writer, "all", &long);
+    let large_document = "x".repeat(70_000);
+    let output = tier.publish_at(writer, "all", &large_document);
     assert!(output.code == Some(2) && output.text.contains("65536 at most expected"), "{output:?}");
     let output = tier.publish_at(writer, "everybody", "{}");
     assert!(output.code == Some(2) && output.text.contains("region:NAME"), "{output:?}");
--- a/crates/plankvale/tests/sidecar/edge.rs
+++ b/crates/plankvale/tests/sidecar/edge.rs
@@ -462,9 +462,9 @@
     let end = Instant::now() + Duration::from_secs(300);
     let mut stores = 0;
     while stores < kills / 2 || !is_settled(&sidecar) {
-        let (left, doubt) =
+        let (left, uncertain) =
             (sidecar.metric("sidecar.edge.left"), sidecar.metric("sidecar.edge.doubt"));
-        assert!(Instant::now() < end, "{stores} stores, {left} left, {doubt} in doubt");
+        assert!(Instant::now() < end, "{stores} stores, {left} left, {uncertain} in doubt");
         std::thread::sleep(Duration::from_millis(200));
         stores = sidecar.metric("sidecar.edge.stores") as usize;
     }
@@ -474,12 +474,12 @@
     }
     let twice: Vec<&String> = ran.iter().filter(|(_, n)| **n > 1).map(|(body, _)| body).collect();
     assert!(twice.is_empty(), "{twice:?}");
-    let doubt = sidecar.metric("sidecar.edge.doubt") as usize;
+    let uncertain = sidecar.metric("sidecar.edge.doubt") as usize;
     let missing = acknowledged.iter().filter(|body| !ran.contains_key(*body)).count();
     println!(
-        "{kills} kills: {} acknowledged, {} ran, {doubt} in doubt, {missing} of the acknowledged not run",
+        "{kills} kills: {} acknowledged, {} ran, {uncertain} in doubt, {missing} of the acknowledged not run",
         acknowledged.len(),
         ran.len()
     );
-    assert!(missing <= doubt, "{missing} acknowledged and nowhere, {doubt} in doubt");
+    assert!(missing <= uncertain, "{missing} acknowledged and nowhere, {uncertain} in doubt");
 }
--- a/crates/plankvale/tests/sidecar/framing.rs
+++ b/crates/plankvale/tests/sidecar/framing.rs
@@ -69,9 +69,9 @@
 #[test]
 fn long_headers_pass() {
     let (sidecar, _agent, _) = sidecar_with_echo_server();
-    let long = "v".repeat(30_000);
+    let large_value = "v".repeat(30_000);
     let got = sidecar.request(format!(
-        "GET /look HTTP/1.1\r\nHost: a\r\nX-Long: {long}\r\n{COMMON_HEADERS}\r\n"
+        "GET /look HTTP/1.1\r\nHost: a\r\nX-Long: {large_value}\r\n{COMMON_HEADERS}\r\n"
     ));
     assert_eq!(got.status(), 200);
 }
@@ -248,10 +248,10 @@
     assert_eq!(client.message().unwrap().status(), 200, "the connection goes on");
     assert_eq!(log.count(), 1);
 
-    let long = "v".repeat(200_000);
+    let large_value = "v".repeat(200_000);
     for (status, request) in [
         (400, "what is this\r\n\r\n".to_owned()),
-        (431, get("/look", &format!("{COMMON_HEADERS}X-Long: {long}\r\n"))),
+        (431, get("/look", &format!("{COMMON_HEADERS}X-Long: {large_value}\r\n"))),
     ] {
         let got = sidecar.request(request);
         assert_eq!(got.status(), status);
--- a/crates/plankvale/tests/sidecar/large.rs
+++ b/crates/plankvale/tests/sidecar/large.rs
@@ -264,8 +264,8 @@
 /// Any server may answer after the head. That is the answer; the rest of the body is not needed.
 #[test]
 fn an_early_answer_to_a_long_body_is_its_answer() {
-    let long = "long ".repeat(40_000);
-    let served = long.clone();
+    let large_body = "long ".repeat(40_000);
+    let served = large_body.clone();
     let server = Server::start(move |mut conn| {
         if conn.head().is_some() {
             conn.send(ok(&served));
@@ -280,7 +280,7 @@
     client.send(bytes(200_000));
     let answer = client.message().expect("an answer");
     assert_eq!((answer.status(), answer.complete), (200, true));
-    assert_eq!(answer.body, long.into_bytes());
+    assert_eq!(answer.body, large_body.into_bytes());
 }
 
 /// The first bytes of a long answer are buffered. A slow answer without a length is passed on
--- a/crates/plankvale/tests/sidecar/races/closing.rs
+++ b/crates/plankvale/tests/sidecar/races/closing.rs
@@ -35,8 +35,8 @@
 /// discards an answer that the sidecar's kernel has accepted and the client has not read yet.
 #[test]
 fn an_answer_survives_bytes_that_arrive_as_its_connection_is_closed() {
-    let long = "first".repeat(12_000);
-    let body = long.clone();
+    let large_body = "first".repeat(12_000);
+    let body = large_body.clone();
     let (servers, log, _) = servers(1, move |mut conn, _| {
         conn.send(ok(&body));
         Some(conn)
@@ -53,7 +53,7 @@
     assert!(witness.closed_by_peer());
     client.send(safe());
     let first = client.message().expect("the answer that had arrived before the close");
-    assert_eq!((first.complete, first.body == long.as_bytes()), (true, true));
+    assert_eq!((first.complete, first.body == large_body.as_bytes()), (true, true));
     // The second request crossed the close: either it was read before and is answered, or it was
     // never read.
     let second = client.message();
