--- a/crates/millethook-distribution/src/control/lists.rs
+++ b/crates/millethook-distribution/src/control/lists.rs
@@ -18,6 +18,7 @@
 /// The lists that one sidecar subscribes to.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SidecarLists {
+    /// The last known status of each list.
     pub statuses: Arc<ListStatuses>,
     /// None: the sidecar has not reported all of them yet.
     hash: Option<u64>,
--- a/crates/millethook-distribution/src/control/store.rs
+++ b/crates/millethook-distribution/src/control/store.rs
@@ -43,6 +43,7 @@
 /// All stored documents. The lowest version stands for none.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
+    /// What is stored for each key.
     pub slots: BTreeMap<DocumentKey, Slot>,
     /// Bytes of all [`Slot::bases`].
     pub base_bytes: usize,
--- a/crates/millethook-distribution/src/control/subscribers.rs
+++ b/crates/millethook-distribution/src/control/subscribers.rs
@@ -36,10 +36,13 @@
 /// The state of a sidecar, as it last reported.
 #[derive(Clone, Debug)]
 pub(crate) struct SidecarState {
+    /// The identity that the sidecar reported.
     pub identity: Identity,
     /// 0: this control node is its first one.
     pub rank: u8,
+    /// When its last message arrived.
     pub last_heard: Micros,
+    /// The hash of all its statuses.
     pub hash: u64,
     /// None: it has not reported them yet.
     pub statuses: Option<Vec<Status>>,
--- a/crates/millethook-distribution/src/message/fields.rs
+++ b/crates/millethook-distribution/src/message/fields.rs
@@ -26,11 +26,15 @@
 /// The head of a document; for a short content, the whole document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Offer {
+    /// How far the document has been agreed on.
     pub stage: Stage,
     pub id: DocumentId,
     pub hash: ContentHash,
+    /// Whether the document is a retraction.
     pub retracted: bool,
+    /// The length of the complete content in bytes.
     pub length: usize,
+    /// The content, if it is short enough to travel with the head.
     pub inline: Option<Vec<u8>>,
 }
 
@@ -60,6 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Status {
     pub key: DocumentKey,
+    /// The version that the state applies to.
     pub version: Version,
     pub state: State,
 }
@@ -81,6 +86,7 @@
 pub(crate) struct ListsUpdate {
     /// The hash of all list statuses.
     pub hash: u64,
+    /// The statuses that are sent with the hash.
     pub payload: ListsPayload,
 }
 
@@ -104,8 +110,11 @@
     pub length: usize,
     /// The version that the delta is applied to.
     pub base: Version,
+    /// The index of this part.
     pub index: u8,
+    /// The number of all parts of the delta.
     pub count: u8,
+    /// The content of this part.
     pub bytes: Vec<u8>,
 }
 
@@ -115,5 +124,6 @@
     pub key: DocumentKey,
     /// The lowest version stands for none.
     pub committed: Version,
+    /// The version of the later document that was accepted; the lowest version stands for none.
     pub accepted: Version,
 }
--- a/crates/millethook-distribution/src/outgoing.rs
+++ b/crates/millethook-distribution/src/outgoing.rs
@@ -30,6 +30,7 @@
 /// The receiver of a push.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Receiver {
+    /// The number of the receiving member.
     pub number: u16,
     pub role: Role,
 }
--- a/crates/millethook-distribution/src/sidecar/links.rs
+++ b/crates/millethook-distribution/src/sidecar/links.rs
@@ -51,7 +51,9 @@
 /// A digest that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DueDigest {
+    /// The number of the control node that it is sent to.
     pub to: u16,
+    /// The rank of that control node, which the digest tells it.
     pub rank: u8,
     /// Whether the digest has to include all statuses.
     pub whole: bool,
@@ -71,6 +73,7 @@
     search_at: Micros,
     search_count: u32,
     preferred_at: Micros,
+    /// How often the first control node has changed.
     pub switches: u64,
 }
 
--- a/crates/millethook-distribution/src/transfer.rs
+++ b/crates/millethook-distribution/src/transfer.rs
@@ -53,6 +53,7 @@
 /// A request for missing parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Request {
+    /// The number of the member that is asked.
     pub to: u16,
     /// None: the head has not arrived.
     pub key: Option<DocumentKey>,
--- a/crates/millethook-distribution/src/writer.rs
+++ b/crates/millethook-distribution/src/writer.rs
@@ -40,10 +40,13 @@
 /// A document that a majority has not accepted yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Publication {
+    /// The document that is put to the vote.
     pub document: Arc<Document>,
     /// Identifies the votes of a round, with the time at which the round started: votes count for [`round_length`].
     pub round: u32,
+    /// When the round started.
     pub sent: Micros,
+    /// The control nodes that have accepted the document.
     pub accepted: BTreeSet<u16>,
     /// The document to publish next; only the latest one is kept.
     pub waiting: Option<Arc<Document>>,
@@ -52,17 +55,21 @@
 /// The state of the control node that may publish.
 #[derive(Clone, Debug)]
 pub(crate) struct Writer {
+    /// The token of the lease under which this control node publishes.
     pub token: Token,
     /// The number of documents created under this token.
     counter: u32,
     /// The round of the announcement, and the time at which it started.
     pub round: u32,
     pub sent: Micros,
+    /// When the announcement is due next.
     pub announce_at: Micros,
     /// The control nodes that accept no lower token, and those whose stored documents are all known here.
     pub promised: BTreeSet<u16>,
     pub learned: BTreeSet<u16>,
+    /// Whether a majority has promised and its stored documents are known, so that documents can be published.
     pub ready: bool,
+    /// The open publications, by key.
     pub publications: BTreeMap<DocumentKey, Publication>,
     /// Versions that restored a previous content: they are not stopped again.
     pub restored: BTreeSet<Version>,
--- a/crates/millethook-engine/src/driver/attempts.rs
+++ b/crates/millethook-engine/src/driver/attempts.rs
@@ -22,6 +22,7 @@
 const SERVER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Driver {
+    /// Starts an attempt, or reports it as never sent if the request no longer needs it or the server is unknown.
     pub(super) fn send(
         self: &Rc<Driver>,
         id: RequestId,
--- a/crates/millethook-engine/src/driver/request.rs
+++ b/crates/millethook-engine/src/driver/request.rs
@@ -64,6 +64,7 @@
 pub struct Ticket {
     pub(super) id: RequestId,
     pub(super) driver: Rc<Driver>,
+    /// Receives the final answer.
     pub(super) reply: oneshot::Receiver<Reply>,
 }
 
@@ -84,6 +85,7 @@
 pub(super) struct PendingRequest {
     /// The index of its class in the settings.
     pub class: usize,
+    /// Sends the final answer; `None` once it has been used or the client is gone.
     pub reply: Option<oneshot::Sender<Reply>>,
     /// `None` once no further attempt can need it.
     pub attempt_request: Option<Rc<AttemptRequest>>,
@@ -105,6 +107,7 @@
         }
     }
 
+    /// Whether nothing more is passed to the client.
     pub fn is_closed(&self) -> bool {
         self.reply.is_none() && self.streaming.is_none()
     }
@@ -114,6 +117,7 @@
         self.ended_attempt_may_have_run || self.attempts.iter().any(Option::is_some)
     }
 
+    /// Whether the request is closed and all its attempts have ended.
     pub fn is_finished(&self) -> bool {
         self.is_closed() && self.attempts.iter().all(Option::is_none)
     }
--- a/crates/millethook-engine/src/upstream/attempt/body_buffer.rs
+++ b/crates/millethook-engine/src/upstream/attempt/body_buffer.rs
@@ -10,10 +10,12 @@
 }
 
 impl BodyBuffer {
+    /// The number of buffered bytes.
     pub fn len(&self) -> usize {
         self.first.len() + self.rest.len()
     }
 
+    /// Appends a piece.
     pub fn push(&mut self, piece: Bytes) {
         if self.first.is_empty() {
             self.first = piece;
@@ -22,6 +24,7 @@
         }
     }
 
+    /// Returns all buffered bytes as one piece.
     pub fn take(self) -> Bytes {
         if self.rest.is_empty() {
             return self.first;
--- a/crates/millethook-engine/src/upstream/connection.rs
+++ b/crates/millethook-engine/src/upstream/connection.rs
@@ -56,6 +56,7 @@
 }
 
 impl SharedIo {
+    /// The system calls so far.
     pub fn calls(&self) -> SystemCalls {
         self.calls.get()
     }
@@ -173,6 +174,7 @@
 }
 
 impl ConnectionGuard {
+    /// Guards a connection to `server`.
     pub fn new(
         upstream: Rc<Upstream>,
         server: ServerId,
--- a/crates/millethook-engine/src/upstream/streaming.rs
+++ b/crates/millethook-engine/src/upstream/streaming.rs
@@ -26,6 +26,7 @@
 }
 
 impl StreamingResponse {
+    /// Creates a response whose body begins with `first`.
     pub(super) fn new(
         head: ResponseHead,
         report: LoadReport,
