--- a/crates/millethook-model/src/fleet/discovery.rs
+++ b/crates/millethook-model/src/fleet/discovery.rs
@@ -1,68 +1,69 @@
-//! Discovery: a registry that knows the servers, and lists that come late to each sidecar.
+//! Discovery: a registry of the servers, and lists that reach each sidecar with a delay.
 
 use std::collections::VecDeque;
 
 use coppercart::api::{Event, Health, ListKind, ServerEntry};
 
 use super::Fleet;
-use super::due::{Due, SidecarLife};
+use super::event::{ScheduledEvent, SidecarLife};
 use crate::Micros;
 use crate::plan::MS;
 
-/// How long a failed call takes.
+/// Duration of a failed call.
 const FAILED_CALL: Micros = 1_000;
 
-/// What the registry holds. A version is the number of changes up to it.
+/// The state of the registry. A version is the number of changes up to it.
 #[derive(Debug, Default)]
 pub struct Registry {
     changes: Vec<ServerEntry>,
-    /// Nothing is told before.
+    /// No updates are sent before this time.
     down_until: Micros,
-    /// Calls that wait; the first one is worked on.
-    line: VecDeque<SidecarLife>,
+    /// Pending calls; the first one is being handled.
+    pending_calls: VecDeque<SidecarLife>,
 }
 
 impl Registry {
-    /// Discovery tells nothing until then.
+    /// Stops all updates until this time.
     pub fn go_down(&mut self, until: Micros) {
         self.down_until = self.down_until.max(until);
     }
 }
 
 impl Fleet<'_> {
-    /// The registry learns of a server as it is now. The version with it.
+    /// Records the current state of a server in the registry and returns the new version.
     pub(super) fn list_changes(&mut self, server: usize) -> usize {
         self.registry.changes.push(self.servers[server].entry.clone());
         let version = self.registry.changes.len();
         for sidecar in 0..self.sidecars.len() {
-            let late = self.lateness(sidecar);
-            let own = &self.sidecars[sidecar];
-            if own.balancer.is_some() && own.watches {
-                self.queue.add(self.now + late, Due::Changes(own.at, version));
+            let late = self.list_delay(sidecar);
+            let state = &self.sidecars[sidecar];
+            if state.balancer.is_some() && state.watches {
+                self.queue
+                    .schedule(self.now + late, ScheduledEvent::Changes(state.instance, version));
             }
         }
         version
     }
 
-    fn lateness(&mut self, sidecar: usize) -> Micros {
+    fn list_delay(&mut self, sidecar: usize) -> Micros {
         self.sidecars[sidecar].discovery.up_to(self.plan.discovery.late_ms * MS)
     }
 
-    /// A sidecar's process has started and wants its first list.
-    pub(super) fn first_list(&mut self, at: SidecarLife) {
-        if !self.plan.discovery.asked {
-            let late = self.lateness(at.sidecar);
-            return self.queue.add(self.now + late, Due::WholeList(at));
+    /// Provides the first list of a sidecar's process that has just started.
+    pub(super) fn first_list(&mut self, instance: SidecarLife) {
+        if !self.plan.discovery.on_request {
+            let late = self.list_delay(instance.sidecar);
+            return self.queue.schedule(self.now + late, ScheduledEvent::WholeList(instance));
         }
-        if at.life == 0 {
-            return self.queue.add(self.now, Due::Call(at));
+        if instance.life == 0 {
+            return self.queue.schedule(self.now, ScheduledEvent::Call(instance));
         }
-        // It has a list on disk. The decisions say when to ask.
-        let entries = self.remembered(self.sidecars[at.sidecar].version);
-        self.tell_list(at, ListKind::Remembered, entries);
+        // The restarted sidecar has a list on disk; the decisions request the current one when they need it.
+        let entries = self.remembered(self.sidecars[instance.sidecar].version);
+        self.deliver_list(instance, ListKind::Remembered, entries);
     }
 
-    /// The list as it was at a version.
+    /// Returns the list as it was at a version.
     fn remembered(&self, version: usize) -> Vec<ServerEntry> {
         let first = self.servers.iter().take(self.plan.servers.count);
         let mut entries: Vec<ServerEntry> = first
@@ -78,102 +79,116 @@
         entries
     }
 
-    fn tell_list(&mut self, at: SidecarLife, kind: ListKind, mut entries: Vec<ServerEntry>) {
+    fn deliver_list(
+        &mut self,
+        instance: SidecarLife,
+        kind: ListKind,
+        mut entries: Vec<ServerEntry>,
+    ) {
         for entry in &entries {
             let server = entry.id.0 as usize - 1;
             match entry.health {
                 Health::Ready => {}
-                Health::Draining => self.judge.told_drains(at, server, self.now),
-                Health::Gone => self.judge.told_gone(at, server, self.now),
+                Health::Draining => self.judge.told_drains(instance, server, self.now),
+                Health::Gone => self.judge.told_gone(instance, server, self.now),
             }
         }
         self.path.entries(&mut entries);
-        self.tell(at.sidecar, Event::Servers { kind, entries: &entries });
+        self.deliver_event(instance.sidecar, Event::Servers { kind, entries: &entries });
     }
 
-    /// Changes come to a sidecar that watches.
-    pub(super) fn changes(&mut self, at: SidecarLife, version: usize) {
-        let told = self.sidecars[at.sidecar].version;
-        if version <= told || !self.sidecars[at.sidecar].watches {
+    /// Delivers changes to a sidecar that watches the list.
+    pub(super) fn changes(&mut self, instance: SidecarLife, version: usize) {
+        let told = self.sidecars[instance.sidecar].version;
+        if version <= told || !self.sidecars[instance.sidecar].watches {
             return;
         }
         if self.now < self.registry.down_until {
-            let late = self.lateness(at.sidecar);
+            let late = self.list_delay(instance.sidecar);
             let up = self.registry.down_until;
-            return self.queue.add(up + late, Due::Changes(at, version));
+            return self.queue.schedule(up + late, ScheduledEvent::Changes(instance, version));
         }
         let mut entries: Vec<ServerEntry> = Vec::new();
         for change in &self.registry.changes[told..version] {
             entries.retain(|entry| entry.id != change.id);
             entries.push(change.clone());
         }
-        self.sidecars[at.sidecar].version = version;
-        self.tell_list(at, ListKind::Changes, entries);
+        self.sidecars[instance.sidecar].version = version;
+        self.deliver_list(instance, ListKind::Changes, entries);
     }
 
-    /// The whole list comes to a sidecar, which watches from here on.
-    pub(super) fn whole_list(&mut self, at: SidecarLife) {
+    /// Delivers the whole list to a sidecar, which watches the list from then on.
+    pub(super) fn whole_list(&mut self, instance: SidecarLife) {
         if self.now < self.registry.down_until {
-            let late = self.lateness(at.sidecar);
-            return self.queue.add(self.registry.down_until + late, Due::WholeList(at));
-        }
-        let own = &mut self.sidecars[at.sidecar];
-        own.version = self.registry.changes.len();
-        own.watches = true;
+            let late = self.list_delay(instance.sidecar);
+            return self
+                .queue
+                .schedule(self.registry.down_until + late, ScheduledEvent::WholeList(instance));
+        }
+        let state = &mut self.sidecars[instance.sidecar];
+        state.version = self.registry.changes.len();
+        state.watches = true;
         let mut entries = Vec::new();
         for (number, server) in self.servers.iter().enumerate() {
             match server.entry.health {
-                Health::Gone => self.judge.told_gone(at, number, self.now),
+                Health::Gone => self.judge.told_gone(instance, number, self.now),
                 _ => entries.push(server.entry.clone()),
             }
         }
-        self.tell_list(at, ListKind::Whole, entries);
+        self.deliver_list(instance, ListKind::Whole, entries);
     }
 
-    /// A sidecar asks for the list.
-    pub(super) fn call(&mut self, at: SidecarLife) {
+    /// Handles a sidecar's request for the list.
+    pub(super) fn registry_call(&mut self, instance: SidecarLife) {
         let down = self.now < self.registry.down_until;
-        if self.registry.line.contains(&at) {
+        if self.registry.pending_calls.contains(&instance) {
             return;
         }
-        if down || self.registry.line.len() > self.plan.discovery.line {
-            return self.queue.add(self.now + FAILED_CALL, Due::CallFails(at));
+        if down || self.registry.pending_calls.len() > self.plan.discovery.max_pending_calls {
+            return self
+                .queue
+                .schedule(self.now + FAILED_CALL, ScheduledEvent::CallFails(instance));
         }
-        self.registry.line.push_back(at);
-        if self.registry.line.len() == 1 {
-            self.queue.add(self.now + self.plan.discovery.work_us, Due::CallWorked);
+        self.registry.pending_calls.push_back(instance);
+        if self.registry.pending_calls.len() == 1 {
+            self.queue
+                .schedule(self.now + self.plan.discovery.work_us, ScheduledEvent::CallFinished);
         }
     }
 
-    /// The registry has worked on the first call in line.
-    pub(super) fn call_worked(&mut self) {
-        let Some(at) = self.registry.line.pop_front() else { return };
-        if !self.registry.line.is_empty() {
-            self.queue.add(self.now + self.plan.discovery.work_us, Due::CallWorked);
+    /// Completes the first pending call.
+    pub(super) fn call_finished(&mut self) {
+        let Some(instance) = self.registry.pending_calls.pop_front() else { return };
+        if !self.registry.pending_calls.is_empty() {
+            self.queue
+                .schedule(self.now + self.plan.discovery.work_us, ScheduledEvent::CallFinished);
         }
         if self.now < self.registry.down_until {
-            self.queue.add(self.now, Due::CallFails(at));
+            self.queue.schedule(self.now, ScheduledEvent::CallFails(instance));
         } else {
-            self.queue.add(self.now, Due::WholeList(at));
+            self.queue.schedule(self.now, ScheduledEvent::WholeList(instance));
         }
     }
 
-    /// A sidecar's call fails, or its watch ends.
-    pub(super) fn call_fails(&mut self, at: SidecarLife) {
-        self.sidecars[at.sidecar].watches = false;
-        self.tell(at.sidecar, Event::Servers { kind: ListKind::Failed, entries: &[] });
+    /// Reports a failed call, or the end of its watch, to a sidecar.
+    pub(super) fn call_fails(&mut self, instance: SidecarLife) {
+        self.sidecars[instance.sidecar].watches = false;
+        self.deliver_event(
+            instance.sidecar,
+            Event::Servers { kind: ListKind::Failed, entries: &[] },
+        );
     }
 
-    /// Discovery goes down: where it is asked, watches end.
+    /// Takes discovery down. With lists on request, all watches end.
     pub(super) fn discovery_goes_down(&mut self, until: Micros) {
         self.registry.go_down(until);
-        if !self.plan.discovery.asked {
+        if !self.plan.discovery.on_request {
             return;
         }
         for sidecar in 0..self.sidecars.len() {
-            let own = &self.sidecars[sidecar];
-            if own.balancer.is_some() && own.watches {
-                self.queue.add(self.now, Due::CallFails(own.at));
+            let state = &self.sidecars[sidecar];
+            if state.balancer.is_some() && state.watches {
+                self.queue.schedule(self.now, ScheduledEvent::CallFails(state.instance));
             }
         }
     }
--- a/crates/millethook-model/src/fleet/faults.rs
+++ b/crates/millethook-model/src/fleet/faults.rs
@@ -1,11 +1,11 @@
-//! The faults of a plan, as they begin and end.
+//! Begin and end of the faults of a plan.
 
 use coppercart::api::Health;
 use coppercart::decide::Balancer;
 use millethook_explore::step::Ending;
 
 use super::Fleet;
-use super::due::{Due, SidecarLife};
+use super::event::{ScheduledEvent, SidecarLife};
 use super::server::{Process, Server};
 use crate::Micros;
 use crate::plan::{FaultKind, MS};
@@ -16,7 +16,7 @@
         let plan = self.plan;
         let fault = &plan.faults[number];
         let until = self.now + fault.for_ms * MS;
-        self.queue.add(until, Due::FaultEnds(number));
+        self.queue.schedule(until, ScheduledEvent::FaultEnds(number));
         match fault.kind {
             FaultKind::Cut | FaultKind::Loss | FaultKind::Delay => self.links.begin(number),
             FaultKind::DiscoveryDown => self.discovery_goes_down(until),
@@ -27,11 +27,12 @@
                 fault.sidecars.iter().for_each(|sidecar| self.stop_sidecar(*sidecar));
             }
             kind => {
-                let hit: Vec<usize> = fault.servers.iter().map(|n| self.places[*n]).collect();
-                for (place, server) in fault.servers.iter().zip(&hit) {
-                    self.server_fault(kind, fault.amount, *place, *server);
+                let affected: Vec<usize> =
+                    fault.servers.iter().map(|n| self.current_servers[*n]).collect();
+                for (position, server) in fault.servers.iter().zip(&affected) {
+                    self.server_fault(kind, fault.amount, *position, *server);
                 }
-                self.hit.insert(number, hit);
+                self.affected.insert(number, affected);
             }
         }
     }
@@ -50,14 +51,14 @@
                 }
             }
             kind => {
-                for server in self.hit.remove(&number).unwrap_or_default() {
+                for server in self.affected.remove(&number).unwrap_or_default() {
                     self.server_fault_ends(kind, server);
                 }
             }
         }
     }
 
-    fn server_fault(&mut self, kind: FaultKind, amount: f64, place: usize, server: usize) {
+    fn server_fault(&mut self, kind: FaultKind, amount: f64, position: usize, server: usize) {
         match kind {
             FaultKind::Crash => self.stop_server(server, Process::Down),
             FaultKind::Hang if self.servers[server].process == Process::Up => {
@@ -66,7 +67,7 @@
             FaultKind::Replace if self.servers[server].entry.health == Health::Ready => {
                 self.servers[server].entry.health = Health::Draining;
                 self.list_changes(server);
-                self.add_server(place);
+                self.add_server(position);
             }
             FaultKind::Vanish => self.remove(server),
             FaultKind::Slow => self.servers[server].slow = amount,
@@ -76,27 +77,27 @@
     }
 
     fn server_fault_ends(&mut self, kind: FaultKind, server: usize) {
-        let own = &mut self.servers[server];
+        let state = &mut self.servers[server];
         match kind {
-            FaultKind::Crash if own.process == Process::Down => {
-                own.start(self.plan, self.now);
+            FaultKind::Crash if state.process == Process::Down => {
+                state.start(self.plan, self.now);
                 self.servers[server].start_version = self.list_changes(server);
             }
-            FaultKind::Hang if own.process == Process::Hung => own.process = Process::Up,
-            FaultKind::Replace if own.entry.health == Health::Draining => self.remove(server),
+            FaultKind::Hang if state.process == Process::Hung => state.process = Process::Up,
+            FaultKind::Replace if state.entry.health == Health::Draining => self.remove(server),
             FaultKind::Vanish => {
-                let place = self.place_of[server];
-                if self.places[place] == server {
-                    self.add_server(place);
+                let position = self.position_of[server];
+                if self.current_servers[position] == server {
+                    self.add_server(position);
                 }
             }
-            FaultKind::Slow => own.slow = 1.0,
-            FaultKind::Errors => own.errors = 0.0,
+            FaultKind::Slow => state.slow = 1.0,
+            FaultKind::Errors => state.errors = 0.0,
             _ => {}
         }
     }
 
-    /// A server's process ends or stands still. Connections of one that ended are reset.
+    /// Ends or hangs a server's process. The connections of one that ended are reset.
     fn stop_server(&mut self, server: usize, process: Process) {
         if self.servers[server].process == Process::Gone {
             return;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// A server's process ends for good, and the registry knows.
+    /// Removes a server for good and records it in the registry.
     fn remove(&mut self, server: usize) {
         if self.servers[server].process == Process::Gone {
             return;
@@ -119,40 +120,40 @@
         self.list_changes(server);
     }
 
-    /// A cold server comes to a place.
-    fn add_server(&mut self, place: usize) {
+    /// Adds a cold server at a position of the plan.
+    fn add_server(&mut self, position: usize) {
         let number = self.servers.len();
-        let zone = self.plan.zone(place);
+        let zone = self.plan.zone(position);
         self.servers.push(Server::new(self.plan, number, zone, Some(self.now)));
-        self.places[place] = number;
-        self.place_of.push(place);
+        self.current_servers[position] = number;
+        self.position_of.push(position);
         self.servers[number].start_version = self.list_changes(number);
     }
 
     fn pause(&mut self, sidecar: usize, until: Micros) {
-        let own = &mut self.sidecars[sidecar];
-        let from = own.paused_until.max(self.now);
-        own.paused += until.saturating_sub(from);
-        own.paused_until = own.paused_until.max(until);
+        let state = &mut self.sidecars[sidecar];
+        let from = state.paused_until.max(self.now);
+        state.paused += until.saturating_sub(from);
+        state.paused_until = state.paused_until.max(until);
     }
 
     fn stop_sidecar(&mut self, sidecar: usize) {
-        let own = &mut self.sidecars[sidecar];
-        let at = own.at;
-        own.balancer = None;
-        own.watches = false;
-        own.paused_until = self.now;
-        own.at = SidecarLife { life: at.life + 1, ..at };
-        self.lose_requests(at);
+        let state = &mut self.sidecars[sidecar];
+        let instance = state.instance;
+        state.balancer = None;
+        state.watches = false;
+        state.paused_until = self.now;
+        state.instance = SidecarLife { life: instance.life + 1, ..instance };
+        self.lose_requests(instance);
     }
 
     pub(super) fn start_sidecar(&mut self, sidecar: usize) {
         let now: Micros = self.path.now(self.now);
-        let own = &mut self.sidecars[sidecar];
-        let seed = own.decisions.bits();
-        own.balancer = Some(Balancer::new(self.settings[sidecar].clone(), seed, now));
-        own.unchecked = 0;
-        let at = own.at;
-        self.first_list(at);
+        let state = &mut self.sidecars[sidecar];
+        let seed = state.decisions.bits();
+        state.balancer = Some(Balancer::new(self.settings[sidecar].clone(), seed, now));
+        state.unchecked = 0;
+        let instance = state.instance;
+        self.first_list(instance);
     }
 }
--- a/crates/millethook-model/src/fleet/links.rs
+++ b/crates/millethook-model/src/fleet/links.rs
@@ -1,49 +1,49 @@
-//! What the network does between a sidecar and a server: the plan's network and the faults that hold now.
+//! The network between a sidecar and a server: the plan's network and the currently active faults.
 
 use crate::Micros;
 use crate::plan::{Fault, FaultKind, MS, Network};
 use crate::random::Stream;
 
-/// What an attempt or an answer meets.
+/// The conditions for one attempt or answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
-    /// Nothing passes.
+    /// Whether all messages are dropped.
     pub cut: bool,
-    /// The share that is lost, beside the network's own.
+    /// The share that is lost in addition to the plan's own loss.
     pub loss: f64,
     /// The delay in one direction.
     pub delay: Micros,
 }
 
-/// The network faults that hold now, by their number in the plan.
+/// The active network faults, by their number in the plan.
 #[derive(Debug, Default)]
 pub struct Links {
     active: Vec<usize>,
 }
 
 impl Links {
-    /// A fault begins.
+    /// Activates a fault.
     pub fn begin(&mut self, fault: usize) {
         self.active.push(fault);
     }
 
-    /// A fault ends.
+    /// Deactivates a fault.
     pub fn end(&mut self, fault: usize) {
         self.active.retain(|active| *active != fault);
     }
 
-    /// What passes between a sidecar and the server at this place meets now.
+    /// Returns the current conditions between a sidecar and the server at this position of the plan.
     pub fn between(
         &self,
         (network, faults): (&Network, &[Fault]),
-        (sidecar, place): (usize, usize),
+        (sidecar, position): (usize, usize),
         random: &mut Stream,
     ) -> Link {
         let delay = network.delay_us + random.up_to(network.jitter_us);
         let mut link = Link { cut: false, loss: 0.0, delay };
         for fault in self.active.iter().map(|number| &faults[*number]) {
             let of = |list: &[usize], number| list.is_empty() || list.contains(&number);
-            if !of(&fault.sidecars, sidecar) || !of(&fault.servers, place) {
+            if !of(&fault.sidecars, sidecar) || !of(&fault.servers, position) {
                 continue;
             }
             match fault.kind {
--- a/crates/millethook-model/src/fleet/mod.rs
+++ b/crates/millethook-model/src/fleet/mod.rs
@@ -2,7 +2,8 @@
 
 mod clients;
 mod discovery;
-mod due;
+mod driver;
+mod event;
 mod faults;
 mod links;
 mod network;
@@ -10,7 +11,6 @@
 mod server;
 mod serving;
 mod sidecar;
-mod telling;
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -18,33 +18,33 @@
 use coppercart::settings::Settings;
 use rustc_hash::FxHashMap;
 
-pub use due::{AttemptId, SidecarLife};
+pub use event::{AttemptId, SidecarLife};
 pub use requests::{Attempt, Request};
 
 use self::discovery::Registry;
-use self::due::Due;
+use self::event::ScheduledEvent;
 use self::links::Links;
 use self::requests::Requests;
 use self::server::Server;
 use self::sidecar::Sidecar;
 use crate::Micros;
+use crate::injected_fault::{DecisionPath, InjectedFault};
 use crate::judge::{Judge, Rule};
 use crate::plan::{MS, Plan};
 use crate::queue::Queue;
-use crate::random::{Part, Stream};
+use crate::random::{Stream, StreamKind};
 use crate::report::{Figures, Report};
-use crate::wrong::{Path, Wrong};
 
-/// When a run begins on the decisions' clock, which starts anywhere. As in the exploration, whose faults on the way to
-/// the decisions know it.
+/// Start of a run on the decisions' clock, whose origin is arbitrary. It equals the exploration's start because the
+/// exploration's mutants depend on it.
 const START: Micros = millethook_explore::scenario::START;
-/// How long the run goes on after the last client's time is over, for outcomes that are still on their way.
-const REST: Micros = 1_000 * MS;
+/// How long the run continues after the last deadline, for outcomes that are still in transit.
+const GRACE_PERIOD: Micros = 1_000 * MS;
 
-/// Why a plan cannot be played.
+/// Why a plan cannot be run.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    /// The decisions refuse the settings of a sidecar.
+    /// The decisions reject the settings of a sidecar.
     #[error("sidecar {sidecar}: {text}")]
     Settings {
         /// The sidecar.
@@ -54,16 +54,16 @@
     },
 }
 
-/// Plays a plan whose [`Plan::problems`] are none. `wrong`: a fault between the fleet and the decisions.
+/// Runs a plan that has no [`Plan::problems`]. `injected` is a fault between the fleet and the decisions.
 ///
 /// # Errors
-/// The decisions refuse the plan's settings.
-pub fn play(plan: &Plan, wrong: Option<Wrong>) -> Result<Report, PlayError> {
-    let mut fleet = Fleet::new(plan, wrong)?;
-    let whole = catch_unwind(AssertUnwindSafe(|| fleet.run())).is_ok();
-    if !whole {
+/// The decisions reject the plan's settings.
+pub fn play(plan: &Plan, injected: Option<InjectedFault>) -> Result<Report, PlayError> {
+    let mut fleet = Fleet::new(plan, injected)?;
+    let completed = catch_unwind(AssertUnwindSafe(|| fleet.run())).is_ok();
+    if !completed {
         let now = fleet.now;
-        fleet.judge.find(Rule::Panic, now, || "the decisions panicked".to_owned());
+        fleet.judge.record(Rule::Panic, now, || "the decisions panicked".to_owned());
     }
     let findings = fleet.judge.findings().to_vec();
     Ok(Report { figures: fleet.figures, findings, found: fleet.judge.count() })
@@ -71,41 +71,41 @@
 
 struct Fleet<'p> {
     plan: &'p Plan,
-    path: Path,
+    path: DecisionPath,
     now: Micros,
-    queue: Queue<Due>,
+    queue: Queue<ScheduledEvent>,
     sidecars: Vec<Sidecar>,
     settings: Vec<Settings>,
-    /// All that ever were; numbers are names.
+    /// All servers that ever existed; the index identifies a server.
     servers: Vec<Server>,
-    /// The server that is at each place of the plan.
-    places: Vec<usize>,
-    /// The place of each server.
-    place_of: Vec<usize>,
+    /// The current server at each position of the plan.
+    current_servers: Vec<usize>,
+    /// The position of each server in the plan.
+    position_of: Vec<usize>,
     registry: Registry,
-    /// The servers that faults hold, by the fault's number.
-    hit: FxHashMap<usize, Vec<usize>>,
+    /// The servers that active faults affect, by the fault's number.
+    affected: FxHashMap<usize, Vec<usize>>,
     links: Links,
     requests: Requests,
     judge: Judge,
     figures: Figures,
-    /// What servers do by chance.
-    chance: Stream,
-    /// The sums of the classes' shares.
+    /// Random numbers for the servers' errors.
+    error_random: Stream,
+    /// Cumulative sums of the classes' shares.
     shares: Vec<f64>,
     fault_has_begun: bool,
     actions: Vec<Action>,
 }
 
 impl<'p> Fleet<'p> {
-    fn new(plan: &'p Plan, wrong: Option<Wrong>) -> Result<Fleet<'p>, PlayError> {
-        let path = Path(wrong);
+    fn new(plan: &'p Plan, injected: Option<InjectedFault>) -> Result<Fleet<'p>, PlayError> {
+        let path = DecisionPath(injected);
         let mut settings = Vec::new();
         for sidecar in 0..plan.sidecars.count {
             let refused = |text| PlayError::Settings { sidecar, text };
-            let mut own = plan.settings(sidecar).map_err(refused)?;
-            path.settings(&mut own);
-            settings.push(own);
+            let mut sidecar_settings = plan.settings(sidecar).map_err(refused)?;
+            path.settings(&mut sidecar_settings);
+            settings.push(sidecar_settings);
         }
         let count = plan.servers.count;
         let sums = plan.classes.iter().scan(0.0, |sum, class| {
@@ -120,22 +120,22 @@
             sidecars: (0..plan.sidecars.count).map(|n| Sidecar::new(plan.seed, n)).collect(),
             settings,
             servers: (0..count).map(|n| Server::new(plan, n, plan.zone(n), None)).collect(),
-            places: (0..count).collect(),
-            place_of: (0..count).collect(),
+            current_servers: (0..count).collect(),
+            position_of: (0..count).collect(),
             registry: Registry::default(),
-            hit: FxHashMap::default(),
+            affected: FxHashMap::default(),
             links: Links::default(),
             requests: Requests::default(),
             judge: Judge::new(plan, START),
             figures: Figures::default(),
-            chance: Stream::new(plan.seed, Part::Servers, 0),
+            error_random: Stream::new(plan.seed, StreamKind::Servers, 0),
             shares: sums.collect(),
             fault_has_begun: false,
             actions: Vec::new(),
         })
     }
 
-    /// When load ends.
+    /// Returns when requests stop arriving.
     fn load_ends(&self) -> Micros {
         START + self.plan.duration_ms * MS
     }
@@ -143,17 +143,17 @@
     fn run(&mut self) {
         for sidecar in 0..self.sidecars.len() {
             self.start_sidecar(sidecar);
-            let first = self.next_gap(sidecar);
-            self.queue.add(START + first, Due::Arrival(sidecar));
+            let first = self.next_interarrival(sidecar);
+            self.queue.schedule(START + first, ScheduledEvent::Arrival(sidecar));
         }
         for (number, fault) in self.plan.faults.iter().enumerate() {
-            self.queue.add(START + fault.at_ms * MS, Due::FaultBegins(number));
+            self.queue.schedule(START + fault.at_ms * MS, ScheduledEvent::FaultBegins(number));
         }
         let faults = self.plan.faults.iter();
         let last = faults.map(|fault| (fault.at_ms + fault.for_ms) * MS).max().unwrap_or(0);
         let load = self.plan.duration_ms * MS;
-        let end = START + load.max(last) + self.plan.longest_deadline() + REST;
-        while let Some((at, due)) = self.queue.take() {
+        let end = START + load.max(last) + self.plan.longest_deadline() + GRACE_PERIOD;
+        while let Some((at, scheduled)) = self.queue.pop() {
             if at > end {
                 break;
             }
@@ -161,52 +161,58 @@
             self.figures.events += 1;
             if self.figures.events > self.plan.most_events {
                 let most = self.plan.most_events;
-                self.judge.find(Rule::Bounded, at, || format!("more than {most} events"));
+                self.judge.record(Rule::Bounded, at, || format!("more than {most} events"));
                 return;
             }
-            self.happens(due);
+            self.dispatch(scheduled);
         }
-        self.close();
+        self.check_final_state();
     }
 
-    /// Gives an event to the part that it is of. What comes to a sidecar that stands still waits for it.
-    fn happens(&mut self, due: Due) {
-        if let Some(life) = due.life() {
+    /// Passes an event to the part that handles it. An event for a paused sidecar is deferred until the pause ends.
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        if let Some(life) = scheduled.life() {
             let sidecar = &self.sidecars[life.sidecar];
-            if sidecar.at != life {
-                return self.void(&due);
+            if sidecar.instance != life {
+                return self.drop_stale(&scheduled);
             }
             if self.now < sidecar.paused_until {
-                return self.queue.add(sidecar.paused_until, due);
+                return self.queue.schedule(sidecar.paused_until, scheduled);
             }
         }
-        match due {
-            Due::Arrival(sidecar) => self.arrival(sidecar),
-            Due::Request(at, asked) => self.request(at, asked),
-            Due::Leave(at, request) => self.leave(at, request),
-            Due::Reaches(attempt) => self.reaches(attempt),
-            Due::Worked(server, life, attempt) => self.worked(server, life, attempt),
-            Due::Ended(_, attempt, ending, report) => self.ended(attempt, ending, report),
-            Due::Timer(at, token) => self.timer(at.sidecar, token),
-            Due::Changes(at, version) => self.changes(at, version),
-            Due::WholeList(at) => self.whole_list(at),
-            Due::Call(at) => self.call(at),
-            Due::CallFails(at) => self.call_fails(at),
-            Due::CallWorked => self.call_worked(),
-            Due::FaultBegins(number) => self.fault_begins(number),
-            Due::FaultEnds(number) => self.fault_ends(number),
+        match scheduled {
+            ScheduledEvent::Arrival(sidecar) => self.arrival(sidecar),
+            ScheduledEvent::Request(instance, head) => self.request(instance, head),
+            ScheduledEvent::ClientLeaves(instance, request) => {
+                self.client_leaves(instance, request)
+            }
+            ScheduledEvent::AttemptArrives(attempt) => self.attempt_arrives(attempt),
+            ScheduledEvent::WorkFinished(server, life, attempt) => {
+                self.work_finished(server, life, attempt)
+            }
+            ScheduledEvent::AttemptEnded(_, attempt, ending, report) => {
+                self.attempt_ended(attempt, ending, report)
+            }
+            ScheduledEvent::Timer(instance, token) => self.timer(instance.sidecar, token),
+            ScheduledEvent::Changes(instance, version) => self.changes(instance, version),
+            ScheduledEvent::WholeList(instance) => self.whole_list(instance),
+            ScheduledEvent::Call(instance) => self.registry_call(instance),
+            ScheduledEvent::CallFails(instance) => self.call_fails(instance),
+            ScheduledEvent::CallFinished => self.call_finished(),
+            ScheduledEvent::FaultBegins(number) => self.fault_begins(number),
+            ScheduledEvent::FaultEnds(number) => self.fault_ends(number),
         }
     }
 
-    /// An event for a process that has ended.
-    fn void(&mut self, due: &Due) {
-        if let Due::Request(..) = due {
+    /// Drops an event for a process that has ended.
+    fn drop_stale(&mut self, scheduled: &ScheduledEvent) {
+        if let ScheduledEvent::Request(..) = scheduled {
             self.figures.not_taken += 1;
         }
     }
 
-    /// The run is over: nothing may be open.
-    fn close(&mut self) {
+    /// Checks at the end of the run that nothing is open and that service has recovered.
+    fn check_final_state(&mut self) {
         let now = self.now;
         for number in self.requests.unanswered() {
             if let Some(request) = self.requests.get(number) {
@@ -217,11 +223,11 @@
             let held = sidecar.balancer.as_ref().map_or(0, |balancer| balancer.open_requests());
             if held > 0 {
                 self.judge
-                    .find(Rule::NothingLeft, now, || format!("sidecar {number} holds {held}"));
+                    .record(Rule::NothingLeft, now, || format!("sidecar {number} holds {held}"));
             }
         }
-        if let Some(wrong) = self.judge.service.wrong() {
-            self.judge.find(Rule::ServiceBack, now, || wrong);
+        if let Some(shortfall) = self.judge.service.shortfall() {
+            self.judge.record(Rule::ServiceBack, now, || shortfall);
         }
     }
 }
--- a/crates/millethook-model/src/fleet/requests.rs
+++ b/crates/millethook-model/src/fleet/requests.rs
@@ -1,76 +1,76 @@
-//! The fleet's own books of requests and their attempts. The judge reads them; the decisions never see them.
+//! The fleet's own records of requests and their attempts. The judge reads them; the decisions never see them.
 
 use coppercart::api::ServerId;
 use millethook_explore::step::Ending;
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
-use super::due::SidecarLife;
+use super::event::SidecarLife;
 use crate::Micros;
 
-/// An attempt.
+/// An attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The server that it goes to.
+    /// The server that it is sent to.
     pub server: usize,
-    /// The server that the decisions named.
+    /// The server ID that the decisions chose.
     pub named: ServerId,
     /// The zone of the server.
     pub zone: u8,
     /// When it was sent.
     pub sent: Micros,
-    /// When its time is over.
+    /// When it times out.
     pub until: Micros,
-    /// Its sidecar's pauses in sum as it was sent.
+    /// The total pause time of its sidecar when it was sent.
     pub paused: Micros,
-    /// Changes of the list that its sidecar had been told as it was sent.
+    /// The version of the server list that its sidecar had when it was sent.
     pub told: usize,
-    /// It was told to be cancelled.
+    /// Whether it has been cancelled.
     pub cancelled: bool,
-    /// How it ended for its sidecar.
+    /// Its outcome for its sidecar.
     pub ending: Option<Ending>,
 }
 
 impl Attempt {
-    /// Whether its sidecar waits for its end.
+    /// Returns whether its sidecar still waits for its outcome.
     pub fn is_out(&self) -> bool {
         self.ending.is_none()
     }
 
-    /// Whether it may have run, or may yet, by what its sidecar can know.
+    /// Returns whether it may have been executed, or may still be, as far as its sidecar can know.
     pub fn may_have_run(&self) -> bool {
         !self.ending.is_some_and(Ending::proves_not_run)
     }
 }
 
-/// A request.
+/// A request and its attempts.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its sidecar.
-    pub at: SidecarLife,
+    /// The sidecar's process that accepted it.
+    pub instance: SidecarLife,
     /// Its class.
     pub class: usize,
     /// Its work at a warm server.
     pub work: Micros,
-    /// When it came.
-    pub came: Micros,
-    /// When its client's time is over.
+    /// When it arrived.
+    pub arrived: Micros,
+    /// Until when its client waits.
     pub deadline: Micros,
-    /// Its sidecar's pauses in sum as it came.
+    /// The total pause time of its sidecar when it arrived.
     pub paused: Micros,
-    /// It has its final answer, or its client has gone.
+    /// Whether it has its final answer or its client has left.
     pub ended: bool,
-    /// Its client has gone.
+    /// Whether its client has left.
     pub gone: bool,
     /// Its attempts, in order.
     pub attempts: SmallVec<[Attempt; 1]>,
-    /// Attempts that servers hold, or that are on their way there.
+    /// Attempts that servers hold or that are in transit to them.
     pub at_servers: u32,
-    /// The zones of the servers where it had an effect.
+    /// The zones of the servers where it took effect.
     pub effects: SmallVec<[u8; 2]>,
 }
 
-/// All that is open.
+/// All open requests.
 #[derive(Debug, Default)]
 pub struct Requests {
     open: FxHashMap<u64, Request>,
@@ -78,24 +78,24 @@
 }
 
 impl Requests {
-    /// Adds one; its number.
+    /// Adds a request and returns its number.
     pub fn add(&mut self, request: Request) -> u64 {
         self.next += 1;
         self.open.insert(self.next, request);
         self.next
     }
 
-    /// One of them.
+    /// Returns the request with this number.
     pub fn get(&self, number: u64) -> Option<&Request> {
         self.open.get(&number)
     }
 
-    /// One of them, to be changed.
+    /// Returns the request with this number for modification.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut Request> {
         self.open.get_mut(&number)
     }
 
-    /// Forgets one of which nothing more can come.
+    /// Removes a request that no further event can concern.
     pub fn forget(&mut self, number: u64) {
         let over = |request: &Request| {
             request.ended
@@ -107,15 +107,15 @@
         }
     }
 
-    /// The numbers of the requests of a sidecar's process, in order.
-    pub fn of(&self, at: SidecarLife) -> Vec<u64> {
-        let own = self.open.iter().filter(|(_, request)| request.at == at);
+    /// Returns the numbers of the requests of a sidecar's process, in ascending order.
+    pub fn of(&self, instance: SidecarLife) -> Vec<u64> {
+        let own = self.open.iter().filter(|(_, request)| request.instance == instance);
         let mut numbers: Vec<u64> = own.map(|(number, _)| *number).collect();
         numbers.sort_unstable();
         numbers
     }
 
-    /// The numbers of those without a final answer, in order.
+    /// Returns the numbers of the requests without a final answer, in ascending order.
     pub fn unanswered(&self) -> Vec<u64> {
         let open = self.open.iter().filter(|(_, request)| !request.ended);
         let mut numbers: Vec<u64> = open.map(|(number, _)| *number).collect();
--- a/crates/millethook-model/src/fleet/server.rs
+++ b/crates/millethook-model/src/fleet/server.rs
@@ -1,62 +1,62 @@
-//! A server: workers and a queue before them, cold as it starts.
+//! A server: workers with a queue in front of them, cold after a start.
 
 use std::collections::VecDeque;
 
 use coppercart::api::{Health, ServerEntry, ServerId};
 use millethook_lab::ledger::cold::{ColdBudget, Warmth};
 
-use super::due::AttemptId;
+use super::event::AttemptId;
 use crate::Micros;
 use crate::plan::{MS, Plan};
 
-/// The share of the work that sidecars have to have sent that knew of a server's start, so that its fall is theirs. As
-/// in the lab.
+/// The share of the recent work that must come from sidecars that knew of a server's start before its overload is
+/// attributed to them. The lab uses the same value.
 const TOLD_SHARE: f64 = 2.0 / 3.0;
 
-/// What becomes of an attempt that comes.
+/// What a server does with an arriving attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// A worker takes it.
+    /// A worker starts it.
     Works,
-    /// It waits.
+    /// It is queued.
     Waits,
-    /// It is turned away.
+    /// It is rejected.
     Full,
 }
 
-/// Whether a server's process is there.
+/// The state of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Process {
     /// It runs.
     Up,
-    /// It stands still.
+    /// It hangs.
     Hung,
-    /// It has ended and will come back.
+    /// It has ended and will restart.
     Down,
     /// It has ended for good.
     Gone,
 }
 
-/// A piece of work that a cold server was sent.
+/// Work that was sent to a cold server.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     age: Micros,
     work: Micros,
-    knew: bool,
+    knew_start: bool,
 }
 
-/// A server.
+/// The state of a server.
 #[derive(Debug)]
 pub struct Server {
-    /// What the registry says of it.
+    /// Its entry in the registry.
     pub entry: ServerEntry,
-    /// The version of the list with its last start.
+    /// The list version that announced its last start.
     pub start_version: usize,
     /// Its process.
     pub process: Process,
-    /// Its ends and stops: work of an earlier life is void.
+    /// The number of crashes and hangs so far. Work of an earlier life is void.
     pub life: u32,
-    /// Work takes so many times as long.
+    /// The factor by which work is slowed down.
     pub slow: f64,
     /// The share of requests that it answers with an error.
     pub errors: f64,
@@ -68,11 +68,11 @@
     warmth: Warmth,
     budget: Option<ColdBudget>,
     sent: VecDeque<Sent>,
-    fell: bool,
+    overload_reported: bool,
 }
 
 impl Server {
-    /// One that has run for long, or that starts now.
+    /// Creates a server that started at `started`, or one that has run long and is warm.
     pub fn new(plan: &Plan, number: usize, zone: u8, started: Option<Micros>) -> Server {
         let entry = ServerEntry {
             id: ServerId(number as u64 + 1),
@@ -102,7 +102,7 @@
             },
             budget: None,
             sent: VecDeque::new(),
-            fell: false,
+            overload_reported: false,
         };
         if let Some(started) = started {
             server.start(plan, started);
@@ -110,17 +110,17 @@
         server
     }
 
-    /// Its process starts, cold.
+    /// Starts its process, cold.
     pub fn start(&mut self, plan: &Plan, now: Micros) {
         self.process = Process::Up;
         self.entry.started = now;
         let multiple = plan.rules.fall_multiple;
         self.budget = Some(ColdBudget::new(self.warmth, multiple, self.window, plan.mean_work()));
         self.sent.clear();
-        self.fell = false;
+        self.overload_reported = false;
     }
 
-    /// Its process ends or stands still: what it held is lost, and returned.
+    /// Ends or hangs its process. The attempts that it held are lost; they are returned.
     pub fn stop(&mut self, process: Process) -> Vec<AttemptId> {
         self.process = process;
         self.life += 1;
@@ -129,7 +129,7 @@
         held
     }
 
-    /// An attempt comes to a process that runs.
+    /// Accepts, queues or rejects an attempt; the process must be running.
     pub fn admit(&mut self, attempt: AttemptId, now: Micros) -> Admission {
         if self.working.len() < self.slots {
             self.working.push(attempt);
@@ -142,23 +142,23 @@
         }
     }
 
-    /// A worker is done with an attempt.
+    /// Frees the worker of a finished attempt.
     pub fn done(&mut self, attempt: AttemptId) {
         self.working.retain(|working| *working != attempt);
     }
 
-    /// The attempt that has waited longest, and since when.
+    /// Removes the attempt that has waited longest and returns it with the time of its arrival.
     pub fn next_waiting(&mut self) -> Option<(AttemptId, Micros)> {
         self.waiting.pop_front()
     }
 
-    /// A worker takes up an attempt that has waited.
-    pub fn take_up(&mut self, attempt: AttemptId) {
+    /// Assigns a worker to an attempt that has waited.
+    pub fn assign_worker(&mut self, attempt: AttemptId) {
         self.working.push(attempt);
     }
 
-    /// How long a request's work takes from now on.
-    pub fn takes(&self, work: Micros, now: Micros) -> Micros {
+    /// Returns how long a request's work takes when it starts now.
+    pub fn service_time(&self, work: Micros, now: Micros) -> Micros {
         let warmth = match self.entry.started {
             0 => 1.0,
             started => self.warmth.at(now.saturating_sub(started)),
@@ -166,14 +166,15 @@
         (work as f64 * self.slow / warmth) as Micros
     }
 
-    /// Its load report: requests that wait, and requests held.
+    /// Returns its load report: requests that wait, and all requests held.
     pub fn report(&self) -> [f32; 2] {
         let waiting = self.waiting.len();
         [waiting as f32, (waiting + self.working.len()) as f32]
     }
 
-    /// Counts what it is sent while cold. True: it falls over, once, by the fault of sidecars that knew of its start.
-    pub fn is_pushed_over(&mut self, now: Micros, work: Micros, knew: bool) -> bool {
+    /// Counts the work that it is sent while cold. Returns true once, when it is overloaded by sidecars that knew of
+    /// its start.
+    pub fn exceeds_cold_budget(&mut self, now: Micros, work: Micros, knew_start: bool) -> bool {
         let Some(budget) = &mut self.budget else { return false };
         let age = now.saturating_sub(self.entry.started);
         if age >= self.warmth.length {
@@ -182,18 +183,18 @@
             return false;
         }
         let over = budget.send(age, work);
-        self.sent.push_back(Sent { age, work, knew });
+        self.sent.push_back(Sent { age, work, knew_start });
         while self.sent.front().is_some_and(|sent| sent.age + self.window <= age) {
             self.sent.pop_front();
         }
-        if !over || self.fell {
+        if !over || self.overload_reported {
             return false;
         }
         let sum = |of: &dyn Fn(&Sent) -> bool| -> Micros {
             self.sent.iter().filter(|sent| of(sent)).map(|sent| sent.work).sum()
         };
-        let (all, knowing) = (sum(&|_| true), sum(&|sent| sent.knew));
-        self.fell = knowing as f64 >= TOLD_SHARE * all as f64;
-        self.fell
+        let (all, from_informed) = (sum(&|_| true), sum(&|sent| sent.knew_start));
+        self.overload_reported = from_informed as f64 >= TOLD_SHARE * all as f64;
+        self.overload_reported
     }
 }
--- a/crates/millethook-model/src/fleet/sidecar.rs
+++ b/crates/millethook-model/src/fleet/sidecar.rs
@@ -1,54 +1,54 @@
-//! A sidecar: the shipped decisions, its clients and its place in the network.
+//! A sidecar: the production decisions, its clients and its random streams.
 
 use coppercart::decide::Balancer;
 
-use super::due::SidecarLife;
+use super::event::SidecarLife;
 use crate::Micros;
-use crate::random::{Part, Stream};
+use crate::random::{Stream, StreamKind};
 
-/// A sidecar.
+/// The state of a sidecar.
 #[derive(Debug)]
 pub struct Sidecar {
-    /// The decisions; None: its process is away.
+    /// The decisions; `None` while the process is down.
     pub balancer: Option<Balancer>,
-    /// Which start of its process.
-    pub at: SidecarLife,
-    /// Changes of the list that it has been told.
+    /// The current start of its process.
+    pub instance: SidecarLife,
+    /// The version of the server list that it has received.
     pub version: usize,
-    /// Changes come to it.
+    /// Whether it receives changes of the list.
     pub watches: bool,
-    /// It stands still until then.
+    /// When its pause ends.
     pub paused_until: Micros,
-    /// Its pauses in sum.
+    /// Its total pause time.
     pub paused: Micros,
-    /// Events since the decisions' own check.
+    /// Events since the last run of the decisions' own invariant check.
     pub unchecked: u64,
-    /// What its clients do.
+    /// Random numbers for its clients.
     pub clients: Stream,
-    /// What happens to its attempts.
+    /// Random numbers for its attempts in the network.
     pub network: Stream,
-    /// How late lists come.
+    /// Random numbers for the delay of lists.
     pub discovery: Stream,
-    /// Seeds of its decisions.
+    /// Random numbers for the seeds of its decisions.
     pub decisions: Stream,
 }
 
 impl Sidecar {
-    /// One whose process is away.
+    /// Creates a sidecar whose process is down.
     pub fn new(seed: u64, number: usize) -> Sidecar {
-        let stream = |part| Stream::new(seed, part, number);
+        let stream = |kind| Stream::new(seed, kind, number);
         Sidecar {
             balancer: None,
-            at: SidecarLife { sidecar: number, life: 0 },
+            instance: SidecarLife { sidecar: number, life: 0 },
             version: 0,
             watches: false,
             paused_until: 0,
             paused: 0,
             unchecked: 0,
-            clients: stream(Part::Clients),
-            network: stream(Part::Network),
-            discovery: stream(Part::Discovery),
-            decisions: stream(Part::Decisions),
+            clients: stream(StreamKind::Clients),
+            network: stream(StreamKind::Network),
+            discovery: stream(StreamKind::Discovery),
+            decisions: stream(StreamKind::Decisions),
         }
     }
 }
--- a/crates/millethook-model/src/wrong.rs
+++ b/crates/millethook-model/src/injected_fault.rs
@@ -1,4 +1,4 @@
-//! Faults between the fleet and the decisions, put in on purpose: the judge has to find each one.
+//! Faults that are injected on purpose between the fleet and the decisions. The judge must detect each one.
 
 use coppercart::api::{Action, Event, Micros, RequestId, ServerEntry, ServerId};
 use coppercart::settings::Settings;
@@ -6,85 +6,86 @@
 use millethook_explore::scenario::Kind;
 use millethook_explore::step::Ending;
 
-/// A fault between the fleet and the decisions.
+/// A fault injected between the fleet and the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// One of the exploration's.
-    Path(Mutant),
-    /// After the first fault of the plan each request is refused.
+pub enum InjectedFault {
+    /// A mutant that the exploration uses too.
+    Mutant(Mutant),
+    /// Every request is refused once the first fault of the plan has begun.
     StaysShut,
-    /// Each attempt goes to the newest server, whatever the decisions said.
+    /// Every attempt goes to the newest server, whichever server the decisions chose.
     SendsToNewest,
 }
 
-impl Wrong {
-    /// All of them.
-    pub fn all() -> Vec<Wrong> {
-        let path = Mutant::ALL.into_iter().map(Wrong::Path);
-        path.chain([Wrong::StaysShut, Wrong::SendsToNewest]).collect()
+impl InjectedFault {
+    /// Returns all injectable faults.
+    pub fn all() -> Vec<InjectedFault> {
+        let path = Mutant::ALL.into_iter().map(InjectedFault::Mutant);
+        path.chain([InjectedFault::StaysShut, InjectedFault::SendsToNewest]).collect()
     }
 
-    /// Its name on the command line.
+    /// Returns the name used on the command line.
     pub fn name(self) -> String {
         match self {
-            Wrong::Path(mutant) => format!("{mutant:?}"),
+            InjectedFault::Mutant(mutant) => format!("{mutant:?}"),
             other => format!("{other:?}"),
         }
     }
 
-    /// The one of this name.
+    /// Returns the fault with this name.
     ///
     /// # Errors
-    /// There is none; the text lists all names.
-    pub fn named(name: &str) -> Result<Wrong, String> {
-        let found = Wrong::all().into_iter().find(|wrong| wrong.name() == name);
+    /// No fault has this name; the error lists all names.
+    pub fn named(name: &str) -> Result<InjectedFault, String> {
+        let found = InjectedFault::all().into_iter().find(|injected| injected.name() == name);
         found.ok_or_else(|| {
-            let names: Vec<String> = Wrong::all().into_iter().map(Wrong::name).collect();
+            let names: Vec<String> =
+                InjectedFault::all().into_iter().map(InjectedFault::name).collect();
             format!("one of {} expected, found {name}", names.join(", "))
         })
     }
 }
 
-/// The path between the fleet and the decisions, broken or not.
+/// The interface between the fleet and the decisions, with the injected fault if there is one.
 #[derive(Clone, Copy, Debug)]
-pub struct Path(pub Option<Wrong>);
+pub struct DecisionPath(pub Option<InjectedFault>);
 
-impl Path {
+impl DecisionPath {
     fn mutant(self) -> Option<Mutant> {
         match self.0 {
-            Some(Wrong::Path(mutant)) => Some(mutant),
+            Some(InjectedFault::Mutant(mutant)) => Some(mutant),
             _ => None,
         }
     }
 
-    /// The settings that the decisions get.
+    /// Changes the settings that are passed to the decisions.
     pub fn settings(self, settings: &mut Settings) {
         if let Some(mutant) = self.mutant() {
             mutant.settings(settings);
         }
     }
 
-    /// The time that they are told.
+    /// Returns the time that is passed to the decisions.
     pub fn now(self, now: Micros) -> Micros {
         self.mutant().map_or(now, |mutant| mutant.now(now))
     }
 
-    /// The end of an attempt that they are told; None: nothing is.
+    /// Returns the attempt outcome that is reported to the decisions; `None`: the outcome is not reported.
     pub fn ending(self, ending: Ending, cancelled: bool) -> Option<Ending> {
         self.mutant().map_or(Some(ending), |mutant| mutant.ending(ending, cancelled))
     }
 
-    /// Whether they are told that the request has its final answer.
+    /// Returns the `finished` flag that is reported to the decisions.
     pub fn finished(self, finished: bool) -> bool {
         self.mutant().map_or(finished, |mutant| mutant.finished(finished))
     }
 
-    /// The server that an end is told of.
+    /// Returns the server that an outcome is reported for.
     pub fn server(self, server: ServerId) -> ServerId {
         self.mutant().map_or(server, |mutant| mutant.server(server))
     }
 
-    /// The lines of a list as they are told.
+    /// Changes the server list that is passed to the decisions.
     pub fn entries(self, entries: &mut Vec<ServerEntry>) {
         use coppercart::api::Health;
         if let Some(mutant) = self.mutant() {
@@ -97,22 +98,22 @@
         }
     }
 
-    /// Whether a departed client is told of.
-    pub fn tells_departure(self) -> bool {
+    /// Returns whether a client's departure is reported.
+    pub fn reports_departure(self) -> bool {
         self.mutant() != Some(Mutant::HidesDepartedClients)
     }
 
-    /// Whether a request is refused without asking the decisions.
+    /// Returns whether a request is refused without consulting the decisions.
     pub fn refuses(self, fault_has_begun: bool) -> bool {
-        self.0 == Some(Wrong::StaysShut) && fault_has_begun
+        self.0 == Some(InjectedFault::StaysShut) && fault_has_begun
     }
 
-    /// Whether attempts go to the newest server.
+    /// Returns whether attempts go to the newest server.
     pub fn sends_to_newest(self) -> bool {
-        self.0 == Some(Wrong::SendsToNewest)
+        self.0 == Some(InjectedFault::SendsToNewest)
     }
 
-    /// Changes what the decisions said about an event.
+    /// Changes the actions that the decisions returned for an event.
     pub fn actions(
         self,
         actions: &mut Vec<Action>,
--- a/crates/millethook-model/src/judge/mod.rs
+++ b/crates/millethook-model/src/judge/mod.rs
@@ -1,4 +1,4 @@
-//! The rules, judged by the fleet's own books, never by what the decisions hold.
+//! Checks the rules against the fleet's own records, never against the state of the decisions.
 
 mod sends;
 mod service;
@@ -8,57 +8,57 @@
 use rustc_hash::FxHashMap;
 
 pub use sends::Send;
-pub use service::Service;
+pub use service::ServiceRecovery;
 
 use crate::Micros;
 use crate::fleet::{Request, SidecarLife};
 use crate::plan::{Effect, MS, Plan};
 
-/// A rule.
+/// A rule that every run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer.
+    /// Each request gets exactly one final answer.
     OneAnswer,
-    /// The final answer comes within the client's time and the slack.
+    /// The final answer comes by the client's deadline plus the allowed slack.
     InTime,
-    /// Nothing is sent for a request that has its answer, or whose client has gone.
+    /// Nothing is sent for a request that is answered or whose client has left.
     NothingAfterTheEnd,
-    /// A keyed or unsafe request is refused only if it never ran.
+    /// A keyed or unsafe request is refused only if no attempt may have been executed.
     RefusedUnrun,
-    /// An unsafe request goes out again only if no earlier attempt may have run.
+    /// An unsafe request is retried only if no earlier attempt may have been executed.
     UnsafeOnce,
-    /// Attempts of a keyed request that may run are of one zone, and within its window.
+    /// All attempts of a keyed request that may be executed go to one zone, within its window.
     KeyedInItsWindow,
-    /// No effect twice at the servers.
+    /// No request takes effect twice at the servers.
     EffectOnce,
-    /// Nothing to a server that drains, so long after the sidecar was told.
+    /// Nothing is sent to a draining server once the grace time after the notice is over.
     DrainKept,
-    /// Nothing to a server that is gone, so long after the sidecar was told.
+    /// Nothing is sent to a removed server once the grace time after the notice is over.
     GoneLeft,
-    /// A cold server is not pushed over by those that knew of its start.
+    /// A cold server is not overloaded by sidecars that knew of its start.
     ColdSpared,
-    /// Attempts are bounded in number and time, and one at a time where copies are not allowed.
+    /// Attempts are bounded in number and time, and sequential where hedges are not allowed.
     AttemptsBounded,
-    /// Nothing is held once everything has ended.
+    /// The decisions hold no request at the end of the run.
     NothingLeft,
-    /// Service is back so long after the last fault.
+    /// Service has recovered within the set time after the last fault.
     ServiceBack,
-    /// The decisions' own check. Not an independent judge.
+    /// The decisions' own invariant check holds. This is not an independent check.
     OwnCheck,
     /// The decisions panicked.
     Panic,
-    /// The run took more events than the plan allows.
+    /// The run stays within the number of events that the plan allows.
     Bounded,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// When, since the run began.
+    /// When, as time since the start of the run.
     pub at: Micros,
-    /// What broke it.
+    /// What violated it.
     pub found: String,
 }
 
@@ -69,121 +69,121 @@
     }
 }
 
-/// Findings that are kept; of more only the number.
-const MOST_FINDINGS: usize = 100;
+/// Maximum number of findings kept; further ones are only counted.
+const MAX_FINDINGS: usize = 100;
 
-/// What discovery has told a sidecar of a server that takes no new requests.
+/// The notice that a sidecar got about a server that takes no new requests, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum ServerNotice {
     Drains(Micros),
     Gone(Micros),
 }
 
-/// The judge of a run.
+/// Checks the rules during a run.
 #[derive(Debug)]
 pub struct Judge {
-    begun: Micros,
+    run_start: Micros,
     slack: Micros,
     stop_sending: Micros,
     max_attempts: usize,
     may_duplicate: bool,
     effects: Vec<(Effect, Micros)>,
-    told: FxHashMap<(SidecarLife, usize), Told>,
+    notices: FxHashMap<(SidecarLife, usize), ServerNotice>,
     findings: Vec<Finding>,
     count: u64,
-    /// How requests were served over time.
-    pub service: Service,
+    /// The success rate of requests before and after the faults.
+    pub service: ServiceRecovery,
 }
 
 impl Judge {
-    /// The judge of a plan that begins at this time.
-    pub fn new(plan: &Plan, begun: Micros) -> Judge {
+    /// Creates the judge of a run of `plan` that starts at `run_start`.
+    pub fn new(plan: &Plan, run_start: Micros) -> Judge {
         let effect = |class: &crate::plan::Class| (class.effect, class.window_ms * MS);
         Judge {
-            begun,
+            run_start,
             slack: plan.rules.answer_slack_ms * MS,
             stop_sending: plan.rules.stop_sending_ms * MS,
             max_attempts: plan.sidecars.max_attempts,
             may_duplicate: plan.sidecars.may_duplicate,
             effects: plan.classes.iter().map(effect).collect(),
-            told: FxHashMap::default(),
+            notices: FxHashMap::default(),
             findings: Vec::new(),
             count: 0,
-            service: Service::new(plan, begun),
+            service: ServiceRecovery::new(plan, run_start),
         }
     }
 
-    /// Writes down a finding.
-    pub fn find(&mut self, rule: Rule, now: Micros, found: impl FnOnce() -> String) {
+    /// Records a finding.
+    pub fn record(&mut self, rule: Rule, now: Micros, found: impl FnOnce() -> String) {
         self.count += 1;
-        if self.findings.len() < MOST_FINDINGS {
-            let at = now.saturating_sub(self.begun);
+        if self.findings.len() < MAX_FINDINGS {
+            let at = now.saturating_sub(self.run_start);
             self.findings.push(Finding { rule, at, found: found() });
         }
     }
 
-    fn unless(&mut self, holds: bool, rule: Rule, now: Micros, found: impl FnOnce() -> String) {
+    fn require(&mut self, holds: bool, rule: Rule, now: Micros, found: impl FnOnce() -> String) {
         if !holds {
-            self.find(rule, now, found);
+            self.record(rule, now, found);
         }
     }
 
-    /// The findings that were kept, in order.
+    /// Returns the findings that were kept, in order.
     pub fn findings(&self) -> &[Finding] {
         &self.findings
     }
 
-    /// How many there were.
+    /// Returns the total number of findings.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// A sidecar is told that a server drains.
-    pub fn told_drains(&mut self, at: SidecarLife, server: usize, now: Micros) {
-        self.told.entry((at, server)).or_insert(Told::Drains(now));
+    /// Records that a sidecar is told that a server drains.
+    pub fn told_drains(&mut self, instance: SidecarLife, server: usize, now: Micros) {
+        self.notices.entry((instance, server)).or_insert(ServerNotice::Drains(now));
     }
 
-    /// A sidecar is told that a server is gone, by a change or by a list that lacks it.
-    pub fn told_gone(&mut self, at: SidecarLife, server: usize, now: Micros) {
-        let told = self.told.entry((at, server)).or_insert(Told::Gone(now));
-        if let Told::Drains(_) = *told {
-            *told = Told::Gone(now);
+    /// Records that a sidecar is told that a server was removed, by a change or by a list without it.
+    pub fn told_gone(&mut self, instance: SidecarLife, server: usize, now: Micros) {
+        let notice = self.notices.entry((instance, server)).or_insert(ServerNotice::Gone(now));
+        if let ServerNotice::Drains(_) = *notice {
+            *notice = ServerNotice::Gone(now);
         }
     }
 
-    /// The decisions give a final answer.
+    /// Checks a refusal or failure that the decisions give as the final answer.
     pub fn final_answer(&mut self, number: u64, request: &Request, refused: bool, now: Micros) {
-        let of = || format!("request {number}: {:?}", request.attempts);
-        self.unless(!request.ended, Rule::OneAnswer, now, of);
-        let ran = request.attempts.iter().any(|attempt| attempt.may_have_run());
+        let description = || format!("request {number}: {:?}", request.attempts);
+        self.require(!request.ended, Rule::OneAnswer, now, description);
+        let executed = request.attempts.iter().any(|attempt| attempt.may_have_run());
         let safe = self.effects[request.class].0 == Effect::Safe;
-        self.unless(!refused || safe || !ran, Rule::RefusedUnrun, now, of);
+        self.require(!refused || safe || !executed, Rule::RefusedUnrun, now, description);
     }
 
-    /// A request has its final answer. `paused`: its sidecar's pauses in sum.
+    /// Checks that a final answer is in time. `paused` is the total pause time of its sidecar.
     pub fn answered(&mut self, number: u64, request: &Request, paused: Micros, now: Micros) {
         let until = request.deadline + self.slack + (paused - request.paused);
-        self.unless(now <= until, Rule::InTime, now, || {
+        self.require(now <= until, Rule::InTime, now, || {
             format!("request {number}: {} us after its deadline", now - request.deadline)
         });
     }
 
-    /// The run is over and a request has no answer.
+    /// Records a request without an answer at the end of the run.
     pub fn unanswered(&mut self, number: u64, request: &Request, now: Micros) {
-        self.find(Rule::OneAnswer, now, || {
-            format!("request {number} has none: {:?}", request.attempts)
+        self.record(Rule::OneAnswer, now, || {
+            format!("request {number} has no final answer: {:?}", request.attempts)
         });
     }
 
-    /// A request has an effect at one more server.
+    /// Checks the effects of a request after it took effect at one more server.
     pub fn effect(&mut self, number: u64, request: &Request, now: Micros) {
         let zones = &request.effects;
-        let once = match self.effects[request.class].0 {
+        let holds_once = match self.effects[request.class].0 {
             Effect::Safe => true,
             Effect::Keyed => zones.iter().all(|zone| *zone == zones[0]),
             Effect::Unsafe => zones.len() <= 1,
         };
-        self.unless(once, Rule::EffectOnce, now, || {
+        self.require(holds_once, Rule::EffectOnce, now, || {
             format!("request {number}: {:?}", request.attempts)
         });
     }
--- a/crates/millethook-model/src/judge/sends.rs
+++ b/crates/millethook-model/src/judge/sends.rs
@@ -1,69 +1,77 @@
-//! Judges what is sent.
+//! Checks of each attempt that is sent.
 
-use super::{Judge, Rule, Told};
+use super::{Judge, Rule, ServerNotice};
 use crate::Micros;
 use crate::fleet::Request;
 use crate::plan::Effect;
 
-/// A send as the decisions order it.
+/// An attempt as the decisions request it.
 #[derive(Clone, Copy, Debug)]
 pub struct Send {
-    /// When.
+    /// When it is sent.
     pub now: Micros,
-    /// The server, by the fleet's number; None: no server has this name.
+    /// The server's number in the fleet; `None`: no server has this ID.
     pub server: Option<usize>,
     /// The server's zone.
     pub zone: u8,
-    /// How long it may take.
+    /// The attempt's timeout.
     pub timeout: Micros,
 }
 
 impl Judge {
-    /// Judges a send before it is put into the books.
+    /// Checks an attempt before it is added to the request's records.
     pub fn send(&mut self, number: u64, request: &Request, send: Send) {
         let now = send.now;
-        let of = || format!("request {number} to {:?} after {:?}", send.server, request.attempts);
-        self.unless(!request.ended, Rule::NothingAfterTheEnd, now, of);
+        let description =
+            || format!("request {number} to {:?} after {:?}", send.server, request.attempts);
+        self.require(!request.ended, Rule::NothingAfterTheEnd, now, description);
         let in_time = now + send.timeout <= request.deadline;
-        self.unless(in_time, Rule::AttemptsBounded, now, of);
-        let few = request.attempts.len() < self.max_attempts;
-        self.unless(few, Rule::AttemptsBounded, now, of);
-        let alone = self.may_duplicate || !request.attempts.iter().any(|attempt| attempt.is_out());
-        self.unless(alone, Rule::AttemptsBounded, now, of);
-        self.repeat(number, request, send);
-        self.admission(number, request, send);
+        self.require(in_time, Rule::AttemptsBounded, now, description);
+        let within_limit = request.attempts.len() < self.max_attempts;
+        self.require(within_limit, Rule::AttemptsBounded, now, description);
+        let sequential =
+            self.may_duplicate || !request.attempts.iter().any(|attempt| attempt.is_out());
+        self.require(sequential, Rule::AttemptsBounded, now, description);
+        self.check_retry(number, request, send);
+        self.check_server_notice(number, request, send);
     }
 
-    fn repeat(&mut self, number: u64, request: &Request, send: Send) {
-        let mut ran = request.attempts.iter().filter(|attempt| attempt.may_have_run());
-        let of = || format!("request {number} to {:?} after {:?}", send.server, request.attempts);
+    fn check_retry(&mut self, number: u64, request: &Request, send: Send) {
+        let mut executed = request.attempts.iter().filter(|attempt| attempt.may_have_run());
+        let description =
+            || format!("request {number} to {:?} after {:?}", send.server, request.attempts);
         let (effect, window) = self.effects[request.class];
         match effect {
             Effect::Safe => {}
-            Effect::Unsafe => self.unless(ran.next().is_none(), Rule::UnsafeOnce, send.now, of),
+            Effect::Unsafe => {
+                self.require(executed.next().is_none(), Rule::UnsafeOnce, send.now, description)
+            }
             Effect::Keyed => {
-                let well =
-                    ran.all(|a| a.zone == send.zone && send.now.saturating_sub(a.sent) <= window);
-                self.unless(well, Rule::KeyedInItsWindow, send.now, of);
+                let within_window = executed
+                    .all(|a| a.zone == send.zone && send.now.saturating_sub(a.sent) <= window);
+                self.require(within_window, Rule::KeyedInItsWindow, send.now, description);
             }
         }
     }
 
-    fn admission(&mut self, number: u64, request: &Request, send: Send) {
+    fn check_server_notice(&mut self, number: u64, request: &Request, send: Send) {
         let Some(server) = send.server else {
-            return self.find(Rule::GoneLeft, send.now, || {
-                format!("request {number} to a server that never was")
+            return self.record(Rule::GoneLeft, send.now, || {
+                format!("request {number} to an unknown server")
             });
         };
-        let (rule, since) = match self.told.get(&(request.at, server)) {
+        let (rule, since) = match self.notices.get(&(request.instance, server)) {
             None => return,
-            Some(Told::Drains(since)) => (Rule::DrainKept, *since),
-            Some(Told::Gone(since)) => (Rule::GoneLeft, *since),
+            Some(ServerNotice::Drains(since)) => (Rule::DrainKept, *since),
+            Some(ServerNotice::Gone(since)) => (Rule::GoneLeft, *since),
         };
-        let kept = send.now <= since + self.stop_sending;
-        self.unless(kept, rule, send.now, || {
+        let within_grace = send.now <= since + self.stop_sending;
+        self.require(within_grace, rule, send.now, || {
             let late = send.now - since;
-            format!("request {number} of {:?} to server {server}, told {late} us ago", request.at)
+            format!(
+                "request {number} of {:?} to server {server}, told {late} us ago",
+                request.instance
+            )
         });
     }
 }
--- a/crates/millethook-model/src/lib.rs
+++ b/crates/millethook-model/src/lib.rs
@@ -1,15 +1,17 @@
-//! A whole fleet on a virtual clock: clients, network, servers, discovery, and sidecars that each hold the shipped
-//! decisions ([`coppercart::decide::Balancer`]).
+//! Simulates a whole fleet on a virtual clock: clients, network, servers, discovery, and sidecars that each run the
+//! production decision module ([`coppercart::decide::Balancer`]).
 //!
-//! A [`plan::Plan`] says what is played: sizes, load, network, faults. [`fleet::play`] plays it; [`judge`] keeps books
-//! of its own and names each broken rule. [`generate`] draws plans from a seed, [`search`] plays many of them on
-//! several threads, and [`shrink`] reduces a plan that breaks a rule. [`wrong`] breaks the path between the fleet and the
-//! decisions on purpose, to show that the judge finds it. One plan gives the same bytes of output each time.
+//! A [`plan::Plan`] defines a run: sizes, load, network, faults. [`fleet::play`] executes it; [`judge`] keeps its own
+//! records and reports each violated rule. [`generate`] draws plans from a seed, [`search`] runs many of them on
+//! several threads, and [`shrink`] reduces a plan that violates a rule. [`injected_fault`] corrupts the interface
+//! between the fleet and the decisions on purpose, to show that the judge detects it. The same plan always produces the
+//! same output, byte for byte.
 #![forbid(unsafe_code)]
 
 pub mod erlang;
 pub mod fleet;
 pub mod generate;
+pub mod injected_fault;
 pub mod judge;
 pub mod plan;
 pub mod queue;
@@ -17,7 +19,6 @@
 pub mod report;
 pub mod search;
 pub mod shrink;
-pub mod wrong;
 
 /// Microseconds of virtual time.
 pub type Micros = u64;
--- a/crates/millethook-model/src/main.rs
+++ b/crates/millethook-model/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: plays a plan, or searches many.
+//! Command-line entry point: runs one plan, or searches many generated ones.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,11 +7,11 @@
 use clap::{Args, Parser, Subcommand};
 use millethook_model::fleet::play;
 use millethook_model::generate;
+use millethook_model::injected_fault::InjectedFault;
 use millethook_model::plan::Plan;
 use millethook_model::search::Search;
-use millethook_model::wrong::Wrong;
 
-/// A whole fleet on a virtual clock, with the shipped decisions, under random faults.
+/// Simulates a whole fleet on a virtual clock, with the production decisions, under random faults.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -21,32 +21,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one plan and judges it. Exit code 0: all rules hold. 1: one does not. 2: there is no such plan.
+    /// Runs one plan and checks it. Exit code 0: all rules hold. 1: a rule is violated. 2: the plan cannot be run.
     Run(Run),
-    /// Plays the plans of many seeds and shrinks what breaks a rule. Exit codes as of `run`.
+    /// Runs the generated plans of many seeds and shrinks those that violate a rule. Exit codes as for `run`.
     Search(SearchArguments),
 }
 
 #[derive(Args)]
 struct Run {
-    /// The plan, a TOML file; `docs/model.md` has its keys.
+    /// The plan, a TOML file; `docs/model.md` describes its keys.
     #[arg(required_unless_present = "generated")]
     plan: Option<PathBuf>,
-    /// The plan that a search draws from this seed, in place of a file.
+    /// Uses the plan that a search generates from this seed, instead of a file.
     #[arg(long, conflicts_with = "plan")]
     generated: Option<u64>,
-    /// Another seed than the plan's.
+    /// Overrides the plan's seed.
     #[arg(long)]
     seed: Option<u64>,
-    /// Prints the plan first.
+    /// Prints the plan before the run.
     #[arg(long)]
     show: bool,
-    /// Prints time and memory on standard error.
+    /// Prints run time and peak memory on standard error.
     #[arg(long)]
     cost: bool,
-    /// A fault between the fleet and the decisions, by its name.
-    #[arg(long, value_parser = Wrong::named)]
-    wrong: Option<Wrong>,
+    /// Name of a fault to inject between the fleet and the decisions.
+    #[arg(long = "wrong", value_name = "WRONG", value_parser = InjectedFault::named)]
+    injected: Option<InjectedFault>,
 }
 
 #[derive(Args)]
@@ -54,32 +54,32 @@
     /// The first seed.
     #[arg(long, default_value_t = 0)]
     from: u64,
-    /// Seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 1_000)]
     count: u64,
-    /// Threads.
+    /// Number of threads.
     #[arg(long, default_value_t = 1)]
     threads: usize,
-    /// No new seed after so many seconds.
+    /// Starts no new seed after this many seconds.
     #[arg(long)]
     seconds: Option<u64>,
-    /// Findings are not shrunk.
+    /// Does not shrink findings.
     #[arg(long)]
     whole: bool,
-    /// A fault between the fleet and the decisions, by its name.
-    #[arg(long, value_parser = Wrong::named)]
-    wrong: Option<Wrong>,
-    /// Writes each plan that breaks a rule into this directory, as `seed-N.toml`.
+    /// Name of a fault to inject between the fleet and the decisions.
+    #[arg(long = "wrong", value_name = "WRONG", value_parser = InjectedFault::named)]
+    injected: Option<InjectedFault>,
+    /// Writes each plan that violates a rule into this directory, as `seed-N.toml`.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::Run(run) => run.run(),
         Command::Search(search) => search.run(),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
@@ -89,11 +89,11 @@
     }
 }
 
-type Failure = Box<dyn std::error::Error>;
+type BoxedError = Box<dyn std::error::Error>;
 
 impl Run {
-    /// Whether all rules hold.
-    fn run(self) -> Result<bool, Failure> {
+    /// Runs the plan and returns whether all rules hold.
+    fn run(self) -> Result<bool, BoxedError> {
         let mut plan = match (&self.plan, self.generated) {
             (Some(path), _) => Plan::read(path)?,
             (None, seed) => generate::plan(seed.unwrap_or_default()),
@@ -102,19 +102,19 @@
         if self.show {
             println!("{}", plan.to_toml());
         }
-        let begun = Instant::now();
-        let report = play(&plan, self.wrong)?;
+        let started = Instant::now();
+        let report = play(&plan, self.injected)?;
         print!("{report}");
         if self.cost {
-            let seconds = begun.elapsed().as_secs_f64();
-            eprintln!("{seconds:.2} s, {} kB at most", most_memory_kb()?);
+            let seconds = started.elapsed().as_secs_f64();
+            eprintln!("{seconds:.2} s, {} kB at most", peak_memory_kb()?);
         }
         Ok(report.found == 0)
     }
 }
 
-/// The most memory that this process has held (`VmHWM`).
-fn most_memory_kb() -> Result<u64, Failure> {
+/// Returns the peak resident memory of this process (`VmHWM`).
+fn peak_memory_kb() -> Result<u64, BoxedError> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let text = line.ok_or("/proc/self/status: a line VmHWM expected, found none")?;
@@ -122,12 +122,12 @@
 }
 
 impl SearchArguments {
-    /// Whether nothing was found.
-    fn run(self) -> Result<bool, Failure> {
+    /// Runs the search and returns whether no plan violated a rule.
+    fn run(self) -> Result<bool, BoxedError> {
         let search = Search {
             seeds: self.from..self.from.saturating_add(self.count),
             threads: self.threads,
-            wrong: self.wrong,
+            injected: self.injected,
             time: self.seconds.map(Duration::from_secs),
             shrink: !self.whole,
             first_only: false,
--- a/crates/millethook-model/src/plan/mod.rs
+++ b/crates/millethook-model/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! What is played: one fleet, its load and its faults. A plan is a TOML file, and replays a run exactly.
+//! Plans: one fleet, its load and its faults. A plan is a TOML file that reproduces a run exactly.
 
 mod check;
 mod fault;
@@ -13,17 +13,17 @@
 
 use crate::Micros;
 
-/// A run. `docs/model.md` is the reference of its keys.
+/// The definition of a run. `docs/model.md` is the reference of its keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
-    /// All that is drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How long load comes, in milliseconds.
+    /// How long requests arrive, in milliseconds.
     pub duration_ms: u64,
-    /// The run stops after so many events, and says so.
+    /// The run is aborted after this many events, with a finding.
     pub most_events: u64,
-    /// The decisions' own `check()` runs after each so many of their events; 0: never.
+    /// The decisions' own invariant check runs once per this many of their events; 0: never.
     pub check_every: u64,
     /// `[sidecars]`
     pub sidecars: Sidecars,
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Sidecars {
-    /// How many.
+    /// Number of instances.
     pub count: usize,
-    /// Zones; sidecars and servers are dealt out to them in turn.
+    /// Number of zones; sidecars and servers are assigned to them round-robin.
     pub zones: usize,
     /// `failover.copyAtAim` of the decisions' settings.
     pub copy_at_aim: bool,
@@ -65,17 +65,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Servers {
-    /// How many.
+    /// Number of instances.
     pub count: usize,
-    /// Requests in work at once.
+    /// Requests processed concurrently.
     pub slots: usize,
-    /// Requests that wait; one more is turned away.
+    /// Queue length; a request beyond it is rejected.
     pub queue: usize,
-    /// What a server can do as it starts, as a share of what it can do later.
+    /// Capacity of a server at its start, as a share of its warm capacity.
     pub cold_share: f64,
-    /// It is warm after so many milliseconds.
+    /// Time until a server is warm, in milliseconds.
     pub cold_ms: u64,
-    /// Work takes so many mean times of work at most; 0: no limit.
+    /// Upper bound of a request's work, as a multiple of the mean; 0: no limit.
     pub longest_work: f64,
 }
 
@@ -83,25 +83,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second of each sidecar (Poisson).
+    /// Requests per second at each sidecar (Poisson arrivals).
     pub per_sidecar: f64,
-    /// The share of clients that leave before their time is over.
+    /// The share of clients that leave before their deadline.
     pub leave_early: f64,
 }
 
-/// `[network]`: between sidecars and servers, all the time.
+/// `[network]`: permanent conditions between sidecars and servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// The least delay in one direction, in microseconds.
+    /// The minimum delay in one direction, in microseconds.
     pub delay_us: u64,
-    /// Up to so much more, in microseconds.
+    /// Maximum additional delay, in microseconds.
     pub jitter_us: u64,
-    /// The share of attempts that are lost before they run.
+    /// The share of attempts that are lost before they are executed.
     pub loss_before: f64,
-    /// The share of attempts that run and whose answer is lost.
+    /// The share of attempts that are executed and whose answer is lost.
     pub loss_after: f64,
-    /// The share of attempts that run and whose connection breaks in place of an answer.
+    /// The share of attempts that are executed and whose connection breaks instead of an answer.
     pub reset: f64,
 }
 
@@ -109,43 +109,45 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// A change reaches each sidecar after a time of its own up to this, in milliseconds.
+    /// Maximum delay of a change, drawn per sidecar, in milliseconds.
     pub late_ms: u64,
-    /// Sidecars ask one registry for their first list; it works on calls in turn.
-    pub asked: bool,
-    /// What a call takes the registry, in microseconds.
+    /// Sidecars request their first list from one registry, which handles calls one at a time.
+    #[serde(rename = "asked")]
+    pub on_request: bool,
+    /// How long the registry takes for a call, in microseconds.
     pub work_us: u64,
-    /// Calls that wait there; one more fails at once.
-    pub line: usize,
+    /// Calls that may wait at the registry; a call beyond that fails at once.
+    #[serde(rename = "line")]
+    pub max_pending_calls: usize,
 }
 
-/// `[rules]`: as in the platform's settings.
+/// `[rules]`: the same meaning as in the platform's settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// A final answer may be so much later than the client's time, in milliseconds.
+    /// How long after the deadline a final answer may come, in milliseconds.
     pub answer_slack_ms: u64,
-    /// Sends to a server that drains or is gone cease so long after the sidecar is told, in milliseconds.
+    /// How long after the notice a sidecar may still send to a draining or removed server, in milliseconds.
     pub stop_sending_ms: u64,
-    /// A cold server bears so many times what it can do,
+    /// A cold server tolerates work up to this multiple of its current capacity,
     pub fall_multiple: f64,
-    /// sent in so many milliseconds.
+    /// sent within this many milliseconds.
     pub tip_after_ms: u64,
-    /// So long after the last fault, service is back to 95% of what it was before the first, in milliseconds; 0: not
-    /// judged.
+    /// How long after the last fault service must have recovered to 95% of its level before the first one, in
+    /// milliseconds; 0: not checked.
     pub back_within_ms: u64,
 }
 
-/// Whether a request may be repeated.
+/// Whether a request may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// It does no harm.
+    /// A retry does no harm.
     #[default]
     Safe,
-    /// Servers of a zone drop repeats within the window.
+    /// Servers of a zone drop duplicates within the window.
     Keyed,
-    /// Never, once it may have run.
+    /// No retry once an attempt may have been executed.
     Unsafe,
 }
 
@@ -153,19 +155,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Class {
-    /// Whether it may be repeated.
+    /// Whether the request may be retried.
     pub effect: Effect,
-    /// Its part of the arrivals, beside the other classes' parts.
+    /// Its weight among the arrivals, relative to the other classes.
     pub share: f64,
-    /// Mean work at a server, in microseconds (exponential).
+    /// Mean work at a server, in microseconds (exponentially distributed).
     pub work_us: u64,
-    /// Answers are wanted within this time, in milliseconds.
+    /// Target latency, in milliseconds.
     pub aim_ms: u64,
-    /// Clients wait so long, in milliseconds.
+    /// How long clients wait, in milliseconds.
     pub deadline_ms: u64,
-    /// Keyed: how long repeats are dropped, in milliseconds.
+    /// For keyed requests: how long servers drop duplicates, in milliseconds.
     pub window_ms: u64,
-    /// What an answer is worth.
+    /// The value of an answer.
     pub worth: f64,
 }
 
@@ -221,7 +223,7 @@
 
 impl Default for Discovery {
     fn default() -> Discovery {
-        Discovery { late_ms: 0, asked: false, work_us: 10_000, line: 16 }
+        Discovery { late_ms: 0, on_request: false, work_us: 10_000, max_pending_calls: 16 }
     }
 }
 
@@ -252,7 +254,7 @@
 }
 
 impl Class {
-    /// A safe, a keyed and an unsafe class.
+    /// Returns a safe, a keyed and an unsafe class.
     pub fn three() -> Vec<Class> {
         let class = |effect, share, worth| Class { effect, share, worth, ..Class::default() };
         vec![
@@ -263,10 +265,10 @@
     }
 }
 
-/// A thousand microseconds.
+/// Microseconds per millisecond.
 pub const MS: Micros = 1_000;
 
-/// Why there is no plan.
+/// Why a plan could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// The file cannot be read.
@@ -274,32 +276,32 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The system's word.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is not a plan: the place, the key and what was expected.
+    /// The file is not a plan.
     #[error("{path}: {source}")]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// The place and what was expected.
+        /// The parse error, with the position and what was expected.
         source: toml::de::Error,
     },
-    /// Its values cannot be played.
+    /// The file holds invalid values.
     #[error("{path}: {}", .problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Unplayable {
         /// The file.
         path: PathBuf,
-        /// All that is wrong.
+        /// All invalid values.
         problems: Vec<Problem>,
     },
 }
 
 impl Plan {
-    /// Reads and checks a plan.
+    /// Reads and validates a plan.
     ///
     /// # Errors
-    /// The file cannot be read, is not a plan, or cannot be played.
+    /// The file cannot be read, is not a plan, or holds invalid values.
     pub fn read(path: &Path) -> Result<Plan, PlanError> {
         let unreadable = |source| PlanError::Unreadable { path: path.to_owned(), source };
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
@@ -312,30 +314,30 @@
         Err(PlanError::Unplayable { path: path.to_owned(), problems })
     }
 
-    /// The plan as a TOML file.
+    /// Returns the plan as TOML.
     pub fn to_toml(&self) -> String {
-        // A plan is made of tables, numbers and strings alone: nothing that TOML cannot hold.
+        // A plan consists of tables, numbers and strings only, all of which TOML can represent.
         toml::to_string(self).unwrap_or_else(|error| format!("# not written: {error}\n"))
     }
 
-    /// The zone of the sidecar or server of this number.
+    /// Returns the zone of the sidecar or server with this number.
     pub fn zone(&self, number: usize) -> u8 {
         (number % self.sidecars.zones) as u8
     }
 
-    /// The longest time that clients wait.
+    /// Returns the longest time that clients wait.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|class| class.deadline_ms * MS).max().unwrap_or(0)
     }
 
-    /// The mean work of a request, in microseconds.
+    /// Returns the mean work of a request, in microseconds.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
         let work = |class: &Class| class.share * class.work_us as f64;
         self.classes.iter().map(work).sum::<f64>() / shares
     }
 
-    /// The work that arrives over what the servers can do when warm.
+    /// Returns the arriving work divided by the capacity of the servers when warm.
     pub fn utilization(&self) -> f64 {
         let arrives = self.load.per_sidecar * self.sidecars.count as f64 * self.mean_work() / 1e6;
         arrives / (self.servers.count * self.servers.slots) as f64
--- a/crates/millethook-model/src/plan/settings.rs
+++ b/crates/millethook-model/src/plan/settings.rs
@@ -1,23 +1,23 @@
-//! The decisions' settings of a plan.
+//! The settings that a plan gives to the decisions.
 
 use coppercart::settings::Settings;
 use serde_json::{Value, json};
 
 use super::{Class, Effect, MS, Plan};
 
-/// As the daemon's files have it, in microseconds.
+/// The value in the daemon's configuration files, in microseconds.
 const CONNECT_TIMEOUT: u64 = 75_000;
 
 impl Plan {
-    /// The settings of the sidecar of this number.
+    /// Returns the settings of the sidecar with this number.
     ///
     /// # Errors
-    /// The decisions refuse them; the text names the key and what was expected.
+    /// The decisions reject them; the text names the key and what was expected.
     pub fn settings(&self, sidecar: usize) -> Result<Settings, String> {
         let zones: Vec<String> = (0..self.sidecars.zones).map(|n| format!("z{n}")).collect();
         let settings = json!({
             "classes": self.classes.iter().enumerate().map(class).collect::<Vec<_>>(),
-            "discovery": if self.discovery.asked { "on_request" } else { "pushed" },
+            "discovery": if self.discovery.on_request { "on_request" } else { "pushed" },
             "failover": {"copyAtAim": self.sidecars.copy_at_aim, "slowExponent": 2.0},
             "instances": self.sidecars.count,
             "limits": {"cancel": true, "connIdle": 10_000_000, "connectTimeout": CONNECT_TIMEOUT,
--- a/crates/millethook-model/src/queue.rs
+++ b/crates/millethook-model/src/queue.rs
@@ -1,11 +1,11 @@
-//! The virtual clock: events in the order of their times.
+//! The event queue of the virtual clock.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 use crate::Micros;
 
-/// Events by time; events of one time in the order in which they were added.
+/// Events ordered by time; events with the same time keep the order in which they were added.
 #[derive(Debug)]
 pub struct Queue<E> {
     heap: BinaryHeap<Entry<E>>,
@@ -27,29 +27,29 @@
 
 impl<E> Queue<E> {
     /// Adds an event.
-    pub fn add(&mut self, at: Micros, event: E) {
+    pub fn schedule(&mut self, at: Micros, event: E) {
         self.heap.push(Entry { at, number: self.added, event });
         self.added += 1;
     }
 
-    /// Takes the next event and its time.
-    pub fn take(&mut self) -> Option<(Micros, E)> {
+    /// Removes the next event and returns it with its time.
+    pub fn pop(&mut self) -> Option<(Micros, E)> {
         self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 
-    /// Events that are waiting.
+    /// Returns the number of pending events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether no event is waiting.
+    /// Returns whether no event is pending.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
 }
 
 impl<E> Ord for Entry<E> {
-    /// Reversed: the heap gives the greatest first, and the earliest event is wanted.
+    /// Reversed, because the heap returns the greatest entry first and the earliest event is needed.
     fn cmp(&self, other: &Entry<E>) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
--- a/crates/millethook-model/src/report.rs
+++ b/crates/millethook-model/src/report.rs
@@ -1,4 +1,4 @@
-//! What came of a run.
+//! The result of a run.
 
 use std::fmt;
 
@@ -10,66 +10,66 @@
 pub struct Figures {
     /// Events of the virtual clock.
     pub events: u64,
-    /// Requests that sidecars took.
+    /// Requests that sidecars accepted.
     pub requests: u64,
-    /// Of these, served.
+    /// Requests that were served.
     pub served: u64,
-    /// Of these, in aim.
+    /// Served requests that met the target latency.
     pub in_aim: u64,
-    /// Refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Their clients left.
+    /// Requests whose client left.
     pub left: u64,
-    /// They ended with their sidecar's process.
+    /// Requests lost when their sidecar's process ended.
     pub lost: u64,
-    /// Requests that found no sidecar.
+    /// Requests that arrived while their sidecar was down.
     pub not_taken: u64,
-    /// Attempts.
+    /// Attempts sent.
     pub attempts: u64,
-    /// Attempts that servers turned away.
+    /// Attempts that servers rejected because their queue was full.
     pub full: u64,
-    /// Attempts that a server worked on.
+    /// Attempts that a server executed.
     pub worked: u64,
-    /// Microseconds that these waited in queues.
+    /// Total time that executed attempts waited in queues, in microseconds.
     pub waited: Micros,
-    /// Microseconds from coming to the answer of the served ones.
+    /// Total time from arrival to answer of the served requests, in microseconds.
     pub answer_time: Micros,
 }
 
 impl Figures {
-    /// The mean wait in a server's queue, in microseconds.
+    /// Returns the mean wait in a server's queue, in microseconds.
     pub fn mean_wait(&self) -> f64 {
         self.waited as f64 / self.worked.max(1) as f64
     }
 }
 
-/// A run.
+/// The counts and findings of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Counts.
+    /// The counts.
     pub figures: Figures,
     /// The first findings, in order.
     pub findings: Vec<Finding>,
-    /// All findings.
+    /// Total number of findings.
     pub found: u64,
 }
 
 impl Report {
-    /// The rule that was broken first; None: all hold.
+    /// Returns the rule that was violated first; `None`: all rules hold.
     pub fn first_rule(&self) -> Option<Rule> {
         self.findings.first().map(|finding| finding.rule)
     }
 
-    /// Whether this rule is broken.
+    /// Returns whether this rule is violated.
     pub fn breaks(&self, rule: Rule) -> bool {
         self.findings.iter().any(|finding| finding.rule == rule)
     }
 }
 
-/// Findings that are printed.
-const PRINTED: usize = 10;
+/// Maximum number of findings printed.
+const MAX_PRINTED: usize = 10;
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -86,7 +86,7 @@
             "attempts {attempts}: worked on {worked}, turned away {full}, mean wait {:.0} us",
             self.figures.mean_wait()
         )?;
-        for finding in self.findings.iter().take(PRINTED) {
+        for finding in self.findings.iter().take(MAX_PRINTED) {
             writeln!(f, "{finding}")?;
         }
         match self.found {
--- a/crates/millethook-model/src/search.rs
+++ b/crates/millethook-model/src/search.rs
@@ -1,4 +1,4 @@
-//! Many generated plans, on several threads.
+//! Runs many generated plans on several threads.
 
 use std::ops::Range;
 use std::sync::Mutex;
@@ -7,70 +7,70 @@
 
 use crate::fleet::{PlayError, play};
 use crate::generate;
+use crate::injected_fault::InjectedFault;
 use crate::judge::{Finding, Rule};
 use crate::plan::Plan;
 use crate::report::Report;
 use crate::shrink::shrink;
-use crate::wrong::Wrong;
 
-/// What is searched.
+/// Parameters of a search.
 #[derive(Clone, Debug)]
 pub struct Search {
-    /// Seeds.
+    /// The seeds to run.
     pub seeds: Range<u64>,
-    /// Threads; each plays one plan at a time.
+    /// Number of threads; each runs one plan at a time.
     pub threads: usize,
-    /// A fault between the fleet and the decisions.
-    pub wrong: Option<Wrong>,
-    /// No new seed after this time.
+    /// The fault to inject between the fleet and the decisions.
+    pub injected: Option<InjectedFault>,
+    /// No new seed is started after this time.
     pub time: Option<Duration>,
-    /// Findings are shrunk, each seed's first one.
+    /// The first finding of each seed is shrunk.
     pub shrink: bool,
-    /// No new seed after the first finding.
+    /// No new seed is started after the first finding.
     pub first_only: bool,
 }
 
-/// A seed whose plan breaks a rule.
+/// A seed whose plan violates a rule.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct SeedFinding {
     /// The seed.
     pub seed: u64,
-    /// The rule.
+    /// The rule that was violated first.
     pub rule: Rule,
-    /// The plan, shrunk if that was asked for.
+    /// The plan, shrunk if [`Search::shrink`] is set.
     pub plan: Plan,
-    /// The first finding of that plan that breaks the rule.
+    /// The first finding of that plan for this rule.
     pub finding: Finding,
 }
 
-/// What came of a search.
+/// The result of a search.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Plans that were played.
+    /// Number of plans run.
     pub played: u64,
-    /// Requests in them.
+    /// Number of requests in these plans.
     pub requests: u64,
-    /// Events in them.
+    /// Number of events in these plans.
     pub events: u64,
-    /// The first seed that was not played; all before it were.
+    /// The first seed that was not run; all seeds before it were.
     pub next: u64,
-    /// Plans that break a rule, by seed.
-    pub found: Vec<Found>,
+    /// Plans that violate a rule, ordered by seed.
+    pub found: Vec<SeedFinding>,
 }
 
 impl Search {
-    /// Searches.
+    /// Runs the search.
     ///
     /// # Errors
-    /// The decisions refuse the settings of a plan.
+    /// The decisions reject the settings of a plan.
     pub fn run(&self) -> Result<Outcome, PlayError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let next = AtomicU64::new(self.seeds.start);
         let stop = AtomicBool::new(false);
         let outcome = Mutex::new(Outcome::default());
         let failed = Mutex::new(None);
         let work = || {
-            while !stop.load(Ordering::Relaxed) && self.time.is_none_or(|t| begun.elapsed() < t) {
+            while !stop.load(Ordering::Relaxed) && self.time.is_none_or(|t| started.elapsed() < t) {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= self.seeds.end {
                     return;
@@ -79,7 +79,7 @@
                     Ok((report, found)) => {
                         let ends = self.first_only && found.is_some();
                         stop.fetch_or(ends, Ordering::Relaxed);
-                        lock(&outcome).take(&report, found);
+                        lock(&outcome).add(&report, found);
                     }
                     Err(error) => {
                         stop.store(true, Ordering::Relaxed);
@@ -98,27 +98,27 @@
         }
         let mut outcome = std::mem::take(&mut *lock(&outcome));
         outcome.found.sort_by_key(|found| found.seed);
-        // Each seed that was taken was played.
+        // Threads run every seed that they take, so the seeds run are contiguous.
         outcome.next = self.seeds.start + outcome.played;
         Ok(outcome)
     }
 
-    fn play(&self, seed: u64) -> Result<(Report, Option<Found>), PlayError> {
+    fn play(&self, seed: u64) -> Result<(Report, Option<SeedFinding>), PlayError> {
         let mut plan = generate::plan(seed);
-        let report = play(&plan, self.wrong)?;
+        let report = play(&plan, self.injected)?;
         let Some(rule) = report.first_rule() else { return Ok((report, None)) };
-        let mut shown = report.clone();
+        let mut shrunk_report = report.clone();
         if self.shrink {
-            plan = shrink(&plan, rule, self.wrong);
-            shown = play(&plan, self.wrong)?;
+            plan = shrink(&plan, rule, self.injected);
+            shrunk_report = play(&plan, self.injected)?;
         }
-        let finding = shown.findings.into_iter().find(|finding| finding.rule == rule);
-        Ok((report, finding.map(|finding| Found { seed, rule, plan, finding })))
+        let finding = shrunk_report.findings.into_iter().find(|finding| finding.rule == rule);
+        Ok((report, finding.map(|finding| SeedFinding { seed, rule, plan, finding })))
     }
 }
 
 impl Outcome {
-    fn take(&mut self, report: &Report, found: Option<Found>) {
+    fn add(&mut self, report: &Report, found: Option<SeedFinding>) {
         self.played += 1;
         self.requests += report.figures.requests;
         self.events += report.figures.events;
@@ -126,6 +126,6 @@
     }
 }
 
-fn lock<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/crates/millethook-model/src/shrink.rs
+++ b/crates/millethook-model/src/shrink.rs
@@ -1,52 +1,52 @@
-//! A plan that breaks a rule, reduced to the fewest faults, sidecars and servers that still break it.
+//! Reduces a plan that violates a rule to few faults, sidecars and servers that still violate it.
 
 use crate::fleet::play;
+use crate::injected_fault::InjectedFault;
 use crate::judge::Rule;
 use crate::plan::{Fault, Network, Plan};
-use crate::wrong::Wrong;
 
-/// Plays that one reduction may take.
-const MOST_PLAYS: usize = 400;
+/// Upper bound on the runs of one reduction.
+const MAX_RUNS: usize = 400;
 
-/// Reduces a plan that breaks `rule`. The result breaks the same rule.
-pub fn shrink(plan: &Plan, rule: Rule, wrong: Option<Wrong>) -> Plan {
-    let mut shrinking = Shrinking { best: plan.clone(), rule, wrong, plays: 0 };
+/// Reduces a plan that violates `rule`. The result violates the same rule.
+pub fn shrink(plan: &Plan, rule: Rule, injected: Option<InjectedFault>) -> Plan {
+    let mut shrinker = Shrinker { best: plan.clone(), rule, injected, runs: 0 };
     loop {
-        let before = shrinking.best.clone();
-        shrinking.faults();
-        shrinking.sidecars();
-        shrinking.servers();
-        shrinking.targets();
-        shrinking.quiet();
-        if shrinking.best == before || shrinking.plays >= MOST_PLAYS {
-            return shrinking.best;
+        let before = shrinker.best.clone();
+        shrinker.remove_faults();
+        shrinker.reduce_sidecars();
+        shrinker.reduce_servers();
+        shrinker.reduce_targets();
+        shrinker.remove_permanent_effects();
+        if shrinker.best == before || shrinker.runs >= MAX_RUNS {
+            return shrinker.best;
         }
     }
 }
 
-struct Shrinking {
+struct Shrinker {
     best: Plan,
     rule: Rule,
-    wrong: Option<Wrong>,
-    plays: usize,
+    injected: Option<InjectedFault>,
+    runs: usize,
 }
 
-impl Shrinking {
-    /// Takes a smaller plan if it breaks the rule, too.
-    fn takes(&mut self, smaller: Plan) -> bool {
-        if smaller == self.best || self.plays >= MOST_PLAYS || !smaller.problems().is_empty() {
+impl Shrinker {
+    /// Adopts a candidate plan if it violates the rule too. Returns whether it does.
+    fn try_candidate(&mut self, smaller: Plan) -> bool {
+        if smaller == self.best || self.runs >= MAX_RUNS || !smaller.problems().is_empty() {
             return false;
         }
-        self.plays += 1;
-        let broken = play(&smaller, self.wrong).is_ok_and(|report| report.breaks(self.rule));
+        self.runs += 1;
+        let broken = play(&smaller, self.injected).is_ok_and(|report| report.breaks(self.rule));
         if broken {
             self.best = smaller;
         }
         broken
     }
 
-    /// Leaves out faults: half of them, a quarter, and at last one at a time.
-    fn faults(&mut self) {
+    /// Removes faults: half of them, then a quarter, and finally one at a time.
+    fn remove_faults(&mut self) {
         let mut length = self.best.faults.len();
         while length > 0 {
             let mut from = 0;
@@ -54,7 +54,7 @@
                 let mut smaller = self.best.clone();
                 let upto = (from + length).min(smaller.faults.len());
                 smaller.faults.drain(from..upto);
-                if !self.takes(smaller) {
+                if !self.try_candidate(smaller) {
                     from += length;
                 }
             }
@@ -62,64 +62,68 @@
         }
     }
 
-    fn sidecars(&mut self) {
-        while self.fewer(self.best.sidecars.count, with_sidecars) {}
+    fn reduce_sidecars(&mut self) {
+        while self.reduce_count(self.best.sidecars.count, with_sidecars) {}
     }
 
-    fn servers(&mut self) {
-        while self.fewer(self.best.servers.count, with_servers) {}
+    fn reduce_servers(&mut self) {
+        while self.reduce_count(self.best.servers.count, with_servers) {}
     }
 
-    /// Half as many, or one less. False: neither breaks the rule.
-    fn fewer(&mut self, count: usize, with: fn(&Plan, usize) -> Plan) -> bool {
-        let fewer = [count.div_ceil(2), count - 1];
-        fewer.into_iter().filter(|fewer| (1..count).contains(fewer)).any(|fewer| {
-            let smaller = with(&self.best, fewer);
-            self.takes(smaller)
+    /// Tries half the count, then one less. Returns false if neither violates the rule.
+    fn reduce_count(&mut self, count: usize, with: fn(&Plan, usize) -> Plan) -> bool {
+        let counts = [count.div_ceil(2), count - 1];
+        counts.into_iter().filter(|smaller| (1..count).contains(smaller)).any(|smaller_count| {
+            let smaller = with(&self.best, smaller_count);
+            self.try_candidate(smaller)
         })
     }
 
-    /// Each fault hits the first half of those that it hits, or the second one.
-    fn targets(&mut self) {
+    /// Limits each fault to the first or the second half of its targets.
+    fn reduce_targets(&mut self) {
         for fault in 0..self.best.faults.len() {
-            for of in [Fault::sidecars_mut, Fault::servers_mut] {
-                while self.halve(fault, of) {}
+            for targets_of in [Fault::sidecars_mut, Fault::servers_mut] {
+                while self.halve_targets(fault, targets_of) {}
             }
         }
     }
 
-    fn halve(&mut self, fault: usize, of: fn(&mut Fault) -> &mut Vec<usize>) -> bool {
-        let count = of(&mut self.best.faults[fault]).len();
+    fn halve_targets(
+        &mut self,
+        fault: usize,
+        targets_of: fn(&mut Fault) -> &mut Vec<usize>,
+    ) -> bool {
+        let count = targets_of(&mut self.best.faults[fault]).len();
         let half = count.div_ceil(2);
         if count < 2 {
             return false;
         }
         [0..half, half..count].into_iter().any(|part| {
             let mut smaller = self.best.clone();
-            let list = of(&mut smaller.faults[fault]);
+            let list = targets_of(&mut smaller.faults[fault]);
             *list = list[part].to_vec();
-            self.takes(smaller)
+            self.try_candidate(smaller)
         })
     }
 
-    /// Without what happens all the time.
-    fn quiet(&mut self) {
+    /// Removes permanent effects: jitter, loss, early leavers, discovery delay, lists on request and zones.
+    fn remove_permanent_effects(&mut self) {
         let mut smaller = self.best.clone();
         let Network { delay_us, .. } = smaller.network;
         smaller.network = Network { delay_us, jitter_us: 0, ..Network::default() };
-        self.takes(smaller);
+        self.try_candidate(smaller);
         let mut smaller = self.best.clone();
         smaller.load.leave_early = 0.0;
-        self.takes(smaller);
+        self.try_candidate(smaller);
         let mut smaller = self.best.clone();
         smaller.discovery.late_ms = 0;
-        self.takes(smaller);
+        self.try_candidate(smaller);
         let mut smaller = self.best.clone();
-        smaller.discovery.asked = false;
-        self.takes(smaller);
+        smaller.discovery.on_request = false;
+        self.try_candidate(smaller);
         let mut smaller = self.best.clone();
         smaller.sidecars.zones = 1;
-        self.takes(smaller);
+        self.try_candidate(smaller);
     }
 }
 
@@ -133,34 +137,38 @@
     }
 }
 
-/// Changes sizes, and the load of each sidecar with them: the servers are as busy as before. A plan that got smaller must
-/// not become one of an overload.
-fn as_busy(plan: &Plan, change: impl FnOnce(&mut Plan)) -> Plan {
+/// Changes sizes and scales the load of each sidecar so that the servers' utilization stays the same. Otherwise a
+/// smaller plan could become one of an overload.
+fn with_same_utilization(plan: &Plan, change: impl FnOnce(&mut Plan)) -> Plan {
     let mut smaller = plan.clone();
     change(&mut smaller);
     smaller.load.per_sidecar *= plan.utilization() / smaller.utilization();
     smaller
 }
 
-/// The plan with the first so many sidecars, and without the faults that hit only others.
+/// Returns the plan with the first `count` sidecars, without the faults that affect only removed ones.
 fn with_sidecars(plan: &Plan, count: usize) -> Plan {
-    as_busy(plan, |plan| {
+    with_same_utilization(plan, |plan| {
         plan.sidecars.count = count;
-        keep(&mut plan.faults, count, Fault::sidecars_mut);
+        retain_targets(&mut plan.faults, count, Fault::sidecars_mut);
     })
 }
 
-/// The plan with the first so many servers, and without the faults that hit only others.
+/// Returns the plan with the first `count` servers, without the faults that affect only removed ones.
 fn with_servers(plan: &Plan, count: usize) -> Plan {
-    as_busy(plan, |plan| {
+    with_same_utilization(plan, |plan| {
         plan.servers.count = count;
-        keep(&mut plan.faults, count, Fault::servers_mut);
+        retain_targets(&mut plan.faults, count, Fault::servers_mut);
     })
 }
 
-fn keep(faults: &mut Vec<Fault>, count: usize, of: fn(&mut Fault) -> &mut Vec<usize>) {
+fn retain_targets(
+    faults: &mut Vec<Fault>,
+    count: usize,
+    targets_of: fn(&mut Fault) -> &mut Vec<usize>,
+) {
     faults.retain_mut(|fault| {
-        let list = of(fault);
+        let list = targets_of(fault);
         let hit = !list.is_empty();
         list.retain(|number| *number < count);
         !hit || !list.is_empty()
--- a/crates/millethook-model/tests/mutants.rs
+++ b/crates/millethook-model/tests/mutants.rs
@@ -1,59 +1,59 @@
-//! Each fault between the fleet and the decisions is found, by the rule that it breaks, and shrunk to a plan that shows
-//! it again.
+//! Each fault injected between the fleet and the decisions is detected by the rule that it violates, and shrinking
+//! keeps a plan that reproduces it.
 
 use std::collections::BTreeSet;
 
 use millethook_explore::mutant::Mutant;
 use millethook_model::fleet::play;
 use millethook_model::generate;
+use millethook_model::injected_fault::InjectedFault;
 use millethook_model::judge::Rule;
 use millethook_model::shrink::shrink;
-use millethook_model::wrong::Wrong;
 
-/// Faults that change nothing here: the model has no answers in pieces, and its driver calls off by itself what a
-/// departed client or an answered request leaves.
+/// Mutants without effect in this model: answers do not come in parts, and the driver itself cancels the open attempts
+/// of a departed client or an answered request.
 const WITHOUT_EFFECT: [Mutant; 3] =
     [Mutant::HidesFirstBytes, Mutant::HidesDepartedClients, Mutant::CancelledAsMoot];
 
-/// Each fault, the smallest plan of a search that shows it by its seed, and the rule that it breaks there. Searches: 16
-/// seeds each, 60 for `HidesColdness` and `WidensWindow`, which need more.
-const CASES: [(Wrong, u64, Rule); 23] = [
-    (Wrong::Path(Mutant::LosesTimers), 3, Rule::InTime),
-    (Wrong::Path(Mutant::LosesFollowingTimers), 3, Rule::InTime),
-    (Wrong::Path(Mutant::TimedOutAsFull), 3, Rule::RefusedUnrun),
-    (Wrong::Path(Mutant::ResetAsConnectFailed), 9, Rule::UnsafeOnce),
-    (Wrong::Path(Mutant::ErrorAsFull), 15, Rule::UnsafeOnce),
-    (Wrong::Path(Mutant::ForgetsCancelledEnds), 3, Rule::NothingLeft),
-    (Wrong::Path(Mutant::ServedAsError), 3, Rule::NothingAfterTheEnd),
-    (Wrong::Path(Mutant::RefusesInsteadOfFailing), 3, Rule::RefusedUnrun),
-    (Wrong::Path(Mutant::SwallowsRefusals), 3, Rule::OneAnswer),
-    (Wrong::Path(Mutant::SwallowsFailures), 3, Rule::OneAnswer),
-    (Wrong::Path(Mutant::FailsTwice), 3, Rule::OneAnswer),
-    (Wrong::Path(Mutant::RepeatsUnsafeSends), 3, Rule::UnsafeOnce),
-    (Wrong::Path(Mutant::WithholdsDrains), 7, Rule::DrainKept),
-    (Wrong::Path(Mutant::WithholdsDepartures), 9, Rule::GoneLeft),
-    (Wrong::Path(Mutant::HidesColdness), 24, Rule::ColdSpared),
-    (Wrong::Path(Mutant::HidesZones), 6, Rule::KeyedInItsWindow),
-    (Wrong::Path(Mutant::RaisesAttempts), 15, Rule::AttemptsBounded),
-    (Wrong::Path(Mutant::AllowsCopies), 13, Rule::AttemptsBounded),
-    (Wrong::Path(Mutant::WidensWindow), 42, Rule::KeyedInItsWindow),
-    (Wrong::Path(Mutant::StopsClock), 3, Rule::AttemptsBounded),
-    (Wrong::Path(Mutant::NamesOtherServer), 3, Rule::OwnCheck),
-    (Wrong::StaysShut, 3, Rule::ServiceBack),
-    (Wrong::SendsToNewest, 7, Rule::ColdSpared),
+/// Each fault, the seed of the smallest plan of a search that shows it, and the rule that it violates there. The
+/// searches covered 16 seeds each, and 60 for `HidesColdness` and `WidensWindow`, which need more.
+const CASES: [(InjectedFault, u64, Rule); 23] = [
+    (InjectedFault::Mutant(Mutant::LosesTimers), 3, Rule::InTime),
+    (InjectedFault::Mutant(Mutant::LosesFollowingTimers), 3, Rule::InTime),
+    (InjectedFault::Mutant(Mutant::TimedOutAsFull), 3, Rule::RefusedUnrun),
+    (InjectedFault::Mutant(Mutant::ResetAsConnectFailed), 9, Rule::UnsafeOnce),
+    (InjectedFault::Mutant(Mutant::ErrorAsFull), 15, Rule::UnsafeOnce),
+    (InjectedFault::Mutant(Mutant::ForgetsCancelledEnds), 3, Rule::NothingLeft),
+    (InjectedFault::Mutant(Mutant::ServedAsError), 3, Rule::NothingAfterTheEnd),
+    (InjectedFault::Mutant(Mutant::RefusesInsteadOfFailing), 3, Rule::RefusedUnrun),
+    (InjectedFault::Mutant(Mutant::SwallowsRefusals), 3, Rule::OneAnswer),
+    (InjectedFault::Mutant(Mutant::SwallowsFailures), 3, Rule::OneAnswer),
+    (InjectedFault::Mutant(Mutant::FailsTwice), 3, Rule::OneAnswer),
+    (InjectedFault::Mutant(Mutant::RepeatsUnsafeSends), 3, Rule::UnsafeOnce),
+    (InjectedFault::Mutant(Mutant::WithholdsDrains), 7, Rule::DrainKept),
+    (InjectedFault::Mutant(Mutant::WithholdsDepartures), 9, Rule::GoneLeft),
+    (InjectedFault::Mutant(Mutant::HidesColdness), 24, Rule::ColdSpared),
+    (InjectedFault::Mutant(Mutant::HidesZones), 6, Rule::KeyedInItsWindow),
+    (InjectedFault::Mutant(Mutant::RaisesAttempts), 15, Rule::AttemptsBounded),
+    (InjectedFault::Mutant(Mutant::AllowsCopies), 13, Rule::AttemptsBounded),
+    (InjectedFault::Mutant(Mutant::WidensWindow), 42, Rule::KeyedInItsWindow),
+    (InjectedFault::Mutant(Mutant::StopsClock), 3, Rule::AttemptsBounded),
+    (InjectedFault::Mutant(Mutant::NamesOtherServer), 3, Rule::OwnCheck),
+    (InjectedFault::StaysShut, 3, Rule::ServiceBack),
+    (InjectedFault::SendsToNewest, 7, Rule::ColdSpared),
 ];
 
 #[test]
-fn each_fault_on_the_path_is_found_by_the_rule_that_it_breaks() {
-    for (wrong, seed, rule) in CASES {
+fn each_injected_fault_is_found_by_the_rule_that_it_violates() {
+    for (injected, seed, rule) in CASES {
         let plan = generate::plan(seed);
-        let report = play(&plan, Some(wrong)).expect("the plan is playable");
-        assert_eq!(report.first_rule(), Some(rule), "{}", wrong.name());
+        let report = play(&plan, Some(injected)).expect("the plan is playable");
+        assert_eq!(report.first_rule(), Some(rule), "{}", injected.name());
     }
 }
 
 #[test]
-fn the_shipped_decisions_break_nothing_in_the_plans_that_show_the_faults() {
+fn production_decisions_violate_no_rule_in_the_plans_of_the_fault_cases() {
     let seeds: BTreeSet<u64> = CASES.into_iter().map(|(_, seed, _)| seed).collect();
     for seed in seeds {
         let report = play(&generate::plan(seed), None).expect("the plan is playable");
@@ -62,22 +62,23 @@
 }
 
 #[test]
-fn each_fault_has_a_case_or_no_effect() {
-    for wrong in Wrong::all() {
-        let has_case = CASES.into_iter().any(|(of, _, _)| of == wrong);
-        let without_effect = WITHOUT_EFFECT.into_iter().map(Wrong::Path).any(|of| of == wrong);
-        assert!(has_case != without_effect, "{}", wrong.name());
+fn each_injected_fault_has_a_case_or_no_effect() {
+    for injected in InjectedFault::all() {
+        let has_case = CASES.into_iter().any(|(of, _, _)| of == injected);
+        let without_effect =
+            WITHOUT_EFFECT.into_iter().map(InjectedFault::Mutant).any(|of| of == injected);
+        assert!(has_case != without_effect, "{}", injected.name());
     }
 }
 
 #[test]
-fn an_unsafe_repeat_is_shrunk_to_a_plan_that_shows_it() {
-    let wrong = Wrong::Path(Mutant::ResetAsConnectFailed);
+fn an_unsafe_retry_is_shrunk_to_a_plan_that_reproduces_it() {
+    let injected = InjectedFault::Mutant(Mutant::ResetAsConnectFailed);
     let rule = Rule::UnsafeOnce;
-    let small = shrink(&generate::plan(9), rule, Some(wrong));
+    let small = shrink(&generate::plan(9), rule, Some(injected));
     assert!(small.sidecars.count <= 2, "{}", small.to_toml());
     assert!(small.faults.len() <= 1, "{}", small.to_toml());
-    let again = play(&small, Some(wrong)).expect("the plan is playable");
+    let again = play(&small, Some(injected)).expect("the plan is playable");
     assert!(again.breaks(rule));
     let well = play(&small, None).expect("the plan is playable");
     assert_eq!(well.findings, []);
--- a/crates/millethook-model/tests/plans.rs
+++ b/crates/millethook-model/tests/plans.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a plan is said with its place, its key and what was expected.
+//! Errors in a plan are reported with their position, their key and what was expected.
 
 use millethook_model::fleet::play;
 use millethook_model::judge::Rule;
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn a_key_that_is_unknown_is_named_with_its_line() {
+fn an_unknown_key_is_named_with_its_line() {
     let text = refused("seed = 1\n[servers]\nslot = 3\n");
     assert!(text.contains("line 3"), "{text}");
     assert!(text.contains("unknown field `slot`, expected one of `count`, `slots`"), "{text}");
 }
 
 #[test]
-fn all_values_that_are_out_of_range_are_named() {
+fn all_out_of_range_values_are_named() {
     let text = refused(
         "duration_ms = 0\n[network]\nreset = 2.0\n[[fault]]\nkind = \"crash\"\nservers = [9]\n",
     );
@@ -30,24 +30,24 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_named() {
     let text = Plan::read("no/such/plan.toml".as_ref()).expect_err("it is not there").to_string();
     assert!(text.starts_with("no/such/plan.toml: "), "{text}");
 }
 
 #[test]
-fn a_fault_needs_someone_to_hit() {
+fn a_fault_needs_targets() {
     for kind in FaultKind::ALL {
         let plan = Plan { faults: vec![Fault { kind, ..Fault::default() }], ..Plan::default() };
         let keys: Vec<String> = plan.problems().into_iter().map(|problem| problem.key).collect();
-        let missing = kind.hits_servers() || kind.hits_sidecars();
+        let missing = kind.affects_servers() || kind.affects_sidecars();
         let whom = |key: &String| key.ends_with("servers") || key.ends_with("sidecars");
         assert_eq!(keys.iter().any(whom), missing, "{kind:?}: {keys:?}");
     }
 }
 
 #[test]
-fn a_run_is_cut_at_the_events_that_its_plan_allows() {
+fn a_run_stops_at_the_event_limit_of_its_plan() {
     let plan = Plan { most_events: 1_000, ..Plan::default() };
     let report = play(&plan, None).expect("the plan is playable");
     assert_eq!(report.first_rule(), Some(Rule::Bounded));
--- a/crates/millethook-model/tests/replay.rs
+++ b/crates/millethook-model/tests/replay.rs
@@ -1,4 +1,4 @@
-//! One plan gives the same run each time, also by way of its file.
+//! A plan gives the same run each time, also after it was written to a file and read back.
 
 use millethook_model::fleet::play;
 use millethook_model::generate;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_plan_written_and_read_is_the_same() {
+fn a_plan_survives_writing_and_reading() {
     let folder = tempfile::tempdir().expect("a folder");
     for seed in 0..100 {
         let plan = generate::plan(seed);
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn events_come_by_time_and_of_one_time_in_their_order() {
+fn events_are_ordered_by_time_and_then_by_insertion() {
     let mut queue = Queue::default();
     for (at, event) in [(5, 'a'), (3, 'b'), (5, 'c'), (1, 'd'), (3, 'e')] {
-        queue.add(at, event);
+        queue.schedule(at, event);
     }
-    let order: Vec<_> = std::iter::from_fn(|| queue.take()).collect();
+    let order: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
     assert_eq!(order, [(1, 'd'), (3, 'b'), (3, 'e'), (5, 'a'), (5, 'c')]);
 }
--- a/crates/millethook-model/tests/search.rs
+++ b/crates/millethook-model/tests/search.rs
@@ -1,22 +1,22 @@
-//! The shipped decisions over small fleets, and a search that goes on where another one stopped.
+//! Runs the production decisions on small fleets, and checks that a search continues where another one stopped.
 
 use std::path::Path;
 
 use millethook_explore::mutant::Mutant;
 use millethook_model::fleet::play;
+use millethook_model::injected_fault::InjectedFault;
 use millethook_model::judge::Rule;
 use millethook_model::plan::{FaultKind, Plan};
 use millethook_model::search::{Outcome, Search};
-use millethook_model::wrong::Wrong;
 
 fn search(seeds: std::ops::Range<u64>, threads: usize) -> Outcome {
     let search =
-        Search { seeds, threads, wrong: None, time: None, shrink: false, first_only: false };
+        Search { seeds, threads, injected: None, time: None, shrink: false, first_only: false };
     search.run().expect("the plans are playable")
 }
 
 #[test]
-fn the_shipped_decisions_break_no_rule_on_small_fleets() {
+fn production_decisions_violate_no_rule_on_small_fleets() {
     let outcome = search(0..14, 2);
     let found: Vec<_> = outcome.found.iter().map(|found| (found.seed, found.rule)).collect();
     assert_eq!(found, [], "{:?}", outcome.found);
@@ -28,9 +28,10 @@
     Plan::read(&path).expect("the plan is readable")
 }
 
-/// The plan is played with and without the loss of the others: the cold server holds, and is sent something.
+/// Runs the plan with and without the loss of the other servers: the cold server is not overloaded, and it does get
+/// requests.
 #[test]
-fn a_cold_server_is_not_pushed_over_while_all_others_are_gone() {
+fn a_cold_server_is_not_overloaded_while_all_others_are_gone() {
     let plan = pinned("only-cold-server-left.toml");
     let report = play(&plan, None).expect("the plan is playable");
     assert_eq!(report.findings, []);
@@ -41,9 +42,10 @@
     assert_eq!(report.findings, [], "with the others there it holds");
 }
 
-/// Of the backlog, most was decided on before the sidecar could read that the server had started anew.
+/// Guards against blaming a sidecar for a backlog: most of it was sent before the sidecar could read that the server
+/// had restarted.
 #[test]
-fn a_backlog_from_before_the_news_of_a_start_is_not_the_sidecars_fault() {
+fn a_backlog_sent_before_the_notice_of_a_restart_is_not_attributed_to_the_sidecar() {
     let plan = pinned("backlog-to-cold-server.toml");
     let report = play(&plan, None).expect("the plan is playable");
     assert_eq!(report.findings, []);
@@ -53,18 +55,18 @@
     assert_eq!(report.findings, [], "without the pause it holds");
 }
 
-/// What is sent after the news of a start counts: decisions that are told of it, but not that the server is cold, push
-/// it over.
+/// Requests sent after the notice of a start count: decisions that know of the start, but not that the server is cold,
+/// overload it.
 #[test]
-fn what_is_sent_after_the_news_of_a_start_is_the_sidecars_fault() {
+fn requests_sent_after_the_notice_of_a_start_are_attributed_to_the_sidecar() {
     let plan = pinned("only-cold-server-left.toml");
-    let wrong = Some(Wrong::Path(Mutant::HidesColdness));
-    let report = play(&plan, wrong).expect("the plan is playable");
+    let injected = Some(InjectedFault::Mutant(Mutant::HidesColdness));
+    let report = play(&plan, injected).expect("the plan is playable");
     assert_eq!(report.first_rule(), Some(Rule::ColdSpared), "{:?}", report.findings);
 }
 
 #[test]
-fn parts_of_a_range_add_up_to_the_whole() {
+fn consecutive_searches_add_up_to_one_search() {
     let whole = search(3..8, 2);
     let (first, second) = (search(3..5, 1), search(5..8, 1));
     assert_eq!(second.next, whole.next);
--- a/crates/millethook-model/tests/theory.rs
+++ b/crates/millethook-model/tests/theory.rs
@@ -1,11 +1,12 @@
-//! Queues with a known mean wait, played through the shipped decisions.
+//! Runs queues with a known mean wait through the production decisions.
 
 use millethook_model::erlang;
 use millethook_model::fleet::play;
 use millethook_model::plan::{Class, Load, Network, Plan, Servers, Sidecars};
 
-/// One server with `slots` workers, Poisson arrivals by way of so many sidecars, exponential work of 1 ms without a
-/// bound. Aims and deadlines are far away, so that nothing is shed or repeated.
+/// Returns a plan of one server with `slots` workers, Poisson arrivals through `sidecars` sidecars, and exponential
+/// work of 1 ms without an upper bound. Target latencies and deadlines are far away, so that nothing is shed or
+/// retried.
 fn queue(slots: usize, load: f64, sidecars: usize, duration_ms: u64) -> Plan {
     let class = Class { work_us: 1_000, aim_ms: 60_000, deadline_ms: 120_000, ..Class::default() };
     let per_second = load * slots as f64 * 1e3;
@@ -27,7 +28,7 @@
     }
 }
 
-/// The measured mean wait over Erlang's, less 1.
+/// Returns the relative error of the measured mean wait against the Erlang C value.
 fn error(slots: usize, load: f64, sidecars: usize, duration_ms: u64) -> f64 {
     let report = play(&queue(slots, load, sidecars, duration_ms), None).expect("it is playable");
     assert_eq!(report.findings, []);
@@ -36,17 +37,18 @@
 }
 
 #[test]
-fn erlang_c_is_as_in_tables() {
+fn erlang_c_matches_known_values() {
     // One server: the share that waits is the load, and the wait is load / (1 - load).
-    assert!((erlang::waits(1, 0.7) - 0.7).abs() < 1e-12);
+    assert!((erlang::wait_probability(1, 0.7) - 0.7).abs() < 1e-12);
     assert!((erlang::mean_wait(1, 0.5) - 1.0).abs() < 1e-12);
     // Two servers: 2 load^2 / (1 + load).
-    assert!((erlang::waits(2, 0.75) - 2.0 * 0.5625 / 1.75).abs() < 1e-12);
+    assert!((erlang::wait_probability(2, 0.75) - 2.0 * 0.5625 / 1.75).abs() < 1e-12);
 }
 
 #[test]
 fn the_mean_wait_is_that_of_erlang_c() {
-    // A million arrivals; 240,000 were seen to be off by more than 3% by chance. The long form below asks for 1%.
+    // A million arrivals, because with 240,000 the mean was off by more than 3% by chance. The long test below requires
+    // 1%.
     let error = error(4, 0.6, 3, 416_000);
     assert!(error.abs() < 0.03, "{error}");
 }
