--- a/crates/millethook-explore/src/judge.rs
+++ b/crates/millethook-explore/src/judge.rs
@@ -1,51 +1,52 @@
-//! The rules, applied to the world's own books as each action is carried out, as time passes, and at rest.
+//! The rules, checked against the world's own records when an action is executed, when time advances, and when the
+//! world is idle.
 
 use std::fmt;
 
 use coppercart::api::Micros;
 
+use crate::records::{Request, Server, ServerStatus};
 use crate::scenario::{
-    ANSWER_SLACK, COLD, COLD_SHARE, DRAIN_GRACE, FALL_MULTIPLE, Kind, Scenario, WINDOW,
+    ANSWER_SLACK, COLD, COLD_SHARE, DRAIN_GRACE, FALL_MULTIPLE, RequestKind, Scenario, WINDOW,
 };
-use crate::truth::{Request, Server, Standing};
 
-/// A rule that was broken.
+/// A rule that the balancer must follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer.
+    /// Each request gets exactly one final answer.
     OneAnswer,
-    /// The final answer comes by the deadline and its slack.
+    /// The final answer comes by the deadline plus the slack.
     InTime,
-    /// Nothing is sent for a request that has its answer, or whose client has gone, or whose answer has begun.
+    /// Nothing is sent for a request that is answered, whose client has left, or whose answer has begun.
     NothingAfterTheEnd,
-    /// A refusal of a keyed or unsafe request promises that it never ran.
+    /// A keyed or unsafe request is refused only if it was never executed, since a refusal promises that.
     RefusedUnrun,
-    /// An unsafe request goes out again only if each earlier attempt is known not to have run.
+    /// An unsafe request is retried only if each earlier attempt is known not to have been executed.
     UnsafeOnce,
-    /// Attempts of a keyed request that may have run are of one zone, and all within its window.
+    /// Attempts of a keyed request that may have been executed are all in one zone and within its window.
     KeyedInItsWindow,
-    /// Nothing to a draining server after its grace.
+    /// Nothing is sent to a draining server after its grace time.
     DrainKept,
-    /// Nothing to a server that is gone or unknown.
+    /// Nothing is sent to a removed or unknown server.
     GoneLeft,
-    /// No repeat and no copy to a cold server, and no more first attempts than its budget.
+    /// A cold server gets no retries and no hedges, and no more first attempts than its budget.
     ColdSpared,
-    /// Attempts are bounded in number, in time, and at one time where copies are not allowed.
+    /// Attempts are bounded in number and time, and sequential where hedges are not allowed.
     AttemptsBounded,
-    /// No requests and no timers are left at rest.
+    /// No requests and no timers are left when the world is idle.
     NothingLeft,
-    /// What the balancer's own `check()` says. Not an independent judge.
+    /// The balancer's own invariant check holds. This is not an independent check.
     OwnCheck,
     /// The balancer panicked.
     Panic,
 }
 
-/// A broken rule, with what broke it.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// The values.
+    /// The values that violate it.
     pub found: String,
 }
 
@@ -55,122 +56,134 @@
     }
 }
 
-/// Ok, or the finding.
+/// The result of a check.
 pub type Verdict = Result<(), Finding>;
 
-fn unless(holds: bool, rule: Rule, found: impl FnOnce() -> String) -> Verdict {
+fn require(holds: bool, rule: Rule, found: impl FnOnce() -> String) -> Verdict {
     if holds { Ok(()) } else { Err(Finding { rule, found: found() }) }
 }
 
-/// A send as it is to be carried out.
+/// An attempt that is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Send {
-    /// When.
+    /// When it is sent.
     pub now: Micros,
-    /// How long it may take.
+    /// The attempt's timeout.
     pub timeout: Micros,
-    /// What would make it run is out within this time.
+    /// The time within which the bytes that trigger its execution are sent.
     pub commit_within: Micros,
 }
 
-/// Judges a send before it is put into the books.
+/// Checks an attempt before it is added to the records.
 ///
 /// # Errors
-/// The rule that it breaks.
+/// The rule that is violated.
 pub fn send(scenario: &Scenario, request: &Request, server: &Server, send: Send) -> Verdict {
-    let of = || format!("{:?} to {:?}", request.id, server.id);
-    unless(!request.is_ended(), Rule::NothingAfterTheEnd, of)?;
-    let begun = request.answering.is_some() || request.uploading.is_some();
-    unless(!begun, Rule::NothingAfterTheEnd, of)?;
+    let description = || format!("{:?} to {:?}", request.id, server.id);
+    require(!request.is_ended(), Rule::NothingAfterTheEnd, description)?;
+    let forwarding_started = request.answering.is_some() || request.uploading.is_some();
+    require(!forwarding_started, Rule::NothingAfterTheEnd, description)?;
     let Send { now, timeout, commit_within } = send;
-    unless(now < request.deadline, Rule::AttemptsBounded, of)?;
-    unless(now + timeout.max(commit_within) <= request.deadline, Rule::AttemptsBounded, of)?;
+    require(now < request.deadline, Rule::AttemptsBounded, description)?;
+    require(
+        now + timeout.max(commit_within) <= request.deadline,
+        Rule::AttemptsBounded,
+        description,
+    )?;
     let count = request.attempts.len();
-    unless(count < scenario.options.max_attempts, Rule::AttemptsBounded, of)?;
+    require(count < scenario.options.max_attempts, Rule::AttemptsBounded, description)?;
     let out = request.attempts.iter().any(|attempt| attempt.is_out());
-    unless(scenario.options.may_duplicate || !out, Rule::AttemptsBounded, of)?;
-    repeat(request, server, send)?;
-    admission(server, now)?;
-    cold(server, count, now)
+    require(scenario.options.may_duplicate || !out, Rule::AttemptsBounded, description)?;
+    check_retry(request, server, send)?;
+    check_server_status(server, now)?;
+    check_cold_server(server, count, now)
 }
 
-/// Rule 2: what may be sent again.
-fn repeat(request: &Request, server: &Server, send: Send) -> Verdict {
-    let mut ran = request.attempts.iter().filter(|attempt| attempt.may_have_run());
-    let of = || format!("{:?} to {:?} after {:?}", request.id, server.id, request.attempts);
+/// Rule 2: which requests may be retried.
+fn check_retry(request: &Request, server: &Server, send: Send) -> Verdict {
+    let mut executed = request.attempts.iter().filter(|attempt| attempt.may_have_run());
+    let description =
+        || format!("{:?} to {:?} after {:?}", request.id, server.id, request.attempts);
     match request.kind {
-        Kind::Safe => Ok(()),
-        Kind::Unsafe => unless(ran.next().is_none(), Rule::UnsafeOnce, of),
-        Kind::Keyed => {
-            // Any two of them, whichever runs first, are to run within the window of each other.
+        RequestKind::Safe => Ok(()),
+        RequestKind::Unsafe => require(executed.next().is_none(), Rule::UnsafeOnce, description),
+        RequestKind::Keyed => {
+            // Any two attempts must be executed within the window of each other, whichever is executed first.
             let latest = send.now + send.commit_within;
-            let well = ran.all(|attempt| {
-                let apart = latest - attempt.sent;
-                let back = attempt.latest_run().saturating_sub(send.now);
-                attempt.zone == server.zone && apart <= WINDOW && back <= WINDOW
+            let within_window = executed.all(|attempt| {
+                let span = latest - attempt.sent;
+                let latest_after = attempt.latest_run().saturating_sub(send.now);
+                attempt.zone == server.zone && span <= WINDOW && latest_after <= WINDOW
             });
-            unless(well, Rule::KeyedInItsWindow, of)
+            require(within_window, Rule::KeyedInItsWindow, description)
         }
     }
 }
 
-/// Rule 3: which servers take new requests.
-fn admission(server: &Server, now: Micros) -> Verdict {
-    let of = || format!("{:?}", server.id);
-    match server.standing {
-        Standing::Ready => Ok(()),
-        Standing::Draining(since) => unless(now <= since + DRAIN_GRACE, Rule::DrainKept, of),
-        Standing::Gone => unless(false, Rule::GoneLeft, of),
+/// Rule 3: which servers may get new requests.
+fn check_server_status(server: &Server, now: Micros) -> Verdict {
+    let description = || format!("{:?}", server.id);
+    match server.status {
+        ServerStatus::Ready => Ok(()),
+        ServerStatus::Draining(since) => {
+            require(now <= since + DRAIN_GRACE, Rule::DrainKept, description)
+        }
+        ServerStatus::Gone => require(false, Rule::GoneLeft, description),
     }
 }
 
-/// Rule 4: what a cold server is spared. `earlier` attempts of the request went out before.
+/// Rule 4: which load a cold server must be spared. `earlier` is the number of earlier attempts of the request.
 ///
-/// The platform's bound, N + 3 root N + 3, is for the sum of all sidecars; N is what the server bears now, taken here
-/// as its share of the requests that there are at most (four). What so few requests can break is the other part: a
-/// request that failed elsewhere must not fall on the server that can do least.
-fn cold(server: &Server, earlier: usize, now: Micros) -> Verdict {
+/// The platform's bound, N + 3 root N + 3, applies to the sum of all sidecars. N is the load that the server tolerates
+/// now, taken here as its share of the maximum number of requests (four). With so few requests the other part matters
+/// more: a request that failed elsewhere must not go to the server with the least capacity.
+fn check_cold_server(server: &Server, earlier: usize, now: Micros) -> Verdict {
     if server.started == 0 || now.saturating_sub(server.started) >= COLD {
         return Ok(());
     }
-    let of = || format!("{:?}: {} sends, {earlier} earlier attempts", server.id, server.sends);
-    unless(earlier == 0, Rule::ColdSpared, of)?;
-    let bears = FALL_MULTIPLE * COLD_SHARE;
-    let budget = bears + 3.0 * bears.sqrt() + 3.0;
-    unless(f64::from(server.sends + 1) <= budget, Rule::ColdSpared, of)
+    let description =
+        || format!("{:?}: {} sends, {earlier} earlier attempts", server.id, server.sends);
+    require(earlier == 0, Rule::ColdSpared, description)?;
+    let tolerated = FALL_MULTIPLE * COLD_SHARE;
+    let budget = tolerated + 3.0 * tolerated.sqrt() + 3.0;
+    require(f64::from(server.sends + 1) <= budget, Rule::ColdSpared, description)
 }
 
-/// Judges a final answer that the balancer gives: a refusal or a failure.
+/// Checks a final answer that the balancer gives: a refusal or a failure.
 ///
 /// # Errors
-/// The rule that it breaks.
+/// The rule that is violated.
 pub fn final_answer(request: &Request, refused: bool) -> Verdict {
-    let of = || format!("{:?}: {:?}", request.id, request.attempts);
-    unless(!request.is_ended(), Rule::OneAnswer, of)?;
-    let ran = request.attempts.iter().any(|attempt| attempt.may_have_run());
-    unless(!refused || request.kind == Kind::Safe || !ran, Rule::RefusedUnrun, of)
+    let description = || format!("{:?}: {:?}", request.id, request.attempts);
+    require(!request.is_ended(), Rule::OneAnswer, description)?;
+    let executed = request.attempts.iter().any(|attempt| attempt.may_have_run());
+    require(
+        !refused || request.kind == RequestKind::Safe || !executed,
+        Rule::RefusedUnrun,
+        description,
+    )
 }
 
-/// Judges a request as time passes.
+/// Checks a request when time advances.
 ///
 /// # Errors
-/// It has no answer though its time is over.
-pub fn in_time(request: &Request, now: Micros) -> Verdict {
+/// It has no answer although its deadline and the slack are over.
+pub fn check_deadline(request: &Request, now: Micros) -> Verdict {
     let open = !request.is_ended() && !request.is_uploading();
-    unless(!open || now <= request.deadline + ANSWER_SLACK, Rule::InTime, || {
+    require(!open || now <= request.deadline + ANSWER_SLACK, Rule::InTime, || {
         format!("{:?}: {} us after its deadline", request.id, now - request.deadline)
     })
 }
 
-/// Judges the world at rest: everything that was out has come in.
+/// Checks the idle world, after all outcomes have arrived.
 ///
 /// # Errors
-/// A request without an answer; requests or timers that the balancer still holds.
-pub fn at_rest(requests: &[Request], open: usize, timers: usize) -> Verdict {
+/// A request has no answer, or the balancer still holds requests or timers.
+pub fn check_idle(requests: &[Request], open: usize, timers: usize) -> Verdict {
     for request in requests {
         let ended = request.finals == 1 || request.gone;
-        unless(ended, Rule::OneAnswer, || format!("{:?} has no answer at rest", request.id))?;
+        require(ended, Rule::OneAnswer, || format!("{:?} has no answer when idle", request.id))?;
     }
-    unless(open == 0, Rule::NothingLeft, || format!("{open} requests are held at rest"))?;
-    unless(timers == 0, Rule::NothingLeft, || format!("{timers} timers are set at rest"))
+    require(open == 0, Rule::NothingLeft, || format!("{open} requests are held when idle"))?;
+    require(timers == 0, Rule::NothingLeft, || format!("{timers} timers are set when idle"))
 }
--- a/crates/millethook-explore/src/main.rs
+++ b/crates/millethook-explore/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: explores, and prints what was explored and what was found.
+//! Command-line entry point: runs the exploration and prints its extent and its findings.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -9,38 +9,39 @@
 use millethook_explore::search::{Report, Task, explore_all, find_smallest};
 use millethook_explore::shrink::{describe, shrink};
 
-/// Explores all orders of events of a few requests and servers against the shipped decisions.
+/// Explores all orders of events of a few requests and servers against the production decisions.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// Servers: 2 or 3.
+    /// Number of servers: 2 or 3.
     #[arg(long, default_value_t = 2)]
     servers: usize,
-    /// Requests: 1 to 4.
+    /// Number of requests: 1 to 4.
     #[arg(long, default_value_t = 2)]
     requests: usize,
-    /// Seeds of the balancer's random numbers, from 1.
+    /// Number of seeds for the balancer's random numbers, counted from 1.
     #[arg(long, default_value_t = 2)]
     seeds: u64,
-    /// Threads.
+    /// Number of threads.
     #[arg(long, default_value_t = 2)]
     threads: usize,
-    /// Counted events of a path: answers, first bytes, list changes, clients that go, moments in which something is late.
+    /// Maximum counted events of a path: answers, first bytes, list changes, client departures, late timers and
+    /// outcomes.
     #[arg(long, default_value_t = 2)]
     events: u8,
-    /// Of these, list changes at most.
+    /// Maximum list changes among these.
     #[arg(long, default_value_t = 1)]
     list_changes: u8,
-    /// Of these, moments at most in which something due is late.
+    /// Maximum number of times among these that a due timer or outcome is late.
     #[arg(long, default_value_t = 1)]
     late: u8,
-    /// States of one scenario and seed at which its exploration is cut.
+    /// Maximum states of one scenario and seed; its exploration stops there.
     #[arg(long, default_value_t = 10_000_000)]
     states: usize,
-    /// Explores only scenarios whose name contains this.
+    /// Explores only scenarios whose name contains this text.
     #[arg(long, default_value = "")]
     only: String,
-    /// Puts in each mutant in turn, and tells whether and how it is found.
+    /// Injects each mutant in turn, and reports whether and how it is found.
     #[arg(long)]
     mutants: bool,
 }
@@ -62,22 +63,22 @@
         late: arguments.late,
         states: arguments.states,
     };
-    let well = if arguments.mutants {
-        mutants(&tasks, &bounds)
+    let passed = if arguments.mutants {
+        run_mutants(&tasks, &bounds)
     } else {
-        explored(&tasks, &bounds, arguments.threads)
+        run_exploration(&tasks, &bounds, arguments.threads)
     };
-    if well { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Explores from all starts; whether nothing was found.
-fn explored(tasks: &[Task], bounds: &Bounds, threads: usize) -> bool {
-    let begun = Instant::now();
+/// Explores all tasks; returns whether nothing was found.
+fn run_exploration(tasks: &[Task], bounds: &Bounds, threads: usize) -> bool {
+    let started = Instant::now();
     let Report { states, steps, merged, paths, longest, cut, time, found } =
         explore_all(tasks, bounds, threads);
     println!("starts {} (scenarios by seeds), cut {cut}", tasks.len());
     println!("states {states}, steps {steps}, merged {merged}, paths {paths}, longest {longest}");
-    let (all, each) = (begun.elapsed().as_secs_f64(), time.as_secs_f64());
+    let (all, each) = (started.elapsed().as_secs_f64(), time.as_secs_f64());
     println!("time {all:.1} s on {threads} threads, {each:.1} s of threads");
     println!("findings {}", found.len());
     let smallest = found.iter().map(shrink).min_by_key(|found| found.steps.len());
@@ -87,8 +88,8 @@
     found.is_empty()
 }
 
-/// Puts in each mutant; whether all were found.
-fn mutants(tasks: &[Task], bounds: &Bounds) -> bool {
+/// Injects each mutant; returns whether all were found.
+fn run_mutants(tasks: &[Task], bounds: &Bounds) -> bool {
     let mut missed = 0;
     for mutant in Mutant::ALL {
         let with = |task: &Task| Task { mutant: Some(mutant), ..task.clone() };
--- a/crates/millethook-explore/src/mutant.rs
+++ b/crates/millethook-explore/src/mutant.rs
@@ -1,67 +1,68 @@
-//! Faults between world and balancer, put in on purpose: the balancer is told something else than what happened, or
-//! what it says is not carried out. The exploration has to find each one.
+//! Faults injected on purpose between world and balancer: the balancer gets a false event, or one of its actions is not
+//! executed as returned. The exploration must detect each one.
 
 use coppercart::api::{Action, Micros, RequestId, ServerEntry, ServerId};
 use coppercart::settings::Settings;
 
-use crate::scenario::{Kind, START};
+use crate::scenario::{RequestKind, START};
 use crate::step::Ending;
 
-/// A fault in the path between world and balancer.
+/// A fault in the interface between world and balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// No timer runs out.
+    /// No timer expires.
     LosesTimers,
-    /// A timer that is set as another runs out does not run out.
+    /// A timer that is set while another one expires never expires.
     LosesFollowingTimers,
-    /// A time-out is told as a refusal by a full server.
+    /// A timeout is reported as a rejection by a full server.
     TimedOutAsFull,
-    /// A broken connection is told as one that was never made.
+    /// A broken connection is reported as a failed connection attempt.
     ResetAsConnectFailed,
-    /// An error answer is told as a refusal by a full server.
+    /// An error answer is reported as a rejection by a full server.
     ErrorAsFull,
-    /// A confirmed cancellation is told as an attempt that never went out.
+    /// A confirmed cancellation is reported as an attempt that was never sent.
     CancelledAsMoot,
-    /// The end of a cancelled attempt is not told.
+    /// The outcome of a cancelled attempt is not reported.
     ForgetsCancelledEnds,
-    /// An answer that went to the client is told as an error that did not.
+    /// An answer that went to the client is reported as an error that did not.
     ServedAsError,
-    /// Each failure goes out as a refusal.
+    /// Each failure reaches the client as a refusal.
     RefusesInsteadOfFailing,
-    /// Refusals do not go out.
+    /// Refusals do not reach the client.
     SwallowsRefusals,
-    /// Failures do not go out.
+    /// Failures do not reach the client.
     SwallowsFailures,
-    /// Failures go out twice.
+    /// Failures reach the client twice.
     FailsTwice,
-    /// Each send of an unsafe request goes out twice.
+    /// Each attempt of an unsafe request is sent twice.
     RepeatsUnsafeSends,
-    /// That a server drains is not told.
+    /// Draining servers are not reported.
     WithholdsDrains,
-    /// That a server is gone is not told.
+    /// Removed servers are not reported.
     WithholdsDepartures,
-    /// Each server is said to have started long ago.
+    /// Each server is reported as started long ago.
     HidesColdness,
-    /// All servers are said to be in one zone.
+    /// All servers are reported to be in one zone.
     HidesZones,
-    /// That a client has gone is not told.
+    /// Client departures are not reported.
     HidesDepartedClients,
-    /// That an answer or an upload has begun is not told.
+    /// The first byte of an answer or an upload is not reported.
     HidesFirstBytes,
-    /// The settings are told with more attempts.
+    /// The balancer's settings allow more attempts.
     RaisesAttempts,
-    /// The settings are told as if several attempts could be out.
+    /// The balancer's settings allow several concurrent attempts.
     AllowsCopies,
-    /// The settings are told with a longer window.
+    /// The balancer's settings have a longer deduplication window.
     WidensWindow,
     /// The balancer's clock stands still.
     StopsClock,
-    /// Ends of attempts are told of another server. Only the balancer's own check sees its counts.
+    /// Outcomes are reported for another server. Only the balancer's own invariant check sees the counts that this
+    /// corrupts.
     NamesOtherServer,
 }
 
 impl Mutant {
-    /// All of them.
+    /// All mutants.
     pub const ALL: [Mutant; 24] = [
         Mutant::LosesTimers,
         Mutant::LosesFollowingTimers,
@@ -89,7 +90,7 @@
         Mutant::NamesOtherServer,
     ];
 
-    /// The settings that the balancer gets.
+    /// Changes the settings that are passed to the balancer.
     pub fn settings(self, settings: &mut Settings) {
         match self {
             Mutant::RaisesAttempts => settings.limits.max_attempts += 4,
@@ -99,12 +100,12 @@
         }
     }
 
-    /// The time that the balancer is told.
+    /// Returns the time that is passed to the balancer.
     pub fn now(self, now: Micros) -> Micros {
         if self == Mutant::StopsClock { now.min(START) } else { now }
     }
 
-    /// The end that is told of an attempt. None: nothing is.
+    /// Returns the outcome that is reported for an attempt; `None`: the outcome is not reported.
     pub fn ending(self, ending: Ending, cancelled: bool) -> Option<Ending> {
         match (self, ending) {
             (Mutant::ForgetsCancelledEnds, _) if cancelled => None,
@@ -117,23 +118,23 @@
         }
     }
 
-    /// Whether it is told that the request has its final answer.
+    /// Returns the `finished` flag that is reported to the balancer.
     pub fn finished(self, finished: bool) -> bool {
         finished && self != Mutant::ServedAsError
     }
 
-    /// The server that an end is told of.
+    /// Returns the server that an outcome is reported for.
     pub fn server(self, server: ServerId) -> ServerId {
         if self == Mutant::NamesOtherServer { ServerId(server.0 + 1) } else { server }
     }
 
-    /// Whether the list is told to drain or to leave at all.
-    pub fn tells_list(self, drains: bool, leaves: bool) -> bool {
+    /// Returns whether a list entry that drains or is removed is reported at all.
+    pub fn reports_list_change(self, drains: bool, leaves: bool) -> bool {
         !(drains && self == Mutant::WithholdsDrains
             || leaves && self == Mutant::WithholdsDepartures)
     }
 
-    /// A line of the list as it is told.
+    /// Changes a list entry that is passed to the balancer.
     pub fn entry(self, entry: &mut ServerEntry) {
         match self {
             Mutant::HidesColdness => entry.started = 0,
@@ -142,15 +143,16 @@
         }
     }
 
-    /// Changes what the balancer said. `kind` tells of a request; `at_timer`: a timer had run out.
+    /// Changes the actions that the balancer returned. `kind` returns the kind of a request; `at_timer` is set if the
+    /// event was a timer.
     pub fn actions(
         self,
         actions: &mut Vec<Action>,
         at_timer: bool,
-        kind: impl Fn(RequestId) -> Option<Kind>,
+        kind: impl Fn(RequestId) -> Option<RequestKind>,
     ) {
-        let said = std::mem::take(actions);
-        for action in said {
+        let returned = std::mem::take(actions);
+        for action in returned {
             match (self, action) {
                 (Mutant::LosesTimers, Action::Timer { .. }) => {}
                 (Mutant::LosesFollowingTimers, Action::Timer { .. }) if at_timer => {}
@@ -163,7 +165,7 @@
                     actions.extend([Action::Fail { id }, Action::Fail { id }]);
                 }
                 (Mutant::RepeatsUnsafeSends, action @ Action::Send { id, .. })
-                    if kind(id) == Some(Kind::Unsafe) =>
+                    if kind(id) == Some(RequestKind::Unsafe) =>
                 {
                     actions.extend([action.clone(), action]);
                 }
--- a/crates/millethook-explore/src/scenario.rs
+++ b/crates/millethook-explore/src/scenario.rs
@@ -1,100 +1,100 @@
-//! What is explored: servers, requests, settings, and the bounds of the exploration.
+//! Scenarios: servers, requests and settings, and the bounds of the exploration.
 
 use coppercart::api::{Health, Micros, ServerEntry, ServerId};
 use coppercart::settings::{RetrySafety, Settings};
 use serde_json::json;
 
-/// A thousand microseconds.
+/// Microseconds per millisecond.
 pub const MS: Micros = 1_000;
-/// When the exploration begins, on the balancer's clock, after the warm-up.
+/// Start of the exploration on the balancer's clock, after the warm-up.
 pub const START: Micros = 1_000_000 * MS;
-/// Within so long of its instant a timer runs out: the platform's tick.
-pub const TIMER_LATE: Micros = 2 * MS;
-/// A final answer may come so long after its deadline: `rules.answerSlack`.
+/// Maximum delay of a timer: the platform's tick.
+pub const MAX_TIMER_DELAY: Micros = 2 * MS;
+/// How long after its deadline a final answer may come: `rules.answerSlack`.
 pub const ANSWER_SLACK: Micros = 8 * MS;
-/// An attempt's outcome is told at the latest so long after its time is over. Longer than the slack: a final answer
-/// must not depend on it.
-pub const OUTCOME_LATE: Micros = 20 * MS;
-/// A cancellation is confirmed at the latest so long after it was asked for: the driver drops the attempt's task.
-pub const CANCEL_LATE: Micros = 2 * MS;
-/// A draining server may be sent to for so long after discovery has told of it: `rules.stopSendingWithin`.
+/// Maximum delay of an attempt's outcome after its timeout. Longer than the slack, because a final answer must not
+/// depend on the outcome.
+pub const MAX_OUTCOME_DELAY: Micros = 20 * MS;
+/// Maximum delay of the confirmation of a cancellation, in which the driver drops the attempt's task.
+pub const MAX_CANCEL_DELAY: Micros = 2 * MS;
+/// How long a draining server may still get requests after discovery has reported it: `rules.stopSendingWithin`.
 pub const DRAIN_GRACE: Micros = 100 * MS;
-/// How long a server that has started counts as cold: `rules.cold`.
+/// How long a server counts as cold after its start: `rules.cold`.
 pub const COLD: Micros = 20_000 * MS;
 /// The share of its capacity that a server has when it starts: `rules.coldShare`.
 pub const COLD_SHARE: f64 = 0.2;
-/// How many times its present capacity a cold server bears: `rules.fallMultiple`.
+/// The multiple of its current capacity that a cold server tolerates: `rules.fallMultiple`.
 pub const FALL_MULTIPLE: f64 = 3.0;
-/// The classes' aim.
-pub const AIM: Micros = 200 * MS;
-/// How long a keyed request is remembered in its zone.
+/// The target latency of all classes.
+pub const TARGET_LATENCY: Micros = 200 * MS;
+/// How long the servers of a zone remember a keyed request.
 pub const WINDOW: Micros = 300 * MS;
 /// How long the clients wait.
 pub const DEADLINE: Micros = 500 * MS;
 
-/// The kinds of requests. Their order is that of the settings' classes.
+/// The kinds of requests, in the order of the settings' classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
-    /// May run any number of times.
+pub enum RequestKind {
+    /// It may be executed any number of times.
     Safe,
-    /// Repeats are discarded by the servers of its zone within [`WINDOW`].
+    /// Servers of its zone discard duplicates within [`WINDOW`].
     Keyed,
-    /// Must not run twice.
+    /// It must not be executed twice.
     Unsafe,
 }
 
-impl Kind {
-    /// All, in the order of the settings' classes.
-    pub const ALL: [Kind; 3] = [Kind::Safe, Kind::Keyed, Kind::Unsafe];
+impl RequestKind {
+    /// All kinds, in the order of the settings' classes.
+    pub const ALL: [RequestKind; 3] = [RequestKind::Safe, RequestKind::Keyed, RequestKind::Unsafe];
 
-    /// Its place among the settings' classes.
+    /// Returns its index among the settings' classes.
     pub fn class(self) -> usize {
         self as usize
     }
 
-    /// Its letter in the names of scenarios.
+    /// Returns its letter in the names of scenarios.
     fn letter(self) -> char {
         match self {
-            Kind::Safe => 's',
-            Kind::Keyed => 'k',
-            Kind::Unsafe => 'u',
+            RequestKind::Safe => 's',
+            RequestKind::Keyed => 'k',
+            RequestKind::Unsafe => 'u',
         }
     }
 }
 
-impl From<Kind> for RetrySafety {
-    fn from(kind: Kind) -> RetrySafety {
+impl From<RequestKind> for RetrySafety {
+    fn from(kind: RequestKind) -> RetrySafety {
         match kind {
-            Kind::Safe => RetrySafety::Safe,
-            Kind::Keyed => RetrySafety::Keyed,
-            Kind::Unsafe => RetrySafety::Unsafe,
+            RequestKind::Safe => RetrySafety::Safe,
+            RequestKind::Keyed => RetrySafety::Keyed,
+            RequestKind::Unsafe => RetrySafety::Unsafe,
         }
     }
 }
 
-/// A server as the exploration begins.
+/// The state of a server at the start of the exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begins {
-    /// Ready, for long.
+pub enum InitialState {
+    /// Ready, and started long ago.
     Warm,
-    /// Ready, and started as the exploration begins.
+    /// Ready, and started at the start of the exploration.
     Cold,
-    /// Draining since the exploration began.
+    /// Draining since the start of the exploration.
     Draining,
 }
 
 /// Settings that differ between scenarios. All others are those of [`Scenario::settings`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// `limits.mayDuplicate`: several attempts of a request may be out.
+    /// `limits.mayDuplicate`: several attempts of a request may be in flight.
     pub may_duplicate: bool,
     /// `failover.copyAtAim`.
     pub copy_at_aim: bool,
-    /// `limits.cancel`: attempts that are out can be cancelled.
+    /// `limits.cancel`: attempts in flight can be cancelled.
     pub cancel: bool,
-    /// Answers may be long, and bodies passed on: a first byte may come.
+    /// Answers may be streamed and bodies forwarded, so that first-byte events occur.
     pub streaming: bool,
-    /// `limits.maxAttempts`: attempts that a request may have.
+    /// `limits.maxAttempts`: maximum attempts of a request.
     pub max_attempts: usize,
 }
 
@@ -110,7 +110,7 @@
         ("streams", Options { copy_at_aim: true, streaming: true, ..Options::PLATFORM }),
     ];
 
-    /// As on the platform, without long answers.
+    /// The platform's settings, without streaming answers.
     pub const PLATFORM: Options = Options {
         may_duplicate: true,
         copy_at_aim: false,
@@ -120,33 +120,33 @@
     };
 }
 
-/// How far the exploration goes. Time passing, timers in their order, arrivals and the ends that the world owes
-/// (time-outs, confirmed cancellations) are not counted: they are bounded by what is there.
+/// Bounds of the exploration. Advancing time, timers in order, arrivals and due outcomes (timeouts, confirmed
+/// cancellations) are not counted, since the scenario itself bounds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Counted steps of a path: outcomes before the time-out, first bytes, list changes, clients that go, moments
-    /// in which something due is late. After the last one, the quiet course is played to its end.
+    /// Maximum counted steps of a path: outcomes before the timeout, first bytes, list changes, client departures, and
+    /// late timers or outcomes. After the last one, the path runs until the world is idle.
     pub events: u8,
-    /// Of these, list changes.
+    /// Maximum list changes among these.
     pub list_changes: u8,
-    /// Of these, moments in which a timer or an outcome that is due is late.
+    /// Maximum number of times among these that a due timer or outcome is late.
     pub late: u8,
-    /// States after which the exploration of one scenario and seed is cut, and says so.
+    /// Maximum states of one scenario and seed. The exploration stops there and reports that it was cut.
     pub states: usize,
 }
 
-/// One start of the exploration.
+/// The starting point of an exploration.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Of settings, servers and requests.
+    /// The name, composed of the names of settings, servers and requests.
     pub name: String,
-    /// The servers: each one's zone and how it begins. Its id is its place and 1.
-    pub servers: Vec<(u8, Begins)>,
-    /// The requests, in the order in which they come.
-    pub requests: Vec<Kind>,
-    /// The settings' variant.
+    /// The zone and the initial state of each server. The ID of a server is its index plus 1.
+    pub servers: Vec<(u8, InitialState)>,
+    /// The requests, in order of arrival.
+    pub requests: Vec<RequestKind>,
+    /// The variant of the settings.
     pub options: Options,
-    /// Served requests before the exploration begins. They save up the budget of retries.
+    /// Number of requests served before the exploration begins. They fill the retry budget.
     pub warm_up: u64,
 }
 
@@ -154,10 +154,10 @@
     /// The settings that the balancer gets.
     ///
     /// # Panics
-    /// If they are not sound, which a test shows not to be so.
+    /// Panics if the settings are invalid; a test shows that they are valid.
     pub fn settings(&self) -> Settings {
         let class = |name: &str, repeat: &str, scope: &str| {
-            json!({"name": name, "aim": AIM, "deadline": DEADLINE, "repeat": repeat, "dedupScope": scope,
+            json!({"name": name, "aim": TARGET_LATENCY, "deadline": DEADLINE, "repeat": repeat, "dedupScope": scope,
                    "window": WINDOW, "credit": 1.0, "lateWorth": 0.2, "streaming": self.options.streaming})
         };
         let settings = json!({
@@ -175,7 +175,7 @@
             "rules": {"answerSlack": ANSWER_SLACK, "cold": COLD, "coldShare": COLD_SHARE,
                       "fallMultiple": FALL_MULTIPLE, "mustAskIn": 10_000_000,
                       "stopSendingWithin": DRAIN_GRACE, "tipAfter": 2_000_000},
-            "tick": TIMER_LATE,
+            "tick": MAX_TIMER_DELAY,
             "zone": 0,
             "zones": ["a", "b"]
         });
@@ -183,26 +183,26 @@
             .expect("the scenario's settings are sound")
     }
 
-    /// A server's line of the list.
+    /// Returns the list entry of a server.
     pub fn entry(id: ServerId, zone: u8, health: Health, started: Micros) -> ServerEntry {
         ServerEntry { id, zone, kind: 0, cell: u16::from(zone), health, power: 1.0, started }
     }
 
-    /// The scenarios of so many servers (2 or 3) and requests (1 to 4): each variant of the settings, each set of
-    /// servers, each set of requests.
+    /// Returns the scenarios with this number of servers (2 or 3) and requests (1 to 4): each combination of a variant
+    /// of the settings, a set of servers and a set of requests.
     ///
     /// # Errors
-    /// A number that there are no scenarios for.
+    /// There are no scenarios for one of the numbers.
     pub fn all(servers: usize, requests: usize) -> Result<Vec<Scenario>, String> {
         let servers = server_sets(servers)?;
         let requests = request_sets(requests)?;
         let mut all = Vec::new();
         for (option, options) in Options::ALL {
-            for (place, servers) in &servers {
+            for (server_set, servers) in &servers {
                 for requests in &requests {
                     let letters: String = requests.iter().map(|kind| kind.letter()).collect();
                     all.push(Scenario {
-                        name: format!("{option}/{place}/{letters}"),
+                        name: format!("{option}/{server_set}/{letters}"),
                         servers: servers.clone(),
                         requests: requests.clone(),
                         options,
@@ -215,10 +215,10 @@
     }
 }
 
-type ServerSet = (&'static str, Vec<(u8, Begins)>);
+type ServerSet = (&'static str, Vec<(u8, InitialState)>);
 
 fn server_sets(count: usize) -> Result<Vec<ServerSet>, String> {
-    use Begins::{Cold, Draining, Warm};
+    use InitialState::{Cold, Draining, Warm};
     match count {
         2 => Ok(vec![
             ("one-zone", vec![(0, Warm), (0, Warm)]),
@@ -234,8 +234,8 @@
     }
 }
 
-fn request_sets(count: usize) -> Result<Vec<Vec<Kind>>, String> {
-    use Kind::{Keyed, Safe, Unsafe};
+fn request_sets(count: usize) -> Result<Vec<Vec<RequestKind>>, String> {
+    use RequestKind::{Keyed, Safe, Unsafe};
     match count {
         1 => Ok(vec![vec![Safe], vec![Keyed], vec![Unsafe]]),
         2 => {
--- a/crates/millethook-explore/src/search.rs
+++ b/crates/millethook-explore/src/search.rs
@@ -1,4 +1,5 @@
-//! All orders of steps from one start, depth first, within bounds; and many starts over several threads.
+//! Depth-first search over all orders of steps of a task, within bounds, and the distribution of many tasks over
+//! threads.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,19 +13,19 @@
 use crate::step::Step;
 use crate::world::World;
 
-/// One start.
+/// One exploration to run.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Servers, requests, settings.
+    /// The servers, requests and settings.
     pub scenario: Arc<Scenario>,
     /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// A fault that is put in.
+    /// The injected fault.
     pub mutant: Option<Mutant>,
 }
 
 impl Task {
-    /// Every scenario with every seed from 1 to `seeds`.
+    /// Returns a task for every scenario and every seed from 1 to `seeds`.
     pub fn all(scenarios: Vec<Scenario>, seeds: u64) -> Vec<Task> {
         let scenarios: Vec<_> = scenarios.into_iter().map(Arc::new).collect();
         let of = |seed| {
@@ -39,40 +40,40 @@
     }
 }
 
-/// A broken rule and the steps that led to it.
+/// A violated rule and the steps that led to it.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// From where.
+pub struct FoundViolation {
+    /// The task in which it was found.
     pub task: Task,
-    /// The steps; after them the quiet course.
+    /// The steps; [`World::run_until_idle`] follows them.
     pub steps: Vec<Step>,
-    /// What was broken.
+    /// The violation.
     pub finding: Finding,
 }
 
-/// What an exploration came to.
+/// The result of an exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Different states that were met.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Steps that were played.
+    /// Number of steps executed.
     pub steps: usize,
-    /// Steps that led to a state met before with as much left of the bounds.
+    /// Steps that led to a state that was visited before with at least as much of the bounds left.
     pub merged: usize,
-    /// Paths played to their end at rest.
+    /// Number of paths that were run until the world was idle.
     pub paths: usize,
-    /// The longest path.
+    /// Length of the longest path.
     pub longest: usize,
-    /// Starts whose exploration was cut at the bound of states: it is not exhaustive.
+    /// Number of tasks whose exploration stopped at the maximum number of states and so is not exhaustive.
     pub cut: usize,
-    /// Time, summed over threads.
+    /// Run time, summed over threads.
     pub time: Duration,
-    /// Broken rules: the first of each start.
-    pub found: Vec<Found>,
+    /// Violations: the first of each task.
+    pub found: Vec<FoundViolation>,
 }
 
 impl Report {
-    /// Adds another one.
+    /// Adds another report to this one.
     pub fn add(&mut self, other: Report) {
         self.states += other.states;
         self.steps += other.steps;
@@ -85,43 +86,43 @@
     }
 }
 
-/// Explores from one start, up to the first broken rule.
+/// Explores one task, up to the first violation.
 pub fn explore(task: &Task, bounds: &Bounds) -> Report {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut explorer = Explorer {
         bounds,
-        seen: FxHashMap::default(),
+        visited: FxHashMap::default(),
         path: Vec::new(),
         report: Report::default(),
     };
     let start = World::new(task.scenario.clone(), task.seed, task.mutant);
-    let broken = start.and_then(|world| explorer.visit(&world));
+    let result = start.and_then(|world| explorer.visit(&world));
     let mut report = explorer.report;
-    if let Err(finding) = broken {
-        report.found.push(Found { task: task.clone(), steps: explorer.path, finding });
+    if let Err(finding) = result {
+        report.found.push(FoundViolation { task: task.clone(), steps: explorer.path, finding });
     }
-    report.time = begun.elapsed();
+    report.time = started.elapsed();
     report
 }
 
-/// Explores from one start with 0, 1, 2 and more counted events, so that the first finding is one of the fewest.
-pub fn find_smallest(task: &Task, bounds: &Bounds) -> Option<Found> {
+/// Explores one task with 0, 1, 2 and more counted events, so that the first finding needs as few as possible.
+pub fn find_smallest(task: &Task, bounds: &Bounds) -> Option<FoundViolation> {
     let with = |events| Bounds { events, ..*bounds };
     (0..=bounds.events).find_map(|events| explore(task, &with(events)).found.pop())
 }
 
-/// Explores from all these starts on several threads. The sum does not depend on their number, but for the time.
+/// Explores all tasks on several threads. Except for the time, the sum does not depend on the number of threads.
 pub fn explore_all(tasks: &[Task], bounds: &Bounds, threads: usize) -> Report {
     let next = AtomicUsize::new(0);
     let work = || {
-        let mut mine = Vec::new();
+        let mut reports_of_thread = Vec::new();
         while let Some((n, task)) = {
             let n = next.fetch_add(1, Ordering::Relaxed);
             tasks.get(n).map(|task| (n, task))
         } {
-            mine.push((n, explore(task, bounds)));
+            reports_of_thread.push((n, explore(task, bounds)));
         }
-        mine
+        reports_of_thread
     };
     let mut reports: Vec<(usize, Report)> = std::thread::scope(|scope| {
         let running: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(work)).collect();
@@ -138,20 +139,20 @@
 
 struct Explorer<'a> {
     bounds: &'a Bounds,
-    /// States that were met, with one more than the most counted events that were left there.
-    seen: FxHashMap<u64, u8>,
+    /// Visited states, each with the largest number of counted events that were left there, plus one.
+    visited: FxHashMap<u64, u8>,
     path: Vec<Step>,
     report: Report,
 }
 
 impl Explorer<'_> {
-    /// Explores everything that can come after this state. On an error `path` leads to it.
+    /// Explores everything that can follow this state. On an error, `path` holds the steps that lead to it.
     fn visit(&mut self, world: &World) -> Result<(), Finding> {
         self.report.longest = self.report.longest.max(self.path.len());
         let steps = world.steps(self.bounds);
         if steps.is_empty() {
             self.report.paths += 1;
-            return world.clone().come_to_rest();
+            return world.clone().run_until_idle();
         }
         for step in steps {
             if self.report.states >= self.bounds.states {
@@ -170,10 +171,10 @@
         Ok(())
     }
 
-    /// Whether this state was not met before, or only with less left of the bounds.
+    /// Returns whether this state was not visited before, or only with less of the bounds left.
     fn is_new(&mut self, world: &World) -> bool {
         let left = self.bounds.events - world.used().events + 1;
-        let most = self.seen.entry(world.fingerprint()).or_insert(0);
+        let most = self.visited.entry(world.fingerprint()).or_insert(0);
         if *most >= left {
             self.report.merged += 1;
             return false;
--- a/crates/millethook-explore/src/step.rs
+++ b/crates/millethook-explore/src/step.rs
@@ -1,30 +1,30 @@
-//! What can happen next around the balancer.
+//! The steps that can happen next in the balancer's environment.
 
 use std::fmt;
 
-/// How an attempt ends, as the world knows it.
+/// The outcome of an attempt, as the world knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ending {
-    /// It ran, and its answer came.
+    /// It was executed, and its answer arrived.
     Served,
-    /// It ran, and an error answer came.
+    /// It was executed, and an error answer arrived.
     Error,
-    /// The server turned it away unseen.
+    /// The server rejected it without executing it.
     Full,
-    /// No connection: nothing went out.
+    /// The connection failed, so nothing was sent.
     ConnectFailed,
-    /// The connection broke. It is taken to have run.
+    /// The connection broke. It counts as executed.
     Reset,
-    /// It was held back before it could run.
+    /// It was withheld before it could be executed.
     Moot,
-    /// No answer within its time. It is taken to have run.
+    /// No answer arrived before its timeout. It counts as executed.
     TimedOut,
-    /// Its cancellation is confirmed. It is taken to have run.
+    /// Its cancellation is confirmed. It counts as executed.
     Cancelled,
 }
 
 impl Ending {
-    /// The ends that may come at any time while an attempt is out.
+    /// The outcomes that are possible at any time while an attempt is in flight.
     pub const AT_ANY_TIME: [Ending; 6] = [
         Ending::Served,
         Ending::Error,
@@ -34,31 +34,32 @@
         Ending::Moot,
     ];
 
-    /// Whether the attempt has surely not run. Of all others the worst is taken: that it did.
+    /// Returns whether the attempt certainly was not executed. All other attempts are assumed to have been executed,
+    /// which is the worst case.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
     }
 }
 
-/// A change of the list of servers, told as it happens.
+/// A change of the server list, reported when it happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ListChange {
-    /// It drains.
+    /// The server drains.
     Drains,
-    /// A whole list lacks it.
+    /// A whole list without the server is reported.
     Unlisted,
-    /// A change says that it is gone.
+    /// A change reports that the server was removed.
     Gone,
-    /// It is ready again, as a new process.
+    /// The server is ready again, as a new process.
     ReturnsCold,
-    /// It is gone, and a new server is in its place.
+    /// The server is removed, and a new server replaces it.
     Replaced,
-    /// It is ready as before, as a new process.
+    /// The server stays ready, but as a new process.
     Restarted,
 }
 
 impl ListChange {
-    /// All of them.
+    /// All list changes.
     pub const ALL: [ListChange; 6] = [
         ListChange::Drains,
         ListChange::Unlisted,
@@ -69,14 +70,14 @@
     ];
 }
 
-/// One step. Requests, their attempts and servers are named by their places from 0.
+/// One step. Requests, attempts and servers are identified by their index, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Time passes, up to the next moment that matters.
+    /// Time advances to the next relevant time.
     Advance,
-    /// The first of the timers that are due runs out.
+    /// The first of the due timers expires.
     Timer,
-    /// The next request comes.
+    /// The next request arrives.
     Arrive,
     /// An attempt ends.
     End {
@@ -84,33 +85,33 @@
         request: usize,
         /// The attempt.
         attempt: usize,
-        /// How.
+        /// Its outcome.
         ending: Ending,
     },
-    /// An attempt's long answer begins to come. It is the request's final answer.
+    /// The streaming answer of an attempt begins. It is the request's final answer.
     AnswerBegins {
         /// The request.
         request: usize,
         /// The attempt.
         attempt: usize,
     },
-    /// The request's body begins to be passed on, so that no other attempt can have it.
+    /// Forwarding of the request's body to an attempt begins, so that no other attempt can get the body.
     UploadBegins {
         /// The request.
         request: usize,
         /// The attempt.
         attempt: usize,
     },
-    /// The client goes away.
+    /// The client leaves.
     ClientGone {
         /// The request.
         request: usize,
     },
-    /// Discovery tells of a server.
+    /// Discovery reports a change of a server.
     List {
         /// The server.
         server: usize,
-        /// What it tells.
+        /// The change.
         change: ListChange,
     },
 }
--- a/crates/millethook-explore/src/world.rs
+++ b/crates/millethook-explore/src/world.rs
@@ -1,5 +1,5 @@
-//! One balancer and everything around it, on a virtual clock: the world names what could come next, plays one of it, and
-//! judges what the balancer makes of it.
+//! One balancer and its environment on a virtual clock: the world lists the possible next steps, executes one of them,
+//! and checks the balancer's actions.
 
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,39 +15,39 @@
 
 use crate::judge::{self, Finding, Rule, Verdict};
 use crate::mutant::Mutant;
+use crate::records::{Attempt, AttemptProgress, Request, Server, ServerStatus};
 use crate::scenario::{
-    Begins, Bounds, CANCEL_LATE, DEADLINE, DRAIN_GRACE, Kind, MS, OUTCOME_LATE, START, Scenario,
-    TIMER_LATE, WINDOW,
+    Bounds, DEADLINE, DRAIN_GRACE, InitialState, MAX_CANCEL_DELAY, MAX_OUTCOME_DELAY,
+    MAX_TIMER_DELAY, MS, RequestKind, START, Scenario, WINDOW,
 };
 use crate::step::{Ending, ListChange, Step};
-use crate::truth::{Attempt, Course, Request, Server, Standing};
 
 mod actions;
 mod play;
 mod steps;
 mod warm_up;
 
-/// Numbers of the requests of the warm-up begin here.
-const WARM_UP_IDS: u64 = 1_000_000;
-/// The time between requests of the warm-up: a quiet sidecar.
-const WARM_UP_GAP: Micros = 60 * MS;
-/// The answer time in the warm-up.
-const WARM_UP_ANSWER: Micros = 20 * MS;
-/// Steps of the quiet course after which the world counts as one that never comes to rest.
-const REST_AFTER: usize = 10_000;
+/// First request ID of the warm-up.
+const FIRST_WARM_UP_ID: u64 = 1_000_000;
+/// The interval between requests of the warm-up, as at a sidecar with little load.
+const WARM_UP_INTERVAL: Micros = 60 * MS;
+/// The latency of answers in the warm-up.
+const WARM_UP_LATENCY: Micros = 20 * MS;
+/// Steps of [`World::run_until_idle`] after which the world counts as never becoming idle.
+const MAX_STEPS_UNTIL_IDLE: usize = 10_000;
 
-/// What of the bounds a path has used.
+/// How much of the bounds a path has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Used {
-    /// Counted steps.
+pub struct BoundsUsed {
+    /// Counted steps so far.
     pub events: u8,
-    /// List changes.
+    /// List changes so far.
     pub list_changes: u8,
-    /// Moments in which something due was late.
+    /// How often a due timer or outcome was late.
     pub late: u8,
 }
 
-/// One balancer and everything around it.
+/// One balancer and its environment.
 #[derive(Clone, Debug)]
 pub struct World {
     scenario: Arc<Scenario>,
@@ -57,16 +57,16 @@
     timers: BTreeSet<(Micros, u32)>,
     requests: Vec<Request>,
     servers: Vec<Server>,
-    used: Used,
-    /// What happened, for readers. None: nobody reads.
+    used: BoundsUsed,
+    /// A readable log of the steps; `None` if it is not recorded.
     log: Option<Vec<String>>,
 }
 
 impl World {
-    /// The world as the exploration begins: the warm-up is over and everything is at rest.
+    /// Creates the world at the start of the exploration: the warm-up is over and nothing is in progress.
     ///
     /// # Errors
-    /// The balancer panicked, or its own check failed, before anything was explored.
+    /// The balancer panicked or its own invariant check failed during the warm-up.
     pub fn new(
         scenario: Arc<Scenario>,
         seed: u64,
@@ -76,36 +76,36 @@
         if let Some(mutant) = mutant {
             mutant.settings(&mut settings);
         }
-        let begun = START - (scenario.warm_up + 1) * WARM_UP_GAP - DEADLINE;
-        let servers = scenario.servers.iter().zip(1..).map(|(&(zone, begins), id)| Server {
+        let warm_up_start = START - (scenario.warm_up + 1) * WARM_UP_INTERVAL - DEADLINE;
+        let servers = scenario.servers.iter().zip(1..).map(|(&(zone, initial), id)| Server {
             id: ServerId(id),
             zone,
-            standing: if begins == Begins::Draining {
-                Standing::Draining(START)
+            status: if initial == InitialState::Draining {
+                ServerStatus::Draining(START)
             } else {
-                Standing::Ready
+                ServerStatus::Ready
             },
-            started: if begins == Begins::Cold { START } else { 0 },
+            started: if initial == InitialState::Cold { START } else { 0 },
             sends: 0,
         });
         let mut world = World {
-            balancer: Balancer::new(settings, seed, begun),
-            now: begun,
+            balancer: Balancer::new(settings, seed, warm_up_start),
+            now: warm_up_start,
             timers: BTreeSet::new(),
             requests: Vec::new(),
             servers: servers.collect(),
-            used: Used::default(),
+            used: BoundsUsed::default(),
             log: None,
             mutant,
             scenario,
         };
         world.warm_up()?;
-        let told: Vec<_> = world.servers.iter().map(World::entry).collect();
-        world.list(ListKind::Whole, told)?;
+        let reported: Vec<_> = world.servers.iter().map(World::entry).collect();
+        world.list(ListKind::Whole, reported)?;
         Ok(world)
     }
 
-    fn new_request(id: RequestId, kind: Kind) -> NewRequest {
+    fn new_request(id: RequestId, kind: RequestKind) -> NewRequest {
         let (class, left) = (kind.class(), DEADLINE);
         NewRequest {
             id,
@@ -131,48 +131,48 @@
     }
 
     fn entry(server: &Server) -> ServerEntry {
-        let health = match server.standing {
-            Standing::Ready => Health::Ready,
-            Standing::Draining(_) => Health::Draining,
-            Standing::Gone => Health::Gone,
+        let health = match server.status {
+            ServerStatus::Ready => Health::Ready,
+            ServerStatus::Draining(_) => Health::Draining,
+            ServerStatus::Gone => Health::Gone,
         };
         Scenario::entry(server.id, server.zone, health, server.started)
     }
 
-    /// Writes down from here on what happens.
-    pub fn record(&mut self) {
+    /// Starts recording the log of steps.
+    pub fn start_recording(&mut self) {
         self.log = Some(Vec::new());
     }
 
-    /// What has been written down.
-    pub fn recorded(&self) -> &[String] {
+    /// Returns the recorded log.
+    pub fn log_lines(&self) -> &[String] {
         self.log.as_deref().unwrap_or_default()
     }
 
-    fn note(&mut self, line: impl FnOnce() -> String) {
+    fn log_line(&mut self, line: impl FnOnce() -> String) {
         if let Some(log) = &mut self.log {
             let since = self.now - START;
             log.push(format!("{:>4}.{:03} ms  {}", since / MS, since % MS, line()));
         }
     }
 
-    /// What the path has used of its bounds.
-    pub fn used(&self) -> Used {
+    /// Returns how much of its bounds the path has used.
+    pub fn used(&self) -> BoundsUsed {
         self.used
     }
 
-    /// The requests that have come, by the world's books.
+    /// Returns the requests that have arrived, from the world's records.
     pub fn requests(&self) -> &[Request] {
         &self.requests
     }
 
-    /// The servers, by the world's books.
+    /// Returns the servers, from the world's records.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
 
-    /// A number for this state: of balancer, books, timers, clock and bounds. Two states of one scenario that differ
-    /// have the same one by chance alone (one pair in 2^64).
+    /// Returns a hash of the state of balancer, records, timers, clock and bounds. Two different states of one scenario
+    /// collide only by chance (one pair in 2^64).
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.balancer.fingerprint(&mut hasher);
@@ -181,8 +181,8 @@
         hasher.finish()
     }
 
-    /// All of the state but the count of events, as text: what [`World::fingerprint`] stands for.
-    pub fn shown(&self) -> String {
+    /// Returns the whole state except the event count as text: the state that [`World::fingerprint`] hashes.
+    pub fn state_text(&self) -> String {
         let World { balancer, now, timers, requests, servers, used, .. } = self;
         let (list_changes, late) = (used.list_changes, used.late);
         format!("{balancer:?} {now} {timers:?} {requests:?} {servers:?} {list_changes} {late}")
--- a/crates/millethook-explore/src/world/actions.rs
+++ b/crates/millethook-explore/src/world/actions.rs
@@ -1,4 +1,4 @@
-//! What the balancer makes of it: each action is judged and carried out.
+//! Checks and executes the balancer's actions.
 
 use super::*;
 
@@ -7,7 +7,7 @@
         let mut actions = Vec::new();
         let now = self.mutant.map_or(self.now, |mutant| mutant.now(self.now));
         let balancer = &mut self.balancer;
-        // After a panic the world is not used any more.
+        // `AssertUnwindSafe` is sound because the world is not used after a panic.
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions)));
         if handled.is_err() {
             return Err(Finding {
@@ -18,8 +18,8 @@
         Ok(actions)
     }
 
-    /// The balancer's own check, after the independent judges have seen what it did.
-    pub(super) fn own_check(&self) -> Verdict {
+    /// Runs the balancer's own invariant check, after the independent checks of its actions.
+    pub(super) fn check_balancer(&self) -> Verdict {
         let own =
             |violation: Violation| Finding { rule: Rule::OwnCheck, found: violation.to_string() };
         self.balancer.check_invariants().map_err(own)
@@ -32,26 +32,28 @@
             let kind = |id: RequestId| self.requests.get(id.0 as usize).map(|request| request.kind);
             mutant.actions(&mut actions, at_timer, kind);
         }
-        actions.into_iter().try_for_each(|action| self.carry_out(action))?;
-        self.own_check()
+        actions.into_iter().try_for_each(|action| self.execute(action))?;
+        self.check_balancer()
     }
 
-    pub(super) fn carry_out(&mut self, action: Action) -> Verdict {
+    pub(super) fn execute(&mut self, action: Action) -> Verdict {
         match action {
             Action::Send { id, server, timeout, commit_within } => {
-                self.note(|| format!("    -> sends request {} to server {}", id.0, server.0 - 1));
+                self.log_line(|| {
+                    format!("    -> sends request {} to server {}", id.0, server.0 - 1)
+                });
                 self.send(id, server, judge::Send { now: self.now, timeout, commit_within })
             }
             Action::Refuse { id, .. } => {
-                self.note(|| format!("    -> refuses request {}", id.0));
+                self.log_line(|| format!("    -> refuses request {}", id.0));
                 self.final_answer(id, true)
             }
             Action::Fail { id } => {
-                self.note(|| format!("    -> fails request {}", id.0));
+                self.log_line(|| format!("    -> fails request {}", id.0));
                 self.final_answer(id, false)
             }
             Action::Cancel { id, attempt } => {
-                self.note(|| format!("    -> cancels request {}, attempt {attempt}", id.0));
+                self.log_line(|| format!("    -> cancels request {}, attempt {attempt}", id.0));
                 self.cancel(id, attempt)
             }
             Action::Timer { delay, token } => {
@@ -83,7 +85,7 @@
             until: send.now + send.timeout,
             commit_by: send.now + send.commit_within,
             cancelled: None,
-            course: Course::Out,
+            course: AttemptProgress::Out,
         });
         self.servers[position].sends += 1;
         Ok(())
@@ -101,8 +103,8 @@
         let request = self.request_of(id)?;
         match request.attempts.get_mut(attempt) {
             Some(attempt) => {
-                // What is passed on from side to side is not cut by the decisions.
-                if attempt.course == Course::Out {
+                // The decisions do not interrupt an answer that is being forwarded to the client.
+                if attempt.course == AttemptProgress::Out {
                     attempt.cancelled.get_or_insert(now);
                 }
                 Ok(())
--- a/crates/millethook-explore/src/world/play.rs
+++ b/crates/millethook-explore/src/world/play.rs
@@ -1,13 +1,13 @@
-//! What comes: plays one step, and tells the balancer of it.
+//! Executes a step and reports it to the balancer.
 
 use super::*;
 
 impl World {
-    /// Plays a step that could come next. False: it could not.
+    /// Executes a step if it is possible next. Returns false if it is not.
     ///
     /// # Errors
-    /// The rule that is broken by what the balancer made of it.
-    pub fn take(&mut self, step: Step, bounds: &Bounds) -> Result<bool, Finding> {
+    /// The balancer's reaction violates a rule.
+    pub fn try_play(&mut self, step: Step, bounds: &Bounds) -> Result<bool, Finding> {
         if !self.steps(bounds).contains(&step) {
             return Ok(false);
         }
@@ -15,14 +15,14 @@
         Ok(true)
     }
 
-    /// Plays one of [`World::steps`].
+    /// Executes one of [`World::steps`].
     ///
     /// # Errors
-    /// The rule that is broken by what the balancer made of it.
+    /// The balancer's reaction violates a rule.
     pub fn play(&mut self, step: Step) -> Verdict {
-        self.count(step);
+        self.count_step(step);
         if step != Step::Advance {
-            self.note(|| step.to_string());
+            self.log_line(|| step.to_string());
         }
         match step {
             Step::Advance => self.advance()?,
@@ -34,20 +34,20 @@
                 self.requests[request].uploading = Some(attempt);
                 self.first_byte(request, attempt)?;
             }
-            Step::ClientGone { request } => self.client_gone(request)?,
+            Step::ClientGone { request } => self.client_leaves(request)?,
             Step::List { server, change } => self.list_change(server, change)?,
         }
-        if self.at_rest() {
-            judge::at_rest(&self.requests, self.balancer.open_requests(), self.timers.len())?;
+        if self.is_idle() {
+            judge::check_idle(&self.requests, self.balancer.open_requests(), self.timers.len())?;
         }
         Ok(())
     }
 
-    /// Puts a step on the path's account.
-    pub(super) fn count(&mut self, step: Step) {
-        let owed = match step {
+    /// Counts a step against the path's bounds.
+    pub(super) fn count_step(&mut self, step: Step) {
+        let uncounted = match step {
             Step::Advance => {
-                let late = u8::from(self.due());
+                let late = u8::from(self.has_due_event());
                 self.used.late += late;
                 late == 0
             }
@@ -55,7 +55,7 @@
             Step::End { request, attempt, ending } => {
                 let state = &self.requests[request].attempts[attempt];
                 let expected = matches!(ending, Ending::TimedOut | Ending::Cancelled);
-                expected && self.owed(state)
+                expected && self.outcome_due(state)
             }
             Step::List { .. } => {
                 self.used.list_changes += 1;
@@ -63,35 +63,35 @@
             }
             _ => false,
         };
-        self.used.events += u8::from(!owed);
+        self.used.events += u8::from(!uncounted);
     }
 
-    /// The quiet course: no more events; what is due comes at its time until everything is at rest.
+    /// Runs without further counted events until the world is idle: everything due happens at its time.
     ///
     /// # Errors
-    /// The rule that is broken on the way, or at rest.
-    pub fn come_to_rest(&mut self) -> Verdict {
-        for _ in 0..REST_AFTER {
-            if self.at_rest() {
+    /// A rule is violated on the way, or once the world is idle.
+    pub fn run_until_idle(&mut self) -> Verdict {
+        for _ in 0..MAX_STEPS_UNTIL_IDLE {
+            if self.is_idle() {
                 return Ok(());
             }
-            let step = self.quiet_step();
+            let step = self.step_without_event();
             self.play(step)?;
         }
-        Err(Finding { rule: Rule::NothingLeft, found: "it never comes to rest".to_owned() })
+        Err(Finding { rule: Rule::NothingLeft, found: "the world does not become idle".to_owned() })
     }
 
-    pub(super) fn quiet_step(&self) -> Step {
+    pub(super) fn step_without_event(&self) -> Step {
         if self.timers.first().is_some_and(|(at, _)| *at <= self.now) {
             return Step::Timer;
         }
-        let owed = self.attempts().find(|(_, _, attempt)| self.owed(attempt));
-        if let Some((request, attempt, state)) = owed {
+        let due_attempt = self.attempts().find(|(_, _, attempt)| self.outcome_due(attempt));
+        if let Some((request, attempt, state)) = due_attempt {
             let ending =
                 if state.cancelled.is_some() { Ending::Cancelled } else { Ending::TimedOut };
             return Step::End { request, attempt, ending };
         }
-        let answering = self.attempts().find(|(_, _, a)| a.course == Course::Answering);
+        let answering = self.attempts().find(|(_, _, a)| a.course == AttemptProgress::Answering);
         match answering {
             Some((request, attempt, _)) => Step::End { request, attempt, ending: Ending::Reset },
             None => Step::Advance,
@@ -100,11 +100,11 @@
 
     pub(super) fn advance(&mut self) -> Verdict {
         let Some(next) = self.next_moment() else {
-            let found = "nothing is due, and something is out".to_owned();
+            let found = "nothing is due, but an attempt is in flight".to_owned();
             return Err(Finding { rule: Rule::NothingLeft, found });
         };
         self.now = next;
-        self.requests.iter().try_for_each(|request| judge::in_time(request, next))
+        self.requests.iter().try_for_each(|request| judge::check_deadline(request, next))
     }
 
     pub(super) fn timer(&mut self) -> Verdict {
@@ -135,7 +135,7 @@
         let now = self.now;
         let request = &mut self.requests[r];
         let attempt = &mut request.attempts[n];
-        attempt.course = Course::Ended { never_ran: ending.proves_not_run(), at: now };
+        attempt.course = AttemptProgress::Ended { never_ran: ending.proves_not_run(), at: now };
         let (server, latency, cancelled) =
             (attempt.server, now - attempt.sent, attempt.cancelled.is_some());
         if request.answering == Some(n) {
@@ -144,24 +144,24 @@
         if ending == Ending::Served && !request.is_ended() {
             request.finals = 1;
         }
-        // While a long answer is coming in, the request is not over.
+        // A request with a streaming answer in progress is not finished.
         let finished = request.is_ended() && request.answering.is_none();
         let id = request.id;
-        let told = match self.mutant {
+        let reported = match self.mutant {
             Some(mutant) => mutant.ending(ending, cancelled),
             None => Some(ending),
         };
-        let Some(told) = told else { return Ok(()) };
+        let Some(reported) = reported else { return Ok(()) };
         let finished = self.mutant.map_or(finished, |mutant| mutant.finished(finished));
         let server = self.mutant.map_or(server, |mutant| mutant.server(server));
-        self.deliver(World::answer(id, n, server, outcome(told), latency, finished))
+        self.deliver(World::answer(id, n, server, outcome(reported), latency, finished))
     }
 
     pub(super) fn answer_begins(&mut self, r: usize, n: usize) -> Verdict {
         let request = &mut self.requests[r];
         request.finals = 1;
         request.answering = Some(n);
-        request.attempts[n].course = Course::Answering;
+        request.attempts[n].course = AttemptProgress::Answering;
         self.first_byte(r, n)
     }
 
@@ -172,8 +172,8 @@
         self.deliver(Event::FirstByte { id: self.requests[r].id, attempt })
     }
 
-    /// As the driver does it: what is being passed on is cut there, and the decisions are not asked.
-    pub(super) fn client_gone(&mut self, r: usize) -> Verdict {
+    /// As in the driver: an answer that is being forwarded is cut off without consulting the decisions.
+    pub(super) fn client_leaves(&mut self, r: usize) -> Verdict {
         let now = self.now;
         let request = &mut self.requests[r];
         request.gone = true;
@@ -195,35 +195,36 @@
         let server = &mut self.servers[position];
         let restart = |server: &mut Server| (server.started, server.sends) = (now, 0);
         match change {
-            ListChange::Drains => server.standing = Standing::Draining(now),
+            ListChange::Drains => server.status = ServerStatus::Draining(now),
             ListChange::Unlisted | ListChange::Gone | ListChange::Replaced => {
-                server.standing = Standing::Gone;
+                server.status = ServerStatus::Gone;
             }
             ListChange::Restarted => restart(server),
             ListChange::ReturnsCold => {
-                server.standing = Standing::Ready;
+                server.status = ServerStatus::Ready;
                 restart(server);
             }
         }
-        let mut told = vec![World::entry(server)];
+        let mut reported = vec![World::entry(server)];
         if change == ListChange::Replaced {
             let id = ServerId(self.servers.len() as u64 + 1);
             let zone = self.servers[position].zone;
-            let fresh = Server { id, zone, standing: Standing::Ready, started: now, sends: 0 };
-            told.push(World::entry(&fresh));
-            self.servers.push(fresh);
+            let replacement =
+                Server { id, zone, status: ServerStatus::Ready, started: now, sends: 0 };
+            reported.push(World::entry(&replacement));
+            self.servers.push(replacement);
         }
-        let gone = self.servers[position].standing == Standing::Gone;
+        let gone = self.servers[position].status == ServerStatus::Gone;
         let drains = change == ListChange::Drains;
-        if self.mutant.is_some_and(|mutant| !mutant.tells_list(drains, gone)) {
+        if self.mutant.is_some_and(|mutant| !mutant.reports_list_change(drains, gone)) {
             return Ok(());
         }
         if change == ListChange::Unlisted {
-            let listed = self.servers.iter().filter(|server| server.standing != Standing::Gone);
-            let told = listed.map(World::entry).collect();
-            return self.list(ListKind::Whole, told);
+            let listed = self.servers.iter().filter(|server| server.status != ServerStatus::Gone);
+            let reported = listed.map(World::entry).collect();
+            return self.list(ListKind::Whole, reported);
         }
-        self.list(ListKind::Changes, told)
+        self.list(ListKind::Changes, reported)
     }
 
     pub(super) fn list(&mut self, kind: ListKind, mut entries: Vec<ServerEntry>) -> Verdict {
@@ -234,7 +235,7 @@
     }
 }
 
-/// An end as the balancer's interface has it.
+/// Converts an outcome to the balancer's type.
 fn outcome(ending: Ending) -> Outcome {
     match ending {
         Ending::Served => Outcome::Served,
--- a/crates/millethook-explore/src/world/steps.rs
+++ b/crates/millethook-explore/src/world/steps.rs
@@ -1,27 +1,28 @@
-//! What could come next, within the bounds.
+//! The steps that are possible next, within the bounds.
 
 use super::*;
 
 impl World {
-    /// Whether an attempt is owed its end: its time is over, or it was told to be cancelled.
-    pub(super) fn owed(&self, attempt: &Attempt) -> bool {
-        attempt.course == Course::Out && (attempt.cancelled.is_some() || self.now >= attempt.until)
+    /// Returns whether the outcome of an attempt is due: it has timed out, or its cancellation was requested.
+    pub(super) fn outcome_due(&self, attempt: &Attempt) -> bool {
+        attempt.course == AttemptProgress::Out
+            && (attempt.cancelled.is_some() || self.now >= attempt.until)
     }
 
-    /// Whether something is due now.
-    pub(super) fn due(&self) -> bool {
+    /// Returns whether a timer or an outcome is due now.
+    pub(super) fn has_due_event(&self) -> bool {
         let timer = self.timers.first().is_some_and(|(at, _)| *at <= self.now);
-        timer || self.attempts().any(|(_, _, attempt)| self.owed(attempt))
+        timer || self.attempts().any(|(_, _, attempt)| self.outcome_due(attempt))
     }
 
-    /// Each attempt, with the places of its request and of itself.
+    /// Returns each attempt with the index of its request and its own index.
     pub(super) fn attempts(&self) -> impl Iterator<Item = (usize, usize, &Attempt)> {
         self.requests.iter().enumerate().flat_map(|(r, request)| {
             request.attempts.iter().enumerate().map(move |(n, attempt)| (r, n, attempt))
         })
     }
 
-    /// The next moment that matters. None: there is none, or what is due has to come first.
+    /// Returns the next relevant time. `None` if there is none, or if something due must happen first.
     pub(super) fn next_moment(&self) -> Option<Micros> {
         let now = self.now;
         let mut next = Micros::MAX;
@@ -32,31 +33,33 @@
             }
         };
         let mut limit = |moment: Micros| last = last.min(moment);
-        for &(due, _) in &self.timers {
-            at(due);
-            if due <= now {
-                at(due + TIMER_LATE);
+        for &(expires, _) in &self.timers {
+            at(expires);
+            if expires <= now {
+                at(expires + MAX_TIMER_DELAY);
             }
-            limit(due + TIMER_LATE);
+            limit(expires + MAX_TIMER_DELAY);
         }
         for request in &self.requests {
-            for attempt in request.attempts.iter().filter(|attempt| attempt.course == Course::Out) {
+            for attempt in
+                request.attempts.iter().filter(|attempt| attempt.course == AttemptProgress::Out)
+            {
                 at(attempt.until);
                 if attempt.until <= now {
-                    at(attempt.until + OUTCOME_LATE);
+                    at(attempt.until + MAX_OUTCOME_DELAY);
                 }
-                limit(attempt.until + OUTCOME_LATE);
+                limit(attempt.until + MAX_OUTCOME_DELAY);
                 if let Some(cancelled_at) = attempt.cancelled {
-                    at(cancelled_at + CANCEL_LATE);
-                    limit(cancelled_at + CANCEL_LATE);
+                    at(cancelled_at + MAX_CANCEL_DELAY);
+                    limit(cancelled_at + MAX_CANCEL_DELAY);
                 }
             }
-            if request.kind == Kind::Keyed && !request.is_ended() {
+            if request.kind == RequestKind::Keyed && !request.is_ended() {
                 request.attempts.iter().for_each(|attempt| at(attempt.sent + WINDOW));
             }
         }
         for server in &self.servers {
-            if let Standing::Draining(since) = server.standing {
+            if let ServerStatus::Draining(since) = server.status {
                 at(since + DRAIN_GRACE);
                 at(since + DRAIN_GRACE + 1);
             }
@@ -64,10 +67,10 @@
         (next <= last && next < Micros::MAX).then_some(next)
     }
 
-    /// Everything that could come next, within the bounds.
+    /// Returns all steps that are possible next, within the bounds.
     pub fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps = Vec::new();
-        let more = self.used.events < bounds.events;
+        let events_left = self.used.events < bounds.events;
         if self.timers.first().is_some_and(|(at, _)| *at <= self.now) {
             steps.push(Step::Timer);
         }
@@ -75,16 +78,16 @@
             steps.push(Step::Arrive);
         }
         for (request, n, attempt) in self.attempts() {
-            self.attempt_steps(request, n, attempt, more, &mut steps);
+            self.attempt_steps(request, n, attempt, events_left, &mut steps);
         }
-        if more {
+        if events_left {
             self.client_steps(&mut steps);
             if self.used.list_changes < bounds.list_changes {
                 self.list_steps(&mut steps);
             }
         }
-        let late_too = more && self.used.late < bounds.late;
-        if self.next_moment().is_some() && (late_too || !self.due()) {
+        let may_be_late = events_left && self.used.late < bounds.late;
+        if self.next_moment().is_some() && (may_be_late || !self.has_due_event()) {
             steps.push(Step::Advance);
         }
         steps
@@ -95,35 +98,38 @@
         request: usize,
         attempt: usize,
         state: &Attempt,
-        more: bool,
+        events_left: bool,
         steps: &mut Vec<Step>,
     ) {
         let end = |ending| Step::End { request, attempt, ending };
-        let of = &self.requests[request];
+        let request_state = &self.requests[request];
         match state.course {
-            Course::Ended { .. } => {}
-            Course::Answering if more => {
+            AttemptProgress::Ended { .. } => {}
+            AttemptProgress::Answering if events_left => {
                 steps.extend([Ending::Served, Ending::Reset].map(end));
                 if state.cancelled.is_some() {
                     steps.push(end(Ending::Cancelled));
                 }
             }
-            Course::Answering => {}
-            Course::Out => {
-                let uploading = of.uploading == Some(attempt);
+            AttemptProgress::Answering => {}
+            AttemptProgress::Out => {
+                let uploading = request_state.uploading == Some(attempt);
                 if state.cancelled.is_some() {
                     steps.push(end(Ending::Cancelled));
                 }
-                if self.now >= state.until || uploading && more {
+                if self.now >= state.until || uploading && events_left {
                     steps.push(end(Ending::TimedOut));
                 }
-                if !more {
+                if !events_left {
                     return;
                 }
                 steps.extend(Ending::AT_ANY_TIME.map(end));
-                if self.scenario.options.streaming && !of.is_ended() && of.answering.is_none() {
+                if self.scenario.options.streaming
+                    && !request_state.is_ended()
+                    && request_state.answering.is_none()
+                {
                     steps.push(Step::AnswerBegins { request, attempt });
-                    if of.uploading.is_none() && state.cancelled.is_none() {
+                    if request_state.uploading.is_none() && state.cancelled.is_none() {
                         steps.push(Step::UploadBegins { request, attempt });
                     }
                 }
@@ -142,23 +148,23 @@
     pub(super) fn list_steps(&self, steps: &mut Vec<Step>) {
         for (server, state) in self.servers.iter().enumerate() {
             for change in ListChange::ALL {
-                let well = state.standing == Standing::Ready;
-                let fits = match change {
-                    ListChange::Drains | ListChange::Restarted => well,
+                let is_ready = state.status == ServerStatus::Ready;
+                let possible = match change {
+                    ListChange::Drains | ListChange::Restarted => is_ready,
                     ListChange::Unlisted | ListChange::Gone | ListChange::Replaced => {
-                        state.standing != Standing::Gone
+                        state.status != ServerStatus::Gone
                     }
-                    ListChange::ReturnsCold => !well,
+                    ListChange::ReturnsCold => !is_ready,
                 };
-                if fits {
+                if possible {
                     steps.push(Step::List { server, change });
                 }
             }
         }
     }
 
-    /// Whether nothing is out and no timer is set: nothing more comes by itself.
-    pub fn at_rest(&self) -> bool {
+    /// Returns whether no attempt is in flight and no timer is set, so that nothing more happens by itself.
+    pub fn is_idle(&self) -> bool {
         self.timers.is_empty() && !self.attempts().any(|(_, _, attempt)| attempt.is_out())
     }
 }
--- a/crates/millethook-explore/tests/it/main.rs
+++ b/crates/millethook-explore/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The exploration of the decisions, in one program.
+//! Tests of the exploration, in one test binary.
 
 mod cold;
 mod exploration;
--- a/crates/millethook-model/src/fleet/driver.rs
+++ b/crates/millethook-model/src/fleet/driver.rs
@@ -1,7 +1,7 @@
 //! Passes events to the decisions and executes the actions that they return, as the engine's driver does.
 
 use coppercart::api::{Action, Event, LoadReport, Micros, Outcome, RequestId, ServerId};
-use millethook_explore::scenario::Kind;
+use millethook_explore::scenario::RequestKind;
 use millethook_explore::step::Ending;
 
 use super::Fleet;
@@ -34,11 +34,11 @@
         self.actions = actions;
     }
 
-    fn kind(&self, class: usize) -> Kind {
+    fn kind(&self, class: usize) -> RequestKind {
         match self.plan.classes[class].effect {
-            Effect::Safe => Kind::Safe,
-            Effect::Keyed => Kind::Keyed,
-            Effect::Unsafe => Kind::Unsafe,
+            Effect::Safe => RequestKind::Safe,
+            Effect::Keyed => RequestKind::Keyed,
+            Effect::Unsafe => RequestKind::Unsafe,
         }
     }
 
--- a/crates/millethook-model/src/fleet/network.rs
+++ b/crates/millethook-model/src/fleet/network.rs
@@ -1,7 +1,7 @@
 //! Transport of attempts to servers and of answers back.
 
 use coppercart::api::ServerId;
-use millethook_explore::scenario::OUTCOME_LATE;
+use millethook_explore::scenario::MAX_OUTCOME_DELAY;
 use millethook_explore::step::Ending;
 
 use super::Fleet;
@@ -61,7 +61,7 @@
                 .schedule(now, ScheduledEvent::AttemptEnded(instance, id, Ending::Moot, [0.0; 2]));
         }
         let random = &mut self.sidecars[sidecar].network;
-        let late = if random.chance(IN_TIME) { 0 } else { random.up_to(OUTCOME_LATE) };
+        let late = if random.chance(IN_TIME) { 0 } else { random.up_to(MAX_OUTCOME_DELAY) };
         self.queue.schedule(
             now + timeout + late,
             ScheduledEvent::AttemptEnded(instance, id, Ending::TimedOut, [0.0; 2]),
--- a/crates/millethook-model/src/injected_fault.rs
+++ b/crates/millethook-model/src/injected_fault.rs
@@ -3,7 +3,7 @@
 use coppercart::api::{Action, Event, Micros, RequestId, ServerEntry, ServerId};
 use coppercart::settings::Settings;
 use millethook_explore::mutant::Mutant;
-use millethook_explore::scenario::Kind;
+use millethook_explore::scenario::RequestKind;
 use millethook_explore::step::Ending;
 
 /// A fault injected between the fleet and the decisions.
@@ -92,7 +92,7 @@
             entries.retain(|entry| {
                 let (drains, leaves) =
                     (entry.health == Health::Draining, entry.health == Health::Gone);
-                mutant.tells_list(drains, leaves)
+                mutant.reports_list_change(drains, leaves)
             });
             entries.iter_mut().for_each(|entry| mutant.entry(entry));
         }
@@ -118,7 +118,7 @@
         self,
         actions: &mut Vec<Action>,
         event: &Event<'_>,
-        kind: impl Fn(RequestId) -> Option<Kind>,
+        kind: impl Fn(RequestId) -> Option<RequestKind>,
     ) {
         if let Some(mutant) = self.mutant() {
             mutant.actions(actions, matches!(event, Event::Timer { .. }), kind);
