--- a/crates/millethook-distribution/src/chunks.rs
+++ b/crates/millethook-distribution/src/chunks.rs
@@ -1,10 +1,10 @@
 //! Splits the content of a long document into chunks, and keeps sets of chunk numbers.
 
 use crate::document::MAX_CONTENT_BYTES;
-use crate::{LONGEST, Version};
+use crate::{MAX_MESSAGE_BYTES, Version};
 
 /// Bytes of content in one chunk; the last chunk may be shorter.
-pub(crate) const CHUNK_BYTES: usize = LONGEST - 1 - Version::LENGTH - 4;
+pub(crate) const CHUNK_BYTES: usize = MAX_MESSAGE_BYTES - 1 - Version::LENGTH - 4;
 /// Chunks of the longest content.
 pub(crate) const MAX_CHUNKS: usize = MAX_CONTENT_BYTES.div_ceil(CHUNK_BYTES);
 /// A content with at most this many chunks is sent to a sidecar together with its head; a longer one is sent on
--- a/crates/millethook-distribution/src/message/lists.rs
+++ b/crates/millethook-distribution/src/message/lists.rs
@@ -7,14 +7,14 @@
 use super::{Delta, ListsPayload, ListsUpdate, State};
 use crate::lists::{ListStatus, ListStatuses};
 use crate::report::MAX_REASON_BYTES;
-use crate::{ContentHash, LONGEST, MAX_CONTENT_BYTES, Version};
+use crate::{ContentHash, MAX_CONTENT_BYTES, MAX_MESSAGE_BYTES, Version};
 
 /// Bytes of a message about lists before the first status.
 const LISTS_HEADER_BYTES: usize = 1 + 8 + 1;
 /// Bytes of a part of a delta before its content.
 const DELTA_HEADER_BYTES: usize = 1 + 21 + 16 + 16 + 3 + 1 + 1;
 /// Bytes of a delta in one message; the last part may be shorter.
-pub(crate) const DELTA_PART_BYTES: usize = LONGEST - DELTA_HEADER_BYTES;
+pub(crate) const DELTA_PART_BYTES: usize = MAX_MESSAGE_BYTES - DELTA_HEADER_BYTES;
 /// The maximum number of parts of a delta. A delta is sent without a request, like a content with at most this many
 /// chunks.
 pub(crate) const MAX_DELTA_PARTS: usize = crate::chunks::MAX_EAGER_CHUNKS;
@@ -30,7 +30,7 @@
         put_status(&mut bytes, service, status);
         if bytes.len() > room {
             messages.push(Vec::new());
-            room = LONGEST - LISTS_HEADER_BYTES;
+            room = MAX_MESSAGE_BYTES - LISTS_HEADER_BYTES;
         }
         room -= bytes.len();
         if let Some(last) = messages.last_mut() {
@@ -56,7 +56,7 @@
 
 /// Reads a list status.
 fn read_status(bytes: &mut &[u8]) -> Option<(u32, ListStatus)> {
-    let (service, number) = (codec::word(bytes)?, codec::byte(bytes)?);
+    let (service, number) = (codec::take_u32(bytes)?, codec::take_u8(bytes)?);
     if number == STATE_ABSENT {
         return Some((service, ListStatus { version: Version::default(), state: State::InForce }));
     }
@@ -84,7 +84,7 @@
 
 /// Reads a lists update.
 pub(super) fn read_lists(bytes: &mut &[u8]) -> Option<ListsUpdate> {
-    let (hash, number) = (codec::uint(bytes, 8)?, codec::byte(bytes)?);
+    let (hash, number) = (codec::take_uint(bytes, 8)?, codec::take_u8(bytes)?);
     let mut statuses = Vec::new();
     while !bytes.is_empty() {
         statuses.push(read_status(bytes)?);
@@ -114,9 +114,9 @@
     let id = read_id(bytes)?;
     let (hash, rest) = bytes.split_first_chunk::<16>()?;
     *bytes = rest;
-    let length = codec::uint(bytes, 3)? as usize;
+    let length = codec::take_uint(bytes, 3)? as usize;
     let base = Version::read(bytes)?;
-    let (index, count) = (codec::byte(bytes)?, codec::byte(bytes)?);
+    let (index, count) = (codec::take_u8(bytes)?, codec::take_u8(bytes)?);
     let is_last = index.checked_add(1)? == count;
     let is_valid = index < count
         && usize::from(count) <= MAX_DELTA_PARTS
--- a/crates/millethook-distribution/src/scope.rs
+++ b/crates/millethook-distribution/src/scope.rs
@@ -135,8 +135,8 @@
 
     /// Reads it from a message; None: the message is too short, or there is no such key.
     pub(crate) fn read(bytes: &mut &[u8]) -> Option<DocumentKey> {
-        let compact = codec::byte(bytes)?;
-        let number = codec::word(bytes)?;
+        let compact = codec::take_u8(bytes)?;
+        let number = codec::take_u32(bytes)?;
         let scope = match compact & 0x0f {
             0 => Scope::All,
             1 => Scope::Region(number),
--- a/crates/millethook-lease/src/lib.rs
+++ b/crates/millethook-lease/src/lib.rs
@@ -24,7 +24,7 @@
 pub use acceptor::MAX_JOBS;
 pub use lease::{Config, Event, Figures, Lease, MAX_WANTED_JOBS};
 pub use membership::{Member, Members};
-pub use millethook_machine::{LONGEST, Micros, Violation};
+pub use millethook_machine::{MAX_MESSAGE_BYTES, Micros, Violation};
 pub use owner::LeaseStatus;
 pub use token::{Fence, StaleToken, Token};
 
--- a/crates/millethook-replica/src/message.rs
+++ b/crates/millethook-replica/src/message.rs
@@ -22,7 +22,7 @@
 use crate::entry::{Departure, Entry, EntryValue, Key, Verdict};
 
 /// The maximum length of a content, in bytes.
-pub const LONGEST: usize = millethook_machine::LONGEST;
+pub const LONGEST: usize = millethook_machine::MAX_MESSAGE_BYTES;
 /// The length of the header, in bytes.
 pub(crate) const HEADER_BYTES: usize = MessageHeader::LENGTH;
 /// The length of a query for an edge store, in bytes. It equals that of the answer, so that a forged query cannot make
--- a/crates/millethook/tests/library/cancel.rs
+++ b/crates/millethook/tests/library/cancel.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn before_a_server_is_picked() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         let mut request = Request::post("/order").body(Polled(|| Poll::Pending)).expect("valid");
@@ -43,7 +43,7 @@
 /// A call that is dropped before the engine handles it is not sent, or its attempt is cancelled.
 #[test]
 fn right_after_the_call() {
-    let stage = Stage::new(1, |_| Fault::Stall);
+    let stage = ServerGroup::new(1, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         for _ in 0..200 {
@@ -60,7 +60,7 @@
 
 #[test]
 fn while_connecting() {
-    let silent = Silent::start();
+    let silent = BlackHole::start();
     let name = name();
     let config = builder(&name, &[])
         .server("s-0", silent.address)
@@ -93,9 +93,9 @@
     let server = Server::start(move |mut conn| {
         if conn.socket.peek(&mut [0]).is_ok_and(|n| n == 1) {
             let _ = arrival_sender.lock().expect("no panic").send(());
-            let whole = conn.message().is_some_and(|m| m.whole);
+            let whole = conn.message().is_some_and(|m| m.complete);
             if whole {
-                conn.ended();
+                conn.closed_by_peer();
             }
             ends.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         }
@@ -104,12 +104,12 @@
     runtime().block_on(async {
         for n in 1..=20 {
             let waiting = poll_once(Box::pin(fleet.call(request("order")))).await;
-            tokio::task::block_in_place(|| next(&arrivals));
+            tokio::task::block_in_place(|| receive(&arrivals));
             drop(waiting);
             wait_until_idle(&fleet).await;
             // The attempt has ended at the server, and there was no second one.
             tokio::task::block_in_place(|| {
-                within("the end", || ended.load(std::sync::atomic::Ordering::SeqCst) == n)
+                wait_until("the end", || ended.load(std::sync::atomic::Ordering::SeqCst) == n)
             });
         }
     });
@@ -118,14 +118,14 @@
 
 #[test]
 fn after_the_last_byte() {
-    let stage = Stage::new(2, |_| Fault::Stall);
+    let stage = ServerGroup::new(2, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     let runtime = runtime();
     for (n, class) in ["look", "keep", "order"].iter().enumerate() {
         let calling = fleet.clone();
         let class = *class;
         let task = runtime.spawn(async move { calling.call(request(class)).await.is_ok() });
-        within("a server has the request", || stage.count() == n + 1);
+        wait_until("a server has the request", || stage.count() == n + 1);
         task.abort();
         runtime.block_on(wait_until_idle(&fleet));
         assert_eq!(stage.count(), n + 1, "{class}: nothing was sent again");
@@ -151,7 +151,7 @@
             assert!(piece.data_ref().is_some_and(|data| !data.is_empty()));
             assert!(!body.is_end_stream());
             drop(body);
-            tokio::task::block_in_place(|| next(&ended));
+            tokio::task::block_in_place(|| receive(&ended));
             wait_until_idle(&fleet).await;
         }
     });
@@ -163,9 +163,9 @@
 fn at_random_times() {
     const CALLS: u64 = 3_000;
     let turned_away = |a: &Attempt| Random::new(a.nth as u64 ^ 0xfa).below(10) == 0;
-    let stage = Stage::new(4, move |a| {
+    let stage = ServerGroup::new(4, move |a| {
         if turned_away(a) {
-            return Fault::TurnAway;
+            return Fault::Reject;
         }
         match Random::new(a.nth as u64).below(10) {
             0 => Fault::Error,
@@ -173,9 +173,10 @@
             2 => Fault::Stall,
             3 => Fault::Trickle("y".repeat(100), 30, Duration::from_millis(1)),
             4 if a.line.starts_with("GET") => Fault::Serve("z".repeat(200_000)),
-            5..=7 => {
-                Fault::Late(Delay::Uniform(Duration::ZERO, Duration::from_millis(8)), "late".into())
-            }
+            5..=7 => Fault::Delayed(
+                Delay::Uniform(Duration::ZERO, Duration::from_millis(8)),
+                "late".into(),
+            ),
             _ => Fault::Serve("fine".into()),
         }
     });
--- a/crates/millethook/tests/library/members.rs
+++ b/crates/millethook/tests/library/members.rs
@@ -54,7 +54,7 @@
     let (file, members) = (folder.join("millethook.toml"), folder.join("members"));
     std::fs::write(&file, format!("[membership]\nsnapshot = {members:?}\n")).expect("written");
     let (server, agent) = (Server::named("a"), Agent::start(Vec::new()));
-    agent.change(vec![host("s-a", server.address)]);
+    agent.set_hosts(vec![host("s-a", server.address)]);
     let open = |name: &str, discovery| {
         let config = builder(name, &[]).discovery(discovery).build().expect("valid");
         Fleet::open(config.with_product(&file).expect("valid")).expect("open")
@@ -65,7 +65,7 @@
         first.ready().await;
         assert_eq!(served_by(&first).await.as_deref(), Some("a"));
         first.drain(Duration::from_secs(5)).await;
-        let second = open(&name, refusing());
+        let second = open(&name, refusing_address());
         assert_eq!(served_by(&second).await.as_deref(), Some("a"), "discovery is down");
         second.drain(Duration::from_secs(5)).await;
     });
--- a/crates/millethook/tests/library/middleware.rs
+++ b/crates/millethook/tests/library/middleware.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn calls_in_a_handler_inherit_and_never_exceed_its_timeout() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let config = builder(&name(), &stage.servers).tenant("acme").build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let app =
@@ -56,7 +56,7 @@
 /// A handler of a request without time left sends nothing, whatever timeout it asks for.
 #[test]
 fn a_handler_without_time_left_sends_nothing() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let app =
         Router::new().route("/work", get(two_calls)).with_state(fleet).layer(InheritLayer::new());
@@ -67,7 +67,7 @@
 
 #[test]
 fn without_the_layer_nothing_is_inherited() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let app = Router::new().route("/work", get(two_calls)).with_state(fleet(&stage.servers));
     let response = runtime().block_on(app.oneshot(incoming("/work", &[("x-time-left-ms", "700")])));
     // The first call has a timeout, the second one has none.
@@ -110,7 +110,7 @@
 
 const HEAD: [(&str, &str); 2] = [("x-time-left-ms", "900"), ("x-correlation-id", "r1")];
 
-fn routed(stage: &Stage, classes: &[&str]) -> Router {
+fn routed(stage: &ServerGroup, classes: &[&str]) -> Router {
     let layer = RouteLayer::new(fleet(&stage.servers));
     let layer = if classes.is_empty() { layer } else { layer.classes(classes.iter().copied()) };
     Router::new().route("/home", get(|| async { "the app" })).layer(layer)
@@ -128,7 +128,7 @@
 
 #[test]
 fn routes_of_the_fleet_go_there_and_others_to_the_app() {
-    let stage = Stage::new(1, |_| Fault::Serve("the fleet".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("the fleet".into()));
     let ok = |body: &str| (StatusCode::OK, false, body.to_owned());
     assert_eq!(get_from(routed(&stage, &[]), "/look/1", &HEAD), ok("the fleet"));
     assert_eq!(get_from(routed(&stage, &[]), "/home", &[]), ok("the app"));
@@ -142,11 +142,11 @@
 
 #[test]
 fn refusals_and_failures_map_to_http_statuses() {
-    let full = Stage::new(2, |_| Fault::TurnAway);
+    let full = ServerGroup::new(2, |_| Fault::Reject);
     let (status, has_retry_after, _) = get_from(routed(&full, &[]), "/look/1", &HEAD);
     assert_eq!((status, has_retry_after), (StatusCode::SERVICE_UNAVAILABLE, true));
     let unsafe_order = |fault: Fault, left: &str| {
-        let stage = Stage::new(1, move |_| fault.clone());
+        let stage = ServerGroup::new(1, move |_| fault.clone());
         let request = Request::post("/order/1")
             .header("x-time-left-ms", left)
             .header("x-correlation-id", "r2")
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_panic_in_a_handler_affects_no_other_request() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let handler = |State(fleet): State<Fleet>| async move {
         let request = timed("look", Duration::from_secs(5));
@@ -185,7 +185,7 @@
 /// Uses the fleet with tower alone, without a web framework.
 #[test]
 fn a_fleet_is_a_service() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let mut service = fleet(&stage.servers);
     let body = runtime().block_on(async {
         let ready: &mut Fleet = ServiceExt::<Request<Full<Bytes>>>::ready(&mut service).await?;
--- a/crates/plankvale/src/cli.rs
+++ b/crates/plankvale/src/cli.rs
@@ -5,7 +5,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use clap::{Parser, Subcommand};
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_membership::store;
 
 use crate::distribution::command::ConfigCommand;
@@ -98,7 +98,7 @@
 }
 
 fn check_file(file: &Path) -> Result<String, String> {
-    let product = Product::from_file(file).map_err(|e| e.to_string())?;
+    let product = ProductConfig::from_file(file).map_err(|e| e.to_string())?;
     let filter = product.log.filter.as_deref().unwrap_or("info");
     let add_context = |e| format!("{}: log.filter: {e}", file.display());
     filter.parse::<tracing_subscriber::EnvFilter>().map_err(add_context)?;
@@ -111,7 +111,7 @@
 }
 
 fn show_snapshot(file: &Path) -> Result<String, String> {
-    let snapshot = store::show(file).map_err(|e| e.to_string())?;
+    let snapshot = store::read_any_fleet(file).map_err(|e| e.to_string())?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     let age = |at: u64| now.checked_sub(at).map_or("in the future".to_owned(), format_age);
     let mut lines = vec![format!(
--- a/crates/plankvale/src/effective_settings.rs
+++ b/crates/plankvale/src/effective_settings.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use coppercart::settings::Settings;
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_engine::names::Names;
 use millethook_engine::product::apply_decision_settings;
 use millethook_http::edge::add_replay_classes;
@@ -19,7 +19,7 @@
     settings: Value,
     /// Number of peer addresses in the file.
     peers: usize,
-    product: Rc<Product>,
+    product: Rc<ProductConfig>,
 }
 
 /// Checked settings.
@@ -34,7 +34,7 @@
 
 impl SettingsSource {
     /// Takes the `settings` object of a file that lists `peers` peer addresses.
-    pub fn new(settings: Value, peers: usize, product: Rc<Product>) -> SettingsSource {
+    pub fn new(settings: Value, peers: usize, product: Rc<ProductConfig>) -> SettingsSource {
         SettingsSource { settings, peers, product }
     }
 
--- a/crates/plankvale/src/handover.rs
+++ b/crates/plankvale/src/handover.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use millethook_engine::names::stable_hash;
-use millethook_handover::incumbent::Incumbent;
-use millethook_handover::seat::{Passed, Predecessor, Seat, Successor};
+use millethook_handover::active_process::ActiveProcess;
+use millethook_handover::endpoint::{HandoverEndpoint, HandoverItem, Predecessor, Successor};
 use millethook_http::guard::RequestIdRegistry;
 use millethook_http::ingress::{self, Ingress};
 use tokio::net::TcpStream;
@@ -24,11 +24,11 @@
 /// This process's turn among the processes of one sidecar.
 pub struct ProcessTurn {
     /// The seat, at which the next process can be found.
-    pub seat: Rc<Seat>,
+    pub seat: Rc<HandoverEndpoint>,
     /// Path of the seat.
     path: PathBuf,
     /// The process that held the seat before, if any.
-    incumbent: Option<Incumbent>,
+    incumbent: Option<ActiveProcess>,
     /// Whether the previous process has begun to hand over.
     handover_started: watch::Sender<bool>,
 }
@@ -43,10 +43,10 @@
         // limited in length.
         let file = format!("plankvale-{:016x}.seat", stable_hash(name.as_bytes()));
         let path = PathBuf::from(folder).join(file);
-        let incumbent = Incumbent::at(&path);
+        let incumbent = ActiveProcess::connect(&path);
         let seat = match incumbent {
-            Some(_) => Seat::stand_in_line(&path),
-            None => Seat::take(&path),
+            Some(_) => HandoverEndpoint::bind_as_next(&path),
+            None => HandoverEndpoint::bind(&path),
         };
         match seat {
             Ok(seat) => {
@@ -79,11 +79,11 @@
             while let Some(previous) = incumbent {
                 let handed_over = tokio::select! {
                     _ = started.wait_for(|started| *started) => true,
-                    () = previous.ended() => false,
+                    () = previous.wait_until_ended() => false,
                 };
-                incumbent = match seat.take_turn() {
+                incumbent = match seat.promote() {
                     // A process that started later has taken the seat; this one waits for it.
-                    Ok(false) if !handed_over => Incumbent::overtaking(&path),
+                    Ok(false) if !handed_over => ActiveProcess::connect_next(&path),
                     Ok(_) => None,
                     Err(e) => {
                         tracing::warn!(event = "handover_off", "{}: {e}", path.display());
@@ -97,13 +97,13 @@
 
 /// Accepts previous processes at the seat and takes over what each passes on.
 async fn accept_predecessors(
-    seat: Rc<Seat>,
+    seat: Rc<HandoverEndpoint>,
     ingress: Rc<Ingress>,
     ids: Rc<RequestIdRegistry>,
     handover_started: watch::Sender<bool>,
 ) {
     loop {
-        match seat.predecessor().await {
+        match seat.accept_predecessor().await {
             Ok(predecessor) => {
                 let receiving = receive_handover(
                     predecessor,
@@ -139,13 +139,13 @@
             handover_started.send_replace(true);
         }
         match passed {
-            Ok(Some(Passed::Connection(socket, asked))) => {
+            Ok(Some(HandoverItem::Connection(socket, asked))) => {
                 let Ok(socket) = TcpStream::from_std(socket) else { continue };
                 ingress.adopt(socket, asked != 0).await;
                 taken += 1;
             }
-            Ok(Some(Passed::Ids(open))) => ids.add_in_use(open),
-            Ok(Some(Passed::Claim(claim))) => {
+            Ok(Some(HandoverItem::Ids(open))) => ids.add_in_use(open),
+            Ok(Some(HandoverItem::Reservation(claim))) => {
                 let granted = ids.reserve_hash(claim.id);
                 claim.answer(granted);
             }
@@ -178,7 +178,7 @@
     }
 
     fn reserve_id(&self, id: u64) -> Pin<Box<dyn Future<Output = Option<bool>>>> {
-        match self.0.claim(id) {
+        match self.0.reserve_id(id) {
             Ok(reservation) => Box::pin(reservation.granted()),
             // The channel to the successor is full.
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Box::pin(ready(None)),
