--- a/crates/millethook-explore/src/mutant.rs
+++ b/crates/millethook-explore/src/mutant.rs
@@ -54,7 +54,7 @@
     AllowsCopies,
     /// The balancer's settings have a longer deduplication window.
     WidensWindow,
-    /// The balancer's clock stands still.
+    /// The balancer's clock does not advance.
     StopsClock,
     /// Outcomes are reported for another server. Only the balancer's own invariant check sees the counts that this
     /// corrupts.
--- a/crates/millethook-explore/src/scenario.rs
+++ b/crates/millethook-explore/src/scenario.rs
@@ -151,10 +151,10 @@
 }
 
 impl Scenario {
-    /// The settings that the balancer gets.
+    /// Returns the settings that are passed to the balancer.
     ///
     /// # Panics
-    /// Panics if the settings are invalid; a test shows that they are valid.
+    /// Panics if the settings are invalid, which the tests of the exploration rule out.
     pub fn settings(&self) -> Settings {
         let class = |name: &str, repeat: &str, scope: &str| {
             json!({"name": name, "aim": TARGET_LATENCY, "deadline": DEADLINE, "repeat": repeat, "dedupScope": scope,
@@ -180,7 +180,7 @@
             "zones": ["a", "b"]
         });
         Settings::from_json(settings.to_string().as_bytes())
-            .expect("the scenario's settings are sound")
+            .expect("the scenario's settings are valid")
     }
 
     /// Returns the list entry of a server.
--- a/crates/millethook-explore/tests/it/mutants.rs
+++ b/crates/millethook-explore/tests/it/mutants.rs
@@ -52,11 +52,11 @@
         // The shortened sequence violates the rule when it is replayed, and needs each of its steps.
         let replayed = replay(&shortest.task, &shortest.steps);
         assert_eq!(replayed.finding.as_ref(), Some(&shortest.finding), "{mutant:?}");
-        for left_out in 0..shortest.steps.len() {
+        for removed in 0..shortest.steps.len() {
             let mut fewer = shortest.steps.clone();
-            fewer.remove(left_out);
+            fewer.remove(removed);
             let rule = replay(&shortest.task, &fewer).finding.map(|finding| finding.rule);
-            assert_ne!(rule, Some(found.finding.rule), "{mutant:?}: step {left_out} is not needed");
+            assert_ne!(rule, Some(found.finding.rule), "{mutant:?}: step {removed} is not needed");
         }
         // Without the mutant the same steps violate nothing.
         let without_mutant = Task { mutant: None, ..shortest.task.clone() };
--- a/crates/millethook-model/tests/mutants.rs
+++ b/crates/millethook-model/tests/mutants.rs
@@ -75,11 +75,11 @@
 fn an_unsafe_retry_is_shrunk_to_a_plan_that_reproduces_it() {
     let injected = InjectedFault::Mutant(Mutant::ResetAsConnectFailed);
     let rule = Rule::UnsafeOnce;
-    let small = shrink(&generate::plan(9), rule, Some(injected));
-    assert!(small.sidecars.count <= 2, "{}", small.to_toml());
-    assert!(small.faults.len() <= 1, "{}", small.to_toml());
-    let again = play(&small, Some(injected)).expect("the plan is playable");
-    assert!(again.breaks(rule));
-    let well = play(&small, None).expect("the plan is playable");
-    assert_eq!(well.findings, []);
+    let shrunk = shrink(&generate::plan(9), rule, Some(injected));
+    assert!(shrunk.sidecars.count <= 2, "{}", shrunk.to_toml());
+    assert!(shrunk.faults.len() <= 1, "{}", shrunk.to_toml());
+    let replayed = play(&shrunk, Some(injected)).expect("the plan is playable");
+    assert!(replayed.breaks(rule));
+    let without_fault = play(&shrunk, None).expect("the plan is playable");
+    assert_eq!(without_fault.findings, []);
 }
--- a/crates/millethook-model/tests/plans.rs
+++ b/crates/millethook-model/tests/plans.rs
@@ -5,9 +5,9 @@
 use millethook_model::plan::{Fault, FaultKind, Plan};
 
 fn refused(text: &str) -> String {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary directory is created");
     let path = folder.path().join("plan.toml");
-    std::fs::write(&path, text).expect("it is written");
+    std::fs::write(&path, text).expect("the file is written");
     Plan::read(&path).expect_err("it is refused").to_string()
 }
 
@@ -41,8 +41,8 @@
         let plan = Plan { faults: vec![Fault { kind, ..Fault::default() }], ..Plan::default() };
         let keys: Vec<String> = plan.problems().into_iter().map(|problem| problem.key).collect();
         let missing = kind.affects_servers() || kind.affects_sidecars();
-        let whom = |key: &String| key.ends_with("servers") || key.ends_with("sidecars");
-        assert_eq!(keys.iter().any(whom), missing, "{kind:?}: {keys:?}");
+        let names_targets = |key: &String| key.ends_with("servers") || key.ends_with("sidecars");
+        assert_eq!(keys.iter().any(names_targets), missing, "{kind:?}: {keys:?}");
     }
 }
 
--- a/crates/millethook-model/tests/replay.rs
+++ b/crates/millethook-model/tests/replay.rs
@@ -26,13 +26,13 @@
 
 #[test]
 fn a_plan_survives_writing_and_reading() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary directory is created");
     for seed in 0..100 {
         let plan = generate::plan(seed);
         assert_eq!(plan.problems(), [], "seed {seed}");
         let path = folder.path().join("plan.toml");
-        std::fs::write(&path, plan.to_toml()).expect("it is written");
-        let read = Plan::read(&path).expect("it is read");
+        std::fs::write(&path, plan.to_toml()).expect("the file is written");
+        let read = Plan::read(&path).expect("the plan is read");
         assert_eq!(plan, read, "seed {seed}");
     }
 }
--- a/crates/millethook-model/tests/search.rs
+++ b/crates/millethook-model/tests/search.rs
@@ -39,7 +39,7 @@
     let mut without = plan.clone();
     without.faults.retain(|fault| fault.kind != FaultKind::Vanish);
     let report = play(&without, None).expect("the plan is playable");
-    assert_eq!(report.findings, [], "with the others there it holds");
+    assert_eq!(report.findings, [], "no rule is violated with the other servers");
 }
 
 /// Guards against blaming a sidecar for a backlog: most of it was sent before the sidecar could read that the server
@@ -52,7 +52,7 @@
     let mut without = plan.clone();
     without.faults.retain(|fault| fault.sidecars.is_empty());
     let report = play(&without, None).expect("the plan is playable");
-    assert_eq!(report.findings, [], "without the pause it holds");
+    assert_eq!(report.findings, [], "no rule is violated without the pause");
 }
 
 /// Requests sent after the notice of a start count: decisions that know of the start, but not that the server is cold,
--- a/crates/millethook-model/tests/theory.rs
+++ b/crates/millethook-model/tests/theory.rs
@@ -30,7 +30,8 @@
 
 /// Returns the relative error of the measured mean wait against the Erlang C value.
 fn error(slots: usize, load: f64, sidecars: usize, duration_ms: u64) -> f64 {
-    let report = play(&queue(slots, load, sidecars, duration_ms), None).expect("it is playable");
+    let report =
+        play(&queue(slots, load, sidecars, duration_ms), None).expect("the plan is playable");
     assert_eq!(report.findings, []);
     let expected = erlang::mean_wait(slots as u32, load) * 1e3;
     report.figures.mean_wait() / expected - 1.0
