--- a/crates/millethook-lab/src/scale/backend.rs
+++ b/crates/millethook-lab/src/scale/backend.rs
@@ -10,7 +10,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep;
 
-use crate::world::http::{Wire, answer};
+use crate::world::http::{HttpConnection, answer};
 
 /// What one server got.
 #[derive(Debug, Default)]
@@ -66,13 +66,13 @@
         open.spawn(async move {
             counters.open.fetch_add(1, Ordering::Relaxed);
             // A client that breaks its connection off is an end like any other.
-            let _ = serve(Wire::new(stream), &counters, delay).await;
+            let _ = serve(HttpConnection::new(stream), &counters, delay).await;
             counters.open.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn serve(mut wire: Wire, counters: &Counters, delay: Duration) -> io::Result<()> {
+async fn serve(mut wire: HttpConnection, counters: &Counters, delay: Duration) -> io::Result<()> {
     let reply = answer("200 OK", "X-Backend-Load: inflight=1,queue=0\r\n", "ok");
     while wire.request().await?.is_some() {
         counters.requests.fetch_add(1, Ordering::Relaxed);
--- a/crates/millethook-lab/src/scale/callers.rs
+++ b/crates/millethook-lab/src/scale/callers.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::world::http::{Between, Wire};
+use crate::world::http::{HttpConnection, IdleState};
 
 /// What a caller waits for an answer, and tells as its time.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -50,7 +50,7 @@
 /// Connections to one address.
 pub struct Pool {
     to: SocketAddr,
-    idle: Mutex<Vec<Wire>>,
+    idle: Mutex<Vec<HttpConnection>>,
 }
 
 impl Pool {
@@ -69,11 +69,11 @@
         served.then_some(took)
     }
 
-    async fn connection(&self) -> io::Result<Wire> {
+    async fn connection(&self) -> io::Result<HttpConnection> {
         loop {
             let kept = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
             let Some(mut wire) = kept else { return connect(self.to).await };
-            if wire.between() == Between::Clean {
+            if wire.idle_state() == IdleState::Clean {
                 return Ok(wire);
             }
         }
@@ -127,16 +127,16 @@
 ///
 /// # Errors
 /// It does not come up in time.
-pub async fn connect(to: SocketAddr) -> io::Result<Wire> {
+pub async fn connect(to: SocketAddr) -> io::Result<HttpConnection> {
     let stream = timeout(PATIENCE, TcpStream::connect(to)).await;
-    Ok(Wire::new(stream.map_err(|_| io::ErrorKind::TimedOut)??))
+    Ok(HttpConnection::new(stream.map_err(|_| io::ErrorKind::TimedOut)??))
 }
 
 /// One request and its answer; whether it was served.
 ///
 /// # Errors
 /// The connection broke.
-pub async fn exchange(wire: &mut Wire) -> io::Result<bool> {
+pub async fn exchange(wire: &mut HttpConnection) -> io::Result<bool> {
     let id = IDS.fetch_add(1, Ordering::Relaxed);
     let request = format!(
         "GET /look/1 HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: s{id:x}\r\nX-Account: acme\r\n\
--- a/crates/millethook-lab/src/scale/registry.rs
+++ b/crates/millethook-lab/src/scale/registry.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::timeline::Timeline;
-use crate::world::http::{Wire, answer};
+use crate::world::http::{HttpConnection, answer};
 
 /// Changes that are remembered; who asks for more gets the whole list.
 const MAX_REMEMBERED: usize = 20_000;
@@ -179,12 +179,12 @@
             let shared = self.clone();
             tokio::spawn(async move {
                 // A caller that goes away ends its connection.
-                let _ = shared.talk(Wire::new(stream)).await;
+                let _ = shared.talk(HttpConnection::new(stream)).await;
             });
         }
     }
 
-    async fn talk(&self, mut wire: Wire) -> io::Result<()> {
+    async fn talk(&self, mut wire: HttpConnection) -> io::Result<()> {
         while let Some(call) = wire.request().await? {
             let from = number(&call.target, "from=");
             let hold = number(&call.target, "hold_ms=").unwrap_or(0).min(60_000);
--- a/crates/millethook-lab/src/world/agent.rs
+++ b/crates/millethook-lab/src/world/agent.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::directory::{Directory, Entry};
-use super::http::{Wire, answer};
+use super::http::{HttpConnection, answer};
 use super::registry::Registry;
 use crate::ledger::{CallFate, DiscoveryCall, Listed, Micros, Told};
 use crate::plan::stream;
@@ -162,7 +162,7 @@
             let (agent, mut ended) = (self.clone(), ended.clone());
             tokio::spawn(async move {
                 tokio::select! {
-                    _ = agent.talk(Wire::new(stream)) => {}
+                    _ = agent.talk(HttpConnection::new(stream)) => {}
                     () = async {
                         let _ = ended.wait_for(|ended| *ended).await;
                         sleep(Duration::from_millis(1500)).await;
@@ -172,7 +172,7 @@
         }
     }
 
-    async fn talk(&self, mut wire: Wire) -> io::Result<()> {
+    async fn talk(&self, mut wire: HttpConnection) -> io::Result<()> {
         while let Some(call) = wire.request().await? {
             let number = |key: &str| -> Option<u64> {
                 let rest = &call.target[call.target.find(key)? + key.len()..];
--- a/crates/millethook-lab/src/world/client.rs
+++ b/crates/millethook-lab/src/world/client.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::http::{Between, Message, Wire};
+use super::http::{HttpConnection, IdleState, Message};
 use super::server::Stage;
 use crate::ledger::{End, Micros, Request, RequestId};
 use crate::timeline::{Class, Effect, Group};
@@ -63,7 +63,7 @@
     /// Where its processes accept clients: one, or two where it has a twin.
     addresses: Mutex<Vec<SocketAddr>>,
     offering: AtomicU8,
-    rest: Mutex<VecDeque<(Wire, RequestId, SocketAddr)>>,
+    rest: Mutex<VecDeque<(HttpConnection, RequestId, SocketAddr)>>,
     places: Semaphore,
     turn: AtomicUsize,
     /// The last receipts, by class, and whose they were; shared by those that pass them on.
@@ -146,7 +146,7 @@
         while tasks.join_next().await.is_some() {}
         for (mut wire, id, _) in self.rest.lock().unwrap_or_else(PoisonError::into_inner).drain(..)
         {
-            if wire.between() == Between::Stray {
+            if wire.idle_state() == IdleState::Stray {
                 self.stray(id);
             }
         }
@@ -267,9 +267,13 @@
         (end, retry_after)
     }
 
-    async fn connect(&self, at: SocketAddr, left: Duration) -> Option<(Wire, SocketAddr)> {
+    async fn connect(
+        &self,
+        at: SocketAddr,
+        left: Duration,
+    ) -> Option<(HttpConnection, SocketAddr)> {
         let stream = timeout(CONNECT.min(left), TcpStream::connect(at)).await.ok()?.ok()?;
-        Some((Wire::new(stream), at))
+        Some((HttpConnection::new(stream), at))
     }
 
     /// The receipt that the next write of a class carries.
@@ -324,7 +328,7 @@
 
     /// A connection at rest on which nothing stands. After SIGTERM all that are open are used in turn, so that each
     /// one that the sidecar leaves open gets requests up to its end.
-    fn checkout(&self) -> Option<(Wire, SocketAddr)> {
+    fn checkout(&self) -> Option<(HttpConnection, SocketAddr)> {
         loop {
             let in_turn = self.offering.load(Ordering::Relaxed) == KEEPS;
             let rested = {
@@ -332,15 +336,15 @@
                 if in_turn { rest.pop_front() } else { rest.pop_back() }
             };
             let (mut wire, id, at) = rested?;
-            match wire.between() {
-                Between::Clean => return Some((wire, at)),
-                Between::Closed => {}
-                Between::Stray => self.stray(id),
+            match wire.idle_state() {
+                IdleState::Clean => return Some((wire, at)),
+                IdleState::Closed => {}
+                IdleState::Stray => self.stray(id),
             }
         }
     }
 
-    fn put_back(&self, wire: Wire, id: RequestId, at: SocketAddr) {
+    fn put_back(&self, wire: HttpConnection, id: RequestId, at: SocketAddr) {
         let mut rest = self.rest.lock().unwrap_or_else(PoisonError::into_inner);
         if rest.len() < AT_REST {
             rest.push_back((wire, id, at));
--- a/crates/millethook-lab/src/world/http.rs
+++ b/crates/millethook-lab/src/world/http.rs
@@ -42,7 +42,7 @@
 
 /// What stands on a connection between two messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Between {
+pub enum IdleState {
     /// Nothing.
     Clean,
     /// Bytes that belong to no message.
@@ -52,18 +52,18 @@
 }
 
 /// One end of a connection.
-pub struct Wire {
+pub struct HttpConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
     first_byte: Option<Instant>,
 }
 
-impl Wire {
+impl HttpConnection {
     /// Takes a connection over.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         // Without it small messages wait for acknowledgements; a stream that refuses is ended soon anyway.
         let _ = stream.set_nodelay(true);
-        Wire { stream, buffer: Vec::new(), first_byte: None }
+        HttpConnection { stream, buffer: Vec::new(), first_byte: None }
     }
 
     /// Writes all of it.
@@ -144,15 +144,15 @@
     }
 
     /// What stands on the connection now, without waiting.
-    pub fn between(&mut self) -> Between {
+    pub fn idle_state(&mut self) -> IdleState {
         if !self.buffer.is_empty() {
-            return Between::Stray;
+            return IdleState::Stray;
         }
         match self.stream.try_read_buf(&mut self.buffer) {
-            Ok(0) => Between::Closed,
-            Ok(_) => Between::Stray,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Between::Clean,
-            Err(_) => Between::Closed,
+            Ok(0) => IdleState::Closed,
+            Ok(_) => IdleState::Stray,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => IdleState::Clean,
+            Err(_) => IdleState::Closed,
         }
     }
 
--- a/crates/millethook-lab/src/world/readiness.rs
+++ b/crates/millethook-lab/src/world/readiness.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use super::http::Wire;
+use super::http::HttpConnection;
 
 /// Between two questions whether a daemon is ready.
 const ASK: Duration = Duration::from_millis(20);
@@ -21,7 +21,7 @@
 /// Whether a daemon answers that it is ready.
 async fn is_ready(at: SocketAddr) -> bool {
     let asked = timeout(Duration::from_secs(1), async {
-        let mut wire = Wire::new(TcpStream::connect(at).await.ok()?);
+        let mut wire = HttpConnection::new(TcpStream::connect(at).await.ok()?);
         wire.send(b"GET /health/ready HTTP/1.1\r\nHost: app\r\n\r\n").await.ok()?;
         wire.answer().await.ok()?
     });
--- a/crates/millethook-lab/src/world/server.rs
+++ b/crates/millethook-lab/src/world/server.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::conditions::Conditions;
-use super::http::{Message, Wire, answer};
+use super::http::{HttpConnection, Message, answer};
 use super::links::Links;
 use crate::ledger::cold::{ColdBudget, Warmth};
 use crate::ledger::{Attempt, Clock, DoubledHeader, Fate, Ledger, Micros, RequestId, ServerRow};
@@ -219,7 +219,7 @@
                 // Danger: what stood in line when the cut began, and was written on since, would be read as if it
                 // came now. It is reset, as all that was cut off, and with it the lab's own.
                 while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-                    Wire::new(stream).reset();
+                    HttpConnection::new(stream).reset();
                 }
                 fillers.clear();
             }
@@ -230,7 +230,7 @@
     async fn connection(self: Arc<Server>, class: usize, stream: TcpStream) {
         self.stage.ledger.open().servers[self.row].connections += 1;
         let open = self.connections.fetch_add(1, Ordering::Relaxed);
-        let mut wire = Wire::new(stream);
+        let mut wire = HttpConnection::new(stream);
         let mut door = self.door.subscribe();
         if open < self.stage.timeline.servers.connections {
             let cut = tokio::select! {
@@ -251,7 +251,7 @@
     }
 
     /// Serves a connection to its end.
-    async fn talk(self: &Arc<Server>, class: usize, wire: &mut Wire) -> io::Result<()> {
+    async fn talk(self: &Arc<Server>, class: usize, wire: &mut HttpConnection) -> io::Result<()> {
         let mut fresh = true;
         let mut before: Option<String> = None;
         while let Some(request) = wire.request().await? {
@@ -295,7 +295,7 @@
     /// What is answered; None: the connection ends without an answer.
     async fn serve(
         self: &Arc<Server>,
-        wire: &mut Wire,
+        wire: &mut HttpConnection,
         request: &Message,
         fresh: bool,
     ) -> Option<Reply> {
--- a/crates/millethook-lab/src/world/views.rs
+++ b/crates/millethook-lab/src/world/views.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::ViewSample;
-use super::http::Wire;
+use super::http::HttpConnection;
 use crate::ledger::Clock;
 use crate::timeline::Timeline;
 
@@ -64,7 +64,7 @@
 
 /// The figures at an operators' address; None: it does not answer.
 pub async fn metrics(at: SocketAddr) -> Option<String> {
-    let mut wire = Wire::new(TcpStream::connect(at).await.ok()?);
+    let mut wire = HttpConnection::new(TcpStream::connect(at).await.ok()?);
     wire.send(b"GET /v1/metrics HTTP/1.1\r\nHost: lab\r\n\r\n").await.ok()?;
     let answer = wire.answer().await.ok()??;
     String::from_utf8(answer.body).ok()
