--- a/crates/millethook-lab/src/ledger/judge.rs
+++ b/crates/millethook-lab/src/ledger/judge.rs
@@ -314,7 +314,7 @@
     }
 
     fn headers(&self, breaches: &mut Vec<Breach>) {
-        for found in &self.book.doubled {
+        for found in &self.book.duplicate_headers {
             let server = &self.book.servers[found.server].name;
             let text = format!("{server} got {} twice at {}", found.header, seconds(found.at));
             breaches.push(match found.id {
--- a/crates/millethook-lab/src/ledger/mod.rs
+++ b/crates/millethook-lab/src/ledger/mod.rs
@@ -171,7 +171,7 @@
 
 /// A request that a server refused, as one of its headers stood there twice.
 #[derive(Clone, Debug)]
-pub struct DoubledHeader {
+pub struct DuplicateHeader {
     /// When it had come.
     pub at: Micros,
     /// The server's number in the book.
@@ -284,7 +284,7 @@
     /// Bytes that came behind an answer, with the id of that.
     pub strays: Vec<(Micros, RequestId)>,
     /// Requests that told servers one thing twice.
-    pub doubled: Vec<DoubledHeader>,
+    pub duplicate_headers: Vec<DuplicateHeader>,
     /// Findings that no rule covers: a daemon that ended by itself, or did not start.
     pub findings: Vec<String>,
     /// Spells in which the lab itself stood still.
--- a/crates/millethook-lab/src/world/http.rs
+++ b/crates/millethook-lab/src/world/http.rs
@@ -30,11 +30,11 @@
 impl Message {
     /// The name of a header that stands there more than once. Neither clients nor servers of the lab have one that
     /// may.
-    pub fn doubled(&self) -> Option<&str> {
-        doubled(&self.headers)
+    pub fn duplicate_header(&self) -> Option<&str> {
+        duplicate_header(&self.headers)
     }
 
-    /// A header's value, of several the first: [`Message::doubled`] tells whether there are.
+    /// A header's value, of several the first: [`Message::duplicate_header`] tells whether there are.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0 == name).map(|h| h.1.as_str())
     }
@@ -99,7 +99,7 @@
                 httparse::Status::Complete(length) => length,
             };
             let headers = owned(head.headers);
-            match doubled(&headers) {
+            match duplicate_header(&headers) {
                 Some(name) => Err(invalid(format!("{name}: once expected"))),
                 None => Ok(Some((length, String::new(), head.code.unwrap_or(0), headers))),
             }
@@ -172,7 +172,7 @@
 /// The length of a head, a request's target, an answer's status, the headers.
 type Head = (usize, String, u16, Vec<(String, String)>);
 
-fn doubled(headers: &[(String, String)]) -> Option<&str> {
+fn duplicate_header(headers: &[(String, String)]) -> Option<&str> {
     let mut names = headers.iter().enumerate();
     let again =
         names.find(|(nth, header)| headers[..*nth].iter().any(|earlier| earlier.0 == header.0));
--- a/crates/millethook-lab/src/world/server.rs
+++ b/crates/millethook-lab/src/world/server.rs
@@ -17,7 +17,7 @@
 use super::http::{HttpConnection, Message, answer};
 use super::links::Links;
 use crate::ledger::cold::{ColdBudget, Warmth};
-use crate::ledger::{Attempt, Clock, DoubledHeader, Fate, Ledger, Micros, RequestId, ServerRow};
+use crate::ledger::{Attempt, Clock, DuplicateHeader, Fate, Ledger, Micros, RequestId, ServerRow};
 use crate::plan::{Plan, stream};
 use crate::timeline::{Effect, EventKind, Group, Timeline};
 
@@ -301,12 +301,12 @@
     ) -> Option<Reply> {
         let stage = &self.stage;
         let arrived = stage.clock.now();
-        if let Some(header) = request.doubled() {
+        if let Some(header) = request.duplicate_header() {
             // Which of the two is meant is anybody's guess: it is refused before anything of it is read.
             let id = request.header("x-correlation-id").and_then(RequestId::parse);
             let header = header.to_owned();
-            let found = DoubledHeader { at: arrived, server: self.row, id, header };
-            stage.ledger.open().doubled.push(found);
+            let found = DuplicateHeader { at: arrived, server: self.row, id, header };
+            stage.ledger.open().duplicate_headers.push(found);
             return Some(Reply::Whole(answer("400 Doubled", "", "")));
         }
         if request.target.starts_with("/health/") {
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -5,7 +5,7 @@
 use millethook_lab::ledger::cold::{ColdBudget, Warmth, bears};
 use millethook_lab::ledger::judge::{Rule, judge};
 use millethook_lab::ledger::{
-    Absence, Attempt, Book, DoubledHeader, End, Fate, Listed, Request, RequestId, ServerRow, Told,
+    Absence, Attempt, Book, DuplicateHeader, End, Fate, Listed, Request, RequestId, ServerRow, Told,
 };
 use millethook_lab::timeline::{Class, Effect, Group, Rules};
 use proptest::prelude::*;
@@ -220,8 +220,8 @@
     let mut case =
         case(Effect::Safe, Group::All, End::Served, S + 1_000).attempt(0, S, Fate::Served);
     assert_eq!(case.broken(), []);
-    let found = |id| DoubledHeader { at: S, server: 1, id, header: "x-time-left-ms".into() };
-    case.book.doubled = vec![found(Some(case.book.requests[0].id)), found(None)];
+    let found = |id| DuplicateHeader { at: S, server: 1, id, header: "x-time-left-ms".into() };
+    case.book.duplicate_headers = vec![found(Some(case.book.requests[0].id)), found(None)];
     assert_eq!(case.broken(), [Rule::Header, Rule::Header]);
     let said = judge(&case.book, std::slice::from_ref(&case.class), &Rules::default());
     assert!(said.iter().all(|b| b.text == "s1 got x-time-left-ms twice at 1.000 s"), "{said:?}");
