--- a/crates/millethook-lab/src/ledger/judge.rs
+++ b/crates/millethook-lab/src/ledger/judge.rs
@@ -97,7 +97,7 @@
             attempts.entry(attempt.id).or_default().push(attempt);
         }
         attempts.values_mut().for_each(|of| of.sort_by_key(|a| a.arrived));
-        let told = super::told::words(book);
+        let told = super::notices::by_server(book);
         let mut absences: HashMap<usize, Vec<&Absence>> = HashMap::new();
         for absence in &book.absences {
             absences.entry(absence.sidecar).or_default().push(absence);
--- a/crates/millethook-lab/src/ledger/mod.rs
+++ b/crates/millethook-lab/src/ledger/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod cold;
 pub mod judge;
-pub mod told;
+pub mod notices;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -210,7 +210,7 @@
 
 /// A word of discovery to a sidecar.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ServerNotice {
     /// When it was written.
     pub at: Micros,
     /// To whom.
@@ -268,9 +268,9 @@
     /// All server processes that there were.
     pub servers: Vec<ServerRow>,
     /// What discovery said.
-    pub told: Vec<Told>,
+    pub notices: Vec<ServerNotice>,
     /// What the agent of each sidecar had, from when on, whether or not it came to say it.
-    pub has: Vec<Told>,
+    pub available: Vec<ServerNotice>,
     /// Discovery is asked: what it has counts as told 6 s later, whether or not it was written.
     pub asked: bool,
     /// Calls of discovery, where it is asked, in the order in which they ended.
--- a/crates/millethook-lab/src/ledger/told.rs
+++ b/crates/millethook-lab/src/ledger/notices.rs
@@ -11,7 +11,7 @@
 pub const MOVED: Micros = 4_000_000;
 
 /// When what an agent has from `has` on counts as told.
-pub fn counts_from(has: Micros, silences: &[Micros], moves: &[Micros]) -> Micros {
+pub fn effective_from(has: Micros, silences: &[Micros], moves: &[Micros]) -> Micros {
     let until = |times: &[Micros], length: Micros| {
         let open = times.iter().filter(|at| **at <= has && has < **at + length);
         open.map(|at| at + length).max().unwrap_or(has)
@@ -20,14 +20,14 @@
 }
 
 /// What each sidecar counts as told of each server, by time: when it was written, or when the clock is over.
-pub fn words(book: &Book) -> HashMap<(usize, usize), Vec<(Micros, Listed)>> {
+pub fn by_server(book: &Book) -> HashMap<(usize, usize), Vec<(Micros, Listed)>> {
     let mut written: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
-    for t in &book.told {
+    for t in &book.notices {
         written.entry((t.sidecar, t.server)).or_default().push((t.at, t.listed));
     }
     written.values_mut().for_each(|of| of.sort_by_key(|t| t.0));
     let mut has: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
-    for t in &book.has {
+    for t in &book.available {
         has.entry((t.sidecar, t.server)).or_default().push((t.at, t.listed));
     }
     let times = |of: &[(usize, Micros)], sidecar: usize| -> Vec<Micros> {
@@ -43,7 +43,7 @@
             let said = said.into_iter().flatten().find(|w| w.0 >= *at && w.1 == *listed);
             let said = said.map_or(Micros::MAX, |w| w.0);
             let had = if book.asked { *at + SILENCE } else { *at };
-            *at = had.max(counts_from(*at, &silences, &moves)).min(said).min(later);
+            *at = had.max(effective_from(*at, &silences, &moves)).min(said).min(later);
             later = *at;
         }
     }
--- a/crates/millethook-lab/src/report.rs
+++ b/crates/millethook-lab/src/report.rs
@@ -59,7 +59,7 @@
     )?;
     csv_of(
         &folder.join("told.csv"),
-        outcome.book.told.iter().map(|t| {
+        outcome.book.notices.iter().map(|t| {
             let server = outcome.book.servers[t.server].name.as_str();
             (t.at, format!("n{}", t.sidecar), server, format!("{:?}", t.listed))
         }),
--- a/crates/millethook-lab/src/world/agent.rs
+++ b/crates/millethook-lab/src/world/agent.rs
@@ -16,7 +16,7 @@
 use super::directory::{Directory, Entry};
 use super::http::{HttpConnection, answer};
 use super::registry::Registry;
-use crate::ledger::{CallFate, DiscoveryCall, Listed, Micros, Told};
+use crate::ledger::{CallFate, DiscoveryCall, Listed, Micros, ServerNotice};
 use crate::plan::stream;
 use crate::timeline::Timeline;
 
@@ -124,9 +124,9 @@
     }
 
     /// What it had to tell of each server, and from when on.
-    pub fn has(&self) -> Vec<Told> {
+    pub fn has(&self) -> Vec<ServerNotice> {
         let versions = self.directory.versions.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut has: Vec<Told> = Vec::new();
+        let mut has: Vec<ServerNotice> = Vec::new();
         let mut last: HashMap<usize, Listed> = HashMap::new();
         let mut since = 0;
         for (n, version) in versions.iter().enumerate() {
@@ -141,7 +141,12 @@
             }
             for (server, listed) in &now {
                 if last.get(server) != Some(listed) {
-                    has.push(Told { at, sidecar: self.sidecar, server: *server, listed: *listed });
+                    has.push(ServerNotice {
+                        at,
+                        sidecar: self.sidecar,
+                        server: *server,
+                        listed: *listed,
+                    });
                 }
             }
             last = now;
@@ -338,7 +343,7 @@
         let mut book = self.directory.ledger.open();
         for (server, listed) in words {
             if told.insert(server, listed) != Some(listed) {
-                book.told.push(Told { at, sidecar: self.sidecar, server, listed });
+                book.notices.push(ServerNotice { at, sidecar: self.sidecar, server, listed });
             }
         }
     }
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -5,7 +5,8 @@
 use millethook_lab::ledger::cold::{ColdBudget, Warmth, bears};
 use millethook_lab::ledger::judge::{Rule, judge};
 use millethook_lab::ledger::{
-    Absence, Attempt, Book, DuplicateHeader, End, Fate, Listed, Request, RequestId, ServerRow, Told,
+    Absence, Attempt, Book, DuplicateHeader, End, Fate, Listed, Request, RequestId, ServerNotice,
+    ServerRow,
 };
 use millethook_lab::timeline::{Class, Effect, Group, Rules};
 use proptest::prelude::*;
@@ -142,7 +143,12 @@
     let late = 2 * S + 70_000;
     let mut drained =
         of(Effect::Safe, End::Served, S + 900_000).attempt(0, S + 800_000, Fate::Served);
-    drained.book.told.push(Told { at: 1, sidecar: 0, server: 0, listed: Listed::Leaving });
+    drained.book.notices.push(ServerNotice {
+        at: 1,
+        sidecar: 0,
+        server: 0,
+        listed: Listed::Leaving,
+    });
     assert_eq!(drained.by_time(), [true]);
     // One fault that is none of time stays one beside others.
     let both = of(Effect::Unsafe, End::Served, late).attempt(0, S, Fate::Served);
@@ -188,8 +194,8 @@
     let judged = |told: &[(u64, Listed)], at| {
         let mut case =
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, at, Fate::Served);
-        let word = |t: &(u64, Listed)| Told { at: t.0, sidecar: 0, server: 0, listed: t.1 };
-        case.book.told = told.iter().map(word).collect();
+        let word = |t: &(u64, Listed)| ServerNotice { at: t.0, sidecar: 0, server: 0, listed: t.1 };
+        case.book.notices = told.iter().map(word).collect();
         case.broken()
     };
     use Listed::{Active, Leaving};
@@ -207,7 +213,8 @@
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, S, Fate::Served);
         case.book.servers[0].fell = Some(S + 1);
         if told {
-            case.book.told = vec![Told { at: 1, sidecar: 0, server: 0, listed: Listed::Active }];
+            case.book.notices =
+                vec![ServerNotice { at: 1, sidecar: 0, server: 0, listed: Listed::Active }];
         }
         case.broken()
     };
@@ -248,8 +255,8 @@
         let mut case = case(Effect::Safe, Group::All, End::Served, at + 10_000);
         case.book.requests[0].sent = at;
         let mut case = case.attempt(0, at, Fate::Served);
-        let leaves = |at| Told { at, sidecar: 0, server: 0, listed: Listed::Leaving };
-        case.book.has.push(leaves(2 * S));
+        let leaves = |at| ServerNotice { at, sidecar: 0, server: 0, listed: Listed::Leaving };
+        case.book.available.push(leaves(2 * S));
         book(&mut case.book);
         case.broken()
     };
@@ -262,7 +269,12 @@
     assert_eq!(sends_at(7 * S + 560_000, silent), [Rule::Drain]);
     let written = |book: &mut Book| {
         book.silences.push((0, S));
-        book.told.push(Told { at: 3 * S, sidecar: 0, server: 0, listed: Listed::Leaving });
+        book.notices.push(ServerNotice {
+            at: 3 * S,
+            sidecar: 0,
+            server: 0,
+            listed: Listed::Leaving,
+        });
     };
     assert_eq!(sends_at(3 * S + 560_000, written), [Rule::Drain]);
     // Another sidecar's silence is none of this one's.
