--- a/crates/millethook-lab/src/scale/bench.rs
+++ b/crates/millethook-lab/src/scale/bench.rs
@@ -12,7 +12,7 @@
 use super::load::LoadWatch;
 use super::registry::{Listed, Registry};
 use super::row::{Kind, Row, RowWriter, Unit};
-use crate::world::machine;
+use crate::world::machine_error;
 
 /// Zones of the design's fleet.
 pub const ZONES: usize = 6;
@@ -85,7 +85,7 @@
         extent: Extent,
     ) -> Result<Bench, ScaleError> {
         let launcher = Launcher::new(program, folder.clone())?;
-        Ok(Bench { launcher, extent, folder, rows, machine: super::process::machine() })
+        Ok(Bench { launcher, extent, folder, rows, machine: super::process::machine_error() })
     }
 
     /// Writes a value that real daemons showed.
@@ -134,7 +134,7 @@
         let mut backends = Vec::new();
         for _ in 0..count {
             let backend = Backend::start(self.stand_in(), delay).await;
-            backends.push(backend.map_err(machine("a stand-in server"))?);
+            backends.push(backend.map_err(machine_error("a stand-in server"))?);
         }
         Ok(backends)
     }
@@ -145,7 +145,7 @@
     /// A port cannot be had.
     pub async fn registry(&self, listed: Vec<Listed>) -> Result<Registry, ScaleError> {
         let registry = Registry::start(self.stand_in(), listed).await;
-        Ok(registry.map_err(machine("a stand-in for discovery"))?)
+        Ok(registry.map_err(machine_error("a stand-in for discovery"))?)
     }
 
     /// Starts daemon 0 beside this discovery, and changes its configuration first.
--- a/crates/millethook-lab/src/scale/command.rs
+++ b/crates/millethook-lab/src/scale/command.rs
@@ -158,7 +158,7 @@
             period: Duration::from_secs_f64(self.period),
         };
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-        let runtime = runtime.map_err(crate::world::machine("a runtime"))?;
+        let runtime = runtime.map_err(crate::world::machine_error("a runtime"))?;
         let mut bench = Bench::new(program, folder, rows, extent)?;
         let measured = runtime.block_on(async {
             tokio::select! {
--- a/crates/millethook-lab/src/scale/daemon.rs
+++ b/crates/millethook-lab/src/scale/daemon.rs
@@ -17,7 +17,7 @@
 use crate::world::daemon::{Exit, Launch, Wiring, configuration, signal};
 use crate::world::readiness::until_ready;
 use crate::world::views::metrics;
-use crate::world::{RunError, machine};
+use crate::world::{RunError, machine_error};
 
 const READY: Duration = Duration::from_secs(60);
 const END: Duration = Duration::from_secs(5);
@@ -64,13 +64,13 @@
     /// # Errors
     /// The folder cannot be made, or no loopback addresses are free.
     pub fn new(program: PathBuf, folder: PathBuf) -> Result<Launcher, RunError> {
-        std::fs::create_dir_all(&folder).map_err(machine("the folder of logs"))?;
+        std::fs::create_dir_all(&folder).map_err(machine_error("the folder of logs"))?;
         let mut timeline = Timeline::default();
         timeline.classes.push(Default::default());
         timeline.sidecars.memory_mb = 256;
         timeline.sidecars.descriptors = 8192;
         timeline.sidecars.zones = 6;
-        let addresses = Addresses::take().map_err(machine("loopback addresses"))?;
+        let addresses = Addresses::take().map_err(machine_error("loopback addresses"))?;
         Ok(Launcher { launch: Launch { program, args: Vec::new(), folder }, addresses, timeline })
     }
 
@@ -93,12 +93,13 @@
         let number = spec.number;
         let name = format!("n{number}");
         let config = self.configuration(spec);
-        let written = self.launch.write(&name, &config).map_err(machine("a configuration"))?;
+        let written =
+            self.launch.write(&name, &config).map_err(machine_error("a configuration"))?;
         let product = self.write_product(&name, spec.product)?;
         let (exits, exited) = mpsc::unbounded_channel();
         let started = self.launch.start(&name, &written, product.as_deref(), exits);
         Ok(Daemon {
-            pid: started.map_err(machine(name.clone()))?,
+            pid: started.map_err(machine_error(name.clone()))?,
             listen: self.addresses.listen(number, 0),
             admin: self.addresses.admin(number, 0),
             log: self.launch.folder.join(format!("{name}.log")),
@@ -140,7 +141,7 @@
             return Ok(None);
         }
         let path = self.launch.folder.join(format!("{name}.toml"));
-        std::fs::write(&path, text).map_err(machine("the product's file"))?;
+        std::fs::write(&path, text).map_err(machine_error("the product's file"))?;
         Ok(Some(path))
     }
 }
@@ -216,8 +217,8 @@
     /// # Errors
     /// It cannot be written or told.
     pub fn send_configuration(&self, config: &Value) -> Result<(), ScaleError> {
-        self.launch.write(&self.name, config).map_err(machine("a configuration"))?;
-        Ok(signal(self.pid, Signal::SIGHUP).map_err(machine("SIGHUP"))?)
+        self.launch.write(&self.name, config).map_err(machine_error("a configuration"))?;
+        Ok(signal(self.pid, Signal::SIGHUP).map_err(machine_error("SIGHUP"))?)
     }
 
     /// Replaces its configuration and waits until the new one is in force; how long that took.
--- a/crates/millethook-lab/src/scale/fleet.rs
+++ b/crates/millethook-lab/src/scale/fleet.rs
@@ -15,7 +15,7 @@
 use super::registry::Registry;
 use crate::ledger::Clock;
 use crate::timeline::Network;
-use crate::world::machine;
+use crate::world::machine_error;
 use crate::world::network::NetworkModel;
 use crate::world::relay::Relay;
 
@@ -94,7 +94,7 @@
         clock.begin();
         let model = NetworkModel::new(seed, count, Network::default());
         let relay = Relay::start(clock, model, count, 1, self.stand_in()).await;
-        let relay = relay.map_err(machine("the relay"))?;
+        let relay = relay.map_err(machine_error("the relay"))?;
         let mut fleet = Fleet {
             relay,
             daemons: (0..count).map(|_| None).collect(),
@@ -125,7 +125,7 @@
     pub async fn start(&mut self, bench: &Bench, numbers: &[usize]) -> Result<(), ScaleError> {
         for &number in numbers {
             let (each, everyone) =
-                self.relay.peers(number).map_err(machine("the relay's addresses"))?;
+                self.relay.peers(number).map_err(machine_error("the relay's addresses"))?;
             let spec = DaemonSpec {
                 number,
                 instances: self.daemons.len(),
--- a/crates/millethook-lab/src/scale/memory.rs
+++ b/crates/millethook-lab/src/scale/memory.rs
@@ -147,7 +147,7 @@
                 let mut open = Vec::new();
                 while open.len() < size {
                     let wire = connect(daemon.listen).await;
-                    let mut wire = wire.map_err(crate::world::machine("a connection"))?;
+                    let mut wire = wire.map_err(crate::world::machine_error("a connection"))?;
                     if exchange(&mut wire).await.unwrap_or(false) {
                         open.push(wire);
                     }
--- a/crates/millethook-lab/src/scale/process.rs
+++ b/crates/millethook-lab/src/scale/process.rs
@@ -73,7 +73,7 @@
 }
 
 /// The kind of this machine: its processor and how many cores may be used.
-pub fn machine() -> String {
+pub fn machine_error() -> String {
     let text = read_to_string("/proc/cpuinfo").unwrap_or_default();
     let model = text.lines().find_map(|line| line.strip_prefix("model name"));
     let model = model.map_or("unknown processor", |m| m.trim_start_matches([' ', '\t', ':']));
--- a/crates/millethook-lab/src/scale/spinner.rs
+++ b/crates/millethook-lab/src/scale/spinner.rs
@@ -8,7 +8,7 @@
 
 use super::ScaleError;
 use crate::world::daemon::{Exit, Launch, signal};
-use crate::world::machine;
+use crate::world::machine_error;
 
 /// The name of the hidden command that spins.
 pub const COMMAND: &str = "spin";
@@ -33,13 +33,13 @@
     /// # Errors
     /// It does not start.
     pub fn start(folder: PathBuf, span: Duration) -> Result<Spinner, ScaleError> {
-        let program = std::env::current_exe().map_err(machine("this program's path"))?;
+        let program = std::env::current_exe().map_err(machine_error("this program's path"))?;
         let seconds = span.as_secs().to_string();
         let launch = Launch { program, args: vec![COMMAND.into(), seconds], folder };
         let (exits, exited) = mpsc::unbounded_channel();
         // It reads no configuration.
         let config = launch.folder.join("none");
-        let pid = launch.start(COMMAND, &config, None, exits).map_err(machine(COMMAND))?;
+        let pid = launch.start(COMMAND, &config, None, exits).map_err(machine_error(COMMAND))?;
         Ok(Spinner { pid, exited })
     }
 
--- a/crates/millethook-lab/src/world/conductor.rs
+++ b/crates/millethook-lab/src/world/conductor.rs
@@ -24,7 +24,7 @@
 use super::relay::Relay;
 use super::server::{Server, Stage};
 use super::views::Views;
-use super::{Options, Outcome, RunError, ServerSample, documents, machine};
+use super::{Options, Outcome, RunError, ServerSample, documents, machine_error};
 use crate::ledger::{Clock, Ledger, Micros};
 use crate::plan::Plan;
 use crate::timeline::Timeline;
@@ -96,7 +96,8 @@
 ) -> Result<Outcome, RunError> {
     progress.set_message("starting");
     let (mut lead, mut events) = start(timeline, plan, options).await?;
-    let lateness = Lateness::new().map_err(|e| machine("a histogram")(io::Error::other(e)))?;
+    let lateness =
+        Lateness::new().map_err(|e| machine_error("a histogram")(io::Error::other(e)))?;
     let lateness = Arc::new(lateness);
     if lead.fleet.first_starts(&mut events.exits).await? {
         lead.begin(&lateness);
@@ -125,7 +126,8 @@
     let clock = Clock::stopped();
     let ledger = Arc::new(Ledger::default());
     let count = timeline.sidecars.count;
-    let addresses = Addresses::take().map_err(machine("a loopback network of the lab's own"))?;
+    let addresses =
+        Addresses::take().map_err(machine_error("a loopback network of the lab's own"))?;
     let directory = Arc::new(Directory::new(clock.clone(), ledger.clone()));
     let stage = Stage::new(clock.clone(), ledger.clone(), timeline.clone(), plan.clone());
     let stage = Arc::new(stage);
@@ -134,7 +136,7 @@
     for (place, zone) in plan.server_zones.iter().enumerate() {
         let name = format!("s{place}");
         let server = Server::start(&stage, name.clone(), *zone, false, &any);
-        let server = server.map_err(machine("a stand-in server"))?;
+        let server = server.map_err(machine_error("a stand-in server"))?;
         directory.list(&name, &server);
         servers.push((name, 0, server));
     }
@@ -148,13 +150,13 @@
         let agent =
             Agent::new(&directory, registry.clone(), &timeline, plan.seed, n, sidecar.stream_class);
         let at = agent.listen(addresses.stand_in()).await;
-        discovery.push(at.map_err(machine("an agent of discovery"))?);
+        discovery.push(at.map_err(machine_error("an agent of discovery"))?);
         agents.push(agent);
     }
     let model = NetworkModel::new(plan.seed, count, timeline.network.clone());
     let views = timeline.views();
     let relay = Relay::start(clock.clone(), model, count, views, addresses.stand_in()).await;
-    let relay = relay.map_err(machine("the relay"))?;
+    let relay = relay.map_err(machine_error("the relay"))?;
     let (fleet, events) = Processes::new(
         (&timeline, &plan),
         (&ledger, &clock),
--- a/crates/millethook-lab/src/world/conductor/steps.rs
+++ b/crates/millethook-lab/src/world/conductor/steps.rs
@@ -8,7 +8,7 @@
 use super::super::agent::Mode;
 use super::super::crowd::idle_clients;
 use super::super::server::Server;
-use super::super::{RunError, machine};
+use super::super::{RunError, machine_error};
 use super::{AbortOnDrop, Conductor, END, GOES_ON, Later};
 use crate::ledger::{Absence, Micros};
 use crate::plan::{Action, DRAIN, Step};
@@ -41,7 +41,7 @@
             }
             Action::Reload { sidecar } => {
                 let at = self.agents[sidecar].listen(self.fleet.addresses.stand_in()).await;
-                self.fleet.reload(sidecar, at.map_err(machine("an agent of discovery"))?);
+                self.fleet.reload(sidecar, at.map_err(machine_error("an agent of discovery"))?);
                 self.ledger.open().moves.push((sidecar, now));
             }
             Action::IdleClients { sidecar, count, on: true } => self.idle_clients(sidecar, count),
@@ -116,7 +116,7 @@
         let name = format!("s{place}-{generation}");
         let any = vec![self.fleet.addresses.stand_in(); self.plan.stream_classes];
         let new = Server::start(&self.stage, name.clone(), old.zone, true, &any);
-        let new = new.map_err(machine("a stand-in server"))?;
+        let new = new.map_err(machine_error("a stand-in server"))?;
         old.drain();
         self.directory.leaving(&old_name);
         self.directory.list(&name, &new);
@@ -174,7 +174,7 @@
                 let (name, _, old) = &self.servers[place];
                 let (name, old) = (name.clone(), old.clone());
                 let new = Server::start(&self.stage, name.clone(), old.zone, true, old.addresses());
-                let new = new.map_err(machine("a stand-in server"))?;
+                let new = new.map_err(machine_error("a stand-in server"))?;
                 self.directory.list(&name, &new);
                 self.servers[place].2 = new;
             }
--- a/crates/millethook-lab/src/world/mod.rs
+++ b/crates/millethook-lab/src/world/mod.rs
@@ -55,7 +55,7 @@
 }
 
 /// Names what the machine did not give.
-pub(crate) fn machine(what: impl Into<String>) -> impl FnOnce(io::Error) -> RunError {
+pub(crate) fn machine_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> RunError {
     let what = what.into();
     move |cause| RunError::Machine { what, cause }
 }
--- a/crates/millethook-lab/src/world/processes.rs
+++ b/crates/millethook-lab/src/world/processes.rs
@@ -16,7 +16,7 @@
 use super::daemon::{Exit, Launch, Usage, Wiring, configuration, signal};
 use super::readiness::until_ready;
 use super::relay::Relay;
-use super::{Options, ProcessSample, RunError, machine, members};
+use super::{Options, ProcessSample, RunError, machine_error, members};
 use crate::ledger::{Clock, Ledger};
 use crate::plan::Plan;
 use crate::timeline::Timeline;
@@ -101,7 +101,7 @@
             args: options.args.clone(),
             folder: options.folder.clone(),
         };
-        std::fs::create_dir_all(&launcher.folder).map_err(machine("the folder of logs"))?;
+        std::fs::create_dir_all(&launcher.folder).map_err(machine_error("the folder of logs"))?;
         let mut product = timeline.sidecars.product.clone();
         let period = timeline.sidecars.view_period_s;
         if period > 0.0 {
@@ -116,7 +116,7 @@
         let mut products = Vec::new();
         if timeline.distribution.control_nodes > 0 {
             products = members::products(timeline, &product, &launcher.folder)
-                .map_err(machine("the product's files"))?;
+                .map_err(machine_error("the product's files"))?;
         }
         let per_host = timeline.sidecars.edge_host;
         let hosts = if per_host == 0 { 1 } else { timeline.sidecars.count.div_ceil(per_host) };
@@ -128,10 +128,11 @@
             // What an earlier run into the same folder has kept is not this one's.
             let stores = launcher.folder.join(format!("edge{host}"));
             if stores.exists() {
-                std::fs::remove_dir_all(&stores).map_err(machine("the folder of kept writes"))?;
+                std::fs::remove_dir_all(&stores)
+                    .map_err(machine_error("the folder of kept writes"))?;
             }
             let path = launcher.folder.join(format!("product{host}.toml"));
-            std::fs::write(&path, text).map_err(machine("the product's file"))?;
+            std::fs::write(&path, text).map_err(machine_error("the product's file"))?;
             products.push(path);
         }
         let (to_exits, exits) = mpsc::unbounded_channel();
@@ -176,8 +177,8 @@
             n => format!("n{sidecar}-twin{n}"),
         };
         let started = self.launch(sidecar, twin, &name);
-        let (pid, listen) =
-            started.map_err(machine(format!("{name}: {}", self.launcher.program.display())))?;
+        let (pid, listen) = started
+            .map_err(machine_error(format!("{name}: {}", self.launcher.program.display())))?;
         let process = Process { sidecar, name, ending: false, back: None };
         self.running.insert(pid, process);
         let readies = self.readies.clone();
