--- a/crates/millethook-lab/src/figures.rs
+++ b/crates/millethook-lab/src/figures.rs
@@ -128,18 +128,18 @@
 /// Computes the figures of a run.
 pub fn figures(name: &str, timeline: &Timeline, plan: &Plan, outcome: &Outcome) -> Figures {
     let warm_up = plan.warm_up.as_micros() as Micros;
-    let operations = operations(&outcome.book, warm_up);
+    let operations = operations(&outcome.records, warm_up);
     let count = operations.len().max(1) as f64;
-    let measured = outcome.book.attempts.iter().filter(|a| a.arrived >= warm_up).count();
-    let handshakes: u64 = outcome.book.servers.iter().map(|s| s.connections).sum();
-    let all = outcome.book.requests.iter().map(|r| r.id.operation());
+    let measured = outcome.records.attempts.iter().filter(|a| a.arrived >= warm_up).count();
+    let handshakes: u64 = outcome.records.servers.iter().map(|s| s.connections).sum();
+    let all = outcome.records.requests.iter().map(|r| r.id.operation());
     let all = all.collect::<std::collections::HashSet<_>>().len().max(1);
     let windows = windows(timeline, plan, outcome, &operations);
     let mean = |of: fn(&Window) -> f64| {
         let used: Vec<f64> = windows.iter().filter(|w| w.attempts > 0).map(of).collect();
         used.iter().sum::<f64>() / used.len().max(1) as f64
     };
-    let kept = kept(&outcome.book);
+    let kept = kept(&outcome.records);
     let (cv, cv_random) = (mean(|w| w.cv), mean(|w| w.cv_random));
     Figures {
         timeline: name.to_owned(),
@@ -154,22 +154,22 @@
         kept: kept.len() as u64,
         kept_open: kept.iter().filter(|at| at.is_none()).count() as u64,
         replayed_s: replayed_s(timeline, plan, &kept),
-        unanswered: (outcome.book.attempts.iter())
+        unanswered: (outcome.records.attempts.iter())
             .filter(|a| matches!(a.fate, Fate::Silent | Fate::Open))
             .count() as u64,
         handshakes: handshakes as f64 / all as f64,
         imbalance: imbalance(outcome, warm_up),
         cv,
         cv_random,
-        cold_peak: outcome.book.servers.iter().map(|s| s.cold_peak).fold(0.0, f64::max),
+        cold_peak: outcome.records.servers.iter().map(|s| s.cold_peak).fold(0.0, f64::max),
         idle_while_queued_s: idle_while_queued(outcome, warm_up),
         datagrams: outcome.traffic.iter().map(|t| t.0).sum(),
         datagram_bytes: outcome.traffic.iter().map(|t| t.1).sum(),
         most_bytes: outcome.traffic.iter().map(|t| t.1).max().unwrap_or(0),
         relay: outcome.relay,
         late_p99_ms: outcome.late_p99.as_secs_f64() * 1e3,
-        stalls_ms: outcome.book.stalls.iter().map(|s| s.1 - s.0).sum::<Micros>() as f64 / 1e3,
-        not_offered: outcome.book.not_offered,
+        stalls_ms: outcome.records.stalls.iter().map(|s| s.1 - s.0).sum::<Micros>() as f64 / 1e3,
+        not_offered: outcome.records.not_offered,
         events: events(timeline, plan, outcome, &operations),
         windows,
         views_too_dead: views::too_dead(outcome, plan.sidecars.len()),
--- a/crates/millethook-lab/src/figures/distribution.rs
+++ b/crates/millethook-lab/src/figures/distribution.rs
@@ -165,7 +165,7 @@
 
 /// When a sidecar was not there, or stood still.
 fn away(outcome: &Outcome, sidecar: usize) -> Vec<Span> {
-    let away = outcome.book.absences.iter().filter(|absence| absence.sidecar == sidecar);
+    let away = outcome.records.absences.iter().filter(|absence| absence.sidecar == sidecar);
     away.map(|absence| (absence.from, absence.to)).collect()
 }
 
--- a/crates/millethook-lab/src/figures/events.rs
+++ b/crates/millethook-lab/src/figures/events.rs
@@ -127,7 +127,7 @@
 /// The most arrivals at one server in a window, over the mean of all servers and windows.
 fn herd(outcome: &Outcome, servers: usize, at: Micros, window: Micros) -> f64 {
     let mut counts: HashMap<(usize, Micros), u64> = HashMap::new();
-    for a in outcome.book.attempts.iter().filter(|a| (at..at + HERD).contains(&a.arrived)) {
+    for a in outcome.records.attempts.iter().filter(|a| (at..at + HERD).contains(&a.arrived)) {
         *counts.entry((a.server, (a.arrived - at) / window)).or_default() += 1;
     }
     let most = counts.values().copied().max().unwrap_or(0) as f64;
--- a/crates/millethook-lab/src/figures/kept.rs
+++ b/crates/millethook-lab/src/figures/kept.rs
@@ -2,20 +2,20 @@
 
 use std::collections::HashMap;
 
-use crate::ledger::{Book, End, Micros};
+use crate::ledger::{End, Micros, RunRecords};
 use crate::plan::Plan;
 use crate::timeline::Timeline;
 
 /// For each kept write, when it first had its effect; None: it had none.
-pub(super) fn kept(book: &Book) -> Vec<Option<Micros>> {
+pub(super) fn kept(records: &RunRecords) -> Vec<Option<Micros>> {
     let mut ran: HashMap<crate::ledger::RequestId, Micros> = HashMap::new();
-    for attempt in &book.attempts {
+    for attempt in &records.attempts {
         if let Some(at) = attempt.ran {
             let first = ran.entry(attempt.id).or_insert(at);
             *first = at.min(*first);
         }
     }
-    let kept = book.requests.iter().filter(|r| r.end == End::Kept);
+    let kept = records.requests.iter().filter(|r| r.end == End::Kept);
     kept.map(|r| ran.get(&r.id).copied()).collect()
 }
 
--- a/crates/millethook-lab/src/figures/lists.rs
+++ b/crates/millethook-lab/src/figures/lists.rs
@@ -32,11 +32,11 @@
     work_s: f64,
     (begin, end, next): (Micros, Micros, Micros),
 ) -> ListFigures {
-    let calls = outcome.book.calls.iter().filter(|c| (begin..next).contains(&c.at));
+    let calls = outcome.records.calls.iter().filter(|c| (begin..next).contains(&c.at));
     let count =
         |fate: &dyn Fn(CallFate) -> bool| calls.clone().filter(|c| fate(c.fate)).count() as u64;
     let mut first: Vec<Option<Micros>> = vec![None; sidecars];
-    let answered = outcome.book.calls.iter().filter(|c| c.fate == CallFate::Answered);
+    let answered = outcome.records.calls.iter().filter(|c| c.fate == CallFate::Answered);
     let answered = answered.map(|call| (call.sidecar, call.ended));
     // Of a sidecar that takes lists from the control nodes its log tells it.
     let taken = outcome.documents.iter().filter(|d| d.kind == DocumentEventKind::ListTaken);
--- a/crates/millethook-lab/src/figures/operations.rs
+++ b/crates/millethook-lab/src/figures/operations.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::ledger::{Book, End, Micros};
+use crate::ledger::{End, Micros, RunRecords};
 use crate::timeline::Timeline;
 
 /// A request and how it ended after its last retry.
@@ -18,10 +18,10 @@
 }
 
 /// Operations that were due after the warm-up, by time.
-pub(super) fn operations(book: &Book, warm_up: Micros) -> Vec<Operation> {
+pub(super) fn operations(records: &RunRecords, warm_up: Micros) -> Vec<Operation> {
     let mut by_id: HashMap<u64, Operation> = HashMap::new();
     // Retries stand in the order in which they were made, so that the last one remains.
-    for r in book.requests.iter().filter(|r| r.due >= warm_up) {
+    for r in records.requests.iter().filter(|r| r.due >= warm_up) {
         let took =
             (matches!(r.end, End::Served | End::Kept)).then(|| r.ended.saturating_sub(r.due));
         let operation = Operation { class: r.class, due: r.due, end: r.end, took };
--- a/crates/millethook-lab/src/figures/trials.rs
+++ b/crates/millethook-lab/src/figures/trials.rs
@@ -55,6 +55,6 @@
         let owner = ownerships.iter().find(owned);
         calm(at) && owner.is_some_and(|owner| owner.sidecar != sender)
     };
-    let silent = outcome.book.attempts.iter().filter(|a| a.fate == Fate::Silent);
+    let silent = outcome.records.attempts.iter().filter(|a| a.fate == Fate::Silent);
     silent.filter(by_other).count() as u64
 }
--- a/crates/millethook-lab/src/figures/windows.rs
+++ b/crates/millethook-lab/src/figures/windows.rs
@@ -65,7 +65,7 @@
 /// For each window, the number of attempts that arrived at each server.
 fn arrivals_by_window(outcome: &Outcome, count: usize) -> Vec<HashMap<usize, u64>> {
     let mut arrivals: Vec<HashMap<usize, u64>> = vec![HashMap::new(); count];
-    for attempt in &outcome.book.attempts {
+    for attempt in &outcome.records.attempts {
         if let Some(window) = arrivals.get_mut((attempt.arrived / WINDOW) as usize) {
             *window.entry(attempt.server).or_default() += 1;
         }
--- a/crates/millethook-lab/src/ledger/judge.rs
+++ b/crates/millethook-lab/src/ledger/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::fmt;
 
-use super::{Absence, Attempt, Book, End, Fate, Listed, Micros, Request, RequestId};
+use super::{Absence, Attempt, End, Fate, Listed, Micros, Request, RequestId, RunRecords};
 use crate::timeline::{Class, Effect, Group, Rules};
 
 /// A rule.
@@ -59,14 +59,14 @@
 const CLOSED: usize = 200;
 
 /// Judges a book.
-pub fn judge(book: &Book, classes: &[Class], rules: &Rules) -> Vec<Breach> {
-    let judge = Judge::new(book, classes, rules);
+pub fn judge(records: &RunRecords, classes: &[Class], rules: &Rules) -> Vec<Breach> {
+    let judge = Judge::new(records, classes, rules);
     let mut breaches = Vec::new();
-    for request in &book.requests {
+    for request in &records.requests {
         judge.answers(request, &mut breaches);
         judge.effects(request, &mut breaches);
     }
-    for &(at, id) in &book.strays {
+    for &(at, id) in &records.strays {
         let text = format!("bytes came behind its answer by {}", seconds(at));
         breaches.push(judge.breach(Rule::Lost, id, text));
     }
@@ -80,7 +80,7 @@
 }
 
 struct Judge<'b> {
-    book: &'b Book,
+    records: &'b RunRecords,
     classes: &'b [Class],
     rules: &'b Rules,
     /// Attempts by id, in the order in which they arrived.
@@ -91,18 +91,18 @@
 }
 
 impl<'b> Judge<'b> {
-    fn new(book: &'b Book, classes: &'b [Class], rules: &'b Rules) -> Judge<'b> {
+    fn new(records: &'b RunRecords, classes: &'b [Class], rules: &'b Rules) -> Judge<'b> {
         let mut attempts: HashMap<RequestId, Vec<&Attempt>> = HashMap::new();
-        for attempt in &book.attempts {
+        for attempt in &records.attempts {
             attempts.entry(attempt.id).or_default().push(attempt);
         }
         attempts.values_mut().for_each(|of| of.sort_by_key(|a| a.arrived));
-        let told = super::notices::by_server(book);
+        let told = super::notices::by_server(records);
         let mut absences: HashMap<usize, Vec<&Absence>> = HashMap::new();
-        for absence in &book.absences {
+        for absence in &records.absences {
             absences.entry(absence.sidecar).or_default().push(absence);
         }
-        Judge { book, classes, rules, attempts, told, absences }
+        Judge { records, classes, rules, attempts, told, absences }
     }
 
     fn attempts(&self, id: RequestId) -> &[&'b Attempt] {
@@ -117,7 +117,7 @@
     fn extended(&self, sidecar: usize, from: Micros, limit: Micros) -> Micros {
         let pauses = self.absences.get(&sidecar).into_iter().flatten();
         let pauses = pauses.filter(|a| !a.ended).map(|a| (a.from, a.to));
-        let mut spells: Vec<_> = pauses.chain(self.book.stalls.iter().copied()).collect();
+        let mut spells: Vec<_> = pauses.chain(self.records.stalls.iter().copied()).collect();
         spells.sort_unstable();
         spells.into_iter().fold(limit, |limit, (begin, end)| {
             let meets = end > from && begin <= limit;
@@ -179,7 +179,7 @@
     /// The first effect of a write is after that of the one whose receipt it carried.
     fn order(&self, breaches: &mut Vec<Breach>) {
         let first = |id: RequestId| self.attempts(id).iter().filter_map(|a| a.ran).min();
-        for request in &self.book.requests {
+        for request in &self.records.requests {
             let Some(before) = request.after else { continue };
             let Some(ran) = first(request.id) else { continue };
             if first(before).is_none_or(|earlier| earlier > ran) {
@@ -195,12 +195,12 @@
 
     /// New connections that were closed without a byte of an answer: some are as good as a refusal, more are losses.
     fn closed(&self, breaches: &mut Vec<Breach>) {
-        let requests = self.book.requests.iter();
+        let requests = self.records.requests.iter();
         let closed = requests.filter(|r| {
             let killed = self.ended_between(r.id.sidecar(), r.sent, r.ended + self.slack());
             r.end == End::Closed && !killed
         });
-        for request in closed.skip(self.book.requests.len() / CLOSED) {
+        for request in closed.skip(self.records.requests.len() / CLOSED) {
             let text = format!(
                 "its new connection was closed without an answer at {}, beyond one request in {CLOSED}",
                 seconds(request.ended)
@@ -225,7 +225,7 @@
                 let text = format!(
                     "it went out again at {} though it may have run at {}",
                     seconds(attempt.first_byte),
-                    self.book.servers[earlier.server].name
+                    self.records.servers[earlier.server].name
                 );
                 breaches.push(self.breach(Rule::Twice, request.id, text));
                 break;
@@ -236,7 +236,7 @@
             && !all
             && let Some(unclear) = attempts.iter().find(|a| a.fate != Fate::TurnedAway)
         {
-            let at = &self.book.servers[unclear.server].name;
+            let at = &self.records.servers[unclear.server].name;
             let text = format!("it was refused though it may have run at {at}");
             breaches.push(self.breach(Rule::Twice, request.id, text));
         }
@@ -244,7 +244,7 @@
 
     /// Whether a keyed request that may have run in `earlier` could go out again as `later`.
     fn repeatable(&self, class: &Class, earlier: &Attempt, later: &Attempt) -> bool {
-        let zone = |a: &Attempt| self.book.servers[a.server].zone;
+        let zone = |a: &Attempt| self.records.servers[a.server].zone;
         let in_group = class.group == Group::All || zone(earlier) == zone(later);
         let window = micros(class.window_ms) + self.slack();
         let limit =
@@ -253,7 +253,7 @@
     }
 
     fn drains(&self, breaches: &mut Vec<Breach>) {
-        for attempt in &self.book.attempts {
+        for attempt in &self.records.attempts {
             let sidecar = attempt.id.sidecar();
             let Some(told) = self.told.get(&(sidecar, attempt.server)) else { continue };
             // The oldest word of those that have stood since.
@@ -267,7 +267,7 @@
             if attempt.first_byte > self.extended(sidecar, since, limit) {
                 let text = format!(
                     "it went to {} at {}, told to leave at {}",
-                    self.book.servers[attempt.server].name,
+                    self.records.servers[attempt.server].name,
                     seconds(attempt.first_byte),
                     seconds(since)
                 );
@@ -278,11 +278,11 @@
     }
 
     fn cold(&self, breaches: &mut Vec<Breach>) {
-        for (n, server) in self.book.servers.iter().enumerate() {
+        for (n, server) in self.records.servers.iter().enumerate() {
             let Some(fell) = server.fell else { continue };
             let from = fell.saturating_sub(micros(self.rules.tip_after_s * 1e3));
             let mut by = HashMap::<usize, (Micros, bool)>::new();
-            let window = self.book.attempts.iter();
+            let window = self.records.attempts.iter();
             for a in window.filter(|a| a.server == n && a.arrived >= from && a.arrived <= fell) {
                 let sidecar = a.id.sidecar();
                 let knew = self.told.get(&(sidecar, n)).is_some_and(|told| told[0].0 <= a.arrived);
@@ -314,8 +314,8 @@
     }
 
     fn headers(&self, breaches: &mut Vec<Breach>) {
-        for found in &self.book.duplicate_headers {
-            let server = &self.book.servers[found.server].name;
+        for found in &self.records.duplicate_headers {
+            let server = &self.records.servers[found.server].name;
             let text = format!("{server} got {} twice at {}", found.header, seconds(found.at));
             breaches.push(match found.id {
                 Some(id) => self.breach(Rule::Header, id, text),
@@ -334,7 +334,7 @@
     /// All that is known of a request, by time.
     fn way(&self, id: RequestId) -> Vec<String> {
         let mut way: Vec<(Micros, String)> = Vec::new();
-        for r in self.book.requests.iter().filter(|r| r.id.operation() == id.operation()) {
+        for r in self.records.requests.iter().filter(|r| r.id.operation() == id.operation()) {
             let name = &self.classes[r.class].name;
             let text = format!(
                 "client of n{}: {name} {} sent, {} ms left",
@@ -345,7 +345,7 @@
             way.push((r.sent, text));
             way.push((r.ended, format!("client: {} ended {:?}", r.id.wire(), r.end)));
             for a in self.attempts(r.id) {
-                let server = &self.book.servers[a.server].name;
+                let server = &self.records.servers[a.server].name;
                 way.push((a.first_byte, format!("{server}: {} first byte", a.id.wire())));
                 way.push((a.arrived, format!("{server}: {} last byte", a.id.wire())));
                 if let Some(ran) = a.ran {
--- a/crates/millethook-lab/src/ledger/mod.rs
+++ b/crates/millethook-lab/src/ledger/mod.rs
@@ -260,7 +260,7 @@
 
 /// Everything that was written down.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct RunRecords {
     /// Tries of clients.
     pub requests: Vec<Request>,
     /// Attempts at servers.
@@ -295,19 +295,19 @@
 
 /// The book, shared.
 #[derive(Default)]
-pub struct Ledger(Mutex<Book>);
+pub struct Ledger(Mutex<RunRecords>);
 
 impl Ledger {
     /// Opens the book. Nothing may wait while it is open.
-    pub fn open(&self) -> MutexGuard<'_, Book> {
+    pub fn open(&self) -> MutexGuard<'_, RunRecords> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// One more try; its number.
     pub fn request(&self, request: Request) -> usize {
-        let mut book = self.open();
-        book.requests.push(request);
-        book.requests.len() - 1
+        let mut records = self.open();
+        records.requests.push(request);
+        records.requests.len() - 1
     }
 
     /// The end of a try.
@@ -318,9 +318,9 @@
 
     /// One more attempt; its number.
     pub fn attempt(&self, attempt: Attempt) -> usize {
-        let mut book = self.open();
-        book.attempts.push(attempt);
-        book.attempts.len() - 1
+        let mut records = self.open();
+        records.attempts.push(attempt);
+        records.attempts.len() - 1
     }
 
     /// An attempt has its effect.
--- a/crates/millethook-lab/src/ledger/notices.rs
+++ b/crates/millethook-lab/src/ledger/notices.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::{Book, Listed, Micros};
+use super::{Listed, Micros, RunRecords};
 
 /// A watch that has fallen silent has to be begun anew: what it missed counts so long after it fell silent. Where
 /// discovery is asked, what it has counts so long after it had it.
@@ -20,14 +20,14 @@
 }
 
 /// What each sidecar counts as told of each server, by time: when it was written, or when the clock is over.
-pub fn by_server(book: &Book) -> HashMap<(usize, usize), Vec<(Micros, Listed)>> {
+pub fn by_server(records: &RunRecords) -> HashMap<(usize, usize), Vec<(Micros, Listed)>> {
     let mut written: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
-    for t in &book.notices {
+    for t in &records.notices {
         written.entry((t.sidecar, t.server)).or_default().push((t.at, t.listed));
     }
     written.values_mut().for_each(|of| of.sort_by_key(|t| t.0));
     let mut has: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
-    for t in &book.available {
+    for t in &records.available {
         has.entry((t.sidecar, t.server)).or_default().push((t.at, t.listed));
     }
     let times = |of: &[(usize, Micros)], sidecar: usize| -> Vec<Micros> {
@@ -35,14 +35,14 @@
     };
     for (key, rows) in &mut has {
         rows.sort_by_key(|t| t.0);
-        let (silences, moves) = (times(&book.silences, key.0), times(&book.moves, key.0));
+        let (silences, moves) = (times(&records.silences, key.0), times(&records.moves, key.0));
         let said = written.get(key);
         let mut later = Micros::MAX;
         // A word that came after the next one did says nothing any more.
         for (at, listed) in rows.iter_mut().rev() {
             let said = said.into_iter().flatten().find(|w| w.0 >= *at && w.1 == *listed);
             let said = said.map_or(Micros::MAX, |w| w.0);
-            let had = if book.asked { *at + SILENCE } else { *at };
+            let had = if records.asked { *at + SILENCE } else { *at };
             *at = had.max(effective_from(*at, &silences, &moves)).min(said).min(later);
             later = *at;
         }
--- a/crates/millethook-lab/src/report.rs
+++ b/crates/millethook-lab/src/report.rs
@@ -37,14 +37,14 @@
     std::fs::write(folder.join("breaches.txt"), text)?;
     csv_of(
         &folder.join("requests.csv"),
-        outcome.book.requests.iter().map(|r| {
+        outcome.records.requests.iter().map(|r| {
             (r.id.wire(), r.class, r.due, r.sent, r.left, r.ended, format!("{:?}", r.end))
         }),
     )?;
     csv_of(
         &folder.join("attempts.csv"),
-        outcome.book.attempts.iter().map(|a| {
-            let server = outcome.book.servers[a.server].name.as_str();
+        outcome.records.attempts.iter().map(|a| {
+            let server = outcome.records.servers[a.server].name.as_str();
             (
                 a.id.wire(),
                 server,
@@ -59,8 +59,8 @@
     )?;
     csv_of(
         &folder.join("told.csv"),
-        outcome.book.notices.iter().map(|t| {
-            let server = outcome.book.servers[t.server].name.as_str();
+        outcome.records.notices.iter().map(|t| {
+            let server = outcome.records.servers[t.server].name.as_str();
             (t.at, format!("n{}", t.sidecar), server, format!("{:?}", t.listed))
         }),
     )?;
@@ -73,7 +73,7 @@
         }),
     )?;
     let mut handshakes = vec![0u64; outcome.traffic.len()];
-    for attempt in outcome.book.attempts.iter().filter(|a| a.fresh) {
+    for attempt in outcome.records.attempts.iter().filter(|a| a.fresh) {
         handshakes[attempt.id.sidecar()] += 1;
     }
     csv_of(
--- a/crates/millethook-lab/src/single_run.rs
+++ b/crates/millethook-lab/src/single_run.rs
@@ -120,15 +120,15 @@
     }
 
     fn judge(&self, timeline: &Timeline, plan: &Plan, outcome: &Outcome) -> RunResult {
-        let breaches = judge(&outcome.book, &timeline.classes, &timeline.rules);
+        let breaches = judge(&outcome.records, &timeline.classes, &timeline.rules);
         let mut figures = figures(self.name, timeline, plan, outcome);
-        figures.faults.extend(outcome.book.findings.iter().cloned());
+        figures.faults.extend(outcome.records.findings.iter().cloned());
         figures.faults.extend(breaches.iter().map(|b| match b.request {
             Some(id) => format!("{}: request {}: {}", b.rule, id.wire(), b.text),
             None => format!("{}: {}", b.rule, b.text),
         }));
         // What ended before its time has no figures that could be expected.
-        if outcome.book.findings.is_empty() {
+        if outcome.records.findings.is_empty() {
             figures.faults.extend(missed(timeline, &figures));
         }
         let late = breaches.iter().filter(|b| b.by_time).count();
--- a/crates/millethook-lab/src/world/agent.rs
+++ b/crates/millethook-lab/src/world/agent.rs
@@ -340,10 +340,10 @@
     fn write_down(&self, words: Vec<(usize, Listed)>) {
         let at = self.directory.clock.now();
         let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut book = self.directory.ledger.open();
+        let mut records = self.directory.ledger.open();
         for (server, listed) in words {
             if told.insert(server, listed) != Some(listed) {
-                book.notices.push(ServerNotice { at, sidecar: self.sidecar, server, listed });
+                records.notices.push(ServerNotice { at, sidecar: self.sidecar, server, listed });
             }
         }
     }
--- a/crates/millethook-lab/src/world/conductor.rs
+++ b/crates/millethook-lab/src/world/conductor.rs
@@ -306,8 +306,8 @@
         let c = &self.relay.counts;
         self.outcome.relay = [&c.lost, &c.cut, &c.strangers, &c.overflow].map(count);
         let has: Vec<_> = self.agents.iter().flat_map(|agent| agent.has()).collect();
-        self.outcome.book = std::mem::take(&mut *self.ledger.open());
-        self.outcome.book.available = has;
+        self.outcome.records = std::mem::take(&mut *self.ledger.open());
+        self.outcome.records.available = has;
         self.outcome.late_p99 = late_p99;
         self.outcome
     }
--- a/crates/millethook-lab/src/world/conductor/steps.rs
+++ b/crates/millethook-lab/src/world/conductor/steps.rs
@@ -103,8 +103,8 @@
 
     /// A sidecar's absence is over.
     pub(super) fn back(&self, sidecar: usize, now: Micros, ended: bool) {
-        let mut book = self.ledger.open();
-        let open = book.absences.iter_mut();
+        let mut records = self.ledger.open();
+        let open = records.absences.iter_mut();
         open.filter(|a| a.sidecar == sidecar && a.ended == ended && a.to == Micros::MAX)
             .for_each(|a| a.to = now);
     }
--- a/crates/millethook-lab/src/world/mod.rs
+++ b/crates/millethook-lab/src/world/mod.rs
@@ -27,7 +27,7 @@
 
 pub use conductor::play;
 
-use crate::ledger::{Book, Micros};
+use crate::ledger::{Micros, RunRecords};
 use daemon::Usage;
 
 /// How a run is made.
@@ -108,7 +108,7 @@
 #[derive(Default)]
 pub struct Outcome {
     /// All that was written down.
-    pub book: Book,
+    pub records: RunRecords,
     /// Begins and ends of events: time, place in the timeline, whether it begins.
     pub marks: Vec<(Micros, usize, bool)>,
     /// What processes used.
--- a/crates/millethook-lab/src/world/server.rs
+++ b/crates/millethook-lab/src/world/server.rs
@@ -106,8 +106,8 @@
             addresses.iter().map(|at| listen(*at)).collect::<io::Result<_>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
         let row = {
-            let mut book = stage.ledger.open();
-            book.servers.push(ServerRow {
+            let mut records = stage.ledger.open();
+            records.servers.push(ServerRow {
                 name,
                 zone,
                 started,
@@ -115,7 +115,7 @@
                 cold_peak: 0.0,
                 connections: 0,
             });
-            book.servers.len() - 1
+            records.servers.len() - 1
         };
         let born = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let born_ms = if cold { born.unwrap_or_default().as_millis() as u64 } else { 0 };
--- a/crates/millethook-lab/tests/it/distribution.rs
+++ b/crates/millethook-lab/tests/it/distribution.rs
@@ -1,7 +1,7 @@
 //! The judge of documents, on logs and runs written by hand.
 
 use millethook_lab::figures::distribution::{DistributionFigures, distribution, missed};
-use millethook_lab::ledger::{Absence, Book};
+use millethook_lab::ledger::{Absence, RunRecords};
 use millethook_lab::timeline::Timeline;
 use millethook_lab::world::Outcome;
 use millethook_lab::world::documents::{DocumentEvent, DocumentEventKind, DocumentVersion, read};
@@ -66,17 +66,17 @@
 fn who_was_away_has_the_time_from_its_return_and_no_more() {
     let mut outcome = one([Some(2 * S), Some(3 * S), Some(12 * S)]);
     let absence = |to| Absence { sidecar: 2, from: S / 2, to, ended: true };
-    outcome.book = Book { absences: vec![absence(10 * S)], ..Book::default() };
+    outcome.records = RunRecords { absences: vec![absence(10 * S)], ..RunRecords::default() };
     assert_eq!(judged(&outcome).0.in_force_all_s, 2.0);
-    outcome.book.absences = vec![absence(5 * S)];
+    outcome.records.absences = vec![absence(5 * S)];
     assert_eq!(judged(&outcome).1, ["in_force_within_s: 4 expected, not 7.00"]);
     // The lab notices a little later that it is ready again.
     outcome = one([Some(2 * S), Some(3 * S), Some(12 * S)]);
-    outcome.book.absences = vec![absence(12 * S + S / 10)];
+    outcome.records.absences = vec![absence(12 * S + S / 10)];
     assert_eq!(judged(&outcome).0.in_force_all_s, 2.0);
     // One that stays away to the end is missed by nobody.
     outcome = one([Some(2 * S), Some(3 * S), None]);
-    outcome.book.absences = vec![absence(u64::MAX)];
+    outcome.records.absences = vec![absence(u64::MAX)];
     assert_eq!(judged(&outcome).0.never, 0);
 }
 
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -5,8 +5,8 @@
 use millethook_lab::ledger::cold::{ColdBudget, Warmth, bears};
 use millethook_lab::ledger::judge::{Rule, judge};
 use millethook_lab::ledger::{
-    Absence, Attempt, Book, DuplicateHeader, End, Fate, Listed, Request, RequestId, ServerNotice,
-    ServerRow,
+    Absence, Attempt, DuplicateHeader, End, Fate, Listed, Request, RequestId, RunRecords,
+    ServerNotice, ServerRow,
 };
 use millethook_lab::timeline::{Class, Effect, Group, Rules};
 use proptest::prelude::*;
@@ -48,7 +48,7 @@
 
 /// A book with one request of the class, sent at 1 s with 1 s left, to two servers of two zones.
 struct Case {
-    book: Book,
+    records: RunRecords,
     class: Class,
 }
 
@@ -66,18 +66,18 @@
     };
     let request = Request { id, class: 0, due: S, sent: S, left: S, ended, end, after: None };
     let servers = vec![row("s0", 0), row("s1", 1)];
-    let book = Book { requests: vec![request], servers, ..Book::default() };
+    let records = RunRecords { requests: vec![request], servers, ..RunRecords::default() };
     let class = Class { effect, group, window_ms: 500.0, ..Class::default() };
-    Case { book, class }
+    Case { records, class }
 }
 
 impl Case {
     fn attempt(mut self, server: usize, at: u64, fate: Fate) -> Case {
-        let id = self.book.requests[0].id;
+        let id = self.records.requests[0].id;
         let ran = (!matches!(fate, Fate::TurnedAway)).then_some(at);
         let ended = at + 10_000;
         let (first_byte, arrived, work, fresh) = (at, at, 1_000, false);
-        self.book.attempts.push(Attempt {
+        self.records.attempts.push(Attempt {
             id,
             server,
             first_byte,
@@ -92,18 +92,18 @@
     }
 
     fn away(mut self, from: u64, to: u64, ended: bool) -> Case {
-        self.book.absences.push(Absence { sidecar: 0, from, to, ended });
+        self.records.absences.push(Absence { sidecar: 0, from, to, ended });
         self
     }
 
     /// Whether each fault that is found is a matter of time.
     fn by_time(&self) -> Vec<bool> {
-        let breaches = judge(&self.book, std::slice::from_ref(&self.class), &Rules::default());
+        let breaches = judge(&self.records, std::slice::from_ref(&self.class), &Rules::default());
         breaches.iter().map(|b| b.by_time).collect()
     }
 
     fn broken(&self) -> Vec<Rule> {
-        let breaches = judge(&self.book, std::slice::from_ref(&self.class), &Rules::default());
+        let breaches = judge(&self.records, std::slice::from_ref(&self.class), &Rules::default());
         assert!(breaches.iter().all(|b| b.request.is_none() || !b.way.is_empty()));
         breaches.iter().map(|b| b.rule).collect()
     }
@@ -138,12 +138,12 @@
     let refused = of(Effect::Unsafe, End::Refused, S + 400_000).attempt(0, S, Fate::Open);
     assert_eq!(refused.by_time(), [false]);
     let mut stray = of(Effect::Safe, End::Served, S + 5_000);
-    stray.book.strays.push((S + 9_000, stray.book.requests[0].id));
+    stray.records.strays.push((S + 9_000, stray.records.requests[0].id));
     assert_eq!(stray.by_time(), [false]);
     let late = 2 * S + 70_000;
     let mut drained =
         of(Effect::Safe, End::Served, S + 900_000).attempt(0, S + 800_000, Fate::Served);
-    drained.book.notices.push(ServerNotice {
+    drained.records.notices.push(ServerNotice {
         at: 1,
         sidecar: 0,
         server: 0,
@@ -195,7 +195,7 @@
         let mut case =
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, at, Fate::Served);
         let word = |t: &(u64, Listed)| ServerNotice { at: t.0, sidecar: 0, server: 0, listed: t.1 };
-        case.book.notices = told.iter().map(word).collect();
+        case.records.notices = told.iter().map(word).collect();
         case.broken()
     };
     use Listed::{Active, Leaving};
@@ -211,9 +211,9 @@
     let judged = |told| {
         let mut case =
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, S, Fate::Served);
-        case.book.servers[0].fell = Some(S + 1);
+        case.records.servers[0].fell = Some(S + 1);
         if told {
-            case.book.notices =
+            case.records.notices =
                 vec![ServerNotice { at: 1, sidecar: 0, server: 0, listed: Listed::Active }];
         }
         case.broken()
@@ -228,9 +228,9 @@
         case(Effect::Safe, Group::All, End::Served, S + 1_000).attempt(0, S, Fate::Served);
     assert_eq!(case.broken(), []);
     let found = |id| DuplicateHeader { at: S, server: 1, id, header: "x-time-left-ms".into() };
-    case.book.duplicate_headers = vec![found(Some(case.book.requests[0].id)), found(None)];
+    case.records.duplicate_headers = vec![found(Some(case.records.requests[0].id)), found(None)];
     assert_eq!(case.broken(), [Rule::Header, Rule::Header]);
-    let said = judge(&case.book, std::slice::from_ref(&case.class), &Rules::default());
+    let said = judge(&case.records, std::slice::from_ref(&case.class), &Rules::default());
     assert!(said.iter().all(|b| b.text == "s1 got x-time-left-ms twice at 1.000 s"), "{said:?}");
 }
 
@@ -251,25 +251,25 @@
 
 #[test]
 fn what_an_agent_has_counts_as_told_by_the_clock_whether_or_not_it_arrived() {
-    let sends_at = |at: u64, book: fn(&mut Book)| {
+    let sends_at = |at: u64, records: fn(&mut RunRecords)| {
         let mut case = case(Effect::Safe, Group::All, End::Served, at + 10_000);
-        case.book.requests[0].sent = at;
+        case.records.requests[0].sent = at;
         let mut case = case.attempt(0, at, Fate::Served);
         let leaves = |at| ServerNotice { at, sidecar: 0, server: 0, listed: Listed::Leaving };
-        case.book.available.push(leaves(2 * S));
-        book(&mut case.book);
+        case.records.available.push(leaves(2 * S));
+        records(&mut case.records);
         case.broken()
     };
     // A pushed list: at once, with half a second and the sockets' slack to act on it.
     assert_eq!(sends_at(2 * S + 540_000, |_| {}), []);
     assert_eq!(sends_at(2 * S + 560_000, |_| {}), [Rule::Drain]);
     // A watch that fell silent before: 6 s after that, unless it came.
-    let silent = |book: &mut Book| book.silences.push((0, S));
+    let silent = |records: &mut RunRecords| records.silences.push((0, S));
     assert_eq!(sends_at(7 * S + 540_000, silent), []);
     assert_eq!(sends_at(7 * S + 560_000, silent), [Rule::Drain]);
-    let written = |book: &mut Book| {
-        book.silences.push((0, S));
-        book.notices.push(ServerNotice {
+    let written = |records: &mut RunRecords| {
+        records.silences.push((0, S));
+        records.notices.push(ServerNotice {
             at: 3 * S,
             sidecar: 0,
             server: 0,
@@ -278,9 +278,9 @@
     };
     assert_eq!(sends_at(3 * S + 560_000, written), [Rule::Drain]);
     // Another sidecar's silence is none of this one's.
-    assert_eq!(sends_at(3 * S, |book| book.silences.push((1, S))), [Rule::Drain]);
+    assert_eq!(sends_at(3 * S, |records| records.silences.push((1, S))), [Rule::Drain]);
     // A configuration that moved discovery: 4 s after that.
-    let moved = |book: &mut Book| book.moves.push((0, S));
+    let moved = |records: &mut RunRecords| records.moves.push((0, S));
     assert_eq!(sends_at(5 * S + 540_000, moved), []);
     assert_eq!(sends_at(5 * S + 560_000, moved), [Rule::Drain]);
 }
@@ -289,11 +289,11 @@
 fn one_new_connection_in_two_hundred_may_be_closed_without_an_answer() {
     let closed = |count: usize| {
         let mut case = case(Effect::Safe, Group::All, End::Served, S + 1_000);
-        let first = case.book.requests[0].clone();
+        let first = case.records.requests[0].clone();
         for n in 1..400 {
             let end = if n <= count { End::Closed } else { End::Served };
             let id = RequestId::new(0, n, 0);
-            case.book.requests.push(Request { id, end, ..first.clone() });
+            case.records.requests.push(Request { id, end, ..first.clone() });
         }
         case.broken().len()
     };
--- a/crates/millethook-lab/tests/it/figures_golden.rs
+++ b/crates/millethook-lab/tests/it/figures_golden.rs
@@ -3,7 +3,7 @@
 //! A change of code that is not meant to change figures leaves `golden/figures.txt` as it is.
 
 use millethook_lab::figures::{figures, missed};
-use millethook_lab::ledger::{Attempt, Book, End, Fate, Request, RequestId, ServerRow};
+use millethook_lab::ledger::{Attempt, End, Fate, Request, RequestId, RunRecords, ServerRow};
 use millethook_lab::plan::Plan;
 use millethook_lab::timeline::Timeline;
 use millethook_lab::world::daemon::Usage;
@@ -68,8 +68,8 @@
 "#;
 
 /// One operation in ten has a retry. Answers are late, and one request in three fails, while an event goes on.
-fn book() -> Book {
-    let mut book = Book::default();
+fn records() -> RunRecords {
+    let mut records = RunRecords::default();
     for n in 0..1_200u64 {
         let due = n * 18_000;
         let hurt = (6 * S..8 * S).contains(&due) || (11 * S..14 * S).contains(&due);
@@ -83,14 +83,14 @@
             let class = usize::from(n % 4 == 3);
             let (sent, ended) = (due + 100, due + took);
             let (left, after) = (400_000, None);
-            book.requests.push(Request { id, class, due, sent, left, ended, end, after });
+            records.requests.push(Request { id, class, due, sent, left, ended, end, after });
             let server = (n * n / 7 % SERVERS) as usize;
             let fate = if end == End::Silent { Fate::Silent } else { Fate::Served };
             let (arrived, ran) = (due + 2_000, (n % 17 != 0).then_some(due + 5_000));
             let (first_byte, fresh) = (arrived, n % 50 == 0);
             let work = 10_000;
             let ended = ended - 1_000;
-            book.attempts.push(Attempt {
+            records.attempts.push(Attempt {
                 id,
                 server,
                 first_byte,
@@ -111,10 +111,10 @@
         cold_peak: n as f64 / 10.0,
         connections: 10 + n,
     };
-    book.servers = (0..SERVERS).map(row).collect();
-    book.stalls = vec![(S, S + 1_500), (9 * S, 9 * S + 2_000)];
-    book.not_offered = 3;
-    book
+    records.servers = (0..SERVERS).map(row).collect();
+    records.stalls = vec![(S, S + 1_500), (9 * S, 9 * S + 2_000)];
+    records.not_offered = 3;
+    records
 }
 
 fn view(at: u64, sidecar: u64) -> ViewSample {
@@ -163,7 +163,7 @@
     });
     let samples = (1..110u64).flat_map(|n| (0..SIDECARS).map(move |who| (n * S / 5 + who, who)));
     Outcome {
-        book: book(),
+        records: records(),
         marks: vec![(6 * S, 0, true), (7 * S, 0, false), (11 * S, 1, true), (14 * S, 1, false)],
         processes: processes.collect(),
         servers: servers.collect(),
@@ -216,10 +216,10 @@
     let plan = Plan::new(&timeline, 7);
     let trials = |sidecar: usize, at: u64| {
         let mut outcome = outcome();
-        let mut attempt = outcome.book.attempts[0].clone();
+        let mut attempt = outcome.records.attempts[0].clone();
         attempt.id = RequestId::new(sidecar, 9_999, 0);
         (attempt.first_byte, attempt.fate) = (at, Fate::Silent);
-        outcome.book.attempts = vec![attempt];
+        outcome.records.attempts = vec![attempt];
         figures("by-rule", &timeline, &plan, &outcome).trials_by_others
     };
     // Sidecar 0 owns the job up to 12 s, sidecar 1 from then on; events begin and end at 6, 7, 11 and 14 s.
