--- a/crates/millethook-lab/src/scale/daemon.rs
+++ b/crates/millethook-lab/src/scale/daemon.rs
@@ -15,8 +15,8 @@
 use crate::timeline::Timeline;
 use crate::world::addresses::Addresses;
 use crate::world::daemon::{Exit, Launch, Wiring, configuration, signal};
-use crate::world::readiness::until_ready;
-use crate::world::views::metrics;
+use crate::world::readiness::wait_until_ready;
+use crate::world::views::fetch_metrics;
 use crate::world::{RunError, machine_error};
 
 const READY: Duration = Duration::from_secs(60);
@@ -173,7 +173,7 @@
     pub async fn ready(&mut self) -> Result<(), ScaleError> {
         let listen = self.listen;
         tokio::select! {
-            ready = timeout(READY, until_ready(listen)) => {
+            ready = timeout(READY, wait_until_ready(listen)) => {
                 let seconds = READY.as_secs_f64();
                 let what = format!("{} is ready", self.name);
                 ready.map_err(|_| ScaleError::Late { what, seconds })
@@ -288,7 +288,7 @@
 
 /// Figures at an operators' address, named without `sidecar.`; None: it does not answer, or lacks one.
 pub async fn figures<const N: usize>(admin: SocketAddr, names: [&str; N]) -> Option<[u64; N]> {
-    let text = timeout(END, metrics(admin)).await.ok()??;
+    let text = timeout(END, fetch_metrics(admin)).await.ok()??;
     let mut figures = [0; N];
     for (figure, name) in figures.iter_mut().zip(names) {
         let line = text.lines().find_map(|l| l.strip_prefix("sidecar.")?.strip_prefix(name));
--- a/crates/millethook-lab/src/world/processes.rs
+++ b/crates/millethook-lab/src/world/processes.rs
@@ -14,7 +14,7 @@
 
 use super::addresses::Addresses;
 use super::daemon::{Exit, Launch, Usage, Wiring, configuration, signal};
-use super::readiness::until_ready;
+use super::readiness::wait_until_ready;
 use super::relay::Relay;
 use super::{Options, ProcessSample, RunError, machine_error, members};
 use crate::ledger::{Clock, Ledger};
@@ -183,7 +183,7 @@
         self.running.insert(pid, process);
         let readies = self.readies.clone();
         tokio::spawn(async move {
-            until_ready(listen).await;
+            wait_until_ready(listen).await;
             // The run may be over.
             let _ = readies.send(Ready { sidecar });
         });
@@ -221,7 +221,7 @@
         }
         let mut asking = JoinSet::new();
         for n in first {
-            asking.spawn(until_ready(self.addresses.listen(n, 0)));
+            asking.spawn(wait_until_ready(self.addresses.listen(n, 0)));
         }
         let end = sleep(READY);
         tokio::pin!(end);
--- a/crates/millethook-lab/src/world/publisher.rs
+++ b/crates/millethook-lab/src/world/publisher.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-use super::views::metrics;
+use super::views::fetch_metrics;
 use crate::ledger::{Clock, Ledger, Micros};
 use crate::timeline::{Event, Timeline};
 
@@ -98,7 +98,7 @@
                 return Some(writer);
             }
             for (node, at) in self.control_nodes.iter().enumerate() {
-                let Ok(Some(text)) = timeout(PATIENCE, metrics(*at)).await else { continue };
+                let Ok(Some(text)) = timeout(PATIENCE, fetch_metrics(*at)).await else { continue };
                 if text.lines().any(|line| line.starts_with(READY)) {
                     let mut known = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
                     *known = Some((Instant::now(), node));
--- a/crates/millethook-lab/src/world/readiness.rs
+++ b/crates/millethook-lab/src/world/readiness.rs
@@ -12,7 +12,7 @@
 const ASK: Duration = Duration::from_millis(20);
 
 /// Asks a daemon until it is ready.
-pub async fn until_ready(at: SocketAddr) {
+pub async fn wait_until_ready(at: SocketAddr) {
     while !is_ready(at).await {
         sleep(ASK).await;
     }
--- a/crates/millethook-lab/src/world/views.rs
+++ b/crates/millethook-lab/src/world/views.rs
@@ -42,7 +42,7 @@
                     sleep(every).await;
                     // One that is paused or not there says nothing.
                     let asked = clock.now();
-                    let Ok(Some(text)) = timeout(every, metrics(at)).await else { continue };
+                    let Ok(Some(text)) = timeout(every, fetch_metrics(at)).await else { continue };
                     if let Some(sample) = sample(&text, (asked, clock.now()), sidecar) {
                         samples.lock().unwrap_or_else(PoisonError::into_inner).push(sample);
                     }
@@ -63,7 +63,7 @@
 }
 
 /// The figures at an operators' address; None: it does not answer.
-pub async fn metrics(at: SocketAddr) -> Option<String> {
+pub async fn fetch_metrics(at: SocketAddr) -> Option<String> {
     let mut wire = HttpConnection::new(TcpStream::connect(at).await.ok()?);
     wire.send(b"GET /v1/metrics HTTP/1.1\r\nHost: lab\r\n\r\n").await.ok()?;
     let answer = wire.answer().await.ok()??;
