--- a/crates/millethook-lab/src/ledger/cold.rs
+++ b/crates/millethook-lab/src/ledger/cold.rs
@@ -7,7 +7,7 @@
 
 /// What a cold server can do over time.
 #[derive(Clone, Copy, Debug)]
-pub struct Warmth {
+pub struct WarmUpCurve {
     /// Requests in work at once.
     pub slots: f64,
     /// The share of its capacity that it has at the start.
@@ -16,7 +16,7 @@
     pub length: Micros,
 }
 
-impl Warmth {
+impl WarmUpCurve {
     /// Its share of the full capacity at an age.
     pub fn at(&self, age: Micros) -> f64 {
         match self.length {
@@ -42,7 +42,7 @@
 /// Counts what a cold server is sent.
 #[derive(Clone, Debug)]
 pub struct ColdBudget {
-    warmth: Warmth,
+    warm_up: WarmUpCurve,
     multiple: f64,
     window: Micros,
     sent: VecDeque<(Micros, Micros)>,
@@ -55,16 +55,16 @@
 
 /// How many requests of mean work a cold server bears where the settings allow it `n`: what chance adds is
 /// twice the deviation of arrivals that do not know of one another, and two more.
-pub fn bears(n: f64) -> f64 {
+pub fn tolerated_requests(n: f64) -> f64 {
     n + 2.0 * n.sqrt() + 2.0
 }
 
 impl ColdBudget {
     /// A budget of `multiple` times what the server can do in any window of so many microseconds.
     /// `mean` is the mean work of a request.
-    pub fn new(warmth: Warmth, multiple: f64, window: Micros, mean: f64) -> ColdBudget {
+    pub fn new(warm_up: WarmUpCurve, multiple: f64, window: Micros, mean: f64) -> ColdBudget {
         ColdBudget {
-            warmth,
+            warm_up,
             multiple,
             window,
             sent: VecDeque::new(),
@@ -85,11 +85,12 @@
         }
         // A burst may use a window up early: the window that begins with the oldest piece counts in full.
         let from = self.sent.front().map_or(age, |s| s.0);
-        let can = self.warmth.between(from, from + self.window);
-        if age >= self.warmth.length {
+        let can = self.warm_up.between(from, from + self.window);
+        if age >= self.warm_up.length {
             return false;
         }
-        let used = self.sum as f64 / (bears(self.multiple * can / self.mean) * self.mean);
+        let used =
+            self.sum as f64 / (tolerated_requests(self.multiple * can / self.mean) * self.mean);
         self.peak = self.peak.max(used);
         used > 1.0
     }
--- a/crates/millethook-lab/src/ledger/judge.rs
+++ b/crates/millethook-lab/src/ledger/judge.rs
@@ -46,8 +46,8 @@
     pub request: Option<RequestId>,
     /// What happened.
     pub text: String,
-    /// The request's way through every process, in order.
-    pub way: Vec<String>,
+    /// The request's history through every process, in order.
+    pub history: Vec<String>,
     /// What was done was right but for its time: a daemon that got no processor does that, too.
     pub by_time: bool,
 }
@@ -153,7 +153,7 @@
             // What is kept goes out after its answer.
             End::Kept if request.ended <= limit => return,
             End::Served | End::Refused | End::Failed(_) | End::Kept => {
-                // An answer that is known by now was on its way when the lab looked again.
+                // An answer that is known by now was on its history when the lab looked again.
                 let after = |a: &&&Attempt| {
                     a.first_byte > request.ended + self.slack() && request.end != End::Kept
                 };
@@ -297,7 +297,7 @@
             }
             let mut most: Vec<_> = by.into_iter().collect();
             most.sort_by_key(|(sidecar, (work, _))| (std::cmp::Reverse(*work), *sidecar));
-            let way = most.iter().take(8).map(|(sidecar, (work, knew))| {
+            let history = most.iter().take(8).map(|(sidecar, (work, knew))| {
                 let knew = if *knew { "told of its start" } else { "not told" };
                 format!("n{sidecar} sent {} ms of work, {knew}", work / 1000)
             });
@@ -308,8 +308,8 @@
                 all / 1000,
                 most.len()
             );
-            let way = way.collect();
-            breaches.push(Breach { rule: Rule::Cold, request: None, text, way, by_time: true });
+            let history = history.collect();
+            breaches.push(Breach { rule: Rule::Cold, request: None, text, history, by_time: true });
         }
     }
 
@@ -320,20 +320,20 @@
             breaches.push(match found.id {
                 Some(id) => self.breach(Rule::Header, id, text),
                 None => {
-                    let (rule, way) = (Rule::Header, Vec::new());
-                    Breach { rule, request: None, text, way, by_time: false }
+                    let (rule, history) = (Rule::Header, Vec::new());
+                    Breach { rule, request: None, text, history, by_time: false }
                 }
             });
         }
     }
 
     fn breach(&self, rule: Rule, id: RequestId, text: String) -> Breach {
-        Breach { rule, request: Some(id), text, way: self.way(id), by_time: false }
+        Breach { rule, request: Some(id), text, history: self.history(id), by_time: false }
     }
 
     /// All that is known of a request, by time.
-    fn way(&self, id: RequestId) -> Vec<String> {
-        let mut way: Vec<(Micros, String)> = Vec::new();
+    fn history(&self, id: RequestId) -> Vec<String> {
+        let mut history: Vec<(Micros, String)> = Vec::new();
         for r in self.records.requests.iter().filter(|r| r.id.operation() == id.operation()) {
             let name = &self.classes[r.class].name;
             let text = format!(
@@ -342,38 +342,38 @@
                 r.id.wire(),
                 r.left / 1000
             );
-            way.push((r.sent, text));
-            way.push((r.ended, format!("client: {} ended {:?}", r.id.wire(), r.end)));
+            history.push((r.sent, text));
+            history.push((r.ended, format!("client: {} ended {:?}", r.id.wire(), r.end)));
             for a in self.attempts(r.id) {
                 let server = &self.records.servers[a.server].name;
-                way.push((a.first_byte, format!("{server}: {} first byte", a.id.wire())));
-                way.push((a.arrived, format!("{server}: {} last byte", a.id.wire())));
+                history.push((a.first_byte, format!("{server}: {} first byte", a.id.wire())));
+                history.push((a.arrived, format!("{server}: {} last byte", a.id.wire())));
                 if let Some(ran) = a.ran {
-                    way.push((ran, format!("{server}: {} takes effect", a.id.wire())));
+                    history.push((ran, format!("{server}: {} takes effect", a.id.wire())));
                 }
-                way.push((a.ended, format!("{server}: {} {:?}", a.id.wire(), a.fate)));
+                history.push((a.ended, format!("{server}: {} {:?}", a.id.wire(), a.fate)));
                 let mut told = self.told.get(&(id.sidecar(), a.server)).into_iter().flatten();
                 if let Some((at, listed)) = told.rfind(|t| t.0 <= a.arrived) {
-                    way.push((
+                    history.push((
                         *at,
                         format!("discovery: n{} told {server} {listed:?}", id.sidecar()),
                     ));
                 }
             }
         }
-        let (from, to) = (way.iter().map(|w| w.0).min(), way.iter().map(|w| w.0).max());
+        let (from, to) = (history.iter().map(|w| w.0).min(), history.iter().map(|w| w.0).max());
         for absence in self.absences.get(&id.sidecar()).into_iter().flatten() {
             if Some(absence.from) <= to && Some(absence.to) >= from {
                 let what = if absence.ended { "ended" } else { "paused" };
-                way.push((absence.from, format!("n{} {what}", id.sidecar())));
+                history.push((absence.from, format!("n{} {what}", id.sidecar())));
                 if absence.to < Micros::MAX {
-                    way.push((absence.to, format!("n{} back", id.sidecar())));
+                    history.push((absence.to, format!("n{} back", id.sidecar())));
                 }
             }
         }
-        way.sort();
-        way.dedup();
-        way.into_iter().map(|(at, text)| format!("{} {text}", seconds(at))).collect()
+        history.sort();
+        history.dedup();
+        history.into_iter().map(|(at, text)| format!("{} {text}", seconds(at))).collect()
     }
 }
 
--- a/crates/millethook-lab/src/report.rs
+++ b/crates/millethook-lab/src/report.rs
@@ -32,7 +32,7 @@
     let mut text = String::new();
     for breach in breaches {
         text += &format!("{}: {}\n", breach.rule, breach.text);
-        breach.way.iter().for_each(|step| text += &format!("    {step}\n"));
+        breach.history.iter().for_each(|step| text += &format!("    {step}\n"));
     }
     std::fs::write(folder.join("breaches.txt"), text)?;
     csv_of(
--- a/crates/millethook-lab/src/single_run.rs
+++ b/crates/millethook-lab/src/single_run.rs
@@ -270,7 +270,7 @@
     f.faults.iter().take(4 * SHOWN).for_each(|fault| println!("FAULT {fault}"));
     for breach in breaches.iter().take(SHOWN) {
         println!("{}: {}", breach.rule, breach.text);
-        breach.way.iter().for_each(|step| println!("    {step}"));
+        breach.history.iter().for_each(|step| println!("    {step}"));
     }
     match &f.void {
         Some(why) => println!("{why}"),
--- a/crates/millethook-lab/src/world/network.rs
+++ b/crates/millethook-lab/src/world/network.rs
@@ -46,7 +46,7 @@
 
 /// What becomes of one datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Passage {
+pub struct DatagramFate {
     /// After which times it arrives; nowhere: it is lost.
     pub delays: Vec<Duration>,
     /// It fell to a cut, not to chance or a cap.
@@ -71,7 +71,7 @@
     }
 
     /// Decides on one datagram of `length` bytes at a time of the run.
-    pub fn pass(&mut self, now: Duration, from: usize, to: usize, length: usize) -> Passage {
+    pub fn pass(&mut self, now: Duration, from: usize, to: usize, length: usize) -> DatagramFate {
         let pair = (from * self.count + to) as u64;
         let seed = self.seed;
         let random = self.pairs.entry((from, to)).or_insert_with(|| stream(seed, "network", pair));
@@ -105,9 +105,9 @@
             }
         }
         if lost || cut {
-            return Passage { delays: Vec::new(), cut };
+            return DatagramFate { delays: Vec::new(), cut };
         }
         let delay = Duration::from_secs_f64(delay / 1e3);
-        Passage { delays: vec![delay; copies], cut }
+        DatagramFate { delays: vec![delay; copies], cut }
     }
 }
--- a/crates/millethook-lab/src/world/relay.rs
+++ b/crates/millethook-lab/src/world/relay.rs
@@ -164,13 +164,13 @@
         self.traffic[from].bytes.fetch_add(data.len() as u64, Ordering::Relaxed);
         let now = std::time::Duration::from_micros(self.clock.now());
         let mut model = self.model.lock().unwrap_or_else(PoisonError::into_inner);
-        let passage = model.pass(now, from, to, data.len());
+        let fate = model.pass(now, from, to, data.len());
         drop(model);
-        if passage.delays.is_empty() {
-            let count = if passage.cut { &self.counts.cut } else { &self.counts.lost };
+        if fate.delays.is_empty() {
+            let count = if fate.cut { &self.counts.cut } else { &self.counts.lost };
             count.fetch_add(1, Ordering::Relaxed);
         }
-        for delay in passage.delays {
+        for delay in fate.delays {
             if delay.is_zero() {
                 self.deliver(from, to, data);
                 continue;
--- a/crates/millethook-lab/src/world/server.rs
+++ b/crates/millethook-lab/src/world/server.rs
@@ -16,7 +16,7 @@
 use super::conditions::Conditions;
 use super::http::{HttpConnection, Message, answer};
 use super::links::Links;
-use crate::ledger::cold::{ColdBudget, Warmth};
+use crate::ledger::cold::{ColdBudget, WarmUpCurve};
 use crate::ledger::{Attempt, Clock, DuplicateHeader, Fate, Ledger, Micros, RequestId, ServerRow};
 use crate::plan::{Plan, stream};
 use crate::timeline::{Effect, EventKind, Group, Timeline};
@@ -97,10 +97,10 @@
         let settings = &stage.timeline.servers;
         let rules = &stage.timeline.rules;
         let started = cold.then(|| stage.clock.now());
-        let warmth = warmth(&stage.timeline);
+        let warm_up = warm_up(&stage.timeline);
         let window = (rules.tip_after_s * 1e6) as Micros;
         let budget = cold.then(|| {
-            ColdBudget::new(warmth, rules.fall_multiple, window, stage.timeline.mean_work())
+            ColdBudget::new(warm_up, rules.fall_multiple, window, stage.timeline.mean_work())
         });
         let listeners: Vec<TcpListener> =
             addresses.iter().map(|at| listen(*at)).collect::<io::Result<_>>()?;
@@ -363,7 +363,7 @@
         }
         stage.ledger.ran(nth, stage.clock.now());
         let age = self.started.map_or(Micros::MAX, |s| stage.clock.now().saturating_sub(s));
-        let speed = warmth(&stage.timeline).at(age) / now.slow;
+        let speed = warm_up(&stage.timeline).at(age) / now.slow;
         let work = sleep(Duration::from_micros((arrival.work as f64 / speed) as u64));
         if now.drops_work {
             tokio::select! {
@@ -494,9 +494,9 @@
     socket.listen(BACKLOG)
 }
 
-fn warmth(timeline: &Timeline) -> Warmth {
+fn warm_up(timeline: &Timeline) -> WarmUpCurve {
     let servers = &timeline.servers;
-    Warmth {
+    WarmUpCurve {
         slots: servers.slots as f64,
         share: servers.cold_share,
         length: (servers.cold_s * 1e6) as Micros,
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -2,7 +2,7 @@
 
 use millethook_lab::compare::compare;
 use millethook_lab::figures::Figures;
-use millethook_lab::ledger::cold::{ColdBudget, Warmth, bears};
+use millethook_lab::ledger::cold::{ColdBudget, WarmUpCurve, tolerated_requests};
 use millethook_lab::ledger::judge::{Rule, judge};
 use millethook_lab::ledger::{
     Absence, Attempt, DuplicateHeader, End, Fate, Listed, Request, RequestId, RunRecords,
@@ -32,17 +32,17 @@
 
 #[test]
 fn a_cold_server_falls_over_at_its_multiple_and_not_before() {
-    let warmth = Warmth { slots: 2.0, share: 0.25, length: 10_000_000 };
+    let warm_up = WarmUpCurve { slots: 2.0, share: 0.25, length: 10_000_000 };
     // It can do 0.5 s of work in its first second, and a little more as it warms up.
     let falls = |work| {
-        let mut budget = ColdBudget::new(warmth, 2.0, 1_000_000, 10_000.0);
+        let mut budget = ColdBudget::new(warm_up, 2.0, 1_000_000, 10_000.0);
         (0..100).any(|n| budget.send(n * 10_000, work))
     };
     // 115 requests of mean work are allowed it then, and so it bears 115 + 21 + 2.
-    assert_eq!(bears(9.0), 17.0);
+    assert_eq!(tolerated_requests(9.0), 17.0);
     assert!(!falls(13_000));
     assert!(falls(14_500));
-    let mut warm = ColdBudget::new(warmth, 2.0, 1_000_000, 10_000.0);
+    let mut warm = ColdBudget::new(warm_up, 2.0, 1_000_000, 10_000.0);
     assert!(!(0..1000).any(|n| warm.send(10_000_000 + n * 1_000, 100_000)));
 }
 
@@ -104,7 +104,7 @@
 
     fn broken(&self) -> Vec<Rule> {
         let breaches = judge(&self.records, std::slice::from_ref(&self.class), &Rules::default());
-        assert!(breaches.iter().all(|b| b.request.is_none() || !b.way.is_empty()));
+        assert!(breaches.iter().all(|b| b.request.is_none() || !b.history.is_empty()));
         breaches.iter().map(|b| b.rule).collect()
     }
 }
