--- a/crates/millethook-lab/src/figures.rs
+++ b/crates/millethook-lab/src/figures.rs
@@ -169,7 +169,7 @@
         relay: outcome.relay,
         late_p99_ms: outcome.late_p99.as_secs_f64() * 1e3,
         stalls_ms: outcome.records.stalls.iter().map(|s| s.1 - s.0).sum::<Micros>() as f64 / 1e3,
-        not_offered: outcome.records.not_offered,
+        not_offered: outcome.records.not_sent,
         events: events(timeline, plan, outcome, &operations),
         windows,
         views_too_dead: views::too_dead(outcome, plan.sidecars.len()),
--- a/crates/millethook-lab/src/ledger/cold.rs
+++ b/crates/millethook-lab/src/ledger/cold.rs
@@ -1,45 +1,46 @@
-//! The budget of a server that has just started: sent more than the settings allow it, and what chance may add, it
-//! falls over.
+//! Work budget of a server that has just started. The server falls over if it gets more work than the settings allow
+//! plus a margin for random variation.
 
 use std::collections::VecDeque;
 
 use super::Micros;
 
-/// What a cold server can do over time.
+/// Capacity of a cold server over time.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUpCurve {
-    /// Requests in work at once.
+    /// Number of requests processed concurrently.
     pub slots: f64,
-    /// The share of its capacity that it has at the start.
+    /// Share of the full capacity at the start.
     pub share: f64,
-    /// How long until it has all of it.
+    /// Time until full capacity.
     pub length: Micros,
 }
 
 impl WarmUpCurve {
-    /// Its share of the full capacity at an age.
+    /// Share of the full capacity at an age.
     pub fn at(&self, age: Micros) -> f64 {
         match self.length {
             0 => 1.0,
             length => {
-                let grown = (age as f64 / length as f64).min(1.0);
-                self.share + (1.0 - self.share) * grown
+                let progress = (age as f64 / length as f64).min(1.0);
+                self.share + (1.0 - self.share) * progress
             }
         }
     }
 
-    /// The work that it can do between two ages, in microseconds.
+    /// The work that the server can do between two ages, in microseconds.
     fn between(&self, from: Micros, to: Micros) -> f64 {
-        // Capacity grows evenly up to `length` and stands from there on: the mean of both ends of each part.
+        // Capacity grows linearly up to `length` and is constant afterwards, so each part is its length times the
+        // mean of the capacity at its ends.
         let part = |from: Micros, to: Micros| {
             (to.saturating_sub(from)) as f64 * (self.at(from) + self.at(to)) / 2.0
         };
-        let bend = self.length.clamp(from, to);
-        self.slots * (part(from, bend) + part(bend, to))
+        let warm_at = self.length.clamp(from, to);
+        self.slots * (part(from, warm_at) + part(warm_at, to))
     }
 }
 
-/// Counts what a cold server is sent.
+/// Tracks the work sent to a cold server.
 #[derive(Clone, Debug)]
 pub struct ColdBudget {
     warm_up: WarmUpCurve,
@@ -47,21 +48,21 @@
     window: Micros,
     sent: VecDeque<(Micros, Micros)>,
     sum: Micros,
-    /// The mean work of a request, in microseconds.
+    /// Mean work of a request, in microseconds.
     mean: f64,
-    /// The most that it was sent in any window, over what it bears.
+    /// Highest work sent in any window, as a fraction of what the server tolerates.
     peak: f64,
 }
 
-/// How many requests of mean work a cold server bears where the settings allow it `n`: what chance adds is
-/// twice the deviation of arrivals that do not know of one another, and two more.
+/// Number of requests of mean work that a cold server tolerates if the settings allow `n`. The margin is twice the
+/// standard deviation of independent arrivals, plus two.
 pub fn tolerated_requests(n: f64) -> f64 {
     n + 2.0 * n.sqrt() + 2.0
 }
 
 impl ColdBudget {
-    /// A budget of `multiple` times what the server can do in any window of so many microseconds.
-    /// `mean` is the mean work of a request.
+    /// Creates a budget of `multiple` times the server's capacity in any window of `window` microseconds. `mean` is
+    /// the mean work of a request.
     pub fn new(warm_up: WarmUpCurve, multiple: f64, window: Micros, mean: f64) -> ColdBudget {
         ColdBudget {
             warm_up,
@@ -74,8 +75,8 @@
         }
     }
 
-    /// One more piece of work at an age. True: the server falls over.
-    pub fn send(&mut self, age: Micros, work: Micros) -> bool {
+    /// Adds work that arrives at an age of the server; returns whether the server falls over.
+    pub fn add_work(&mut self, age: Micros, work: Micros) -> bool {
         self.sent.push_back((age, work));
         self.sum += work;
         while let Some(&(old, work)) = self.sent.front().filter(|s| s.0 + self.window <= age) {
@@ -83,19 +84,19 @@
             self.sum -= work;
             self.sent.pop_front();
         }
-        // A burst may use a window up early: the window that begins with the oldest piece counts in full.
+        // A burst may use up a window early, so the window that begins with the oldest entry counts in full.
         let from = self.sent.front().map_or(age, |s| s.0);
-        let can = self.warm_up.between(from, from + self.window);
+        let capacity = self.warm_up.between(from, from + self.window);
         if age >= self.warm_up.length {
             return false;
         }
-        let used =
-            self.sum as f64 / (tolerated_requests(self.multiple * can / self.mean) * self.mean);
+        let used = self.sum as f64
+            / (tolerated_requests(self.multiple * capacity / self.mean) * self.mean);
         self.peak = self.peak.max(used);
         used > 1.0
     }
 
-    /// The most that it was sent in any window so far, over what it bears.
+    /// Highest work sent in any window so far, as a fraction of what the server tolerates.
     pub fn peak(&self) -> f64 {
         self.peak
     }
--- a/crates/millethook-lab/src/ledger/judge.rs
+++ b/crates/millethook-lab/src/ledger/judge.rs
@@ -1,5 +1,4 @@
-//! The four rules, judged over all processes together once a run is over. No clock and no I/O: a book in,
-//! breaches out.
+//! Checks the rules over all processes of a run, from its records. No clock and no I/O.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,20 +6,21 @@
 use super::{Absence, Attempt, End, Fate, Listed, Micros, Request, RequestId, RunRecords};
 use crate::timeline::{Class, Effect, Group, Rules};
 
-/// A rule.
+/// A rule that every run has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Each request taken gets exactly one final answer in time, made for it, and nothing goes out after it.
+    /// Each accepted request gets exactly one final answer of its own in time, and no attempt is sent after the
+    /// answer.
     Lost,
-    /// No effect twice.
+    /// No request has its effect twice.
     Twice,
-    /// Nothing new to a server that drains or is gone.
+    /// No new request is sent to a server that drains or has left.
     Drain,
-    /// No cold server pushed over by the sum of all.
+    /// The sidecars together do not overload a cold server.
     Cold,
-    /// No write before the one that it comes after.
+    /// No write runs before the one whose receipt it carries.
     Order,
-    /// No header twice in what servers are sent.
+    /// No request to a server has a duplicate header.
     Header,
 }
 
@@ -37,44 +37,44 @@
     }
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// By which request, where it was one.
+    /// The request that broke it, if it was one.
     pub request: Option<RequestId>,
     /// What happened.
     pub text: String,
-    /// The request's history through every process, in order.
+    /// Events of the request in all processes, by time.
     pub history: Vec<String>,
-    /// What was done was right but for its time: a daemon that got no processor does that, too.
-    pub by_time: bool,
+    /// Whether only the timing was wrong, which a daemon that waits for a processor also causes.
+    pub timing_only: bool,
 }
 
-/// Shares of what a cold server was sent that have to come from sidecars told of its start.
-const TOLD_SHARE: f64 = 2.0 / 3.0;
+/// Minimum share of a cold server's work that must come from sidecars notified of its start, for a breach to count.
+const MIN_NOTIFIED_SHARE: f64 = 2.0 / 3.0;
 
-/// One request in so many may have its new connection closed without an answer.
-const CLOSED: usize = 200;
+/// One request in this number may have its new connection closed without an answer.
+const REQUESTS_PER_ALLOWED_CLOSE: usize = 200;
 
-/// Judges a book.
+/// Checks the records against the rules.
 pub fn judge(records: &RunRecords, classes: &[Class], rules: &Rules) -> Vec<Breach> {
     let judge = Judge::new(records, classes, rules);
     let mut breaches = Vec::new();
     for request in &records.requests {
-        judge.answers(request, &mut breaches);
-        judge.effects(request, &mut breaches);
+        judge.check_answer(request, &mut breaches);
+        judge.check_effects(request, &mut breaches);
     }
     for &(at, id) in &records.strays {
         let text = format!("bytes came behind its answer by {}", seconds(at));
         breaches.push(judge.breach(Rule::Lost, id, text));
     }
-    judge.closed(&mut breaches);
-    judge.order(&mut breaches);
-    judge.drains(&mut breaches);
-    judge.cold(&mut breaches);
-    judge.headers(&mut breaches);
+    judge.check_closed_connections(&mut breaches);
+    judge.check_order(&mut breaches);
+    judge.check_drains(&mut breaches);
+    judge.check_cold_servers(&mut breaches);
+    judge.check_headers(&mut breaches);
     breaches.sort_by_key(|b| (b.rule, b.request));
     breaches
 }
@@ -85,8 +85,8 @@
     rules: &'b Rules,
     /// Attempts by id, in the order in which they arrived.
     attempts: HashMap<RequestId, Vec<&'b Attempt>>,
-    /// What each sidecar was told of each server, by time.
-    told: HashMap<(usize, usize), Vec<(Micros, Listed)>>,
+    /// Notices that each sidecar received about each server, by time.
+    notices: HashMap<(usize, usize), Vec<(Micros, Listed)>>,
     absences: HashMap<usize, Vec<&'b Absence>>,
 }
 
@@ -97,12 +97,12 @@
             attempts.entry(attempt.id).or_default().push(attempt);
         }
         attempts.values_mut().for_each(|of| of.sort_by_key(|a| a.arrived));
-        let told = super::notices::by_server(records);
+        let notices = super::notices::by_server(records);
         let mut absences: HashMap<usize, Vec<&Absence>> = HashMap::new();
         for absence in &records.absences {
             absences.entry(absence.sidecar).or_default().push(absence);
         }
-        Judge { records, classes, rules, attempts, told, absences }
+        Judge { records, classes, rules, attempts, notices, absences }
     }
 
     fn attempts(&self, id: RequestId) -> &[&'b Attempt] {
@@ -113,31 +113,31 @@
         micros(self.rules.socket_slack_ms)
     }
 
-    /// A time limit of a sidecar, moved on by the pauses, and by the stalls of the lab, that it ran into.
+    /// Extends a sidecar's time limit by the pauses of the sidecar and the stalls of the lab that fall into it.
     fn extended(&self, sidecar: usize, from: Micros, limit: Micros) -> Micros {
         let pauses = self.absences.get(&sidecar).into_iter().flatten();
         let pauses = pauses.filter(|a| !a.ended).map(|a| (a.from, a.to));
-        let mut spells: Vec<_> = pauses.chain(self.records.stalls.iter().copied()).collect();
-        spells.sort_unstable();
-        spells.into_iter().fold(limit, |limit, (begin, end)| {
-            let meets = end > from && begin <= limit;
-            if meets { limit.saturating_add(end - begin.max(from)) } else { limit }
+        let mut interruptions: Vec<_> = pauses.chain(self.records.stalls.iter().copied()).collect();
+        interruptions.sort_unstable();
+        interruptions.into_iter().fold(limit, |limit, (begin, end)| {
+            let overlaps = end > from && begin <= limit;
+            if overlaps { limit.saturating_add(end - begin.max(from)) } else { limit }
         })
     }
 
-    /// Whether the sidecar's process ended between two times.
+    /// Whether the sidecar's process was down between two times.
     fn ended_between(&self, sidecar: usize, from: Micros, to: Micros) -> bool {
         let absences = self.absences.get(&sidecar).into_iter().flatten();
         absences.filter(|a| a.ended).any(|a| a.from <= to && a.to >= from)
     }
 
-    fn answers(&self, request: &Request, breaches: &mut Vec<Breach>) {
+    fn check_answer(&self, request: &Request, breaches: &mut Vec<Breach>) {
         let id = request.id;
         let sidecar = id.sidecar();
         let time = request.sent + request.left + micros(self.rules.answer_slack_ms) + self.slack();
         let limit = self.extended(sidecar, request.sent, time);
         let killed = |to| self.ended_between(sidecar, request.sent, to);
-        let mut by_time = false;
+        let mut timing_only = false;
         let text = match request.end {
             End::Open | End::Unreached | End::Closed => return,
             End::Foreign => "it was answered with what was not made for it".to_owned(),
@@ -147,13 +147,13 @@
             }
             End::Silent if request.ended <= limit => return,
             End::Silent => {
-                by_time = true;
+                timing_only = true;
                 format!("no answer by {}", seconds(request.ended))
             }
-            // What is kept goes out after its answer.
+            // A stored request is sent after its 202 answer.
             End::Kept if request.ended <= limit => return,
             End::Served | End::Refused | End::Failed(_) | End::Kept => {
-                // An answer that is known by now was on its history when the lab looked again.
+                // An attempt that a server reads within the slack may have been sent before the answer was recorded.
                 let after = |a: &&&Attempt| {
                     a.first_byte > request.ended + self.slack() && request.end != End::Kept
                 };
@@ -165,7 +165,7 @@
                 if request.ended <= limit {
                     return;
                 }
-                by_time = true;
+                timing_only = true;
                 format!(
                     "its answer came at {}, {} expected at the latest",
                     seconds(request.ended),
@@ -173,11 +173,11 @@
                 )
             }
         };
-        breaches.push(Breach { by_time, ..self.breach(Rule::Lost, id, text) });
+        breaches.push(Breach { timing_only, ..self.breach(Rule::Lost, id, text) });
     }
 
-    /// The first effect of a write is after that of the one whose receipt it carried.
-    fn order(&self, breaches: &mut Vec<Breach>) {
+    /// Checks that each write has its first effect after the write whose receipt it carried.
+    fn check_order(&self, breaches: &mut Vec<Breach>) {
         let first = |id: RequestId| self.attempts(id).iter().filter_map(|a| a.ran).min();
         for request in &self.records.requests {
             let Some(before) = request.after else { continue };
@@ -193,23 +193,24 @@
         }
     }
 
-    /// New connections that were closed without a byte of an answer: some are as good as a refusal, more are losses.
-    fn closed(&self, breaches: &mut Vec<Breach>) {
+    /// Checks new connections that were closed without a byte of an answer: a few count as refusals, more as lost
+    /// requests.
+    fn check_closed_connections(&self, breaches: &mut Vec<Breach>) {
         let requests = self.records.requests.iter();
         let closed = requests.filter(|r| {
             let killed = self.ended_between(r.id.sidecar(), r.sent, r.ended + self.slack());
             r.end == End::Closed && !killed
         });
-        for request in closed.skip(self.records.requests.len() / CLOSED) {
+        for request in closed.skip(self.records.requests.len() / REQUESTS_PER_ALLOWED_CLOSE) {
             let text = format!(
-                "its new connection was closed without an answer at {}, beyond one request in {CLOSED}",
+                "its new connection was closed without an answer at {}, beyond one request in {REQUESTS_PER_ALLOWED_CLOSE}",
                 seconds(request.ended)
             );
             breaches.push(self.breach(Rule::Lost, request.id, text));
         }
     }
 
-    fn effects(&self, request: &Request, breaches: &mut Vec<Breach>) {
+    fn check_effects(&self, request: &Request, breaches: &mut Vec<Breach>) {
         let class = &self.classes[request.class];
         let attempts = self.attempts(request.id);
         let all = class.effect == Effect::Keyed && class.group == Group::All;
@@ -219,7 +220,7 @@
         for (nth, attempt) in attempts.iter().enumerate() {
             let unclear = attempts[..nth].iter().find(|earlier| {
                 let known = earlier.fate == Fate::TurnedAway && earlier.ended <= attempt.arrived;
-                !known && !self.repeatable(class, earlier, attempt)
+                !known && !self.may_repeat(class, earlier, attempt)
             });
             if let Some(earlier) = unclear {
                 let text = format!(
@@ -231,7 +232,8 @@
                 break;
             }
         }
-        // Danger: an attempt that still hangs in a cut connection is no proof either.
+        // An attempt that still hangs in a cut connection may have run as well, so it does not allow a refusal
+        // either.
         if request.end == End::Refused
             && !all
             && let Some(unclear) = attempts.iter().find(|a| a.fate != Fate::TurnedAway)
@@ -242,8 +244,8 @@
         }
     }
 
-    /// Whether a keyed request that may have run in `earlier` could go out again as `later`.
-    fn repeatable(&self, class: &Class, earlier: &Attempt, later: &Attempt) -> bool {
+    /// Whether a keyed request that may have run in attempt `earlier` may be sent again as attempt `later`.
+    fn may_repeat(&self, class: &Class, earlier: &Attempt, later: &Attempt) -> bool {
         let zone = |a: &Attempt| self.records.servers[a.server].zone;
         let in_group = class.group == Group::All || zone(earlier) == zone(later);
         let window = micros(class.window_ms) + self.slack();
@@ -252,12 +254,12 @@
         class.effect == Effect::Keyed && in_group && later.first_byte <= limit
     }
 
-    fn drains(&self, breaches: &mut Vec<Breach>) {
+    fn check_drains(&self, breaches: &mut Vec<Breach>) {
         for attempt in &self.records.attempts {
             let sidecar = attempt.id.sidecar();
-            let Some(told) = self.told.get(&(sidecar, attempt.server)) else { continue };
-            // The oldest word of those that have stood since.
-            let before = told.iter().take_while(|t| t.0 <= attempt.first_byte);
+            let Some(notices) = self.notices.get(&(sidecar, attempt.server)) else { continue };
+            // Finds the first "leaving" notice after the last "active" one.
+            let before = notices.iter().take_while(|t| t.0 <= attempt.first_byte);
             let leaving = before.fold(None, |since, t| match t.1 {
                 Listed::Active => None,
                 Listed::Leaving => since.or(Some(t.0)),
@@ -272,12 +274,12 @@
                     seconds(since)
                 );
                 let breach = self.breach(Rule::Drain, attempt.id, text);
-                breaches.push(Breach { by_time: true, ..breach });
+                breaches.push(Breach { timing_only: true, ..breach });
             }
         }
     }
 
-    fn cold(&self, breaches: &mut Vec<Breach>) {
+    fn check_cold_servers(&self, breaches: &mut Vec<Breach>) {
         for (n, server) in self.records.servers.iter().enumerate() {
             let Some(fell) = server.fell else { continue };
             let from = fell.saturating_sub(micros(self.rules.tip_after_s * 1e3));
@@ -285,21 +287,24 @@
             let window = self.records.attempts.iter();
             for a in window.filter(|a| a.server == n && a.arrived >= from && a.arrived <= fell) {
                 let sidecar = a.id.sidecar();
-                let knew = self.told.get(&(sidecar, n)).is_some_and(|told| told[0].0 <= a.arrived);
+                let notified = self
+                    .notices
+                    .get(&(sidecar, n))
+                    .is_some_and(|notices| notices[0].0 <= a.arrived);
                 let entry = by.entry(sidecar).or_default();
                 entry.0 += a.work;
-                entry.1 |= knew;
+                entry.1 |= notified;
             }
             let all: Micros = by.values().map(|s| s.0).sum();
-            let knowing: Micros = by.values().filter(|s| s.1).map(|s| s.0).sum();
-            if (knowing as f64) < TOLD_SHARE * all as f64 {
+            let notified_work: Micros = by.values().filter(|s| s.1).map(|s| s.0).sum();
+            if (notified_work as f64) < MIN_NOTIFIED_SHARE * all as f64 {
                 continue;
             }
             let mut most: Vec<_> = by.into_iter().collect();
             most.sort_by_key(|(sidecar, (work, _))| (std::cmp::Reverse(*work), *sidecar));
-            let history = most.iter().take(8).map(|(sidecar, (work, knew))| {
-                let knew = if *knew { "told of its start" } else { "not told" };
-                format!("n{sidecar} sent {} ms of work, {knew}", work / 1000)
+            let history = most.iter().take(8).map(|(sidecar, (work, notified))| {
+                let notified = if *notified { "told of its start" } else { "not told" };
+                format!("n{sidecar} sent {} ms of work, {notified}", work / 1000)
             });
             let text = format!(
                 "{} fell over at {}, sent {} ms of work by {} sidecars in the window before",
@@ -309,11 +314,17 @@
                 most.len()
             );
             let history = history.collect();
-            breaches.push(Breach { rule: Rule::Cold, request: None, text, history, by_time: true });
+            breaches.push(Breach {
+                rule: Rule::Cold,
+                request: None,
+                text,
+                history,
+                timing_only: true,
+            });
         }
     }
 
-    fn headers(&self, breaches: &mut Vec<Breach>) {
+    fn check_headers(&self, breaches: &mut Vec<Breach>) {
         for found in &self.records.duplicate_headers {
             let server = &self.records.servers[found.server].name;
             let text = format!("{server} got {} twice at {}", found.header, seconds(found.at));
@@ -321,18 +332,24 @@
                 Some(id) => self.breach(Rule::Header, id, text),
                 None => {
                     let (rule, history) = (Rule::Header, Vec::new());
-                    Breach { rule, request: None, text, history, by_time: false }
+                    Breach { rule, request: None, text, history, timing_only: false }
                 }
             });
         }
     }
 
     fn breach(&self, rule: Rule, id: RequestId, text: String) -> Breach {
-        Breach { rule, request: Some(id), text, history: self.history(id), by_time: false }
+        Breach {
+            rule,
+            request: Some(id),
+            text,
+            history: self.request_history(id),
+            timing_only: false,
+        }
     }
 
-    /// All that is known of a request, by time.
-    fn history(&self, id: RequestId) -> Vec<String> {
+    /// All recorded events of a request, by time.
+    fn request_history(&self, id: RequestId) -> Vec<String> {
         let mut history: Vec<(Micros, String)> = Vec::new();
         for r in self.records.requests.iter().filter(|r| r.id.operation() == id.operation()) {
             let name = &self.classes[r.class].name;
@@ -352,8 +369,8 @@
                     history.push((ran, format!("{server}: {} takes effect", a.id.wire())));
                 }
                 history.push((a.ended, format!("{server}: {} {:?}", a.id.wire(), a.fate)));
-                let mut told = self.told.get(&(id.sidecar(), a.server)).into_iter().flatten();
-                if let Some((at, listed)) = told.rfind(|t| t.0 <= a.arrived) {
+                let mut notices = self.notices.get(&(id.sidecar(), a.server)).into_iter().flatten();
+                if let Some((at, listed)) = notices.rfind(|t| t.0 <= a.arrived) {
                     history.push((
                         *at,
                         format!("discovery: n{} told {server} {listed:?}", id.sidecar()),
@@ -381,7 +398,7 @@
     (ms * 1e3) as Micros
 }
 
-/// A time of the run for people.
+/// Formats a time of the run in seconds.
 pub fn seconds(at: Micros) -> String {
     format!("{:.3} s", at as f64 / 1e6)
 }
--- a/crates/millethook-lab/src/ledger/mod.rs
+++ b/crates/millethook-lab/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! What clients, servers, discovery and the conductor write down during a run.
+//! Records of a run, written by clients, servers, discovery and the conductor.
 
 pub mod cold;
 pub mod judge;
@@ -11,324 +11,326 @@
 /// Microseconds since the load began.
 pub type Micros = u64;
 
-/// The clock of a run. It stands at 0 until the load begins.
+/// The clock of a run. It shows 0 until the load begins.
 #[derive(Clone, Debug)]
 pub struct Clock {
     base: Instant,
-    /// When the load began, in microseconds of `base`.
-    begun: Arc<AtomicU64>,
+    /// When the load began, in microseconds since `base`.
+    load_start: Arc<AtomicU64>,
 }
 
 impl Clock {
-    /// One that stands.
+    /// Creates a clock that is not started.
     pub fn stopped() -> Clock {
-        Clock { base: Instant::now(), begun: Arc::new(AtomicU64::new(Micros::MAX)) }
+        Clock { base: Instant::now(), load_start: Arc::new(AtomicU64::new(Micros::MAX)) }
     }
 
-    /// The load begins.
+    /// Starts the clock at the begin of the load.
     pub fn begin(&self) {
-        self.begun.store(self.base.elapsed().as_micros() as Micros, Ordering::Relaxed);
+        self.load_start.store(self.base.elapsed().as_micros() as Micros, Ordering::Relaxed);
     }
 
-    /// The time of the run.
+    /// The current time of the run.
     pub fn now(&self) -> Micros {
         self.of(Instant::now())
     }
 
-    /// A time of the run as an instant. The load has to have begun.
+    /// Converts a time of the run to an instant. The load must have begun.
     pub fn at(&self, at: Duration) -> Instant {
-        self.base + Duration::from_micros(self.begun.load(Ordering::Relaxed)) + at
+        self.base + Duration::from_micros(self.load_start.load(Ordering::Relaxed)) + at
     }
 
-    /// An instant as a time of the run.
+    /// Converts an instant to a time of the run.
     pub fn of(&self, at: Instant) -> Micros {
         let since = at.saturating_duration_since(self.base).as_micros() as Micros;
-        since.saturating_sub(self.begun.load(Ordering::Relaxed))
+        since.saturating_sub(self.load_start.load(Ordering::Relaxed))
     }
 }
 
-/// The id of one try: sidecar, arrival and the number of the try, packed.
+/// The id of one client attempt: sidecar, arrival and attempt number, packed into 64 bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// Packs one.
+    /// Packs an id.
     pub fn new(sidecar: usize, arrival: usize, attempt: u32) -> RequestId {
         let packed = (sidecar as u64) << 28 | (arrival as u64 & 0xff_ffff) << 4;
         RequestId(packed | u64::from(attempt & 0xf))
     }
 
-    /// The sidecar that gets it.
+    /// The sidecar that receives the request.
     pub fn sidecar(self) -> usize {
         (self.0 >> 28) as usize
     }
 
-    /// The same for all tries of a client with one request.
+    /// The id without the attempt number: equal for all attempts of one request.
     pub fn operation(self) -> u64 {
         self.0 >> 4
     }
 
-    /// As it stands on the wire.
+    /// The id as header value.
     pub fn wire(self) -> String {
         format!("{:016x}", self.0)
     }
 
-    /// Reads it off the wire.
+    /// Parses a header value.
     pub fn parse(text: &str) -> Option<RequestId> {
         u64::from_str_radix(text, 16).ok().map(RequestId)
     }
 }
 
-/// How a try ended at its client.
+/// How an attempt ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The run ended first.
+    /// The run ended before the attempt.
     Open,
-    /// 200 and the body made for it.
+    /// Status 200 with the expected body.
     Served,
-    /// 202 and a receipt: it is kept, and goes out later.
+    /// Status 202 with a receipt: the request is stored and sent later.
     Kept,
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
     /// Any other status.
     Failed(u16),
-    /// 200 and another body.
+    /// Status 200 with a body for another request.
     Foreign,
-    /// The connection ended without a whole answer.
+    /// The connection ended in the middle of an answer.
     Broken,
-    /// A new connection was closed without a byte of an answer.
+    /// A new connection was closed before the first byte of an answer.
     Closed,
-    /// No connection came up, or it ended twice before an answer began; nothing was taken.
+    /// No connection could be established, or it ended twice before an answer began; the request was not accepted.
     Unreached,
-    /// The client waited until long after its time.
+    /// No answer came until long after the deadline.
     Silent,
 }
 
-/// One try of a client.
+/// One attempt of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the attempt.
     pub id: RequestId,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// When the arrival was due.
+    /// Planned time of the arrival.
     pub due: Micros,
     /// When its last byte was written.
     pub sent: Micros,
-    /// How long its client waits, from `sent` on.
+    /// How long its client waits from `sent` on.
     pub left: Micros,
-    /// When its end was known.
+    /// When its result was known.
     pub ended: Micros,
-    /// Its end.
+    /// Its result.
     pub end: End,
-    /// The try whose receipt it carried: it comes after that.
+    /// The attempt whose receipt it carried; it must run after that one.
     pub after: Option<RequestId>,
 }
 
-/// What became of an attempt at a server.
+/// The result of an attempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// Not decided when the run ended.
+    /// Not finished when the run ended.
     Open,
-    /// 503 with the proof that it never ran.
+    /// Answered 503 with the header that proves that it never ran.
     TurnedAway,
-    /// It ran, and was answered 200.
+    /// Ran and was answered 200.
     Served,
-    /// It ran, and was answered 500.
+    /// Ran and was answered 500.
     Error,
-    /// It ran, and the connection was reset.
+    /// Ran, and the connection was reset.
     Reset,
-    /// Nothing was said; nobody else can know whether it ran.
+    /// Not answered; no other process can know whether it ran.
     Silent,
-    /// Its connection ended while it waited.
+    /// Its connection ended while it was queued or processed.
     Abandoned,
-    /// A repeat that the group dropped: no effect.
+    /// A duplicate that the deduplication group dropped: it had no effect.
     Repeat,
 }
 
-/// One attempt as a server saw it.
+/// One attempt as seen by a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's id.
+    /// Id of the client's attempt.
     pub id: RequestId,
-    /// The server's number in the book.
+    /// Index of the server in the records.
     pub server: usize,
     /// When its first byte was read.
     pub first_byte: Micros,
     /// When its last byte was read.
     pub arrived: Micros,
-    /// The work that it is, in microseconds of a warm server.
+    /// Its processing time on a warm server, in microseconds.
     pub work: Micros,
-    /// It is the first on its connection: its sidecar made a handshake for it.
+    /// Whether it is the first on its connection, so that its sidecar made a handshake for it.
     pub fresh: bool,
     /// When it had its effect, if it did.
     pub ran: Option<Micros>,
-    /// What became of it,
+    /// Its result.
     pub fate: Fate,
-    /// and when.
+    /// When it ended.
     pub ended: Micros,
 }
 
-/// A request that a server refused, as one of its headers stood there twice.
+/// A request that a server refused because one of its headers occurred twice.
 #[derive(Clone, Debug)]
 pub struct DuplicateHeader {
-    /// When it had come.
+    /// When the request arrived.
     pub at: Micros,
-    /// The server's number in the book.
+    /// Index of the server in the records.
     pub server: usize,
-    /// The request's id, as far as there is one.
+    /// The request's id, if it has a valid one.
     pub id: Option<RequestId>,
     /// The header's name.
     pub header: String,
 }
 
-/// A server's process.
+/// A process of a server.
 #[derive(Clone, Debug)]
 pub struct ServerRow {
-    /// Its name in the lists.
+    /// The server's name in the lists of discovery.
     pub name: String,
-    /// Its zone.
+    /// The number of its zone.
     pub zone: usize,
-    /// When it started cold; None: it was there before the run.
+    /// When it started cold; `None` if it ran before the run.
     pub started: Option<Micros>,
-    /// When it fell over.
+    /// When it fell over from overload.
     pub fell: Option<Micros>,
-    /// The most that it was sent while it was cold, over what it bears.
+    /// Highest work sent to it while cold, as a fraction of what it tolerates.
     pub cold_peak: f64,
-    /// Connections that it accepted.
+    /// Number of accepted connections.
     pub connections: u64,
 }
 
-/// What discovery says of a server.
+/// State of a server in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// It takes requests.
+    /// The server accepts requests.
     Active,
-    /// It drains, or is gone.
+    /// The server drains or has left.
     Leaving,
 }
 
-/// A word of discovery to a sidecar.
+/// A notice of discovery to a sidecar about a server's state.
 #[derive(Clone, Debug)]
 pub struct ServerNotice {
-    /// When it was written.
+    /// When the notice was sent.
     pub at: Micros,
-    /// To whom.
+    /// The sidecar that received it.
     pub sidecar: usize,
-    /// Of which server.
+    /// Index of the server in the records.
     pub server: usize,
-    /// What.
+    /// The server's state.
     pub listed: Listed,
 }
 
-/// What became of a call of discovery.
+/// The result of a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFate {
-    /// It had its turn, and the list.
+    /// The call was processed and answered with the list.
     Answered,
-    /// The line was full, or discovery was down.
+    /// The queue was full, or discovery was down.
     Refused,
-    /// Its sidecar hung up, or the watch was silenced, while it waited.
+    /// The sidecar disconnected, or the watch was silenced, while the call was queued.
     HungUp,
 }
 
-/// A call of a discovery that is asked. Held watches that go on are none.
+/// A call to a polled discovery. Calls that continue a watch are not counted.
 #[derive(Clone, Debug)]
 pub struct DiscoveryCall {
-    /// By whom.
+    /// The calling sidecar.
     pub sidecar: usize,
-    /// When it came,
+    /// When the call arrived.
     pub at: Micros,
-    /// and ended.
+    /// When the call ended.
     pub ended: Micros,
-    /// How.
+    /// The result of the call.
     pub fate: CallFate,
 }
 
-/// A time in which a sidecar could not act.
+/// A period in which a sidecar could not act.
 #[derive(Clone, Debug)]
 pub struct Absence {
-    /// Whose.
+    /// The sidecar's number.
     pub sidecar: usize,
-    /// From when on.
+    /// Start of the period.
     pub from: Micros,
-    /// Until when; the end of time if it does not come back.
+    /// End of the period; `Micros::MAX` if the sidecar does not return.
     pub to: Micros,
-    /// Its process ended: what it held is its clients' to retry. False: it was paused.
+    /// True if its process ended, so that clients have to retry its requests; false if it was paused.
     pub ended: bool,
 }
 
-/// Everything that was written down.
+/// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunRecords {
-    /// Tries of clients.
+    /// Attempts of clients.
     pub requests: Vec<Request>,
     /// Attempts at servers.
     pub attempts: Vec<Attempt>,
-    /// All server processes that there were.
+    /// All server processes of the run.
     pub servers: Vec<ServerRow>,
-    /// What discovery said.
+    /// Notices that discovery sent.
     pub notices: Vec<ServerNotice>,
-    /// What the agent of each sidecar had, from when on, whether or not it came to say it.
+    /// Notices that the agent of each sidecar had available, with the time from which on, whether or not it sent
+    /// them.
     pub available: Vec<ServerNotice>,
-    /// Discovery is asked: what it has counts as told 6 s later, whether or not it was written.
-    pub asked: bool,
-    /// Calls of discovery, where it is asked, in the order in which they ended.
+    /// Whether discovery is polled: a notice then counts as received 6 s after it is available, even if it was not
+    /// sent.
+    pub polled_discovery: bool,
+    /// Calls to a polled discovery, in the order in which they ended.
     pub calls: Vec<DiscoveryCall>,
-    /// When the open watches of sidecars fell silent.
+    /// When the open watches of sidecars were silenced.
     pub silences: Vec<(usize, Micros)>,
-    /// When a new configuration moved a sidecar to another address of discovery.
+    /// When a new configuration moved a sidecar to another discovery address.
     pub moves: Vec<(usize, Micros)>,
-    /// When sidecars were away.
+    /// Absences of sidecars.
     pub absences: Vec<Absence>,
-    /// Bytes that came behind an answer, with the id of that.
+    /// Times at which unexpected bytes followed an answer, with the id of the answered request.
     pub strays: Vec<(Micros, RequestId)>,
-    /// Requests that told servers one thing twice.
+    /// Requests with a duplicate header.
     pub duplicate_headers: Vec<DuplicateHeader>,
-    /// Findings that no rule covers: a daemon that ended by itself, or did not start.
+    /// Problems that no rule covers, such as a daemon that exits unexpectedly or does not start.
     pub findings: Vec<String>,
-    /// Spells in which the lab itself stood still.
+    /// Periods in which the lab itself was stalled.
     pub stalls: Vec<(Micros, Micros)>,
-    /// Arrivals that were not sent, as the application was being restarted with its sidecar.
-    pub not_offered: u64,
+    /// Arrivals that were not sent because the application was restarting with its sidecar.
+    pub not_sent: u64,
 }
 
-/// The book, shared.
+/// The records, shared between tasks.
 #[derive(Default)]
 pub struct Ledger(Mutex<RunRecords>);
 
 impl Ledger {
-    /// Opens the book. Nothing may wait while it is open.
+    /// Locks the records. Do not await while holding the guard.
     pub fn open(&self) -> MutexGuard<'_, RunRecords> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One more try; its number.
+    /// Records a client's attempt and returns its index.
     pub fn request(&self, request: Request) -> usize {
         let mut records = self.open();
         records.requests.push(request);
         records.requests.len() - 1
     }
 
-    /// The end of a try.
+    /// Records the result of a client's attempt.
     pub fn ended(&self, nth: usize, at: Micros, end: End) {
         let request = &mut self.open().requests[nth];
         (request.ended, request.end) = (at, end);
     }
 
-    /// One more attempt; its number.
+    /// Records an attempt at a server and returns its index.
     pub fn attempt(&self, attempt: Attempt) -> usize {
         let mut records = self.open();
         records.attempts.push(attempt);
         records.attempts.len() - 1
     }
 
-    /// An attempt has its effect.
+    /// Records the time of an attempt's effect.
     pub fn ran(&self, nth: usize, at: Micros) {
         self.open().attempts[nth].ran = Some(at);
     }
 
-    /// The end of an attempt.
+    /// Records the result of an attempt at a server.
     pub fn fate(&self, nth: usize, at: Micros, fate: Fate) {
         let attempt = &mut self.open().attempts[nth];
         (attempt.ended, attempt.fate) = (at, fate);
--- a/crates/millethook-lab/src/ledger/notices.rs
+++ b/crates/millethook-lab/src/ledger/notices.rs
@@ -1,55 +1,60 @@
-//! From when on what discovery has to say counts as told, whether or not it arrived: the platform's clocks.
+//! When a notice of discovery counts as received by a sidecar, whether or not it arrived, by the platform's time
+//! limits.
 
 use std::collections::HashMap;
 
 use super::{Listed, Micros, RunRecords};
 
-/// A watch that has fallen silent has to be begun anew: what it missed counts so long after it fell silent. Where
-/// discovery is asked, what it has counts so long after it had it.
-pub const SILENCE: Micros = 6_000_000;
-/// What the new address has counts so long after a change of the configuration.
-pub const MOVED: Micros = 4_000_000;
+/// Time after which a sidecar has to restart a silent watch: notices that it missed count as received so long after
+/// the watch fell silent. With a polled discovery a notice counts as received so long after it became available.
+pub const SILENT_WATCH_LIMIT_US: Micros = 6_000_000;
+/// Time after a change of the discovery address from which on notices of the new address count as received.
+pub const ADDRESS_CHANGE_LIMIT_US: Micros = 4_000_000;
 
-/// When what an agent has from `has` on counts as told.
-pub fn effective_from(has: Micros, silences: &[Micros], moves: &[Micros]) -> Micros {
+/// The time from which on a notice that became available at `available` counts as received.
+pub fn effective_from(available: Micros, silences: &[Micros], moves: &[Micros]) -> Micros {
     let until = |times: &[Micros], length: Micros| {
-        let open = times.iter().filter(|at| **at <= has && has < **at + length);
-        open.map(|at| at + length).max().unwrap_or(has)
+        let open = times.iter().filter(|at| **at <= available && available < **at + length);
+        open.map(|at| at + length).max().unwrap_or(available)
     };
-    until(silences, SILENCE).max(until(moves, MOVED))
+    until(silences, SILENT_WATCH_LIMIT_US).max(until(moves, ADDRESS_CHANGE_LIMIT_US))
 }
 
-/// What each sidecar counts as told of each server, by time: when it was written, or when the clock is over.
+/// The notices that each sidecar received about each server, by time: when the notice was sent, or when its time
+/// limit passed.
 pub fn by_server(records: &RunRecords) -> HashMap<(usize, usize), Vec<(Micros, Listed)>> {
-    let mut written: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
-    for t in &records.notices {
-        written.entry((t.sidecar, t.server)).or_default().push((t.at, t.listed));
+    let mut sent: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
+    for notice in &records.notices {
+        sent.entry((notice.sidecar, notice.server)).or_default().push((notice.at, notice.listed));
     }
-    written.values_mut().for_each(|of| of.sort_by_key(|t| t.0));
-    let mut has: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
-    for t in &records.available {
-        has.entry((t.sidecar, t.server)).or_default().push((t.at, t.listed));
+    sent.values_mut().for_each(|of| of.sort_by_key(|notice| notice.0));
+    let mut available: HashMap<_, Vec<(Micros, Listed)>> = HashMap::new();
+    for notice in &records.available {
+        available
+            .entry((notice.sidecar, notice.server))
+            .or_default()
+            .push((notice.at, notice.listed));
     }
     let times = |of: &[(usize, Micros)], sidecar: usize| -> Vec<Micros> {
         of.iter().filter(|(n, _)| *n == sidecar).map(|(_, at)| *at).collect()
     };
-    for (key, rows) in &mut has {
-        rows.sort_by_key(|t| t.0);
+    for (key, rows) in &mut available {
+        rows.sort_by_key(|notice| notice.0);
         let (silences, moves) = (times(&records.silences, key.0), times(&records.moves, key.0));
-        let said = written.get(key);
-        let mut later = Micros::MAX;
-        // A word that came after the next one did says nothing any more.
+        let sent_at = sent.get(key);
+        let mut next = Micros::MAX;
+        // A notice counts no later than the one that follows it.
         for (at, listed) in rows.iter_mut().rev() {
-            let said = said.into_iter().flatten().find(|w| w.0 >= *at && w.1 == *listed);
-            let said = said.map_or(Micros::MAX, |w| w.0);
-            let had = if records.asked { *at + SILENCE } else { *at };
-            *at = had.max(effective_from(*at, &silences, &moves)).min(said).min(later);
-            later = *at;
+            let sent_at = sent_at.into_iter().flatten().find(|w| w.0 >= *at && w.1 == *listed);
+            let sent_at = sent_at.map_or(Micros::MAX, |w| w.0);
+            let counted = if records.polled_discovery { *at + SILENT_WATCH_LIMIT_US } else { *at };
+            *at = counted.max(effective_from(*at, &silences, &moves)).min(sent_at).min(next);
+            next = *at;
         }
     }
-    // What was written down without an agent's history: books of tests.
-    for (key, rows) in written {
-        has.entry(key).or_insert(rows);
+    // Adds notices of servers without availability records, which occur in the records of tests.
+    for (key, rows) in sent {
+        available.entry(key).or_insert(rows);
     }
-    has
+    available
 }
--- a/crates/millethook-lab/src/plan.rs
+++ b/crates/millethook-lab/src/plan.rs
@@ -1,4 +1,5 @@
-//! What a run will do, drawn from the timeline and the seed before anything starts: the same for the same seed.
+//! The plan of a run: arrivals, targets and steps, drawn from the timeline and the seed before anything starts. The
+//! same seed gives the same plan.
 
 mod steps;
 
@@ -14,14 +15,14 @@
 use crate::timeline::{EventKind, Select, Timeline};
 use steps::steps;
 
-/// The most arrivals of one sidecar: ids have room for so many.
-const MAX_ARRIVALS: usize = 1 << 24;
-/// The longest piece of work, over the mean of its class.
-const LONGEST_WORK: f64 = 5.0;
-/// Between the start of one server's drain and its end.
+/// Maximum number of arrivals of one sidecar, limited by the 24 bits for them in a request id.
+const MAX_ARRIVALS_PER_SIDECAR: usize = 1 << 24;
+/// Maximum work of a request, as a multiple of its class's mean.
+const MAX_WORK_FACTOR: f64 = 5.0;
+/// Time between the start of a server's drain and the end of its process.
 pub const DRAIN: Duration = Duration::from_secs(2);
 
-/// A stream of random numbers for one purpose.
+/// A random number generator for one purpose; `n` separates generators of the same purpose.
 pub fn stream(seed: u64, purpose: &str, n: u64) -> ChaCha8Rng {
     let mut key = [0; 32];
     key[..8].copy_from_slice(&seed.to_le_bytes());
@@ -32,123 +33,124 @@
     ChaCha8Rng::from_seed(key)
 }
 
-/// A request that will come.
+/// A planned request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in microseconds of the run.
+    /// Time of the arrival, in microseconds of the run.
     pub at: u64,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// The work that it is, in microseconds of a warm server.
+    /// Its processing time on a warm server, in microseconds.
     pub work: u64,
 }
 
-/// A sidecar and its clients.
+/// The plan of a sidecar and its clients.
 #[derive(Clone, Debug)]
 pub struct SidecarPlan {
-    /// Its name.
+    /// The sidecar's name.
     pub name: String,
     /// The number of its zone.
     pub zone: usize,
-    /// It is started by an event, not at the beginning.
+    /// Whether an event starts it, instead of the start of the run.
     pub late: bool,
-    /// What its clients ask, by time.
+    /// Requests of its clients, by time.
     pub arrivals: Vec<Arrival>,
-    /// Sidecars that no cut of the timeline tells apart share a number.
+    /// Stream class: sidecars with the same number are affected by the same events on their streams to servers.
     pub stream_class: usize,
 }
 
-/// One thing to do to one target.
+/// An action on one target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// An event begins or ends, by its place in the timeline.
+    /// An event (by its index in the timeline) begins or ends.
     Mark { event: usize, begins: bool },
-    /// SIGKILL; the process starts again after the time, if there is one.
+    /// SIGKILL; the process restarts after the delay `back`, if there is one.
     Kill { sidecar: usize, back: Option<Duration> },
-    /// SIGTERM; the process starts again so long after it has ended, if there is a time.
+    /// SIGTERM; the process restarts the delay `back` after its exit, if there is one.
     Terminate { sidecar: usize, back: Option<Duration> },
     /// SIGSTOP.
     Pause { sidecar: usize },
     /// SIGCONT.
     Resume { sidecar: usize },
-    /// A new configuration and SIGHUP.
+    /// Writes a new configuration and sends SIGHUP.
     Reload { sidecar: usize },
-    /// SIGHUP, with nothing new.
+    /// SIGHUP with an unchanged configuration.
     HangUp { sidecar: usize },
-    /// SIGTERM once the process that starts next is ready; it starts again so long after it has ended, if there is a time.
+    /// SIGTERM as soon as the process that starts next is ready; the process restarts the delay `back` after its
+    /// exit, if there is one.
     TerminateAtReady { sidecar: usize, back: Option<Duration> },
-    /// Clients that ask for nothing come, or go.
+    /// Idle clients connect or disconnect.
     IdleClients { sidecar: usize, count: usize, on: bool },
-    /// The process starts.
+    /// Starts the process.
     Start { sidecar: usize },
-    /// A second process starts.
+    /// Starts a second process of the sidecar.
     Twin { sidecar: usize },
-    /// A server takes a condition on, or gets rid of it.
+    /// Activates or deactivates a fault of a server.
     Server { server: usize, kind: EventKind, amount: f64, on: bool },
-    /// A server leaves, and another comes in its place.
+    /// A server leaves, and another replaces it.
     Replace { server: usize },
-    /// A server's process ends and comes back cold after the time.
+    /// A server's process ends and restarts cold after the delay `back`.
     Crash { server: usize, back: Duration },
-    /// Discovery is silent or old for a sidecar, or well again.
+    /// Activates or deactivates a fault of a sidecar's discovery.
     Discovery { sidecar: usize, kind: EventKind, amount: f64, on: bool },
-    /// A document is published: the so-many-eth of an event, by its place in the timeline.
+    /// Publishes the `nth` document of an event (by its index in the timeline).
     Publish { event: usize, nth: usize },
-    /// A condition of the network begins or ends, by the event's place in the timeline.
+    /// A network fault begins or ends (by the event's index in the timeline).
     Network { event: usize, on: bool },
 }
 
 /// An action with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Since the load began.
+    /// Time since the load began.
     pub at: Duration,
-    /// What to do.
+    /// The action.
     pub action: Action,
 }
 
-/// Two sides between which an event stands. Sidecars by number, servers by zone.
+/// The two sides of a network event: sidecars by number, servers by zone.
 #[derive(Clone, Debug, Default)]
 pub struct Sides {
-    /// `who`
+    /// For each sidecar, whether the event's `who` selects it.
     pub who: Vec<bool>,
-    /// `from`
+    /// For each sidecar, whether the event's `from` selects it.
     pub from: Vec<bool>,
-    /// Zones whose servers stand on `who`'s side; none unless `who` is a zone.
+    /// Zones whose servers are on the side of `who`; empty unless `who` is a zone.
     pub who_zones: Vec<usize>,
-    /// Zones whose servers stand on the other side.
+    /// Zones whose servers are on the other side.
     pub from_zones: Vec<usize>,
 }
 
 impl Sides {
-    /// Whether streams from a sidecar to servers of a zone are cut by a partition.
+    /// Whether a partition cuts the streams from a sidecar to the servers of a zone.
     pub fn is_partitioned(&self, sidecar: usize, zone: usize) -> bool {
         self.who[sidecar] && self.from_zones.contains(&zone)
             || self.from[sidecar] && self.who_zones.contains(&zone)
     }
 }
 
-/// The whole run.
+/// The plan of a whole run.
 pub struct Plan {
-    /// What it was drawn by.
+    /// The seed.
     pub seed: u64,
-    /// The sidecars.
+    /// Plans of the sidecars.
     pub sidecars: Vec<SidecarPlan>,
-    /// The zone of each server.
+    /// Zone of each server.
     pub server_zones: Vec<usize>,
-    /// How many stream classes there are.
+    /// Number of stream classes.
     pub stream_classes: usize,
-    /// What happens, by time.
+    /// Steps, by time.
     pub steps: Vec<Step>,
-    /// The sides of each event of the timeline.
+    /// Sides of each event of the timeline.
     pub sides: Vec<Sides>,
-    /// Warm-up and load.
+    /// Length of the warm-up and the load.
     pub length: Duration,
-    /// The warm-up.
+    /// Length of the warm-up.
     pub warm_up: Duration,
 }
 
 impl Plan {
-    /// Draws a run.
+    /// Draws the plan of a timeline by a seed.
     pub fn new(timeline: &Timeline, seed: u64) -> Plan {
         let count = timeline.sidecars.count;
         let zones = timeline.sidecars.zones;
@@ -157,11 +159,11 @@
         let length = warm_up + Duration::from_secs_f64(timeline.run.duration_s);
         let drawn: Vec<Vec<usize>> = (timeline.events.iter().enumerate())
             .map(|(nth, event)| {
-                let of = match event.kind.target() {
+                let total = match event.kind.target() {
                     Target::Servers => timeline.servers.count,
                     _ => count,
                 };
-                choose(&event.who, of, zones, &mut stream(seed, "who", nth as u64))
+                choose_targets(&event.who, total, zones, &mut stream(seed, "who", nth as u64))
             })
             .collect();
         let sides = (timeline.events.iter().enumerate())
@@ -186,9 +188,9 @@
         Plan { seed, sidecars, server_zones, stream_classes, steps, sides, length, warm_up }
     }
 
-    /// A figure that is the same for the same arrivals and the same faults at the same times.
+    /// A hash of the arrivals and steps; equal plans have equal hashes.
     pub fn digest(&self) -> u64 {
-        // SipHash with fixed keys; the value is for comparing runs of one build.
+        // SipHash with fixed keys; the value is only compared between runs of one build.
         #[allow(deprecated)]
         let mut hash = std::hash::SipHasher::new();
         for sidecar in &self.sidecars {
@@ -204,13 +206,13 @@
     }
 }
 
-/// Draws whom an event is about.
-fn choose(who: &Select, of: usize, zones: usize, random: &mut ChaCha8Rng) -> Vec<usize> {
+/// Draws the targets of an event among `total` sidecars or servers.
+fn choose_targets(who: &Select, total: usize, zones: usize, random: &mut ChaCha8Rng) -> Vec<usize> {
     let zone =
         |n: &usize| who.zone.as_ref().is_none_or(|zone| *zone == Timeline::zone_name(*n % zones));
     let named = |n: &usize| who.ids.as_ref().is_none_or(|ids| ids.contains(n));
-    let all: Vec<usize> = (0..of).filter(|n| zone(n) && named(n)).collect();
-    let some = match (who.count, who.share) {
+    let all: Vec<usize> = (0..total).filter(|n| zone(n) && named(n)).collect();
+    let wanted = match (who.count, who.share) {
         (Some(count), _) => count.min(all.len()),
         (None, Some(share)) if share > 0.0 => {
             ((share * all.len() as f64).round() as usize).clamp(1, all.len().max(1))
@@ -218,7 +220,7 @@
         (None, Some(_)) => 0,
         (None, None) => return all,
     };
-    let mut chosen = all.into_iter().choose_multiple(random, some);
+    let mut chosen = all.into_iter().choose_multiple(random, wanted);
     chosen.sort_unstable();
     chosen
 }
@@ -234,7 +236,7 @@
     let mut from = vec![false; count];
     match &event.from {
         Some(select) => {
-            let drawn = choose(select, count, zones, &mut stream(seed, "from", nth as u64));
+            let drawn = choose_targets(select, count, zones, &mut stream(seed, "from", nth as u64));
             drawn.iter().for_each(|n| from[*n] = true);
         }
         None => (0..count).for_each(|n| from[n] = !who[n]),
@@ -250,18 +252,24 @@
     Sides { who, from, who_zones, from_zones }
 }
 
-/// Sidecars that are on the same side of every event that concerns streams.
+/// Groups sidecars that are on the same side of every event that affects streams; returns each sidecar's class and
+/// the number of classes.
 fn stream_classes(timeline: &Timeline, sides: &[Sides], count: usize) -> (Vec<usize>, usize) {
-    let concerns = |kind| {
+    let affects_streams = |kind| {
         matches!(kind, EventKind::Partition | EventKind::CutStreams | EventKind::DelayStreams)
     };
-    let events: Vec<&Sides> =
-        timeline.events.iter().zip(sides).filter(|(e, _)| concerns(e.kind)).map(|e| e.1).collect();
+    let events: Vec<&Sides> = timeline
+        .events
+        .iter()
+        .zip(sides)
+        .filter(|(e, _)| affects_streams(e.kind))
+        .map(|e| e.1)
+        .collect();
     let mut signatures: Vec<Vec<(bool, bool)>> = Vec::new();
     let classes = (0..count).map(|n| {
         let signature: Vec<_> = events.iter().map(|s| (s.who[n], s.from[n])).collect();
-        let known = signatures.iter().position(|s| *s == signature);
-        known.unwrap_or_else(|| {
+        let existing = signatures.iter().position(|s| *s == signature);
+        existing.unwrap_or_else(|| {
             signatures.push(signature);
             signatures.len() - 1
         })
@@ -273,7 +281,7 @@
 fn rates(timeline: &Timeline, seed: u64) -> Vec<f64> {
     let count = timeline.sidecars.count;
     let mut random = stream(seed, "rates", 0);
-    // Checked with the file: sigma is finite and not below 0.
+    // The check of the timeline ensures that sigma is finite and not negative.
     let weights: Vec<f64> = match LogNormal::new(0.0, timeline.load.uneven) {
         Ok(distribution) => distribution.sample_iter(&mut random).take(count).collect(),
         Err(_) => vec![1.0; count],
@@ -282,7 +290,7 @@
     weights.iter().map(|w| w / sum * count as f64 * timeline.load.per_sidecar).collect()
 }
 
-/// The factor of one sidecar's load over time: from each time on, so much.
+/// Load factors of a sidecar, each with the time from which on it applies.
 fn load_factors(timeline: &Timeline, drawn: &[Vec<usize>], n: usize) -> Vec<(f64, f64)> {
     let mut changes = vec![(f64::NEG_INFINITY, 1.0)];
     for (event, who) in timeline.events.iter().zip(drawn) {
@@ -312,25 +320,25 @@
     let shares: f64 = timeline.classes.iter().map(|c| c.share).sum();
     let mut arrivals = Vec::new();
     let mut at = 0.0;
-    // A Poisson process at the highest rate, thinned to the present one.
-    while highest > 0.0 && arrivals.len() < MAX_ARRIVALS {
+    // A Poisson process at the highest rate, thinned to the current rate.
+    while highest > 0.0 && arrivals.len() < MAX_ARRIVALS_PER_SIDECAR {
         let gap: f64 = Exp1.sample(&mut random);
         at += gap / (rate * highest);
         if at >= length.as_secs_f64() {
             break;
         }
-        let mut part = random.random::<f64>() * shares;
+        let mut class_draw = random.random::<f64>() * shares;
         let class = timeline.classes.iter().position(|c| {
-            part -= c.share;
-            part < 0.0
+            class_draw -= c.share;
+            class_draw < 0.0
         });
         let class = class.unwrap_or(0);
         let work: f64 = Exp1.sample(&mut random);
-        let kept = random.random::<f64>() * highest;
+        let thinning_draw = random.random::<f64>() * highest;
         let now = at - warm_up.as_secs_f64();
         let factor = factors.iter().rev().find(|f| f.0 <= now).map_or(1.0, |f| f.1);
-        if kept < factor {
-            let work = work.min(LONGEST_WORK) * timeline.classes[class].work_ms * 1e3;
+        if thinning_draw < factor {
+            let work = work.min(MAX_WORK_FACTOR) * timeline.classes[class].work_ms * 1e3;
             arrivals.push(Arrival { at: (at * 1e6) as u64, class, work: work as u64 });
         }
     }
--- a/crates/millethook-lab/src/single_run.rs
+++ b/crates/millethook-lab/src/single_run.rs
@@ -131,9 +131,9 @@
         if outcome.records.findings.is_empty() {
             figures.faults.extend(missed(timeline, &figures));
         }
-        let late = breaches.iter().filter(|b| b.by_time).count();
-        let by_time = late > 0 && late == figures.faults.len();
-        figures.void = too_slow(&timeline.run, &figures, by_time);
+        let late = breaches.iter().filter(|b| b.timing_only).count();
+        let timing_only = late > 0 && late == figures.faults.len();
+        figures.void = too_slow(&timeline.run, &figures, timing_only);
         print(&figures, &breaches);
         if let Some(folder) = self.out
             && let Err(e) = report::write(folder, &figures, outcome, &breaches)
@@ -152,7 +152,7 @@
 
 /// Why the host was too slow for the run to count; None: it was not. A daemon's wait for a processor excuses a run
 /// whose faults are all `by_time`, and no other.
-fn too_slow(bounds: &RunKeys, figures: &Figures, by_time: bool) -> Option<String> {
+fn too_slow(bounds: &RunKeys, figures: &Figures, timing_only: bool) -> Option<String> {
     if figures.late_p99_ms > bounds.late_p99_ms {
         return Some(format!(
             "the run does not count: the host was too slow, 1 arrival in 100 was over {:.1} ms late, \
@@ -162,7 +162,7 @@
     }
     let waited_ms = figures.processes.daemon_waited_s * 1e3;
     let bound_ms = bounds.processor_wait_ms;
-    (by_time && bound_ms > 0.0 && waited_ms > bound_ms).then(|| {
+    (timing_only && bound_ms > 0.0 && waited_ms > bound_ms).then(|| {
         format!(
             "the run does not count: the host was too slow, a daemon waited {waited_ms:.0} ms for a processor, \
              processor_wait_ms allows {bound_ms}"
--- a/crates/millethook-lab/src/world/client.rs
+++ b/crates/millethook-lab/src/world/client.rs
@@ -129,7 +129,7 @@
             sleep_until(Instant::from_std(due)).await;
             while tasks.try_join_next().is_some() {}
             if self.sending_state.load(Ordering::Relaxed) == STOPPED {
-                self.context.ledger.open().not_offered += 1;
+                self.context.ledger.open().not_sent += 1;
                 continue;
             }
             let (clients, at) = (self.clone(), arrival.at);
@@ -200,7 +200,7 @@
         let pooled = self.checkout();
         let reused = pooled.is_some();
         if !reused && self.sending_state.load(Ordering::Relaxed) != SENDING {
-            self.context.ledger.open().not_offered += 1;
+            self.context.ledger.open().not_sent += 1;
             return (End::Open, None);
         }
         let (mut wire, at) = match pooled {
--- a/crates/millethook-lab/src/world/conductor.rs
+++ b/crates/millethook-lab/src/world/conductor.rs
@@ -149,7 +149,7 @@
             discovery_settings.line,
         ))
     });
-    ledger.open().asked = discovery_settings.asked;
+    ledger.open().polled_discovery = discovery_settings.asked;
     let (mut agents, mut discovery) = (Vec::new(), Vec::new());
     for (n, sidecar) in plan.sidecars.iter().enumerate() {
         let agent =
--- a/crates/millethook-lab/src/world/server.rs
+++ b/crates/millethook-lab/src/world/server.rs
@@ -407,7 +407,8 @@
     fn charge_cold_budget(&self, arrived: Micros, work: Micros) {
         let Some(started) = self.started else { return };
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        let fell = budget.as_mut().is_some_and(|b| b.send(arrived.saturating_sub(started), work));
+        let fell =
+            budget.as_mut().is_some_and(|b| b.add_work(arrived.saturating_sub(started), work));
         if let Some(budget) = budget.as_ref() {
             self.context.ledger.open().servers[self.row].cold_peak = budget.peak();
         }
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -36,14 +36,14 @@
     // It can do 0.5 s of work in its first second, and a little more as it warms up.
     let falls = |work| {
         let mut budget = ColdBudget::new(warm_up, 2.0, 1_000_000, 10_000.0);
-        (0..100).any(|n| budget.send(n * 10_000, work))
+        (0..100).any(|n| budget.add_work(n * 10_000, work))
     };
     // 115 requests of mean work are allowed it then, and so it bears 115 + 21 + 2.
     assert_eq!(tolerated_requests(9.0), 17.0);
     assert!(!falls(13_000));
     assert!(falls(14_500));
     let mut warm = ColdBudget::new(warm_up, 2.0, 1_000_000, 10_000.0);
-    assert!(!(0..1000).any(|n| warm.send(10_000_000 + n * 1_000, 100_000)));
+    assert!(!(0..1000).any(|n| warm.add_work(10_000_000 + n * 1_000, 100_000)));
 }
 
 /// A book with one request of the class, sent at 1 s with 1 s left, to two servers of two zones.
@@ -97,9 +97,9 @@
     }
 
     /// Whether each fault that is found is a matter of time.
-    fn by_time(&self) -> Vec<bool> {
+    fn timing_only(&self) -> Vec<bool> {
         let breaches = judge(&self.records, std::slice::from_ref(&self.class), &Rules::default());
-        breaches.iter().map(|b| b.by_time).collect()
+        breaches.iter().map(|b| b.timing_only).collect()
     }
 
     fn broken(&self) -> Vec<Rule> {
@@ -129,17 +129,17 @@
 #[test]
 fn only_late_answers_and_late_sends_are_matters_of_time() {
     let of = |effect, end, ended| case(effect, Group::All, end, ended);
-    assert_eq!(of(Effect::Safe, End::Served, 2 * S + 60_000).by_time(), [true]);
-    assert_eq!(of(Effect::Safe, End::Silent, 4 * S).by_time(), [true]);
-    assert_eq!(of(Effect::Safe, End::Foreign, S + 1).by_time(), [false]);
-    assert_eq!(of(Effect::Safe, End::Broken, S + 5_000).by_time(), [false]);
+    assert_eq!(of(Effect::Safe, End::Served, 2 * S + 60_000).timing_only(), [true]);
+    assert_eq!(of(Effect::Safe, End::Silent, 4 * S).timing_only(), [true]);
+    assert_eq!(of(Effect::Safe, End::Foreign, S + 1).timing_only(), [false]);
+    assert_eq!(of(Effect::Safe, End::Broken, S + 5_000).timing_only(), [false]);
     let after = of(Effect::Safe, End::Served, S + 5_000).attempt(0, S + 100_000, Fate::Served);
-    assert_eq!(after.by_time(), [false]);
+    assert_eq!(after.timing_only(), [false]);
     let refused = of(Effect::Unsafe, End::Refused, S + 400_000).attempt(0, S, Fate::Open);
-    assert_eq!(refused.by_time(), [false]);
+    assert_eq!(refused.timing_only(), [false]);
     let mut stray = of(Effect::Safe, End::Served, S + 5_000);
     stray.records.strays.push((S + 9_000, stray.records.requests[0].id));
-    assert_eq!(stray.by_time(), [false]);
+    assert_eq!(stray.timing_only(), [false]);
     let late = 2 * S + 70_000;
     let mut drained =
         of(Effect::Safe, End::Served, S + 900_000).attempt(0, S + 800_000, Fate::Served);
@@ -149,10 +149,10 @@
         server: 0,
         listed: Listed::Leaving,
     });
-    assert_eq!(drained.by_time(), [true]);
+    assert_eq!(drained.timing_only(), [true]);
     // One fault that is none of time stays one beside others.
     let both = of(Effect::Unsafe, End::Served, late).attempt(0, S, Fate::Served);
-    assert_eq!(both.attempt(1, S + 100_000, Fate::Served).by_time(), [true, false]);
+    assert_eq!(both.attempt(1, S + 100_000, Fate::Served).timing_only(), [true, false]);
 }
 
 #[test]
--- a/crates/millethook-lab/tests/it/figures_golden.rs
+++ b/crates/millethook-lab/tests/it/figures_golden.rs
@@ -113,7 +113,7 @@
     };
     records.servers = (0..SERVERS).map(row).collect();
     records.stalls = vec![(S, S + 1_500), (9 * S, 9 * S + 2_000)];
-    records.not_offered = 3;
+    records.not_sent = 3;
     records
 }
 
