--- a/crates/millethook-lab/src/cli.rs
+++ b/crates/millethook-lab/src/cli.rs
@@ -89,7 +89,7 @@
     let verdict = match Cli::parse().command {
         Command::Check { files } => check(&files),
         Command::Run(run) => run.carry_out(),
-        Command::Soak(soak) => soak.carry_out(),
+        Command::Soak(soak) => soak.execute(),
         Command::Compare { first, second } => compare_folders(&first, &second),
         Command::Report { folder } => {
             let written = report::read(&folder).and_then(|runs| report::page(&folder, &runs));
@@ -189,6 +189,6 @@
             out: self.out.as_deref(),
             daemon: &self.daemon,
         };
-        run.carry_out(timeline).verdict
+        run.execute(timeline).verdict
     }
 }
--- a/crates/millethook-lab/src/lib.rs
+++ b/crates/millethook-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The fleet test-bed: many daemons on loopback, stand-ins for all that is around them, faults injected
-//! between them by a timeline, and one verdict. `docs/lab.md` is the users' page.
+//! Fleet test bed: runs many daemons on loopback with stand-ins for their environment, injects faults by a timeline,
+//! and gives one verdict. `docs/lab.md` is the users' page.
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/crates/millethook-lab/src/main.rs
+++ b/crates/millethook-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `millethook-lab`: plays timelines on fleets of daemons.
+//! `millethook-lab`: runs timelines of faults on fleets of daemons.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/millethook-lab/src/plan/steps.rs
+++ b/crates/millethook-lab/src/plan/steps.rs
@@ -16,7 +16,7 @@
     let mut steps = Vec::new();
     for (nth, (event, who)) in timeline.events.iter().zip(drawn).enumerate() {
         let begin = warm_up + Duration::from_secs_f64(event.at_s);
-        let lasting = event.kind.lasts() && event.for_s > 0.0;
+        let lasting = event.kind.has_duration() && event.for_s > 0.0;
         let length = Duration::from_secs_f64(event.for_s);
         let spread = Duration::from_secs_f64(event.over_s);
         let mut add = |at, action| steps.push(Step { at, action });
@@ -49,7 +49,7 @@
 
 /// Adds the steps of an event for one of its targets, from a time on.
 fn add_target_steps(event: &Event, n: usize, at: Duration, add: &mut impl FnMut(Duration, Action)) {
-    let lasting = event.kind.lasts() && event.for_s > 0.0;
+    let lasting = event.kind.has_duration() && event.for_s > 0.0;
     let length = Duration::from_secs_f64(event.for_s);
     let amount = event.amount.unwrap_or(0.0);
     let back = event.back_after_s.map(Duration::from_secs_f64);
--- a/crates/millethook-lab/src/single_run.rs
+++ b/crates/millethook-lab/src/single_run.rs
@@ -1,4 +1,4 @@
-//! One run of a timeline: played on real processes, judged, printed, and written down where that was asked for.
+//! One run of a timeline on real processes: run, judged, printed, and written to files if requested.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -16,14 +16,14 @@
 use crate::timeline::{RunKeys, Timeline};
 use crate::world::{Options, Outcome, play};
 
-/// How a command ended; the number is its exit code.
+/// The result of a command; the number is its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// All rules and expectations hold.
     Holds = 0,
-    /// One does not.
+    /// A rule or an expectation does not hold.
     Broken = 1,
-    /// The file or the command is wrong.
+    /// The timeline file or the command line is invalid.
     Wrong = 2,
     /// The run does not count.
     DoesNotCount = 3,
@@ -35,21 +35,21 @@
     }
 }
 
-/// Which daemon is played.
+/// Options of the daemon to run.
 #[derive(clap::Args, Debug)]
 pub struct DaemonArgs {
-    /// The daemon's program; without it the plankvale beside this program
+    /// Path of the daemon's executable; default: plankvale in the directory of this program
     #[arg(long)]
     daemon: Option<PathBuf>,
-    /// An argument for it; may be given several times
+    /// An argument for the daemon; may be given several times
     #[arg(long = "daemon-arg", allow_hyphen_values = true)]
     daemon_args: Vec<String>,
 }
 
 impl DaemonArgs {
-    /// The daemon's program; what is missing is told.
+    /// The daemon's executable; prints an error if it is missing.
     fn program(&self) -> Option<PathBuf> {
-        let Some(program) = self.daemon.clone().or_else(beside) else {
+        let Some(program) = self.daemon.clone().or_else(sibling_daemon) else {
             eprintln!(
                 "no plankvale beside this program: build it (cargo build -p plankvale), or name it by --daemon"
             );
@@ -63,25 +63,25 @@
     }
 }
 
-/// A run that is to be made.
+/// A run to be made.
 #[derive(Debug)]
 pub struct SingleRun<'r> {
     /// The timeline's name in the figures.
     pub name: &'r str,
-    /// What arrivals and faults are drawn by.
+    /// Seed of arrivals and faults.
     pub seed: u64,
-    /// Where the run is written down; None: only the verdict is printed.
+    /// Directory for the run's files; `None` prints only the verdict.
     pub out: Option<&'r Path>,
-    /// Which daemon is played.
+    /// Options of the daemon to run.
     pub daemon: &'r DaemonArgs,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug)]
 pub struct RunResult {
-    /// How it ended.
+    /// The verdict.
     pub verdict: Verdict,
-    /// Its figures; None: it did not come to its end.
+    /// The run's figures; `None` if the run was aborted.
     pub figures: Option<Figures>,
 }
 
@@ -92,9 +92,9 @@
 }
 
 impl SingleRun<'_> {
-    /// Plays the timeline, judges it and prints the verdict. Has to be called on the main thread, as the daemons
+    /// Runs the timeline, judges it and prints the verdict. This must be called on the main thread, since the daemons
     /// end with the thread that starts them.
-    pub fn carry_out(&self, timeline: Timeline) -> RunResult {
+    pub fn execute(&self, timeline: Timeline) -> RunResult {
         let Some(program) = self.daemon.program() else {
             return RunResult::without_figures(Verdict::Wrong);
         };
@@ -113,7 +113,7 @@
             }
         };
         if self.out.is_none() {
-            // Nobody asked for it; what cannot be removed is the system's to clean up.
+            // The temporary directory is best removed; if that fails, it is left to the system's cleanup.
             let _ = std::fs::remove_dir_all(&temporary);
         }
         result
@@ -127,7 +127,7 @@
             Some(id) => format!("{}: request {}: {}", b.rule, id.wire(), b.text),
             None => format!("{}: {}", b.rule, b.text),
         }));
-        // What ended before its time has no figures that could be expected.
+        // A run that ended early does not have complete figures, so expectations are not checked.
         if outcome.records.findings.is_empty() {
             figures.faults.extend(missed(timeline, &figures));
         }
@@ -150,8 +150,8 @@
     }
 }
 
-/// Why the host was too slow for the run to count; None: it was not. A daemon's wait for a processor excuses a run
-/// whose faults are all `by_time`, and no other.
+/// The reason why the host was too slow for the run to count, if it was. A daemon's wait for a processor excuses only
+/// a run whose faults are all about timing (`timing_only`).
 fn too_slow(bounds: &RunKeys, figures: &Figures, timing_only: bool) -> Option<String> {
     if figures.late_p99_ms > bounds.late_p99_ms {
         return Some(format!(
@@ -170,7 +170,7 @@
     })
 }
 
-/// Plays on a runtime whose main task stays on this thread.
+/// Runs the plan on a runtime whose main task stays on this thread.
 fn run_to_end(
     timeline: &Arc<Timeline>,
     plan: &Arc<Plan>,
@@ -191,20 +191,20 @@
         }
     });
     progress.finish_and_clear();
-    // Daemons end with their handles.
+    // Dropping the process handles kills the daemons.
     runtime.shutdown_timeout(Duration::from_secs(1));
     outcome
 }
 
-/// The daemon that was built with this program.
-fn beside() -> Option<PathBuf> {
+/// The daemon's executable in the directory of this program.
+fn sibling_daemon() -> Option<PathBuf> {
     let mut path = std::env::current_exe().ok()?;
     path.set_file_name("plankvale");
     path.is_file().then_some(path)
 }
 
-/// What became of calls of discovery.
-fn lists(of: &ListFigures) -> String {
+/// Formats the figures of calls to discovery.
+fn format_lists(of: &ListFigures) -> String {
     let all = of.all_s.map_or("not all have a list".into(), |s| {
         format!("all have a list {s:.2} s after its end ({:.2} of calls x work)", s / of.bound_s)
     });
@@ -212,8 +212,8 @@
     format!(", {all}; {calls} calls, {refused} refused, {hung_up} hung up")
 }
 
-/// Broken rules that are printed in full.
-const SHOWN: usize = 5;
+/// Number of breaches that are printed in full.
+const PRINTED_BREACHES: usize = 5;
 
 fn print(f: &Figures, breaches: &[Breach]) {
     println!(
@@ -245,7 +245,7 @@
             event
                 .view_agrees_s
                 .map_or(String::new(), |s| format!(", views agree {s:.2} s after its end")),
-            event.lists.as_ref().map_or(String::new(), lists)
+            event.lists.as_ref().map_or(String::new(), format_lists)
         );
     }
     if let Some(d) = &f.distribution {
@@ -267,8 +267,8 @@
             d.most_control_bytes_per_s
         );
     }
-    f.faults.iter().take(4 * SHOWN).for_each(|fault| println!("FAULT {fault}"));
-    for breach in breaches.iter().take(SHOWN) {
+    f.faults.iter().take(4 * PRINTED_BREACHES).for_each(|fault| println!("FAULT {fault}"));
+    for breach in breaches.iter().take(PRINTED_BREACHES) {
         println!("{}: {}", breach.rule, breach.text);
         breach.history.iter().for_each(|step| println!("    {step}"));
     }
--- a/crates/millethook-lab/src/soak/command.rs
+++ b/crates/millethook-lab/src/soak/command.rs
@@ -1,4 +1,4 @@
-//! `millethook-lab soak`: draws, plays and judges timelines by their seeds, one after another.
+//! `millethook-lab soak`: draws, runs and judges timelines by their seeds, one after another.
 
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
@@ -7,33 +7,33 @@
 use crate::single_run::{DaemonArgs, RunResult, SingleRun, Verdict};
 use crate::timeline::Timeline;
 
-/// The file in a run's folder that `run` plays again.
-pub const TIMELINE: &str = "timeline.toml";
+/// Name of the timeline file in a run's directory, for a repetition by `run`.
+pub const TIMELINE_FILE: &str = "timeline.toml";
 
 /// The arguments of `soak`.
 #[derive(clap::Args, Debug)]
 pub struct Soak {
-    /// One seed, or the first and the last one: `1..50`
+    /// One seed, or the first and the last one of a range: `1..50`
     #[arg(long)]
     seed: Seeds,
-    /// Print the timelines in place of playing them
+    /// Print the timelines instead of running them
     #[arg(long)]
     print: bool,
-    /// Where each run is written down, in a folder named by its seed, with its timeline
+    /// Directory for the files of each run and its timeline, in a subdirectory named by its seed
     #[arg(long)]
     out: Option<PathBuf>,
     #[command(flatten)]
     daemon: DaemonArgs,
 }
 
-/// Seeds from the first to the last one, both included.
+/// A range of seeds, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seeds {
     first: u64,
     last: u64,
 }
 
-/// A text that names no seeds.
+/// The error of parsing seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a number, or the first and the last of several as in 1..50, expected")]
 pub struct SeedsError;
@@ -52,7 +52,7 @@
     }
 }
 
-/// How many seeds ended in which way.
+/// Number of seeds by verdict.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     held: usize,
@@ -61,11 +61,11 @@
 }
 
 impl Soak {
-    /// Plays all seeds. A broken rule goes before a run that does not count.
-    pub fn carry_out(&self) -> Verdict {
+    /// Runs all seeds. A broken rule takes precedence over a run that does not count.
+    pub fn execute(&self) -> Verdict {
         let mut counts = Counts::default();
         for seed in self.seed.first..=self.seed.last {
-            let (timeline, text) = match drawn(seed) {
+            let (timeline, text) = match draw_file(seed) {
                 Ok(drawn) => drawn,
                 Err(e) => {
                     eprintln!("seed {seed}: {e}");
@@ -105,14 +105,14 @@
             return Verdict::Wrong;
         }
         let run = SingleRun { name: "drawn", seed, out: folder.as_deref(), daemon: &self.daemon };
-        let result = run.carry_out(timeline);
-        tell(seed, &result);
+        let result = run.execute(timeline);
+        print_result(seed, &result);
         result.verdict
     }
 }
 
-/// The timeline of a seed, as its file reads back, and the file's text.
-fn drawn(seed: u64) -> Result<(Timeline, String), String> {
+/// The timeline of a seed, read back from its file's text, and that text.
+fn draw_file(seed: u64) -> Result<(Timeline, String), String> {
     let text = draw(seed).to_toml().map_err(|e| e.to_string())?;
     let read = Timeline::from_toml(&text);
     let timeline = read.map_err(|faults| {
@@ -124,11 +124,11 @@
 
 fn write(folder: &Path, text: &str) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join(TIMELINE), text)
+    std::fs::write(folder.join(TIMELINE_FILE), text)
 }
 
-/// One line of the soak's report.
-fn tell(seed: u64, result: &RunResult) {
+/// Prints one line of the soak's report.
+fn print_result(seed: u64, result: &RunResult) {
     let verdict = match result.verdict {
         Verdict::Holds => "held",
         Verdict::Broken => "BROKE A RULE",
--- a/crates/millethook-lab/src/soak/trouble.rs
+++ b/crates/millethook-lab/src/soak/fault_scenario.rs
@@ -1,4 +1,4 @@
-//! The troubles that a timeline is drawn from: each adds one event or a few that belong together.
+//! The fault scenarios of which a drawn timeline consists. Each adds one event or a few related events.
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -8,129 +8,130 @@
 use super::{Draft, hundredths};
 use crate::timeline::{Event, EventKind, Select, Timeline};
 
-/// Between the start of a process and the next thing that is done to it, in seconds: it has to be ready by then.
-const START_S: f64 = 3.0;
-/// What a planned end takes at most, in seconds: the longest deadline and what the lab adds.
-const END_S: f64 = 4.0;
-/// Clients are busy for so long before their sidecar ends: they open connections, and use them up to the end.
+/// Time from the start of a process until the next event on it, in seconds, in which it becomes ready.
+const START_TIME_S: f64 = 3.0;
+/// Maximum duration of a planned exit, in seconds: the longest deadline plus the lab's margin.
+const EXIT_TIME_S: f64 = 4.0;
+/// Time of high load before a sidecar's exit, in seconds: clients open connections and use them until the exit.
 const BUSY_BEFORE_S: f64 = 1.0;
-/// A server that has left or come is let alone for so long, in seconds.
-const SERVER_S: f64 = 4.0;
-/// A moved discovery takes the place of the old one for so long, in seconds.
-const RELOAD_S: f64 = 2.0;
-/// The most sidecars whose clients are busy at once: the machine has to keep up.
-const MOST_BUSY: usize = 3;
-/// Events of other targets follow one another by so much, in seconds.
+/// Time without further events on a server after it leaves or starts, in seconds.
+const SERVER_SETTLE_S: f64 = 4.0;
+/// Time without further events on a sidecar after a change of its discovery address, in seconds.
+const RELOAD_SETTLE_S: f64 = 2.0;
+/// Maximum number of sidecars with high load at once, limited by the machine.
+const MAX_BUSY_SIDECARS: usize = 3;
+/// Gap between events on targets other than processes, in seconds.
 const GAP_S: f64 = 0.5;
 
-/// Something that goes wrong, or is done on purpose, in a fleet.
+/// A fault or a planned operation in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Trouble {
-    /// Some sidecars are killed at once and come back.
+pub(super) enum FaultScenario {
+    /// Some sidecars are killed at once and restart.
     Kills,
-    /// Sidecars are restarted as planned, one after another.
+    /// Sidecars are restarted by SIGTERM, at once or one after another.
     RollingRestart,
-    /// Sidecars are told of another discovery by SIGHUP.
+    /// Sidecars get a new discovery address by SIGHUP.
     Reloads,
-    /// Sidecars get several signals within tens of milliseconds, SIGHUP while they drain, or SIGTERM once they are ready.
+    /// Sidecars get several signals within tens of milliseconds, SIGHUP while they drain, or SIGTERM as soon as they
+    /// are ready.
     SignalSeries,
-    /// Processes stand still, or are slow.
+    /// Processes are paused or throttled.
     Pauses,
-    /// Servers leave after a drain, and cold ones come.
+    /// Servers drain and leave, and cold ones replace them.
     Drains,
-    /// Servers leave while sidecars are restarted.
+    /// Servers drain and leave while sidecars are restarted.
     DrainsAndRestarts,
-    /// Servers hang.
+    /// Servers stop answering.
     Hangs,
-    /// Servers hang while sidecars end, and go on hanging.
+    /// Servers stop answering, and sidecars shut down meanwhile.
     HangsThroughShutdown,
-    /// Sidecars end while their clients are busy on many open connections, and some servers hang.
+    /// Sidecars shut down while their clients use many open connections, and some servers may hang.
     BusyShutdown,
-    /// Servers fail, break off, turn away, refuse, or are slow.
+    /// Servers answer errors, reset connections, reject requests, refuse connections, or are slow.
     FailingServers,
-    /// Servers end and come back cold.
+    /// Servers crash and restart cold.
     Crashes,
-    /// Discovery says nothing for a long time, in which servers or sidecars change.
+    /// Discovery does not answer for a long time, in which servers or sidecars change.
     DiscoveryOutage,
-    /// Discovery tells an old list, forgets its watches, or counts anew.
+    /// Discovery serves an old list, stops answering its watches, or restarts its version numbers.
     DiscoveryWrong,
-    /// Streams from some sidecars to servers are cut or slow.
+    /// Streams from some sidecars to servers are cut or delayed.
     StreamCuts,
     /// A zone is cut off.
     ZoneCut,
-    /// Datagrams between sidecars are lost, doubled, late or out of order.
+    /// Datagrams between sidecars are lost, duplicated, reordered, or cut in one direction.
     BadDatagrams,
-    /// Load rises for a time.
+    /// The load rises for a time.
     Burst,
 }
 
-const ALL: [Trouble; 18] = [
-    Trouble::Kills,
-    Trouble::RollingRestart,
-    Trouble::Reloads,
-    Trouble::SignalSeries,
-    Trouble::Pauses,
-    Trouble::Drains,
-    Trouble::DrainsAndRestarts,
-    Trouble::Hangs,
-    Trouble::HangsThroughShutdown,
-    Trouble::BusyShutdown,
-    Trouble::FailingServers,
-    Trouble::Crashes,
-    Trouble::DiscoveryOutage,
-    Trouble::DiscoveryWrong,
-    Trouble::StreamCuts,
-    Trouble::ZoneCut,
-    Trouble::BadDatagrams,
-    Trouble::Burst,
+const ALL: [FaultScenario; 18] = [
+    FaultScenario::Kills,
+    FaultScenario::RollingRestart,
+    FaultScenario::Reloads,
+    FaultScenario::SignalSeries,
+    FaultScenario::Pauses,
+    FaultScenario::Drains,
+    FaultScenario::DrainsAndRestarts,
+    FaultScenario::Hangs,
+    FaultScenario::HangsThroughShutdown,
+    FaultScenario::BusyShutdown,
+    FaultScenario::FailingServers,
+    FaultScenario::Crashes,
+    FaultScenario::DiscoveryOutage,
+    FaultScenario::DiscoveryWrong,
+    FaultScenario::StreamCuts,
+    FaultScenario::ZoneCut,
+    FaultScenario::BadDatagrams,
+    FaultScenario::Burst,
 ];
 
-impl Trouble {
-    /// Draws one.
-    pub(super) fn draw(random: &mut ChaCha8Rng) -> Trouble {
+impl FaultScenario {
+    /// Draws a scenario.
+    pub(super) fn draw(random: &mut ChaCha8Rng) -> FaultScenario {
         ALL[random.random_range(0..ALL.len())]
     }
 
-    /// Adds its events. What it needs may be taken by an earlier one; then there are fewer events, or none.
+    /// Adds the scenario's events. If an earlier scenario has reserved its targets, it adds fewer events or none.
     pub(super) fn add(self, draft: &mut Draft, at_s: f64) {
         match self {
-            Trouble::Kills => kills(draft, at_s),
-            Trouble::RollingRestart => restarts(draft, at_s),
-            Trouble::Reloads => reloads(draft, at_s),
-            Trouble::SignalSeries => signal_series(draft, at_s),
-            Trouble::Pauses => pauses(draft, at_s),
-            Trouble::Drains => drains(draft, at_s),
-            Trouble::DrainsAndRestarts => {
+            FaultScenario::Kills => kills(draft, at_s),
+            FaultScenario::RollingRestart => restarts(draft, at_s),
+            FaultScenario::Reloads => reloads(draft, at_s),
+            FaultScenario::SignalSeries => signal_series(draft, at_s),
+            FaultScenario::Pauses => pauses(draft, at_s),
+            FaultScenario::Drains => drains(draft, at_s),
+            FaultScenario::DrainsAndRestarts => {
                 drains(draft, at_s);
                 let at_s = at_s + draft.between(0.0, GAP_S);
                 restarts(draft, at_s);
             }
-            Trouble::Hangs => hangs(draft, at_s),
-            Trouble::HangsThroughShutdown => {
+            FaultScenario::Hangs => hangs(draft, at_s),
+            FaultScenario::HangsThroughShutdown => {
                 hangs(draft, at_s);
                 let at_s = at_s + draft.between(0.05, GAP_S);
                 restarts(draft, at_s);
             }
-            Trouble::BusyShutdown => busy_shutdown(draft, at_s),
-            Trouble::FailingServers => failing_servers(draft, at_s),
-            Trouble::Crashes => crashes(draft, at_s),
-            Trouble::DiscoveryOutage => discovery_outage(draft, at_s),
-            Trouble::DiscoveryWrong => discovery_wrong(draft, at_s),
-            Trouble::StreamCuts => stream_cuts(draft, at_s),
-            Trouble::ZoneCut => zone_cut(draft, at_s),
-            Trouble::BadDatagrams => bad_datagrams(draft, at_s),
-            Trouble::Burst => burst(draft, at_s),
+            FaultScenario::BusyShutdown => busy_shutdown(draft, at_s),
+            FaultScenario::FailingServers => failing_servers(draft, at_s),
+            FaultScenario::Crashes => crashes(draft, at_s),
+            FaultScenario::DiscoveryOutage => discovery_outage(draft, at_s),
+            FaultScenario::DiscoveryWrong => discovery_wrong(draft, at_s),
+            FaultScenario::StreamCuts => stream_cuts(draft, at_s),
+            FaultScenario::ZoneCut => zone_cut(draft, at_s),
+            FaultScenario::BadDatagrams => bad_datagrams(draft, at_s),
+            FaultScenario::Burst => burst(draft, at_s),
         }
     }
 }
 
-/// Takes a drawn number of targets for an event.
-fn some(draft: &mut Draft, resource: Resource, span: Span, most: usize) -> Option<Select> {
+/// Reserves a random number of targets for an event, at most `most`.
+fn reserve_some(draft: &mut Draft, resource: Resource, span: Span, most: usize) -> Option<Select> {
     let wanted = draft.random.random_range(1..=most.max(1));
-    draft.reservations.take(&mut draft.random, resource, span, wanted)
+    draft.reservations.reserve(&mut draft.random, resource, span, wanted)
 }
 
-/// Half of the servers at most, so that some are warm and well.
+/// Half of the servers, the maximum for server events, so that some stay warm and healthy.
 fn half_of_servers(draft: &Draft) -> usize {
     draft.timeline.servers.count / 2
 }
@@ -138,8 +139,8 @@
 fn kills(draft: &mut Draft, at_s: f64) {
     let back_s = draft.between(0.0, 1.5);
     let most = draft.timeline.sidecars.count;
-    let span = Span { at_s, length_s: back_s + START_S };
-    if let Some(who) = some(draft, Resource::Process, span, most) {
+    let span = Span { at_s, length_s: back_s + START_TIME_S };
+    if let Some(who) = reserve_some(draft, Resource::Process, span, most) {
         let back_after_s = Some(back_s);
         draft.push(Event { at_s, kind: EventKind::Kill, who, back_after_s, ..Event::default() });
     }
@@ -149,8 +150,8 @@
     let over_s = if draft.random.random_bool(0.5) { 0.0 } else { draft.between(0.5, 6.0) };
     let back_s = draft.between(0.0, 0.5);
     let most = draft.timeline.sidecars.count;
-    let span = Span { at_s, length_s: over_s + END_S + back_s + START_S };
-    if let Some(who) = some(draft, Resource::Process, span, most) {
+    let span = Span { at_s, length_s: over_s + EXIT_TIME_S + back_s + START_TIME_S };
+    if let Some(who) = reserve_some(draft, Resource::Process, span, most) {
         let kind = EventKind::Terminate;
         let back_after_s = Some(back_s);
         draft.push(Event { at_s, kind, who, over_s, back_after_s, ..Event::default() });
@@ -159,13 +160,13 @@
 
 fn busy_shutdown(draft: &mut Draft, at_s: f64) {
     let back_s = draft.between(0.0, 0.5);
-    let busy_s = BUSY_BEFORE_S + END_S;
+    let busy_s = BUSY_BEFORE_S + EXIT_TIME_S;
     let span = Span { at_s, length_s: busy_s + GAP_S };
-    if !draft.reservations.take_one(&mut draft.random, Resource::Load, span) {
+    if !draft.reservations.reserve_one(&mut draft.random, Resource::Load, span) {
         return;
     }
-    let span = Span { at_s, length_s: busy_s + back_s + START_S };
-    let Some(who) = some(draft, Resource::Process, span, MOST_BUSY) else { return };
+    let span = Span { at_s, length_s: busy_s + back_s + START_TIME_S };
+    let Some(who) = reserve_some(draft, Resource::Process, span, MAX_BUSY_SIDECARS) else { return };
     if draft.random.random_bool(0.5) {
         hangs(draft, at_s);
     }
@@ -180,23 +181,23 @@
 fn reloads(draft: &mut Draft, at_s: f64) {
     let over_s = draft.between(0.0, 2.0);
     let most = draft.timeline.sidecars.count;
-    let span = Span { at_s, length_s: over_s + RELOAD_S };
-    if let Some(who) = some(draft, Resource::Process, span, most) {
+    let span = Span { at_s, length_s: over_s + RELOAD_SETTLE_S };
+    if let Some(who) = reserve_some(draft, Resource::Process, span, most) {
         draft.push(Event { at_s, kind: EventKind::Reload, who, over_s, ..Event::default() });
     }
 }
 
-/// Signals that come close behind one another, to the same sidecars.
+/// Adds signals to the same sidecars in close succession.
 fn signal_series(draft: &mut Draft, at_s: f64) {
     let back_s = draft.between(0.0, 0.5);
     let most = draft.timeline.sidecars.count;
-    let span = Span { at_s, length_s: 2.0 * (END_S + back_s + START_S) };
-    let Some(who) = some(draft, Resource::Process, span, most) else { return };
+    let span = Span { at_s, length_s: 2.0 * (EXIT_TIME_S + back_s + START_TIME_S) };
+    let Some(who) = reserve_some(draft, Resource::Process, span, most) else { return };
     let signal = |after_s: f64, kind: EventKind| Event {
         at_s: at_s + after_s,
         kind,
         who: who.clone(),
-        back_after_s: kind.comes_back().then_some(back_s),
+        back_after_s: kind.restarts_process().then_some(back_s),
         ..Event::default()
     };
     let gap_s = draft.between(0.0, 0.05);
@@ -222,7 +223,7 @@
     let for_s = draft.lasting(at_s, 0.1, 3.0);
     let most = draft.timeline.sidecars.count / 2;
     let span = Span { at_s, length_s: for_s + GAP_S };
-    let Some(who) = some(draft, Resource::Process, span, most) else { return };
+    let Some(who) = reserve_some(draft, Resource::Process, span, most) else { return };
     let (kind, amount) = match throttle {
         true => (EventKind::Throttle, Some(draft.between(2.0, 8.0))),
         false => (EventKind::Pause, None),
@@ -233,8 +234,8 @@
 fn drains(draft: &mut Draft, at_s: f64) {
     let over_s = draft.between(0.0, 3.0);
     let most = half_of_servers(draft);
-    let span = Span { at_s, length_s: over_s + SERVER_S };
-    if let Some(who) = some(draft, Resource::ServerLife, span, most) {
+    let span = Span { at_s, length_s: over_s + SERVER_SETTLE_S };
+    if let Some(who) = reserve_some(draft, Resource::ServerLife, span, most) {
         draft.push(Event { at_s, kind: EventKind::Replace, who, over_s, ..Event::default() });
     }
 }
@@ -242,8 +243,8 @@
 fn crashes(draft: &mut Draft, at_s: f64) {
     let back_s = draft.between(0.1, 2.0);
     let most = half_of_servers(draft);
-    let span = Span { at_s, length_s: back_s + SERVER_S };
-    if let Some(who) = some(draft, Resource::ServerLife, span, most) {
+    let span = Span { at_s, length_s: back_s + SERVER_SETTLE_S };
+    if let Some(who) = reserve_some(draft, Resource::ServerLife, span, most) {
         let back_after_s = Some(back_s);
         draft.push(Event { at_s, kind: EventKind::Crash, who, back_after_s, ..Event::default() });
     }
@@ -282,7 +283,7 @@
 ) {
     let most = half_of_servers(draft);
     let span = Span { at_s, length_s: for_s + GAP_S };
-    if let Some(who) = some(draft, Resource::ServerAnswers, span, most) {
+    if let Some(who) = reserve_some(draft, Resource::ServerAnswers, span, most) {
         draft.push(Event { at_s, kind, who, for_s, amount, ..Event::default() });
     }
 }
@@ -290,7 +291,7 @@
 fn discovery_outage(draft: &mut Draft, at_s: f64) {
     let for_s = draft.lasting(at_s, 4.0, 15.0);
     let span = Span { at_s, length_s: for_s + GAP_S };
-    if !draft.reservations.take_one(&mut draft.random, Resource::Discovery, span) {
+    if !draft.reservations.reserve_one(&mut draft.random, Resource::Discovery, span) {
         return;
     }
     draft.push(Event { at_s, kind: EventKind::DiscoveryDown, for_s, ..Event::default() });
@@ -306,7 +307,7 @@
 fn discovery_wrong(draft: &mut Draft, at_s: f64) {
     let for_s = draft.lasting(at_s, 1.0, 8.0);
     let span = Span { at_s, length_s: for_s + GAP_S };
-    if !draft.reservations.take_one(&mut draft.random, Resource::Discovery, span) {
+    if !draft.reservations.reserve_one(&mut draft.random, Resource::Discovery, span) {
         return;
     }
     let event = Event { at_s, ..Event::default() };
@@ -324,7 +325,7 @@
 fn stream_cuts(draft: &mut Draft, at_s: f64) {
     let for_s = draft.lasting(at_s, 0.3, 5.0);
     let span = Span { at_s, length_s: for_s + GAP_S };
-    if !draft.reservations.take_one(&mut draft.random, Resource::Streams, span) {
+    if !draft.reservations.reserve_one(&mut draft.random, Resource::Streams, span) {
         return;
     }
     let count = Some(draft.random.random_range(1..=draft.timeline.sidecars.count / 2));
@@ -343,7 +344,7 @@
     }
     let for_s = draft.lasting(at_s, 0.5, 6.0);
     let span = Span { at_s, length_s: for_s + GAP_S };
-    if !draft.reservations.take_one(&mut draft.random, Resource::Streams, span) {
+    if !draft.reservations.reserve_one(&mut draft.random, Resource::Streams, span) {
         return;
     }
     let zone = Some(Timeline::zone_name(draft.random.random_range(0..zones)));
@@ -357,12 +358,12 @@
     }
     let for_s = draft.lasting(at_s, 1.0, 8.0);
     let span = Span { at_s, length_s: for_s + GAP_S };
-    if !draft.reservations.take_one(&mut draft.random, Resource::Datagrams, span) {
+    if !draft.reservations.reserve_one(&mut draft.random, Resource::Datagrams, span) {
         return;
     }
     let kinds = [EventKind::Loss, EventKind::Duplicate, EventKind::Reorder, EventKind::CutOneWay];
     let kind = kinds.choose(&mut draft.random).copied().unwrap_or(EventKind::Loss);
-    let amount = kind.amount().map(|_| draft.between(0.1, 1.0));
+    let amount = kind.amount_bounds().map(|_| draft.between(0.1, 1.0));
     let count = Some(draft.random.random_range(1..=draft.timeline.sidecars.count / 2));
     let who = Select { count, ..Select::default() };
     draft.push(Event { at_s, kind, who, for_s, amount, ..Event::default() });
@@ -371,7 +372,7 @@
 fn burst(draft: &mut Draft, at_s: f64) {
     let for_s = draft.lasting(at_s, 0.5, 4.0);
     let span = Span { at_s, length_s: for_s + GAP_S };
-    if !draft.reservations.take_one(&mut draft.random, Resource::Load, span) {
+    if !draft.reservations.reserve_one(&mut draft.random, Resource::Load, span) {
         return;
     }
     let amount = Some(draft.between(2.0, 5.0));
--- a/crates/millethook-lab/src/soak/fleet.rs
+++ b/crates/millethook-lab/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Draws the fleet of a timeline: its size, its load, and what its sidecars are told to do together.
+//! Draws the fleet of a timeline: its size, its load, and the features that its sidecars share.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -6,26 +6,26 @@
 use super::hundredths;
 use crate::timeline::{Class, Effect, Group, Timeline};
 
-/// The rules as the tests of the lab that run beside others have them: what a busy machine adds, in milliseconds.
-/// Where a daemon waits longer than that for a processor, the run does not count.
+/// Tolerance for a busy machine, in milliseconds, as in the lab's tests that run in parallel with others. If a daemon
+/// waits longer than this for a processor, the run does not count.
 const SOCKET_SLACK_MS: f64 = 300.0;
-/// With arrivals later than this the run does not count, in milliseconds.
+/// 99th percentile of arrival lateness above which the run does not count, in milliseconds.
 const LATE_P99_MS: f64 = 400.0;
-/// The load of the mean server over what it can do, without bursts.
-const UTILIZATION: (f64, f64) = (0.2, 0.75);
-/// The least and the most requests a second of the mean sidecar.
-const PER_SIDECAR: (f64, f64) = (4.0, 25.0);
-/// How long clients of writes wait, in milliseconds: SIGKILL comes so long after SIGTERM, and 0.7 s.
+/// Range of the mean utilization of a server, without bursts.
+const UTILIZATION_RANGE: (f64, f64) = (0.2, 0.75);
+/// Range of the mean rate of a sidecar, in requests a second.
+const REQUESTS_PER_SECOND_RANGE: (f64, f64) = (4.0, 25.0);
+/// Deadlines of write clients, in milliseconds; SIGKILL follows SIGTERM after the longest deadline plus 0.7 s.
 const WRITE_DEADLINES_MS: [f64; 3] = [600.0, 1_500.0, 3_000.0];
-/// Shares of timelines with a view of the fleet, with kept writes, and with a discovery that is asked.
+/// Shares of timelines with a view of the fleet, with stored writes, and with a polled discovery.
 const VIEW_SHARE: f64 = 0.6;
 const EDGE_SHARE: f64 = 0.3;
-const ASKED_SHARE: f64 = 0.25;
-/// Shares of timelines in which discovery tells late, and in which the network between sidecars is bad.
-const LATE_SHARE: f64 = 0.4;
+const POLLED_DISCOVERY_SHARE: f64 = 0.25;
+/// Shares of timelines with a delayed discovery, and with packet loss between sidecars.
+const LATE_DISCOVERY_SHARE: f64 = 0.4;
 const LOSSY_SHARE: f64 = 0.4;
 
-/// A timeline without events.
+/// Draws a timeline without events.
 pub(super) fn draw(random: &mut ChaCha8Rng) -> Timeline {
     let mut timeline = Timeline::default();
     timeline.run.late_p99_ms = LATE_P99_MS;
@@ -43,7 +43,7 @@
 
 fn draw_servers(timeline: &mut Timeline, random: &mut ChaCha8Rng) {
     let servers = &mut timeline.servers;
-    // Two in each zone at least: a keyed request stays in its zone.
+    // At least two servers in each zone, because a keyed request stays in its zone.
     servers.count = random.random_range(3..=6).max(2 * timeline.sidecars.zones);
     servers.slots = random.random_range(2..=4);
     servers.queue = random.random_range(4..=16);
@@ -51,19 +51,19 @@
 }
 
 fn draw_discovery(timeline: &mut Timeline, random: &mut ChaCha8Rng) {
-    if random.random_bool(LATE_SHARE) {
+    if random.random_bool(LATE_DISCOVERY_SHARE) {
         timeline.discovery.late_s = hundredths(random.random_range(0.05..=1.0));
     }
-    if random.random_bool(ASKED_SHARE) {
+    if random.random_bool(POLLED_DISCOVERY_SHARE) {
         timeline.discovery.asked = true;
         timeline.discovery.work_s = 0.02;
     }
 }
 
-/// A view of the fleet with shared evidence and leases, and kept writes.
+/// Draws a view of the fleet with shared evidence and leases, and stored writes.
 fn draw_sharing(timeline: &mut Timeline, random: &mut ChaCha8Rng) {
-    let keeps = random.random_bool(EDGE_SHARE);
-    if !keeps && !random.random_bool(VIEW_SHARE) {
+    let stores_writes = random.random_bool(EDGE_SHARE);
+    if !stores_writes && !random.random_bool(VIEW_SHARE) {
         return;
     }
     timeline.network.may_tell = true;
@@ -79,9 +79,9 @@
     if sidecars.share_evidence {
         sidecars.product += "dead_servers = true\n";
     }
-    if keeps {
+    if stores_writes {
         sidecars.edge_host = random.random_range(2..=4);
-        timeline.classes.push(kept_class(random));
+        timeline.classes.push(stored_write_class(random));
     }
 }
 
@@ -97,7 +97,7 @@
     vec![look, keep, order]
 }
 
-fn kept_class(random: &mut ChaCha8Rng) -> Class {
+fn stored_write_class(random: &mut ChaCha8Rng) -> Class {
     Class {
         name: "log-upload".into(),
         effect: Effect::Unsafe,
@@ -111,11 +111,12 @@
 }
 
 fn draw_load(timeline: &mut Timeline, random: &mut ChaCha8Rng) {
-    let (least, most) = UTILIZATION;
+    let (least, most) = UTILIZATION_RANGE;
     let utilization = random.random_range(least..=most);
     let slots = timeline.servers.count * timeline.servers.slots;
     let capacity_per_s = slots as f64 * 1e6 / timeline.mean_work();
     let per_sidecar = utilization * capacity_per_s / timeline.sidecars.count as f64;
-    timeline.load.per_sidecar = per_sidecar.clamp(PER_SIDECAR.0, PER_SIDECAR.1).round();
+    timeline.load.per_sidecar =
+        per_sidecar.clamp(REQUESTS_PER_SECOND_RANGE.0, REQUESTS_PER_SECOND_RANGE.1).round();
     timeline.load.retries = random.random_range(0..=2);
 }
--- a/crates/millethook-lab/src/soak/reservations.rs
+++ b/crates/millethook-lab/src/soak/reservations.rs
@@ -1,31 +1,31 @@
-//! What a drawn timeline already does to each sidecar and server, so that no two events meet that the lab cannot carry
-//! out on one target: a process that is away cannot be signalled, and a server that is gone cannot be replaced.
+//! Reservations of targets in a drawn timeline. They prevent overlapping events on one target that the lab cannot
+//! execute: a process that is not running cannot be signalled, and a server that has left cannot be replaced.
 
 use rand::seq::IteratorRandom;
 use rand_chacha::ChaCha8Rng;
 
 use crate::timeline::{Select, Timeline};
 
-/// What an event needs for itself for a time.
+/// A resource that an event needs exclusively for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Resource {
     /// The processes of a sidecar.
     Process,
-    /// The process of a server: it stays, leaves or comes.
+    /// The lifecycle of a server's process.
     ServerLife,
-    /// How a server answers.
+    /// The behaviour of a server's answers.
     ServerAnswers,
-    /// What discovery says.
+    /// The behaviour of discovery.
     Discovery,
     /// Streams from sidecars to servers.
     Streams,
     /// Datagrams between sidecars.
     Datagrams,
-    /// How much clients ask for.
+    /// The load of the clients.
     Load,
 }
 
-/// Until when each target is taken, in seconds, by resource.
+/// Times until which each target is reserved, in seconds, by resource.
 #[derive(Debug)]
 pub(super) struct Reservations {
     processes: Vec<f64>,
@@ -37,17 +37,17 @@
     load: Vec<f64>,
 }
 
-/// A time in which an event needs its targets.
+/// A period in which an event needs its targets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Span {
-    /// When it begins, in seconds.
+    /// Start, in seconds.
     pub at_s: f64,
-    /// How long it takes until the next event may come, in seconds.
+    /// Time until the next event may start, in seconds.
     pub length_s: f64,
 }
 
 impl Reservations {
-    /// Nothing is taken.
+    /// Creates reservations with all targets free.
     pub(super) fn new(timeline: &Timeline) -> Reservations {
         let sidecars = vec![0.0; timeline.sidecars.count];
         let servers = vec![0.0; timeline.servers.count];
@@ -62,7 +62,7 @@
         }
     }
 
-    fn of(&mut self, resource: Resource) -> &mut Vec<f64> {
+    fn times(&mut self, resource: Resource) -> &mut Vec<f64> {
         match resource {
             Resource::Process => &mut self.processes,
             Resource::ServerLife => &mut self.server_lives,
@@ -74,15 +74,15 @@
         }
     }
 
-    /// Takes up to so many targets that are free; None: none is.
-    pub(super) fn take(
+    /// Reserves up to `most` free targets, chosen at random; `None` if none is free.
+    pub(super) fn reserve(
         &mut self,
         random: &mut ChaCha8Rng,
         resource: Resource,
         span: Span,
         most: usize,
     ) -> Option<Select> {
-        let until = self.of(resource);
+        let until = self.times(resource);
         let free = (0..until.len()).filter(|n| until[*n] <= span.at_s);
         let mut chosen = free.choose_multiple(random, most);
         chosen.sort_unstable();
@@ -92,13 +92,13 @@
         (!chosen.is_empty()).then(|| Select { ids: Some(chosen), ..Select::default() })
     }
 
-    /// Takes what there is one of; whether it was free.
-    pub(super) fn take_one(
+    /// Reserves a resource with a single target; returns whether it was free.
+    pub(super) fn reserve_one(
         &mut self,
         random: &mut ChaCha8Rng,
         resource: Resource,
         span: Span,
     ) -> bool {
-        self.take(random, resource, span, 1).is_some()
+        self.reserve(random, resource, span, 1).is_some()
     }
 }
--- a/crates/millethook-lab/src/timeline/check.rs
+++ b/crates/millethook-lab/src/timeline/check.rs
@@ -1,14 +1,14 @@
-//! What a timeline's values have to be, beyond their types.
+//! Checks of a timeline's values beyond their types.
 
 use std::collections::HashSet;
 
 use super::event::{EventKind, Select, Target};
-use super::read::{Faults, Places};
+use super::read::{Faults, SectionSpans};
 use super::*;
 
-type Read<T> = (T, Places);
+type Read<T> = (T, SectionSpans);
 
-/// A file's sections, as they were read.
+/// Sections of a file, as read.
 pub(super) struct Parts<'p> {
     pub run: &'p Read<RunKeys>,
     pub sidecars: &'p Read<Sidecars>,
@@ -23,19 +23,19 @@
     pub events: &'p [Read<Event>],
 }
 
-/// Keys of one section with their values and bounds.
+/// Keys of one section with their values, minima and maxima.
 type Bounds<'b> = &'b [(&'b str, f64, f64, f64)];
 
-fn bounds(faults: &mut Faults<'_>, places: &Places, of: Bounds<'_>) {
+fn check_bounds(faults: &mut Faults<'_>, spans: &SectionSpans, of: Bounds<'_>) {
     for &(key, value, least, most) in of {
         if !(least..=most).contains(&value) {
-            faults.at(places, key, format!("{least} to {most} expected, not {value}"));
+            faults.at(spans, key, format!("{least} to {most} expected, not {value}"));
         }
     }
 }
 
-/// The longest run, in seconds: a mistake in a file does not hold a machine for a night.
-const LONGEST_S: f64 = 3_600.0;
+/// Maximum length of a run, in seconds, so that a mistake in a file does not occupy a machine for a night.
+const MAX_RUN_S: f64 = 3_600.0;
 
 pub(super) fn check(f: &mut Faults<'_>, parts: &Parts<'_>) {
     let (run, at) = parts.run;
@@ -43,12 +43,12 @@
         f.at(at, "about", "a line on what the timeline is for expected");
     }
     let times = [
-        ("duration_s", run.duration_s, 1.0, LONGEST_S),
+        ("duration_s", run.duration_s, 1.0, MAX_RUN_S),
         ("warm_up_s", run.warm_up_s, 0.0, 600.0),
         ("late_p99_ms", run.late_p99_ms, 1.0, 10_000.0),
         ("processor_wait_ms", run.processor_wait_ms, 0.0, 10_000.0),
     ];
-    bounds(f, at, &times);
+    check_bounds(f, at, &times);
     let (s, at) = parts.sidecars;
     let sizes = [
         ("count", s.count as f64, 1.0, 2_000.0),
@@ -59,7 +59,7 @@
         ("views", s.views as f64, 0.0, 64.0),
         ("edge_host", s.edge_host as f64, 0.0, 2_000.0),
     ];
-    bounds(f, at, &sizes);
+    check_bounds(f, at, &sizes);
     let (l, at) = parts.load;
     let load = [
         ("per_sidecar", l.per_sidecar, 0.01, 1_000.0),
@@ -67,7 +67,7 @@
         ("retries", f64::from(l.retries), 0.0, 10.0),
         ("backoff_ms", l.backoff_ms, 1.0, 60_000.0),
     ];
-    bounds(f, at, &load);
+    check_bounds(f, at, &load);
     let (v, at) = parts.servers;
     let servers = [
         ("count", v.count as f64, 1.0, 2_000.0),
@@ -77,21 +77,21 @@
         ("cold_share", v.cold_share, 0.01, 1.0),
         ("cold_s", v.cold_s, 0.0, 600.0),
     ];
-    bounds(f, at, &servers);
+    check_bounds(f, at, &servers);
     let (d, at) = parts.discovery;
     let discovery = [
         ("late_s", d.late_s, 0.0, 6.0),
         ("work_s", d.work_s, 0.001, 60.0),
         ("line", d.line as f64, 1.0, 65_536.0),
     ];
-    bounds(f, at, &discovery);
+    check_bounds(f, at, &discovery);
     let (n, at) = parts.network;
     let network = [
         ("delay_ms", n.delay_ms, 0.0, 60_000.0),
         ("jitter_ms", n.jitter_ms, 0.0, 60_000.0),
         ("loss", n.loss, 0.0, 1.0),
     ];
-    bounds(f, at, &network);
+    check_bounds(f, at, &network);
     let (r, at) = parts.rules;
     let rules = [
         ("answer_slack_ms", r.answer_slack_ms, 0.0, 1_000.0),
@@ -100,21 +100,21 @@
         ("tip_after_s", r.tip_after_s, 0.1, 60.0),
         ("socket_slack_ms", r.socket_slack_ms, 0.0, 1_000.0),
     ];
-    bounds(f, at, &rules);
+    check_bounds(f, at, &rules);
     if s.view_period_s > 0.0 && !n.may_tell {
         f.at(&parts.network.1, "may_tell", "true expected, as view_period_s is set");
     }
     if s.share_evidence && s.view_period_s == 0.0 {
         f.at(&parts.sidecars.1, "share_evidence", "view_period_s expected beside it");
     }
-    distribution(f, parts);
+    check_distribution(f, parts);
     let (e, at) = parts.expect;
     if e.lists_within.is_some() && !parts.discovery.0.asked {
         f.at(&parts.discovery.1, "asked", "true expected, as lists_within is set");
     }
     let expected = [
         ("served", e.served, 1.0),
-        ("back_within_s", e.back_within_s, LONGEST_S),
+        ("back_within_s", e.back_within_s, MAX_RUN_S),
         ("imbalance", e.imbalance, 1_000.0),
         ("handshakes", e.handshakes, 1_000.0),
         ("unanswered", e.unanswered, 1e9),
@@ -122,25 +122,25 @@
         ("kept", e.kept, 1e9),
         ("owned_at_end", e.owned_at_end, 1e6),
         ("trials_by_others", e.trials_by_others, 1e9),
-        ("in_force_within_s", e.in_force_within_s, LONGEST_S),
+        ("in_force_within_s", e.in_force_within_s, MAX_RUN_S),
         ("committed", e.committed, 1e6),
         ("stopped", e.stopped, 1e6),
-        ("view_agrees_within_s", e.view_agrees_within_s, LONGEST_S),
-        ("evidence_agrees_within_s", e.evidence_agrees_within_s, LONGEST_S),
+        ("view_agrees_within_s", e.view_agrees_within_s, MAX_RUN_S),
+        ("evidence_agrees_within_s", e.evidence_agrees_within_s, MAX_RUN_S),
         ("lists_within", e.lists_within, 1_000.0),
     ];
     for (key, value, most) in expected {
         if let Some(value) = value {
-            bounds(f, at, &[(key, value, 0.0, most)]);
+            check_bounds(f, at, &[(key, value, 0.0, most)]);
         }
     }
-    classes(f, parts.classes);
+    check_classes(f, parts.classes);
     for (event, at) in parts.events {
         check_event(f, parts, event, at);
     }
 }
 
-fn distribution(f: &mut Faults<'_>, parts: &Parts<'_>) {
+fn check_distribution(f: &mut Faults<'_>, parts: &Parts<'_>) {
     let (d, at) = parts.distribution;
     let sidecars = &parts.sidecars.0;
     let most_writers = if d.writers == 0 { d.control_nodes } else { d.writers };
@@ -150,7 +150,7 @@
         ("regions", d.regions as f64, 1.0, sidecars.zones as f64),
         ("lists_from", d.lists_from as f64, 0.0, most_writers as f64),
     ];
-    bounds(f, at, &sizes);
+    check_bounds(f, at, &sizes);
     if d.lists_from > 0 && !parts.discovery.0.asked {
         f.at(&parts.discovery.1, "asked", "true expected, as distribution.lists_from is set");
     }
@@ -158,7 +158,7 @@
         matches!(kind, EventKind::Partition | EventKind::CutStreams | EventKind::DelayStreams)
     };
     for (_, at) in parts.events.iter().filter(|(e, _)| d.lists_from > 0 && streams(e.kind)) {
-        // The addresses of servers differ between sidecars then.
+        // With these events, server addresses differ between sidecars, so a shared list cannot hold them.
         f.at(at, "do", "not expected beside distribution.lists_from");
     }
     if d.control_nodes > 0 && sidecars.view_period_s == 0.0 {
@@ -172,7 +172,7 @@
     }
 }
 
-fn classes(f: &mut Faults<'_>, classes: &[Read<Class>]) {
+fn check_classes(f: &mut Faults<'_>, classes: &[Read<Class>]) {
     let mut names = HashSet::new();
     for (c, at) in classes {
         let figures = [
@@ -184,7 +184,7 @@
             ("worth", c.worth, 0.0, 1e6),
             ("chain", c.chain as f64, 0.0, 2_000.0),
         ];
-        bounds(f, at, &figures);
+        check_bounds(f, at, &figures);
         if c.aim_ms > c.deadline_ms {
             f.at(at, "aim_ms", format!("{} at most expected, as deadline_ms says", c.deadline_ms));
         }
@@ -203,17 +203,17 @@
     }
 }
 
-fn check_event(f: &mut Faults<'_>, parts: &Parts<'_>, event: &Event, at: &Places) {
+fn check_event(f: &mut Faults<'_>, parts: &Parts<'_>, event: &Event, at: &SectionSpans) {
     let duration = parts.run.0.duration_s;
     let times = [
         ("at_s", event.at_s, 0.0, duration),
-        ("for_s", event.for_s, 0.0, LONGEST_S),
-        ("over_s", event.over_s, 0.0, LONGEST_S),
-        ("back_after_s", event.back_after_s.unwrap_or(0.0), 0.0, LONGEST_S),
+        ("for_s", event.for_s, 0.0, MAX_RUN_S),
+        ("over_s", event.over_s, 0.0, MAX_RUN_S),
+        ("back_after_s", event.back_after_s.unwrap_or(0.0), 0.0, MAX_RUN_S),
     ];
-    bounds(f, at, &times);
+    check_bounds(f, at, &times);
     let kind = event.kind;
-    match (kind.amount(), event.amount) {
+    match (kind.amount_bounds(), event.amount) {
         (None, None) => {}
         (None, Some(_)) => f.at(at, "amount", "not expected for this event"),
         (Some((what, least, most)), given) => {
@@ -222,17 +222,17 @@
             }
         }
     }
-    if event.for_s > 0.0 && !kind.lasts() {
+    if event.for_s > 0.0 && !kind.has_duration() {
         f.at(at, "for_s", "not expected: this event is over at once");
     }
     if matches!(kind, EventKind::Pause | EventKind::Throttle) && event.for_s <= 0.0 {
         f.at(at, "for_s", "how long it lasts expected");
     }
-    if event.back_after_s.is_some() && !kind.comes_back() {
+    if event.back_after_s.is_some() && !kind.restarts_process() {
         f.at(at, "back_after_s", "not expected for this event");
     }
-    let parted = matches!(kind, EventKind::CutOneWay | EventKind::Partition);
-    if event.from.is_some() && !parted {
+    let has_two_sides = matches!(kind, EventKind::CutOneWay | EventKind::Partition);
+    if event.from.is_some() && !has_two_sides {
         f.at(at, "from", "expected only with cut_one_way and partition");
     }
     let publishes = kind == EventKind::Publish;
@@ -253,13 +253,20 @@
         Target::Servers => parts.servers.0.count,
         _ => parts.sidecars.0.count,
     };
-    select(f, parts, at, "who", &event.who, of);
+    check_select(f, parts, at, "who", &event.who, of);
     if let Some(from) = &event.from {
-        select(f, parts, at, "from", from, parts.sidecars.0.count);
+        check_select(f, parts, at, "from", from, parts.sidecars.0.count);
     }
 }
 
-fn select(f: &mut Faults<'_>, parts: &Parts<'_>, at: &Places, key: &str, who: &Select, of: usize) {
+fn check_select(
+    f: &mut Faults<'_>,
+    parts: &Parts<'_>,
+    at: &SectionSpans,
+    key: &str,
+    who: &Select,
+    of: usize,
+) {
     if let Some(id) = who.ids.iter().flatten().find(|id| **id >= of) {
         f.at(at, key, format!("ids from 0 to {} expected, not {id}", of.saturating_sub(1)));
     }
--- a/crates/millethook-lab/src/timeline/distribution.rs
+++ b/crates/millethook-lab/src/timeline/distribution.rs
@@ -1,4 +1,4 @@
-//! `[distribution]`: configuration that is published while the fleet runs.
+//! `[distribution]`: distribution of configuration documents while the fleet runs.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,16 +6,16 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Distribution {
-    /// The first so many sidecars are control nodes, dealt out to zones and regions like all; 0: no distribution.
+    /// Number of control nodes, which are the first sidecars; 0: no distribution.
     pub control_nodes: usize,
-    /// The first so many control nodes may be the writer; 0: all.
+    /// Number of control nodes, from the first, that may be the writer; 0: all.
     pub writers: usize,
-    /// Regions; zones are dealt out to them in turn.
+    /// Number of regions; zones are assigned to them round-robin.
     pub regions: usize,
-    /// The first so many control nodes ask discovery and publish its list, and all others take it from them; 0: each asks
-    /// discovery.
+    /// Number of control nodes, from the first, that poll discovery and publish its list, which all other sidecars
+    /// take from them; 0: each sidecar polls discovery.
     pub lists_from: usize,
-    /// Further lines of `[distribution]` in each product's file.
+    /// Additional lines of `[distribution]` in each product configuration file.
     pub product: String,
 }
 
--- a/crates/millethook-lab/src/timeline/event.rs
+++ b/crates/millethook-lab/src/timeline/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a timeline, when, and to whom.
+//! Events of a timeline: kind, time and targets.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,114 +6,114 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Event {
-    /// When, in seconds after the warm-up.
+    /// Start time, in seconds after the warm-up.
     pub at_s: f64,
-    /// What.
+    /// Kind of the event.
     #[serde(rename = "do")]
     pub kind: EventKind,
-    /// To whom; all, if it is not there.
+    /// Targets; if missing, all.
     pub who: Select,
-    /// From whom a cut or a partition separates `who`; all others, if it is not there.
+    /// The other side of a cut or a partition; if missing, all that are not in `who`.
     pub from: Option<Select>,
-    /// For how long, in seconds; 0: to the end, where the event has an end at all.
+    /// Duration, in seconds; 0: until the end of the run, for kinds that have a duration.
     pub for_s: f64,
-    /// Those that are chosen come one after another, over so many seconds.
+    /// Time over which the event is spread across its targets, one after another, in seconds.
     pub over_s: f64,
-    /// A process comes back after so many seconds; none: it stays away.
+    /// Time until the process restarts, in seconds; if missing, it does not restart.
     pub back_after_s: Option<f64>,
-    /// How much: a share of requests or datagrams, a factor of time or load, milliseconds, bytes a second.
+    /// Strength: a share of requests or datagrams, a factor of time or load, milliseconds, bytes a second.
     pub amount: Option<f64>,
-    /// For whom a document is: `all`, if it is not there, `region:NAME`, `zone:NAME`, `sidecar:NUMBER`.
+    /// Scope of a document: `all` (default), `region:NAME`, `zone:NAME`, `sidecar:NUMBER`.
     pub scope: Option<String>,
-    /// The document's text; if it is not there one that changes nothing that is measured, each time another one.
+    /// Text of the document; if missing, a unique document that does not affect the measurements.
     pub document: Option<String>,
 }
 
-/// What an event does.
+/// Kind of an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
-    /// Nothing; a mark in the plots.
+    /// No effect; a mark in the plots.
     #[default]
     Mark,
     /// SIGKILL to sidecars.
     Kill,
-    /// SIGTERM to sidecars; they end by themselves.
+    /// SIGTERM to sidecars, which then shut down.
     Terminate,
     /// SIGSTOP, and SIGCONT after `for_s`.
     Pause,
-    /// A host that runs `amount` times slower: SIGSTOP for most of each tenth of a second, over `for_s`.
+    /// Simulates a host that is `amount` times slower: SIGSTOP for most of each tenth of a second, over `for_s`.
     Throttle,
-    /// SIGHUP with a configuration that moves discovery.
+    /// SIGHUP with a configuration that has a new discovery address.
     Reload,
-    /// SIGHUP with the configuration as it is, also to a process that is ending.
+    /// SIGHUP with an unchanged configuration, also to a process that is shutting down.
     HangUp,
     /// SIGTERM as soon as the process that starts next is ready.
     TerminateAtReady,
-    /// These sidecars start only now.
+    /// Starts sidecars that are not started with the run.
     Start,
-    /// A second process under the same name and with the same peers, beside the first one.
+    /// Starts a second process of the sidecar with the same name and peers.
     Twin,
     /// Servers answer `amount` of the requests with 500.
     Errors,
-    /// Servers take `amount` times as long.
+    /// Servers take `amount` times as long for a request.
     Slow,
-    /// Servers accept, and say nothing.
+    /// Servers accept connections and do not answer.
     Silent,
-    /// Servers run `amount` of the requests and reset in place of an answer.
+    /// Servers process requests and, for `amount` of them, reset the connection instead of answering.
     Reset,
-    /// Servers run `amount` of the requests and reset in the middle of the answer.
+    /// Servers process requests and, for `amount` of them, reset the connection in the middle of the answer.
     BreakAnswers,
-    /// Servers repeat the answer before on the same connection ahead of `amount` of the answers.
+    /// Servers repeat the connection's previous answer before `amount` of the answers.
     AnswerTwice,
-    /// Servers drop the work in hand once its client has ended its side of the connection.
+    /// Servers stop processing a request when its client closes the connection.
     DropWork,
-    /// Servers turn all requests away.
+    /// Servers reject all requests.
     Full,
-    /// Connections to servers are refused, and open ones reset.
+    /// Servers refuse new connections and reset open ones.
     Refuse,
-    /// Servers leave (draining first) and new ones come in their place, cold.
+    /// Servers drain and leave, and cold ones replace them.
     Replace,
-    /// Server processes end at once and come back cold under their ids.
+    /// Server processes end abruptly and restart cold under the same ids.
     Crash,
-    /// Discovery says nothing.
+    /// Discovery does not answer.
     DiscoveryDown,
-    /// Discovery tells the list as it was so many seconds (`amount`) before, until `for_s` is over.
+    /// Discovery serves the list as it was `amount` seconds before the event, for `for_s`.
     DiscoveryStale,
-    /// Open watches fall silent, once; who asks anew is answered.
+    /// Open watches are never answered; new calls are.
     WatchesSilent,
-    /// Discovery starts anew and counts its versions from 1; whoever watches is told all of the list.
+    /// Discovery restarts and counts its versions from 1; open watches get the full list.
     DiscoveryRestart,
     /// Datagrams: `amount` of them are lost.
     Loss,
-    /// Datagrams: so many milliseconds later.
+    /// Datagrams: `amount` milliseconds of additional delay.
     Delay,
-    /// Datagrams: `amount` of them come twice.
+    /// Datagrams: `amount` of them arrive twice.
     Duplicate,
-    /// Datagrams: `amount` of them are overtaken by later ones.
+    /// Datagrams: `amount` of them arrive after later ones.
     Reorder,
-    /// Datagrams: a sender gets no more than `amount` bytes a second through.
+    /// Datagrams: limits each sender to `amount` bytes a second.
     Cap,
-    /// Datagrams from `who` to `from` are lost, not those the other way.
+    /// Datagrams from `who` to `from` are lost; the other direction works.
     CutOneWay,
-    /// `who` and `from` hear nothing of each other: datagrams, and streams to servers in the other's zones.
+    /// Cuts `who` and `from` off from each other: datagrams, and streams to servers in the other side's zones.
     Partition,
-    /// Streams from sidecars `who` to all servers are silent.
+    /// Cuts the streams from sidecars `who` to all servers, without closing them.
     CutStreams,
-    /// Answers on streams to servers come `amount` milliseconds later, for sidecars `who`.
+    /// Delays answers of servers to sidecars `who` by `amount` milliseconds.
     DelayStreams,
-    /// Load is `amount` times as high.
+    /// Multiplies the load by `amount`.
     Load,
-    /// So many clients (`amount`) connect to each sidecar and ask for nothing.
+    /// `amount` clients connect to each sidecar and send no request.
     IdleClients,
-    /// So many documents (`amount`) are published, over `over_s`.
+    /// Publishes `amount` documents, spread over `over_s`.
     Publish,
 }
 
-/// What an event is about.
+/// What an event affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// Nothing.
+    /// No process.
     Nobody,
     /// Daemons.
     Sidecars,
@@ -121,12 +121,12 @@
     Servers,
     /// The network between sidecars, or from them to servers.
     Network,
-    /// Agents of discovery.
+    /// Discovery agents.
     Discovery,
 }
 
 impl EventKind {
-    /// Whom `who` selects among.
+    /// The targets among which `who` selects.
     pub fn target(self) -> Target {
         use EventKind as K;
         match self {
@@ -168,8 +168,8 @@
         }
     }
 
-    /// What `amount` is, with its bounds; None: it takes none.
-    pub fn amount(self) -> Option<(&'static str, f64, f64)> {
+    /// Description and bounds of `amount`; `None` if the kind takes none.
+    pub fn amount_bounds(self) -> Option<(&'static str, f64, f64)> {
         use EventKind as K;
         match self {
             K::Errors | K::Reset | K::BreakAnswers | K::AnswerTwice => {
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Whether it goes on for a time.
-    pub fn lasts(self) -> bool {
+    /// Whether the event has a duration.
+    pub fn has_duration(self) -> bool {
         use EventKind as K;
         !matches!(
             self,
@@ -209,23 +209,23 @@
         )
     }
 
-    /// Whether `back_after_s` means something to it.
-    pub fn comes_back(self) -> bool {
+    /// Whether the kind uses `back_after_s`.
+    pub fn restarts_process(self) -> bool {
         use EventKind as K;
         matches!(self, K::Kill | K::Terminate | K::TerminateAtReady | K::Crash)
     }
 }
 
-/// Some of the sidecars or servers: those for which all that is given holds.
+/// Selects the sidecars or servers that meet all given conditions.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Select {
-    /// These, by number from 0.
+    /// Numbers, from 0.
     pub ids: Option<Vec<usize>>,
-    /// Those of a zone, by name from `a`.
+    /// Name of a zone, from `a`.
     pub zone: Option<String>,
-    /// So many of them, drawn by the seed, as a share; one at least.
+    /// Share of them, drawn by the seed; a share above 0 gives at least one.
     pub share: Option<f64>,
-    /// So many of them, drawn by the seed.
+    /// Number of them, drawn by the seed.
     pub count: Option<usize>,
 }
--- a/crates/millethook-lab/src/timeline/mod.rs
+++ b/crates/millethook-lab/src/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! A timeline: the fleet, its load, the faults and when they come, and what is expected. One TOML file.
+//! A timeline: the fleet, its load, the faults with their times, and the expectations. One TOML file.
 
 pub mod check;
 mod distribution;
@@ -12,10 +12,10 @@
 
 pub use distribution::Distribution;
 pub use event::{Event, EventKind, Select};
-/// One thing that is wrong with a file, and why there is no timeline: as of the product's file.
+/// One fault in a file, and the error of reading a file; the same types as for the product configuration.
 pub use millethook_config::{Error as FileError, Fault};
 
-/// A whole file. `docs/lab.md` is the reference of its keys.
+/// A complete timeline file. `docs/lab.md` is the reference of its keys.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     /// Keys outside of sections.
@@ -36,9 +36,9 @@
     pub rules: Rules,
     /// `[expect]`
     pub expect: Expect,
-    /// `[[class]]`; never empty.
+    /// `[[class]]`; has at least one entry.
     pub classes: Vec<Class>,
-    /// `[[event]]`, by time.
+    /// `[[event]]`, sorted by time.
     pub events: Vec<Event>,
 }
 
@@ -46,17 +46,18 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RunKeys {
-    /// What the timeline is for, in a line.
+    /// One line on the purpose of the timeline.
     pub about: String,
-    /// For how long load comes, in seconds.
+    /// Duration of the load, in seconds.
     pub duration_s: f64,
-    /// Load comes for so long before the clock of the timeline begins, in seconds. Nothing of it is judged
-    /// but the rules.
+    /// Duration of the load before the clock of the timeline starts, in seconds. Only the rules are judged in it.
     pub warm_up_s: f64,
-    /// The run does not count if one arrival in a hundred is later than this, in milliseconds.
+    /// The run does not count if more than one arrival in a hundred starts later than this after its planned time, in
+    /// milliseconds.
     pub late_p99_ms: f64,
-    /// A run whose only faults are late answers, late sends to draining servers, or cold servers pushed over does not
-    /// count if a daemon waited longer than this for a processor within a second, in milliseconds; 0: it counts.
+    /// A run whose only faults are late answers, late sends to draining servers, or overloaded cold servers does not
+    /// count if a daemon waited longer than this for a processor within a second, in milliseconds; 0: it counts in
+    /// any case.
     pub processor_wait_ms: f64,
 }
 
@@ -76,25 +77,25 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Sidecars {
-    /// How many; `--processes` goes before it.
+    /// Number of sidecars; `--processes` overrides it.
     pub count: usize,
-    /// Zones of the fleet; sidecars and servers are dealt out to them in turn.
+    /// Number of zones; sidecars and servers are assigned to them round-robin.
     pub zones: usize,
-    /// The memory that each is told to keep within, in MB.
+    /// Memory limit in each sidecar's configuration, in MB.
     pub memory_mb: usize,
-    /// The descriptors that each is told to keep within.
+    /// Limit on file descriptors in each sidecar's configuration.
     pub descriptors: usize,
-    /// The product's file for each, beside `LB_CONFIG`; empty: none.
+    /// Product configuration file of each sidecar, in addition to `LB_CONFIG`; empty: none.
     pub product: String,
-    /// Sidecars keep a view of the fleet, with a probe each so many seconds; 0: they do not. Needs
-    /// `network.may_tell`.
+    /// Probe period of the sidecars' view of the fleet, in seconds; 0: they keep no view. Needs `network.may_tell`.
     pub view_period_s: f64,
-    /// They tell one another what they meet at servers. Needs a view.
+    /// Whether sidecars share evidence on servers with one another. Needs a view.
     pub share_evidence: bool,
-    /// Sidecars of one host: they share a folder of kept writes (`[edge]`); 0: none is kept. Needs a lease in `product`.
+    /// Number of sidecars on one host, which share a directory of stored writes (`[edge]`); 0: no writes are stored.
+    /// Needs a lease in `product`.
     pub edge_host: usize,
-    /// Addresses under which one sidecar is seen by others: so many views of the fleet. 0: as many as there
-    /// are sidecars up to 16, else 2.
+    /// Number of address sets under which sidecars see one another, so the number of distinct views of the fleet. 0:
+    /// one for each sidecar with up to 16 sidecars, otherwise 2.
     pub views: usize,
 }
 
@@ -115,17 +116,17 @@
     }
 }
 
-/// What clients ask for.
+/// The load of the clients.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second of the mean sidecar.
+    /// Mean rate of requests for each sidecar, per second.
     pub per_sidecar: f64,
-    /// Spread of the sidecars' rates: sigma of a log-normal distribution; 0: all alike.
+    /// Spread of the sidecars' rates: sigma of a log-normal distribution; 0: all equal.
     pub uneven: f64,
-    /// Further tries of a client, where trying again is allowed.
+    /// Maximum number of retries of a client, where a retry is allowed.
     pub retries: u32,
-    /// The wait before the first of them in milliseconds; it doubles.
+    /// Backoff before the first retry, in milliseconds; it doubles for each further one.
     pub backoff_ms: f64,
 }
 
@@ -135,27 +136,27 @@
     }
 }
 
-/// Whether a request may be repeated.
+/// Whether a request may be sent again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// It does no harm.
+    /// Idempotent: a repetition does no harm.
     #[default]
     Safe,
-    /// Within its group and window, where servers drop repeats.
+    /// Only within its group and window, in which servers drop duplicates.
     Keyed,
-    /// Never, once it may have run.
+    /// Not after it may have run.
     Unsafe,
 }
 
-/// The servers that drop repeats of a keyed request.
+/// The servers that drop duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
-    /// All of them.
+    /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
 }
 
@@ -163,27 +164,28 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Class {
-    /// The first part of its path.
+    /// The class's name, which is the first segment of its request path.
     pub name: String,
-    /// Whether it may be repeated.
+    /// Whether its requests may be sent again.
     pub effect: Effect,
-    /// For a keyed class: who drops repeats.
+    /// For a keyed class: the servers that drop duplicates.
     pub group: Group,
-    /// For a keyed class: for how long repeats are dropped, in milliseconds.
+    /// For a keyed class: how long duplicates are dropped, in milliseconds.
     pub window_ms: f64,
-    /// Its part of the arrivals, beside the other classes' parts.
+    /// Weight of the class among the arrivals, relative to the other classes.
     pub share: f64,
-    /// Answers within this time are served in aim, in milliseconds.
+    /// Target time of an answer (aim), in milliseconds.
     pub aim_ms: f64,
-    /// Clients wait so long, in milliseconds.
+    /// Deadline of the clients, in milliseconds.
     pub deadline_ms: f64,
-    /// Mean work at a server, in milliseconds.
+    /// Mean processing time at a warm server, in milliseconds.
     pub work_ms: f64,
-    /// What an answer in aim is worth.
+    /// Worth of an answer within the aim.
     pub worth: f64,
-    /// Its clients take a receipt for an answer (`Prefer: respond-async`).
+    /// Whether its clients accept a receipt instead of an answer (`Prefer: respond-async`).
     pub receipts: bool,
-    /// Clients of so many sidecars pass the last receipt on among them, each write after the one before; 0: none does.
+    /// Number of sidecars whose clients pass the last receipt on to one another, so that each write comes after the
+    /// previous one; 0: no receipt is passed on.
     pub chain: usize,
 }
 
@@ -209,19 +211,19 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Servers {
-    /// How many.
+    /// Number of servers.
     pub count: usize,
-    /// With `--processes`, their number follows the sidecars', by the file's proportion.
+    /// Whether `--processes` scales the number of servers in proportion to the sidecars.
     pub scale: bool,
-    /// Requests in work at once.
+    /// Number of requests that a server processes concurrently.
     pub slots: usize,
-    /// Requests that wait; one more is turned away.
+    /// Length of a server's queue; further requests are rejected.
     pub queue: usize,
-    /// Connections held open; one more is reset.
+    /// Limit on open connections; further ones are reset.
     pub connections: usize,
-    /// What a server can do in its first moment.
+    /// Share of its capacity that a server has when it starts cold.
     pub cold_share: f64,
-    /// It is warm after so many seconds.
+    /// Time until a cold server is warm, in seconds.
     pub cold_s: f64,
 }
 
@@ -239,17 +241,17 @@
     }
 }
 
-/// The stand-in for discovery: an agent beside each sidecar, or one service that is asked.
+/// The stand-in for discovery: an agent for each sidecar, or one polled service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// A change reaches each agent after a time of its own, drawn from 0 to this, in seconds.
+    /// Maximum delay until a change reaches an agent, in seconds; the delay is drawn from 0 to this for each agent.
     pub late_s: f64,
-    /// One service for all sidecars, which is asked (`on_request`) and works through calls in turn.
+    /// Whether discovery is one service that all sidecars poll (`on_request`) and that processes calls in order.
     pub asked: bool,
-    /// What a call takes it, in seconds. A watch that goes on costs nothing.
+    /// Processing time of a call, in seconds. Calls that continue a watch take none.
     pub work_s: f64,
-    /// Calls that wait, beside the one that is worked on; one more is answered 503 at once.
+    /// Number of calls that may wait besides the one in processing; further calls are answered 503 at once.
     pub line: usize,
 }
 
@@ -259,33 +261,33 @@
     }
 }
 
-/// The network between the sidecars, all the time.
+/// Permanent properties of the network between the sidecars.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
     /// Whether sidecars may send one another datagrams.
     pub may_tell: bool,
-    /// The least delay of a datagram, in milliseconds.
+    /// Minimum delay of a datagram, in milliseconds.
     pub delay_ms: f64,
-    /// Up to so much more, in milliseconds.
+    /// Maximum additional random delay, in milliseconds.
     pub jitter_ms: f64,
-    /// The share of datagrams that is lost.
+    /// Share of datagrams that is lost.
     pub loss: f64,
 }
 
-/// The figures of the rules, as in the platform's settings.
+/// Limits of the rules, as in the platform's settings.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// A final answer may be so much later than the client's time, in milliseconds.
+    /// Tolerance of a final answer after the client's deadline, in milliseconds.
     pub answer_slack_ms: f64,
-    /// Sends to a server that drains have to cease after this, in milliseconds.
+    /// Time limit for sends to a draining server to stop, in milliseconds.
     pub stop_sending_ms: f64,
-    /// A cold server falls over at so many times what it can do,
+    /// Multiple of its capacity at which a cold server falls over,
     pub fall_multiple: f64,
-    /// sent for so long, in seconds.
+    /// over a window of this length, in seconds.
     pub tip_after_s: f64,
-    /// What a real socket may add to each of these times, in milliseconds.
+    /// Tolerance for the delays of real sockets, added to each of these times, in milliseconds.
     pub socket_slack_ms: f64,
 }
 
@@ -301,40 +303,40 @@
     }
 }
 
-/// What a run has to show beside the rules. A key that is not there is not looked at.
+/// Expectations on a run in addition to the rules. Missing keys are not checked.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expect {
-    /// The least share of worth served in aim.
+    /// Minimum share of worth served within the aim.
     pub served: Option<f64>,
-    /// The longest time from the end of an event to 95% of the service before it, in seconds.
+    /// Maximum time from the end of an event until service is back at 95% of its previous level, in seconds.
     pub back_within_s: Option<f64>,
-    /// The highest load of a server over the mean, over the whole run.
+    /// Maximum load of a server relative to the mean, over the whole run.
     pub imbalance: Option<f64>,
-    /// The most new connections to servers for each request.
+    /// Maximum number of new connections to servers per request.
     pub handshakes: Option<f64>,
-    /// The most kept writes that have not been done by the end.
+    /// Maximum number of stored writes that are not done at the end.
     pub kept_open: Option<f64>,
-    /// The least writes that are kept.
+    /// Minimum number of stored writes.
     pub kept: Option<f64>,
-    /// The most attempts that no server answers.
+    /// Maximum number of attempts that no server answers.
     pub unanswered: Option<f64>,
-    /// The least jobs of the fleet that have an owner at the end.
+    /// Minimum number of jobs of the fleet that have an owner at the end.
     pub owned_at_end: Option<f64>,
-    /// The most attempts at a silent server by sidecars that did not own its trial, though another one did.
+    /// Maximum number of attempts at a silent server by sidecars that did not own its trial while another one did.
     pub trials_by_others: Option<f64>,
-    /// The longest time from a request to publish until the change is in force at all that are there, in seconds.
+    /// Maximum time from a publish request until the change is in force at all running sidecars, in seconds.
     pub in_force_within_s: Option<f64>,
-    /// The least documents that a majority of the control nodes accepts.
+    /// Minimum number of documents that a majority of the control nodes accepts.
     pub committed: Option<f64>,
-    /// The least documents that are stopped because too many refuse them.
+    /// Minimum number of documents that are stopped because too many sidecars refuse them.
     pub stopped: Option<f64>,
-    /// The longest time from an event's end until all sidecars that run have the same view, in seconds.
+    /// Maximum time from an event's end until all running sidecars have the same view, in seconds.
     pub view_agrees_within_s: Option<f64>,
-    /// The longest time from the start of processes, or an outage's end, until all sidecars have a list, in times
-    /// calls x work. Where discovery is asked.
+    /// Maximum time from the start of processes, or the end of an outage, until all sidecars have a list, as a
+    /// multiple of calls x work. Only with a polled discovery.
     pub lists_within: Option<f64>,
-    /// The longest time from an event's end until all that run hold the same evidence, in seconds.
+    /// Maximum time from an event's end until all running sidecars hold the same evidence, in seconds.
     pub evidence_agrees_within_s: Option<f64>,
 }
 
@@ -346,10 +348,10 @@
         work / shares.max(f64::MIN_POSITIVE)
     }
 
-    /// Reads a file.
+    /// Reads a timeline file.
     ///
     /// # Errors
-    /// It cannot be read, or has faults; all of them are told, by line.
+    /// The file cannot be read, or has faults; the error lists all of them by line.
     pub fn from_file(path: &Path) -> Result<Timeline, FileError> {
         let io = |cause| FileError::Io { path: path.to_owned(), cause };
         let text = std::fs::read_to_string(path).map_err(io)?;
@@ -357,7 +359,7 @@
         Timeline::from_toml(&text).map_err(faults)
     }
 
-    /// The timeline for so many sidecars; the number of servers follows.
+    /// The timeline with another number of sidecars; the number of servers is scaled if `servers.scale` is set.
     pub fn with_processes(mut self, count: usize) -> Timeline {
         if self.servers.scale {
             let ratio = count as f64 / self.sidecars.count as f64;
@@ -368,7 +370,7 @@
         self
     }
 
-    /// Views of the fleet; see [`Sidecars::views`].
+    /// Number of views of the fleet; see [`Sidecars::views`].
     pub fn views(&self) -> usize {
         match (self.sidecars.views, self.sidecars.count) {
             (0, n @ 0..=16) => n,
--- a/crates/millethook-lab/src/timeline/read.rs
+++ b/crates/millethook-lab/src/timeline/read.rs
@@ -1,4 +1,4 @@
-//! Reads a timeline. All that is wrong is told at once, each with its line, its key and what was expected.
+//! Reads a timeline and reports all faults at once, each with its line, its key and the expected value.
 
 use std::ops::Range;
 
@@ -8,29 +8,29 @@
 
 use super::{Event, Fault, Timeline, check};
 
-/// A section with the places of its keys, for faults found once it is read.
-pub(super) struct Places {
+/// Byte ranges of a section and its keys, for faults that are found after it is read.
+pub(super) struct SectionSpans {
     name: String,
     whole: Range<usize>,
     keys: Vec<(String, Range<usize>)>,
 }
 
-/// Collects faults in a text.
+/// Collects the faults of a file's text.
 pub(super) struct Faults<'t> {
     text: &'t str,
     list: Vec<Fault>,
 }
 
 impl Faults<'_> {
-    fn note(&mut self, span: &Range<usize>, key: String, text: String) {
+    fn add(&mut self, span: &Range<usize>, key: String, text: String) {
         self.list.push(Fault { line: line(self.text, span.start), key, text });
     }
 
-    /// Notes a fault at a key of a section that was read, or at the section if the key is not there.
-    pub(super) fn at(&mut self, places: &Places, key: &str, text: impl Into<String>) {
-        let named = places.keys.iter().find(|(name, _)| name == key);
-        let span = named.map_or(&places.whole, |(_, span)| span).clone();
-        self.note(&span, join(&places.name, key), text.into());
+    /// Adds a fault at a key of a section that was read, or at the section if the key is missing.
+    pub(super) fn at(&mut self, spans: &SectionSpans, key: &str, text: impl Into<String>) {
+        let named = spans.keys.iter().find(|(name, _)| name == key);
+        let span = named.map_or(&spans.whole, |(_, span)| span).clone();
+        self.add(&span, join(&spans.name, key), text.into());
     }
 }
 
@@ -41,46 +41,46 @@
     }
 }
 
-/// The line of a byte, from 1.
+/// The line number of a byte offset, from 1.
 fn line(text: &str, at: usize) -> usize {
     1 + text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count()
 }
 
-/// Reads one section by `serde`. A key that it objects to is noted and left out, and the rest is read again,
-/// so that one fault does not hide the next.
+/// Deserializes one section. A key with an error is reported and removed, and the rest is read again, so that one
+/// fault does not hide the next.
 fn section<T: DeserializeOwned + Default>(
     faults: &mut Faults<'_>,
     name: &str,
     mut table: DeTable<'_>,
     whole: Range<usize>,
-) -> (T, Places) {
+) -> (T, SectionSpans) {
     let keys = table.iter().map(|(k, v)| (k.get_ref().to_string(), k.span().start..v.span().end));
-    let places = Places { name: name.to_owned(), whole: whole.clone(), keys: keys.collect() };
+    let spans = SectionSpans { name: name.to_owned(), whole: whole.clone(), keys: keys.collect() };
     loop {
         let value = Spanned::new(whole.clone(), table.clone());
         let error = match T::deserialize(value.into_deserializer()) {
-            Ok(read) => return (read, places),
+            Ok(read) => return (read, spans),
             Err(error) => error,
         };
         let span = error.span().unwrap_or(whole.clone());
-        let key = places.keys.iter().find(|(k, place)| {
-            table.contains_key(k.as_str()) && place.start <= span.start && span.start < place.end
+        let key = spans.keys.iter().find(|(k, range)| {
+            table.contains_key(k.as_str()) && range.start <= span.start && span.start < range.end
         });
-        let Some((key, place)) = key else {
-            faults.note(&span, name.to_owned(), error.message().to_owned());
-            return (T::default(), places);
+        let Some((key, range)) = key else {
+            faults.add(&span, name.to_owned(), error.message().to_owned());
+            return (T::default(), spans);
         };
-        faults.note(place, join(name, key), error.message().to_owned());
+        faults.add(range, join(name, key), error.message().to_owned());
         table.remove(key.as_str());
     }
 }
 
-/// A section of the file by its name, or an empty one.
-fn named<T: DeserializeOwned + Default>(
+/// Reads the section of a name; a missing section counts as empty.
+fn named_section<T: DeserializeOwned + Default>(
     faults: &mut Faults<'_>,
     file: &mut DeTable<'_>,
     name: &str,
-) -> (T, Places) {
+) -> (T, SectionSpans) {
     match file.remove(name) {
         None => section(faults, name, DeTable::new(), 0..0),
         Some(value) => {
@@ -88,7 +88,7 @@
             match value.into_inner() {
                 DeValue::Table(table) => section(faults, name, table, span),
                 _ => {
-                    faults.note(&span, name.to_owned(), format!("a section [{name}] expected"));
+                    faults.add(&span, name.to_owned(), format!("a section [{name}] expected"));
                     section(faults, name, DeTable::new(), span)
                 }
             }
@@ -96,16 +96,16 @@
     }
 }
 
-/// The sections of an array by its name.
-fn array<T: DeserializeOwned + Default>(
+/// Reads the array of sections of a name.
+fn section_array<T: DeserializeOwned + Default>(
     faults: &mut Faults<'_>,
     file: &mut DeTable<'_>,
     name: &str,
-) -> Vec<(T, Places)> {
+) -> Vec<(T, SectionSpans)> {
     let Some(value) = file.remove(name) else { return Vec::new() };
     let span = value.span();
     let DeValue::Array(items) = value.into_inner() else {
-        faults.note(&span, name.to_owned(), format!("sections [[{name}]] expected"));
+        faults.add(&span, name.to_owned(), format!("sections [[{name}]] expected"));
         return Vec::new();
     };
     let mut read = Vec::new();
@@ -113,17 +113,17 @@
         let (span, name) = (item.span(), format!("{name}[{nth}]"));
         match item.into_inner() {
             DeValue::Table(table) => read.push(section(faults, &name, table, span)),
-            _ => faults.note(&span, name, "a section expected".into()),
+            _ => faults.add(&span, name, "a section expected".into()),
         }
     }
     read
 }
 
 impl Timeline {
-    /// Reads a file's text.
+    /// Reads a timeline from a file's text.
     ///
     /// # Errors
-    /// All faults, by line.
+    /// All faults, sorted by line.
     pub fn from_toml(text: &str) -> Result<Timeline, Vec<Fault>> {
         let mut file = match DeTable::parse(text) {
             Ok(file) => file.into_inner(),
@@ -139,17 +139,17 @@
         };
         let mut faults = Faults { text, list: Vec::new() };
         let f = &mut faults;
-        let sidecars = named(f, &mut file, "sidecars");
-        let load = named(f, &mut file, "load");
-        let servers = named(f, &mut file, "servers");
-        let discovery = named(f, &mut file, "discovery");
-        let network = named(f, &mut file, "network");
-        let distribution = named(f, &mut file, "distribution");
-        let rules = named(f, &mut file, "rules");
-        let expect = named(f, &mut file, "expect");
-        let mut classes = array(f, &mut file, "class");
-        let events: Vec<(Event, Places)> = array(f, &mut file, "event");
-        // What nobody asked for is left, with the keys outside of sections.
+        let sidecars = named_section(f, &mut file, "sidecars");
+        let load = named_section(f, &mut file, "load");
+        let servers = named_section(f, &mut file, "servers");
+        let discovery = named_section(f, &mut file, "discovery");
+        let network = named_section(f, &mut file, "network");
+        let distribution = named_section(f, &mut file, "distribution");
+        let rules = named_section(f, &mut file, "rules");
+        let expect = named_section(f, &mut file, "expect");
+        let mut classes = section_array(f, &mut file, "class");
+        let events: Vec<(Event, SectionSpans)> = section_array(f, &mut file, "event");
+        // The remaining table holds the keys outside of sections and any unknown sections.
         let run = section(f, "", file, 0..0);
         if classes.is_empty() {
             classes = vec![section(f, "class", DeTable::new(), 0..0)];
--- a/crates/millethook-lab/tests/it/soak.rs
+++ b/crates/millethook-lab/tests/it/soak.rs
@@ -64,7 +64,7 @@
         );
         for event in &timeline.events {
             assert!(end_s(event) <= run.duration_s + 6.0, "seed {seed}: {event:?}");
-            let ends = event.kind.lasts() && event.for_s == 0.0;
+            let ends = event.kind.has_duration() && event.for_s == 0.0;
             assert!(!ends, "seed {seed}: it does not end: {event:?}");
         }
     }
