--- a/crates/millethook-lab/src/ledger/judge.rs
+++ b/crates/millethook-lab/src/ledger/judge.rs
@@ -186,7 +186,7 @@
                 let text = format!(
                     "it ran at {}, before {}, whose receipt it carried",
                     seconds(ran),
-                    before.wire()
+                    before.to_hex()
                 );
                 breaches.push(self.breach(Rule::Order, request.id, text));
             }
@@ -356,19 +356,19 @@
             let text = format!(
                 "client of n{}: {name} {} sent, {} ms left",
                 id.sidecar(),
-                r.id.wire(),
+                r.id.to_hex(),
                 r.left / 1000
             );
             history.push((r.sent, text));
-            history.push((r.ended, format!("client: {} ended {:?}", r.id.wire(), r.end)));
+            history.push((r.ended, format!("client: {} ended {:?}", r.id.to_hex(), r.end)));
             for a in self.attempts(r.id) {
                 let server = &self.records.servers[a.server].name;
-                history.push((a.first_byte, format!("{server}: {} first byte", a.id.wire())));
-                history.push((a.arrived, format!("{server}: {} last byte", a.id.wire())));
+                history.push((a.first_byte, format!("{server}: {} first byte", a.id.to_hex())));
+                history.push((a.arrived, format!("{server}: {} last byte", a.id.to_hex())));
                 if let Some(ran) = a.ran {
-                    history.push((ran, format!("{server}: {} takes effect", a.id.wire())));
+                    history.push((ran, format!("{server}: {} takes effect", a.id.to_hex())));
                 }
-                history.push((a.ended, format!("{server}: {} {:?}", a.id.wire(), a.fate)));
+                history.push((a.ended, format!("{server}: {} {:?}", a.id.to_hex(), a.fate)));
                 let mut notices = self.notices.get(&(id.sidecar(), a.server)).into_iter().flatten();
                 if let Some((at, listed)) = notices.rfind(|t| t.0 <= a.arrived) {
                     history.push((
--- a/crates/millethook-lab/src/ledger/mod.rs
+++ b/crates/millethook-lab/src/ledger/mod.rs
@@ -68,8 +68,8 @@
         self.0 >> 4
     }
 
-    /// The id as header value.
-    pub fn wire(self) -> String {
+    /// The id as a header value: 16 hexadecimal digits.
+    pub fn to_hex(self) -> String {
         format!("{:016x}", self.0)
     }
 
--- a/crates/millethook-lab/src/report.rs
+++ b/crates/millethook-lab/src/report.rs
@@ -38,7 +38,7 @@
     csv_of(
         &folder.join("requests.csv"),
         outcome.records.requests.iter().map(|r| {
-            (r.id.wire(), r.class, r.due, r.sent, r.left, r.ended, format!("{:?}", r.end))
+            (r.id.to_hex(), r.class, r.due, r.sent, r.left, r.ended, format!("{:?}", r.end))
         }),
     )?;
     csv_of(
@@ -46,7 +46,7 @@
         outcome.records.attempts.iter().map(|a| {
             let server = outcome.records.servers[a.server].name.as_str();
             (
-                a.id.wire(),
+                a.id.to_hex(),
                 server,
                 a.first_byte,
                 a.arrived,
--- a/crates/millethook-lab/src/single_run.rs
+++ b/crates/millethook-lab/src/single_run.rs
@@ -124,7 +124,7 @@
         let mut figures = figures(self.name, timeline, plan, outcome);
         figures.faults.extend(outcome.records.findings.iter().cloned());
         figures.faults.extend(breaches.iter().map(|b| match b.request {
-            Some(id) => format!("{}: request {}: {}", b.rule, id.wire(), b.text),
+            Some(id) => format!("{}: request {}: {}", b.rule, id.to_hex(), b.text),
             None => format!("{}: {}", b.rule, b.text),
         }));
         // A run that ended early does not have complete figures, so expectations are not checked.
--- a/crates/millethook-lab/src/world/client.rs
+++ b/crates/millethook-lab/src/world/client.rs
@@ -303,7 +303,7 @@
                 "{method} /{} HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: {}\r\nX-Account: acme\r\n\
                  X-Time-Left-Ms: {}\r\n{prefer}{after}{more}\r\n",
                 class.name,
-                id.wire(),
+                id.to_hex(),
                 left.as_millis()
             )
         };
@@ -351,7 +351,7 @@
 
 fn classify_answer(id: RequestId, message: &Message) -> End {
     match message.status {
-        200 if message.body == id.wire().as_bytes() => End::Served,
+        200 if message.body == id.to_hex().as_bytes() => End::Served,
         200 => End::Foreign,
         202 => End::Kept,
         429 | 503 => End::Refused,
--- a/crates/millethook-lab/src/world/server.rs
+++ b/crates/millethook-lab/src/world/server.rs
@@ -367,7 +367,7 @@
         };
         if self.is_duplicate(id, arrival.class) {
             fate(Fate::Repeat);
-            return Some(Reply::Whole(answer("200 OK", &self.report(), &id.wire())));
+            return Some(Reply::Whole(answer("200 OK", &self.report(), &id.to_hex())));
         }
         context.ledger.ran(nth, context.clock.now());
         let age = self.started.map_or(Micros::MAX, |s| context.clock.now().saturating_sub(s));
@@ -394,7 +394,7 @@
             fate(Fate::Error);
             return Some(Reply::Whole(answer("500 Error", &self.report(), "")));
         }
-        let reply = answer("200 OK", &self.report(), &id.wire());
+        let reply = answer("200 OK", &self.report(), &id.to_hex());
         if now.breaks > 0.0 && draw() < now.breaks {
             fate(Fate::Reset);
             return Some(Reply::Broken(reply));
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -238,7 +238,7 @@
     #[test]
     fn an_id_keeps_its_parts(sidecar in 0usize..2000, arrival in 0usize..(1 << 24), attempt in 0u32..11) {
         let id = RequestId::new(sidecar, arrival, attempt);
-        prop_assert_eq!(RequestId::parse(&id.wire()), Some(id));
+        prop_assert_eq!(RequestId::parse(&id.to_hex()), Some(id));
         prop_assert_eq!(id.sidecar(), sidecar);
         prop_assert_eq!(id.operation(), RequestId::new(sidecar, arrival, 0).operation());
     }
