--- a/crates/millethook-lab/src/ledger/notices.rs
+++ b/crates/millethook-lab/src/ledger/notices.rs
@@ -5,8 +5,9 @@
 
 use super::{Listed, Micros, RunRecords};
 
-/// Time after which a sidecar has to restart a silent watch: notices that it missed count as received so long after
-/// the watch fell silent. With a polled discovery a notice counts as received so long after it became available.
+/// Time after which a sidecar has to restart a silent watch. A notice that it missed counts as received at the latest
+/// this time after the watch fell silent. With a polled discovery, a notice counts as received this time after it
+/// became available.
 pub const SILENT_WATCH_LIMIT_US: Micros = 6_000_000;
 /// Time after a change of the discovery address from which on notices of the new address count as received.
 pub const ADDRESS_CHANGE_LIMIT_US: Micros = 4_000_000;
--- a/crates/millethook-lab/src/world/agent.rs
+++ b/crates/millethook-lab/src/world/agent.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    async fn serve_connection(&self, mut wire: HttpConnection) -> io::Result<()> {
-        while let Some(call) = wire.request().await? {
+    async fn serve_connection(&self, mut connection: HttpConnection) -> io::Result<()> {
+        while let Some(call) = connection.request().await? {
             let number = |key: &str| -> Option<u64> {
                 let rest = &call.target[call.target.find(key)? + key.len()..];
                 let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
@@ -194,9 +194,9 @@
             if let Some(registry) = waits {
                 let fate = tokio::select! {
                     fate = self.wait_for_turn(registry) => fate,
-                    () = wire.wait_closed() => CallFate::HungUp,
+                    () = connection.wait_closed() => CallFate::HungUp,
                     _ = silenced.changed() => {
-                        wire.wait_closed().await;
+                        connection.wait_closed().await;
                         CallFate::HungUp
                     }
                 };
@@ -204,7 +204,7 @@
                     CallFate::Answered => {}
                     CallFate::Refused => {
                         self.record_call(called, fate);
-                        wire.send(answer(REFUSAL_STATUS, "", "").as_bytes()).await?;
+                        connection.send(answer(REFUSAL_STATUS, "", "").as_bytes()).await?;
                         continue;
                     }
                     CallFate::HungUp => {
@@ -215,17 +215,17 @@
             }
             let reply = tokio::select! {
                 reply = self.reply(from, hold) => reply,
-                () = wire.wait_closed() => return Ok(()),
+                () = connection.wait_closed() => return Ok(()),
                 // A polled discovery closes its watches when it goes down.
                 () = self.wait_until_down(), if self.registry.is_some() => return Ok(()),
                 _ = silenced.changed() => {
-                    wire.wait_closed().await;
+                    connection.wait_closed().await;
                     return Ok(());
                 }
             };
             let (complete, hosts, states) = reply.1;
             let body = json!({"seq": reply.0, "whole": complete, "hosts": hosts}).to_string();
-            wire.send(answer("200 OK", "", &body).as_bytes()).await?;
+            connection.send(answer("200 OK", "", &body).as_bytes()).await?;
             *self.last_answer.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
             if waits.is_some() {
                 self.record_call(called, CallFate::Answered);
--- a/crates/millethook-lab/src/world/client.rs
+++ b/crates/millethook-lab/src/world/client.rs
@@ -54,6 +54,7 @@
 const SENDING: u8 = 0;
 /// The application sends on open connections and opens no new ones.
 const REUSING_CONNECTIONS: u8 = 1;
+/// The application sends nothing.
 const STOPPED: u8 = 2;
 
 /// The clients of one sidecar.
@@ -110,9 +111,14 @@
 
     /// A process of the sidecar has exited; after a planned exit the application stops too.
     pub fn ended(&self) {
-        let (from, to) = (REUSING_CONNECTIONS, STOPPED);
-        // The exchange fails if a new process is already in use.
-        let _ = self.sending_state.compare_exchange(from, to, Ordering::Relaxed, Ordering::Relaxed);
+        let transition = (REUSING_CONNECTIONS, STOPPED);
+        // The exchange fails if the exit was not planned, or if a new process is already in use.
+        let _ = self.sending_state.compare_exchange(
+            transition.0,
+            transition.1,
+            Ordering::Relaxed,
+            Ordering::Relaxed,
+        );
     }
 
     /// Adds the client address of another process.
@@ -140,9 +146,10 @@
             });
         }
         while tasks.join_next().await.is_some() {}
-        for (mut wire, id, _) in self.idle.lock().unwrap_or_else(PoisonError::into_inner).drain(..)
+        for (mut connection, id, _) in
+            self.idle.lock().unwrap_or_else(PoisonError::into_inner).drain(..)
         {
-            if wire.idle_state() == IdleState::Stray {
+            if connection.idle_state() == IdleState::Stray {
                 self.record_stray(id);
             }
         }
@@ -203,7 +210,7 @@
             self.context.ledger.open().not_sent += 1;
             return (End::Open, None);
         }
-        let (mut wire, at) = match pooled {
+        let (mut connection, at) = match pooled {
             Some(pooled) => pooled,
             None => match self.connect(self.address(), left).await {
                 Some(fresh) => fresh,
@@ -214,25 +221,26 @@
                 }
             },
         };
-        let mut written = wire.send(request.as_bytes()).await;
+        let mut written = connection.send(request.as_bytes()).await;
         row.sent = clock.now();
         let nth = self.context.ledger.request(row);
         let mut answer = match &written {
-            Ok(()) => timeout(left + LATE_ANSWER_WAIT, wire.answer()).await.ok(),
+            Ok(()) => timeout(left + LATE_ANSWER_WAIT, connection.answer()).await.ok(),
             Err(_) => Some(Ok(None)),
         };
         // A sidecar may close an idle connection while a request is on its way to it. The client then sends the
         // request once more on a new connection.
-        let closed_before_use =
-            reused && !wire.has_partial_message() && matches!(answer, Some(Ok(None) | Err(_)));
+        let closed_before_use = reused
+            && !connection.has_partial_message()
+            && matches!(answer, Some(Ok(None) | Err(_)));
         let mut unreached = false;
         if closed_before_use {
             match self.connect(at, left).await {
                 Some((fresh, _)) => {
-                    wire = fresh;
-                    written = wire.send(request.as_bytes()).await;
+                    connection = fresh;
+                    written = connection.send(request.as_bytes()).await;
                     answer = match written {
-                        Ok(()) => timeout(left + LATE_ANSWER_WAIT, wire.answer()).await.ok(),
+                        Ok(()) => timeout(left + LATE_ANSWER_WAIT, connection.answer()).await.ok(),
                         Err(_) => Some(Ok(None)),
                     };
                 }
@@ -243,7 +251,7 @@
         let (end, retry_after) = match answer {
             None => (End::Silent, None),
             Some(Err(_) | Ok(None)) if unreached => (End::Unreached, None),
-            Some(Err(_) | Ok(None)) if !wire.has_partial_message() => (End::Closed, None),
+            Some(Err(_) | Ok(None)) if !connection.has_partial_message() => (End::Closed, None),
             Some(Err(_) | Ok(None)) => (End::Broken, None),
             Some(Ok(Some(message))) => {
                 let end = classify_answer(id, &message);
@@ -255,7 +263,7 @@
                 let delay = delay.filter(|s| (0.0..60.0).contains(s)).map(Duration::from_secs_f64);
                 let closes = message.header("connection").is_some_and(|v| v.contains("close"));
                 if !closes {
-                    self.release(wire, id, at);
+                    self.release(connection, id, at);
                 }
                 (end, delay)
             }
@@ -332,19 +340,19 @@
                 let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
                 if round_robin { idle.pop_front() } else { idle.pop_back() }
             };
-            let (mut wire, id, at) = pooled?;
-            match wire.idle_state() {
-                IdleState::Clean => return Some((wire, at)),
+            let (mut connection, id, at) = pooled?;
+            match connection.idle_state() {
+                IdleState::Clean => return Some((connection, at)),
                 IdleState::Closed => {}
                 IdleState::Stray => self.record_stray(id),
             }
         }
     }
 
-    fn release(&self, wire: HttpConnection, id: RequestId, at: SocketAddr) {
+    fn release(&self, connection: HttpConnection, id: RequestId, at: SocketAddr) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         if idle.len() < MAX_IDLE_CONNECTIONS {
-            idle.push_back((wire, id, at));
+            idle.push_back((connection, id, at));
         }
     }
 }
--- a/crates/millethook-lab/src/world/readiness.rs
+++ b/crates/millethook-lab/src/world/readiness.rs
@@ -21,9 +21,9 @@
 /// Whether a daemon answers the readiness check with status 200.
 async fn is_ready(at: SocketAddr) -> bool {
     let response = timeout(Duration::from_secs(1), async {
-        let mut wire = HttpConnection::new(TcpStream::connect(at).await.ok()?);
-        wire.send(b"GET /health/ready HTTP/1.1\r\nHost: app\r\n\r\n").await.ok()?;
-        wire.answer().await.ok()?
+        let mut connection = HttpConnection::new(TcpStream::connect(at).await.ok()?);
+        connection.send(b"GET /health/ready HTTP/1.1\r\nHost: app\r\n\r\n").await.ok()?;
+        connection.answer().await.ok()?
     });
     matches!(response.await, Ok(Some(answer)) if answer.status == 200)
 }
--- a/crates/millethook-lab/src/world/server.rs
+++ b/crates/millethook-lab/src/world/server.rs
@@ -234,11 +234,11 @@
     async fn connection(self: Arc<Server>, class: usize, stream: TcpStream) {
         self.context.ledger.open().servers[self.row].connections += 1;
         let open = self.connections.fetch_add(1, Ordering::Relaxed);
-        let mut wire = HttpConnection::new(stream);
+        let mut connection = HttpConnection::new(stream);
         let mut acceptance = self.acceptance.subscribe();
         if open < self.context.timeline.servers.connections {
             let cut = tokio::select! {
-                _ = self.serve_connection(class, &mut wire) => false,
+                _ = self.serve_connection(class, &mut connection) => false,
                 _ = acceptance.wait_for(|acceptance| *acceptance != Acceptance::Open) => false,
                 // A connection over a cut link stays silent, and is reset when the link is restored.
                 () = self.context.links.wait_until(class, self.zone, true) => true,
@@ -250,7 +250,7 @@
                 }
             }
         }
-        wire.reset();
+        connection.reset();
         self.connections.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -258,30 +258,30 @@
     async fn serve_connection(
         self: &Arc<Server>,
         class: usize,
-        wire: &mut HttpConnection,
+        connection: &mut HttpConnection,
     ) -> io::Result<()> {
         let mut fresh = true;
         let mut previous_answer: Option<String> = None;
-        while let Some(request) = wire.request().await? {
+        while let Some(request) = connection.request().await? {
             if let Some(copy) = previous_answer.take()
                 && self.repeats_previous_answer(&request)
             {
-                wire.send(copy.as_bytes()).await?;
+                connection.send(copy.as_bytes()).await?;
             }
-            let reply = self.handle_request(wire, &request, std::mem::take(&mut fresh)).await;
+            let reply = self.handle_request(connection, &request, std::mem::take(&mut fresh)).await;
             let Some(reply) = reply else { return Ok(()) };
             let reply = match reply {
                 Reply::Whole(reply) => reply,
                 Reply::Broken(reply) => {
                     // Sends the first half of the answer; the caller then resets the connection.
-                    return wire.send(&reply.as_bytes()[..reply.len() / 2]).await;
+                    return connection.send(&reply.as_bytes()[..reply.len() / 2]).await;
                 }
             };
             let delay = self.context.links.link(class, self.zone).delay;
             if delay > Duration::ZERO {
                 sleep(delay).await;
             }
-            wire.send(reply.as_bytes()).await?;
+            connection.send(reply.as_bytes()).await?;
             previous_answer = Some(reply);
         }
         Ok(())
@@ -303,7 +303,7 @@
     /// Handles a request and returns the answer; `None` closes the connection without one.
     async fn handle_request(
         self: &Arc<Server>,
-        wire: &mut HttpConnection,
+        connection: &mut HttpConnection,
         request: &Message,
         fresh: bool,
     ) -> Option<Reply> {
@@ -346,7 +346,7 @@
         let fate = |fate| context.ledger.fate(nth, context.clock.now(), fate);
         if now.silent {
             fate(Fate::Silent);
-            wire.wait_closed().await;
+            connection.wait_closed().await;
             return None;
         }
         let settings = &context.timeline.servers;
@@ -360,7 +360,7 @@
         };
         let slot = tokio::select! {
             slot = self.slots.acquire() => slot.ok()?,
-            () = wire.wait_closed() => {
+            () = connection.wait_closed() => {
                 fate(Fate::Abandoned);
                 return None;
             }
@@ -376,7 +376,7 @@
         if now.drops_work {
             tokio::select! {
                 () = work => {}
-                () = wire.wait_closed() => {
+                () = connection.wait_closed() => {
                     fate(Fate::Abandoned);
                     return None;
                 }
--- a/crates/millethook-lab/src/world/views.rs
+++ b/crates/millethook-lab/src/world/views.rs
@@ -69,9 +69,9 @@
 
 /// Fetches the metrics from an admin address; `None` if it does not answer.
 pub async fn fetch_metrics(at: SocketAddr) -> Option<String> {
-    let mut wire = HttpConnection::new(TcpStream::connect(at).await.ok()?);
-    wire.send(b"GET /v1/metrics HTTP/1.1\r\nHost: lab\r\n\r\n").await.ok()?;
-    let answer = wire.answer().await.ok()??;
+    let mut connection = HttpConnection::new(TcpStream::connect(at).await.ok()?);
+    connection.send(b"GET /v1/metrics HTTP/1.1\r\nHost: lab\r\n\r\n").await.ok()?;
+    let answer = connection.answer().await.ok()??;
     String::from_utf8(answer.body).ok()
 }
 
