--- a/crates/millethook/examples/plain_tower.rs
+++ b/crates/millethook/examples/plain_tower.rs
@@ -8,7 +8,7 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use millethook::{Body, ClassConfig, Error, Execution, Fleet, FleetConfig, RequestMeta};
-use millethook_testkit::{Fault, Stage};
+use millethook_testkit::{Fault, ServerGroup};
 use tower::{Service, ServiceBuilder, ServiceExt};
 
 /// Sets a timeout, so that callers need not.
@@ -20,8 +20,8 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     // Three servers: the first refuses some requests, the second resets some connections.
-    let stage = Stage::new(3, |a| match (a.server, a.nth % 3) {
-        (0, 0) => Fault::TurnAway,
+    let stage = ServerGroup::new(3, |a| match (a.server, a.nth % 3) {
+        (0, 0) => Fault::Reject,
         (1, 0) => Fault::Reset,
         (server, _) => Fault::Serve(format!("from server {server}")),
     });
--- a/crates/millethook/src/member.rs
+++ b/crates/millethook/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use millethook_engine::list::{Host, List, Listed};
+use millethook_engine::list::{Host, List, ListedState};
 
 use crate::fleet::Fleet;
 use crate::thread::Command;
@@ -27,7 +27,7 @@
         self
     }
 
-    fn entry(self, health: Listed) -> Host {
+    fn entry(self, health: ListedState) -> Host {
         Host {
             host: self.name,
             dial: Some(self.address),
@@ -63,7 +63,7 @@
     /// # Errors
     /// The fleet has been closed.
     pub fn update(&self, members: impl IntoIterator<Item = Member>) -> Result<(), Closed> {
-        let hosts = members.into_iter().map(|m| m.entry(Listed::Active)).collect();
+        let hosts = members.into_iter().map(|m| m.entry(ListedState::Active)).collect();
         self.send_list(true, hosts)
     }
 
@@ -72,7 +72,7 @@
     /// # Errors
     /// The fleet has been closed.
     pub fn insert(&self, member: Member) -> Result<(), Closed> {
-        self.send_list(false, vec![member.entry(Listed::Active)])
+        self.send_list(false, vec![member.entry(ListedState::Active)])
     }
 
     /// Sends nothing new to a server that is about to end. It stays on the list.
@@ -80,7 +80,7 @@
     /// # Errors
     /// The fleet has been closed.
     pub fn drain_member(&self, member: Member) -> Result<(), Closed> {
-        self.send_list(false, vec![member.entry(Listed::Leaving)])
+        self.send_list(false, vec![member.entry(ListedState::Leaving)])
     }
 
     /// Removes a server from the list by its name.
@@ -89,7 +89,7 @@
     /// The fleet has been closed.
     pub fn remove(&self, name: &str) -> Result<(), Closed> {
         let no_address = SocketAddr::from(([0, 0, 0, 0], 0));
-        self.send_list(false, vec![Member::new(name, no_address).entry(Listed::Left)])
+        self.send_list(false, vec![Member::new(name, no_address).entry(ListedState::Left)])
     }
 
     fn send_list(&self, whole: bool, hosts: Vec<Host>) -> Result<(), Closed> {
--- a/crates/millethook/tests/library/any_server/closing.rs
+++ b/crates/millethook/tests/library/any_server/closing.rs
@@ -11,10 +11,10 @@
 /// A server closes an idle connection at the moment when an order is written to it. The pauses of servers
 /// and callers have the same length, so that closes occur at every offset.
 fn check_closes_during_use(begins: Begins, tries: usize) {
-    let begun = Begun::default();
+    let begun = RequestCounts::default();
     let pause = Duration::from_millis(4);
     let servers: Vec<Server> =
-        (0..4).map(|n| closing(&begun, begins == Begins::Whole, pause, n)).collect();
+        (0..4).map(|n| closing_server(&begun, begins == Begins::Whole, pause, n)).collect();
     let config = builder(&name(), &servers).begins(begins).build().expect("valid");
     let fleet = Fleet::open(config).expect("open");
     let ends = runtime().block_on(orders(&fleet, "order", tries, 4));
@@ -46,8 +46,12 @@
 /// after a reset it is sent to another server.
 #[test]
 fn a_server_that_resets_each_second_connection() {
-    let door = |_, nth: usize| if nth.is_multiple_of(2) { Door::ResetAtOnce } else { Door::Open };
-    let stage = Stage::with_doors(3, door, |attempt| Fault::Serve(path(&attempt.message.first)));
+    let door = |_, nth: usize| {
+        if nth.is_multiple_of(2) { AcceptFault::ResetAtOnce } else { AcceptFault::None }
+    };
+    let stage = ServerGroup::with_accept_faults(3, door, |attempt| {
+        Fault::Serve(path(&attempt.message.first))
+    });
     // With a new connection for each request, half of all attempts would meet a reset, which exceeds the
     // retry budget.
     let config = builder(&name(), &stage.servers).reuse(Reuse::Unlimited);
@@ -85,9 +89,9 @@
 /// the order after half of its aim, long before the connect timeout.
 #[test]
 fn a_handshake_that_never_completes_costs_a_share_of_the_aim() {
-    let silent = Silent::start();
-    let begun = Begun::default();
-    let good = early(&begun, Early::First(""));
+    let silent = BlackHole::start();
+    let begun = RequestCounts::default();
+    let good = early_answering_server(&begun, EarlyAnswer::BytesFirst(""));
     let config = builder(&name(), &[good])
         .server("silent", silent.address)
         .connect_timeout(Duration::from_secs(60))
@@ -105,7 +109,7 @@
 /// requests fail at their timeout and are never sent again.
 #[test]
 fn a_server_that_accepts_and_never_answers_delays_by_the_aim() {
-    let stage = Stage::new(3, |attempt| match attempt.server {
+    let stage = ServerGroup::new(3, |attempt| match attempt.server {
         0 => Fault::Stall,
         _ => Fault::Serve(path(&attempt.message.first)),
     });
@@ -122,7 +126,7 @@
     runtime().block_on(async {
         for class in ["look", "keep"] {
             // With one slow server of three, requests may be shed for a short time; the caller retries.
-            let (mut served, bound) = (0, std::time::Instant::now() + BOUND);
+            let (mut served, bound) = (0, std::time::Instant::now() + WAIT_TIMEOUT);
             while served < 30 {
                 assert!(std::time::Instant::now() < bound, "{served} of 30 served");
                 match fleet.call(timed(class, never)).await {
--- a/crates/millethook/tests/library/meta.rs
+++ b/crates/millethook/tests/library/meta.rs
@@ -24,7 +24,7 @@
     runtime().block_on(fleet.call(request)).map(drop)
 }
 
-fn open(stage: &Stage) -> Fleet {
+fn open(stage: &ServerGroup) -> Fleet {
     let config = builder(&name(), &stage.servers).tenant("acme").tenant("other").build();
     Fleet::open(config.expect("valid")).expect("open")
 }
@@ -32,7 +32,7 @@
 /// If they could differ, the fleet and the server would treat the same request differently.
 #[test]
 fn attributes_and_headers_must_agree() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let meta = || RequestMeta::new().timeout(Duration::from_millis(900)).tenant("acme");
     let disagree = |what: &str, meta: RequestMeta, path: &str, header: (&str, &str)| match call(
@@ -61,7 +61,7 @@
 /// Missing and invalid attributes are errors that name the attribute; no value is guessed.
 #[test]
 fn errors_name_the_missing_or_invalid_attribute() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let wrong = |meta: RequestMeta, path: &str| match call(&fleet, meta, path, &[]) {
         Err(Error::Invalid(invalid)) => invalid,
@@ -84,7 +84,7 @@
 /// Attributes set in code reach the servers as headers.
 #[test]
 fn attributes_are_sent_as_headers() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = open(&stage);
     let meta = RequestMeta::new()
         .timeout(Duration::from_millis(900))
--- a/crates/millethook/tests/library/runtime.rs
+++ b/crates/millethook/tests/library/runtime.rs
@@ -19,8 +19,8 @@
 fn deadlines_hold_while_the_host_is_blocked() {
     let (tell, ended) = channel();
     let server = Server::start(move |mut conn| {
-        if conn.message().is_some_and(|m| m.whole) {
-            let _ = tell.send(conn.ended());
+        if conn.message().is_some_and(|m| m.complete) {
+            let _ = tell.send(conn.closed_by_peer());
         }
     });
     let fleet = fleet(&[server]);
@@ -31,7 +31,7 @@
             async move { fleet.call(timed("order", Duration::from_millis(200))).await }
         });
         tokio::task::yield_now().await;
-        assert!(next(&ended), "the attempt was ended while the host was blocked");
+        assert!(receive(&ended), "the attempt was ended while the host was blocked");
         let end = calling.await.expect("no panic").expect_err("no server has answered");
         assert!(matches!(end, Error::Failed { timed_out: true }), "{end:?}");
         assert_eq!(end.execution(), Execution::MayHaveRun);
@@ -41,7 +41,7 @@
 /// An answer that arrives while the host is blocked is delivered afterwards.
 #[test]
 fn an_answer_waits_for_a_host_that_is_blocked() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
@@ -62,9 +62,9 @@
     let received = Arc::new(Mutex::new(0));
     let count = received.clone();
     let server = Server::start(move |mut conn| {
-        if conn.message().is_some_and(|m| m.whole) {
+        if conn.message().is_some_and(|m| m.complete) {
             *count.lock().expect("no panic") += 1;
-            let _ = ended_sender.lock().expect("no panic").send(conn.ended());
+            let _ = ended_sender.lock().expect("no panic").send(conn.closed_by_peer());
         }
     });
     let name = name();
@@ -74,19 +74,20 @@
         let fleet = fleet.clone();
         runtime.spawn(async move { fleet.call(request("order")).await.is_ok() });
     }
-    within("the server has all requests", || *received.lock().expect("no panic") == 30);
+    wait_until("the server has all requests", || *received.lock().expect("no panic") == 30);
     drop(fleet);
-    runtime.shutdown_timeout(BOUND);
+    runtime.shutdown_timeout(WAIT_TIMEOUT);
     for _ in 0..30 {
-        assert!(next(&ended));
+        assert!(receive(&ended));
     }
-    within("the thread's end", || !has_thread(&format!("mh-{name}")));
+    wait_until("the thread's end", || !has_thread(&format!("mh-{name}")));
 }
 
 #[test]
 fn a_panic_in_a_request_body_affects_no_other_request() {
-    let stage =
-        Stage::new(2, |_| Fault::Late(Delay::Fixed(Duration::from_millis(5)), "fine".into()));
+    let stage = ServerGroup::new(2, |_| {
+        Fault::Delayed(Delay::Fixed(Duration::from_millis(5)), "fine".into())
+    });
     let fleet = fleet(&stage.servers);
     runtime().block_on(async {
         let mut tasks = tokio::task::JoinSet::new();
@@ -120,7 +121,7 @@
 
 #[test]
 fn a_request_whose_body_fails_is_not_sent() {
-    let stage = Stage::new(1, |_| Fault::Serve("fine".into()));
+    let stage = ServerGroup::new(1, |_| Fault::Serve("fine".into()));
     let fleet = fleet(&stage.servers);
     let mut half = Some(Frame::data(Bytes::from_static(b"half")));
     let body =
@@ -136,10 +137,10 @@
 fn a_drain_waits_for_open_requests_and_ends_the_engine() {
     let (arrival_sender, arrivals) = channel();
     let arrival_sender = Mutex::new(arrival_sender);
-    let stage = Stage::new(1, move |_| {
+    let stage = ServerGroup::new(1, move |_| {
         let (release, released) = channel::<()>();
         let _ = arrival_sender.lock().expect("no panic").send(release);
-        let _ = released.recv_timeout(BOUND);
+        let _ = released.recv_timeout(WAIT_TIMEOUT);
         Fault::Serve("late".into())
     });
     let name = name();
@@ -148,29 +149,29 @@
     let runtime = runtime();
     let calling = fleet.clone();
     let call = runtime.spawn(async move { calling.call(request("order")).await.is_ok() });
-    let release = next(&arrivals);
+    let release = receive(&arrivals);
     let draining = fleet.clone();
-    let drained = runtime.spawn(async move { draining.drain(BOUND).await });
+    let drained = runtime.spawn(async move { draining.drain(WAIT_TIMEOUT).await });
     // New calls fail as soon as the drain has begun.
-    within("closed", || {
+    wait_until("closed", || {
         let end = runtime.block_on(fleet.call(timed("look", Duration::from_millis(1))));
         matches!(end, Err(Error::Closed))
     });
     release.send(()).expect("the server waits");
     assert!(runtime.block_on(call).expect("no panic"));
     assert_eq!(runtime.block_on(drained).expect("no panic").unanswered, 0);
-    within("the thread's end", || !has_thread(&format!("mh-{name}")));
+    wait_until("the thread's end", || !has_thread(&format!("mh-{name}")));
     assert!(runtime.block_on(fleet.usage()).is_none());
 }
 
 #[test]
 fn a_drain_that_times_out_reports_unanswered_requests() {
-    let stage = Stage::new(1, |_| Fault::Stall);
+    let stage = ServerGroup::new(1, |_| Fault::Stall);
     let fleet = fleet(&stage.servers);
     let runtime = runtime();
     let calling = fleet.clone();
     let open = runtime.spawn(async move { calling.call(request("order")).await });
-    within("the server has the request", || stage.count() == 1);
+    wait_until("the server has the request", || stage.count() == 1);
     let drained = runtime.block_on(fleet.drain(Duration::from_millis(50)));
     assert_eq!(drained.unanswered, 1);
     let end = runtime.block_on(open).expect("no panic").expect_err("no server has answered");
--- a/crates/plankvale/src/distribution/request.rs
+++ b/crates/plankvale/src/distribution/request.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use millethook_engine::distribution::{DocumentKey, MOST_CONTENT, Scope, name_number};
+use millethook_engine::distribution::{DocumentKey, MAX_CONTENT_BYTES, Scope, name_number};
 use serde::{Deserialize, Serialize};
 
 /// Maximum size of a request's file: each byte of the content may be escaped as six bytes.
-pub const MAX_REQUEST_BYTES: usize = 6 * MOST_CONTENT + 1024;
+pub const MAX_REQUEST_BYTES: usize = 6 * MAX_CONTENT_BYTES + 1024;
 /// Maximum length of the name of a region, zone or service.
 const MAX_NAME_BYTES: usize = 64;
 
--- a/crates/plankvale/src/reloader.rs
+++ b/crates/plankvale/src/reloader.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use millethook_config::Product;
+use millethook_config::ProductConfig;
 use millethook_engine::Engine;
 use millethook_engine::distribution::{Distribution, Document, DocumentKey};
 use millethook_http::edge::Edge;
@@ -26,7 +26,7 @@
     memory: usize,
     sockets: usize,
     peer_listen: Option<SocketAddr>,
-    product: Product,
+    product: ProductConfig,
 }
 
 impl StartupConfig {
@@ -39,7 +39,7 @@
             peer_listen: config.peer_listen,
             // [failover] changes settings and takes effect at a reload; the other sections are read at
             // the start only.
-            product: Product { failover: None, ..Product::clone(&config.product) },
+            product: ProductConfig { failover: None, ..ProductConfig::clone(&config.product) },
         }
     }
 
