--- a/crates/millethook-model/src/fleet/server.rs
+++ b/crates/millethook-model/src/fleet/server.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use coppercart::api::{Health, ServerEntry, ServerId};
-use millethook_lab::ledger::cold::{ColdBudget, Warmth};
+use millethook_lab::ledger::cold::{ColdBudget, WarmUpCurve};
 
 use super::due::AttemptId;
 use crate::Micros;
@@ -65,7 +65,7 @@
     window: Micros,
     working: Vec<AttemptId>,
     waiting: VecDeque<(AttemptId, Micros)>,
-    warmth: Warmth,
+    warmth: WarmUpCurve,
     budget: Option<ColdBudget>,
     sent: VecDeque<Sent>,
     fell: bool,
@@ -95,7 +95,7 @@
             window: plan.rules.tip_after_ms * MS,
             working: Vec::new(),
             waiting: VecDeque::new(),
-            warmth: Warmth {
+            warmth: WarmUpCurve {
                 slots: plan.servers.slots as f64,
                 share: plan.servers.cold_share,
                 length: plan.servers.cold_ms * MS,
@@ -181,7 +181,7 @@
             self.sent.clear();
             return false;
         }
-        let over = budget.send(age, work);
+        let over = budget.add_work(age, work);
         self.sent.push_back(Sent { age, work, knew });
         while self.sent.front().is_some_and(|sent| sent.age + self.window <= age) {
             self.sent.pop_front();
