--- a/crates/millethook-lab/src/figures/distribution.rs
+++ b/crates/millethook-lab/src/figures/distribution.rs
@@ -169,7 +169,7 @@
 
 /// The spans in which a sidecar was down or paused.
 fn absence_spans(outcome: &Outcome, sidecar: usize) -> Vec<Span> {
-    let absences = outcome.book.absences.iter().filter(|absence| absence.sidecar == sidecar);
+    let absences = outcome.records.absences.iter().filter(|absence| absence.sidecar == sidecar);
     absences.map(|absence| (absence.from, absence.to)).collect()
 }
 
--- a/crates/millethook-lab/src/scale/registry.rs
+++ b/crates/millethook-lab/src/scale/registry.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::timeline::Timeline;
-use crate::world::http::{Wire, answer};
+use crate::world::http::{HttpConnection, answer};
 
 /// Number of changes that are kept. A request for older changes gets the whole list.
 const MAX_KEPT_CHANGES: usize = 20_000;
@@ -179,12 +179,12 @@
             let shared = self.clone();
             tokio::spawn(async move {
                 // An error means that the requester closed its connection.
-                let _ = shared.serve_connection(Wire::new(stream)).await;
+                let _ = shared.serve_connection(HttpConnection::new(stream)).await;
             });
         }
     }
 
-    async fn serve_connection(&self, mut wire: Wire) -> io::Result<()> {
+    async fn serve_connection(&self, mut wire: HttpConnection) -> io::Result<()> {
         while let Some(message) = wire.request().await? {
             let from = number(&message.target, "from=");
             let hold_ms = number(&message.target, "hold_ms=").unwrap_or(0).min(60_000);
@@ -194,7 +194,7 @@
             }
             let body = tokio::select! {
                 body = self.body(from, Duration::from_millis(hold_ms)) => body,
-                () = wire.ended() => return Ok(()),
+                () = wire.wait_closed() => return Ok(()),
             };
             let reply = answer("200 OK", "", &body);
             // The request head as the daemon's HTTP library writes it.
