--- a/crates/millethook-edge/examples/stores.rs
+++ b/crates/millethook-edge/examples/stores.rs
@@ -174,7 +174,7 @@
                 let table = db.begin_read()?.open_table(TABLE)?;
                 for entry in table.iter()? {
                     let (_, value) = entry?;
-                    seen += u64::from(log::one(value.value()).is_some());
+                    seen += u64::from(log::decode_one(value.value()).is_some());
                 }
             }
             _ => {
@@ -182,7 +182,7 @@
                 let partition = keyspace.open_partition("writes", Default::default())?;
                 for entry in partition.iter() {
                     let (_, value) = entry?;
-                    seen += u64::from(log::one(&value).is_some());
+                    seen += u64::from(log::decode_one(&value).is_some());
                 }
             }
         }
--- a/crates/millethook-edge/src/context.rs
+++ b/crates/millethook-edge/src/context.rs
@@ -3,9 +3,9 @@
 use crate::WriteId;
 
 /// Writes that one context names at most: the nearest ones are enough, as each names its own.
-pub const MOST_IDS: usize = 8;
+pub const MAX_CONTEXT_IDS: usize = 8;
 /// Bytes of a context at most.
-pub const MOST_BYTES: usize = 320;
+pub const MAX_CONTEXT_BYTES: usize = 320;
 
 /// The nearest writes that one comes after.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -25,8 +25,8 @@
 impl std::fmt::Display for Malformed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Malformed::Length => write!(f, "{MOST_BYTES} bytes at most expected"),
-            Malformed::Many => write!(f, "{MOST_IDS} ids at most expected"),
+            Malformed::Length => write!(f, "{MAX_CONTEXT_BYTES} bytes at most expected"),
+            Malformed::Many => write!(f, "{MAX_CONTEXT_IDS} ids at most expected"),
             Malformed::Id => f.write_str("ids as they were given expected, with commas between"),
         }
     }
@@ -40,7 +40,7 @@
     /// # Errors
     /// It holds what was never given out in this form.
     pub fn parse(text: &str) -> Result<Context, Malformed> {
-        if text.len() > MOST_BYTES {
+        if text.len() > MAX_CONTEXT_BYTES {
             return Err(Malformed::Length);
         }
         let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
@@ -48,7 +48,7 @@
         let mut ids = ids.map_err(|_| Malformed::Id)?;
         ids.sort_unstable();
         ids.dedup();
-        if ids.len() > MOST_IDS { Err(Malformed::Many) } else { Ok(Context(ids)) }
+        if ids.len() > MAX_CONTEXT_IDS { Err(Malformed::Many) } else { Ok(Context(ids)) }
     }
 
     /// The writes that it names, in order.
--- a/crates/millethook-edge/src/id.rs
+++ b/crates/millethook-edge/src/id.rs
@@ -28,9 +28,9 @@
 
 /// What was expected of an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotAnId;
+pub struct InvalidId;
 
-impl std::fmt::Display for NotAnId {
+impl std::fmt::Display for InvalidId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(
             "16 hexadecimal digits of a store expected, and for a write a dash and its number",
@@ -38,15 +38,15 @@
     }
 }
 
-impl std::error::Error for NotAnId {}
+impl std::error::Error for InvalidId {}
 
 impl std::str::FromStr for EdgeId {
-    type Err = NotAnId;
+    type Err = InvalidId;
 
-    fn from_str(text: &str) -> Result<EdgeId, NotAnId> {
+    fn from_str(text: &str) -> Result<EdgeId, InvalidId> {
         let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let id = u64::from_str_radix(text, 16).ok().filter(|_| digits);
-        id.map(EdgeId).ok_or(NotAnId)
+        id.map(EdgeId).ok_or(InvalidId)
     }
 }
 
@@ -68,12 +68,12 @@
 }
 
 impl std::str::FromStr for WriteId {
-    type Err = NotAnId;
+    type Err = InvalidId;
 
-    fn from_str(text: &str) -> Result<WriteId, NotAnId> {
-        let (edge, seq) = text.split_once('-').ok_or(NotAnId)?;
+    fn from_str(text: &str) -> Result<WriteId, InvalidId> {
+        let (edge, seq) = text.split_once('-').ok_or(InvalidId)?;
         let digits = (1..=16).contains(&seq.len()) && seq.bytes().all(|b| b.is_ascii_hexdigit());
         let seq = u64::from_str_radix(seq, 16).ok().filter(|seq| digits && *seq > 0);
-        Ok(WriteId { edge: edge.parse()?, seq: seq.ok_or(NotAnId)? })
+        Ok(WriteId { edge: edge.parse()?, seq: seq.ok_or(InvalidId)? })
     }
 }
--- a/crates/millethook-edge/src/pace.rs
+++ b/crates/millethook-edge/src/rate.rs
@@ -8,62 +8,67 @@
 use crate::Micros;
 
 /// Writes a second at the start, at least, and at most, of one store.
-const START: f64 = 8.0;
-const LEAST: f64 = 2.0;
-const MOST: f64 = 2_000.0;
+const INITIAL_RATE: f64 = 8.0;
+const MIN_RATE: f64 = 2.0;
+const MAX_RATE: f64 = 2_000.0;
 /// What an answer adds: so many writes a second, and such a share of the rate, whichever is more.
-const MORE: f64 = 0.25;
-const GAIN: f64 = 0.03;
+const MIN_INCREASE: f64 = 0.25;
+const INCREASE_SHARE: f64 = 0.03;
 /// What a refusal leaves.
-const BACK: f64 = 0.8;
+const REFUSAL_FACTOR: f64 = 0.8;
 
 /// The rate of one store.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct ReplayRate {
     rate: f64,
     next: Micros,
     /// Stores that are replayed beside this one, itself counted.
     stores: usize,
     /// What all stores of the fleet may send in a second, together.
-    fleet: f64,
+    fleet_rate: f64,
 }
 
-impl Pace {
-    /// Nothing is known yet. `fleet`: writes a second that all stores of the fleet may send together.
-    pub fn new(fleet: f64, now: Micros) -> Pace {
-        Pace { rate: START, next: now, stores: 1, fleet: fleet.max(LEAST) }
+impl ReplayRate {
+    /// Nothing is known yet. `fleet_rate`: writes a second that all stores of the fleet may send together.
+    pub fn new(fleet_rate: f64, now: Micros) -> ReplayRate {
+        ReplayRate {
+            rate: INITIAL_RATE,
+            next: now,
+            stores: 1,
+            fleet_rate: fleet_rate.max(MIN_RATE),
+        }
     }
 
     /// So many stores of the fleet are being replayed.
-    pub fn set_stores(&mut self, stores: usize) {
+    pub fn set_store_count(&mut self, stores: usize) {
         self.stores = stores.max(1);
     }
 
     /// Writes a second, at present.
     pub fn rate(&self) -> f64 {
         self.rate
-            .min(self.fleet / self.stores as f64)
-            .clamp(LEAST.min(self.fleet / self.stores as f64), MOST)
+            .min(self.fleet_rate / self.stores as f64)
+            .clamp(MIN_RATE.min(self.fleet_rate / self.stores as f64), MAX_RATE)
     }
 
     /// When the next write may go out.
-    pub fn next(&self) -> Micros {
+    pub fn next_send_at(&self) -> Micros {
         self.next
     }
 
     /// A write goes out.
-    pub fn sends(&mut self, now: Micros) {
+    pub fn on_send(&mut self, now: Micros) {
         // What was not used is not saved up.
         self.next = self.next.max(now) + (1e6 / self.rate()) as Micros;
     }
 
     /// An answer came.
-    pub fn answered(&mut self) {
-        self.rate = (self.rate + MORE.max(self.rate * GAIN)).min(MOST);
+    pub fn on_answer(&mut self) {
+        self.rate = (self.rate + MIN_INCREASE.max(self.rate * INCREASE_SHARE)).min(MAX_RATE);
     }
 
     /// It was refused, or had no answer: there is no room, or no server.
-    pub fn refused(&mut self) {
-        self.rate = (self.rate * BACK).max(LEAST);
+    pub fn on_refusal(&mut self) {
+        self.rate = (self.rate * REFUSAL_FACTOR).max(MIN_RATE);
     }
 }
--- a/crates/millethook-edge/src/replay.rs
+++ b/crates/millethook-edge/src/replay.rs
@@ -7,27 +7,27 @@
 
 use crate::book::Book;
 use crate::entry::{Entry, State};
-use crate::mark::Progress;
 use crate::mutant::{self, Mutant};
-use crate::pace::Pace;
+use crate::rate::ReplayRate;
 use crate::record::{End, HostTime, Record, Repeat};
+use crate::watermark::Progress;
 use crate::{Micros, WriteId};
 
 /// How a store is replayed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// Writes that are out at once, at most.
-    pub at_once: usize,
+    pub max_concurrent: usize,
     /// Writes a second that all stores of the fleet may send together.
-    pub fleet_per_second: f64,
+    pub fleet_writes_per_second: f64,
     /// What is kept for longer has expired, in milliseconds.
-    pub keep_ms: u64,
+    pub max_age_ms: u64,
     /// For so long a write waits for one that it comes after, in microseconds.
-    pub forerunner: Micros,
+    pub predecessor_wait: Micros,
     /// What is done with one whose forerunner has failed or never came: true: it goes all the same.
-    pub go_on: bool,
+    pub send_without_predecessor: bool,
     /// A keyed write is not repeated in the last part of its window, in milliseconds: it has to arrive within it.
-    pub margin_ms: u64,
+    pub repeat_margin_ms: u64,
 }
 
 /// What came of a write that went out.
@@ -38,7 +38,7 @@
     /// A server has refused it for good: its status, and the begin of its answer.
     Refused(u16, Vec<u8>),
     /// What was kept of it is spoilt; it did not go out.
-    Spoilt,
+    Damaged,
     /// It did not run: there was no room, no server, or it never went out.
     NotRun,
     /// Nobody knows.
@@ -48,7 +48,7 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Write this down about a write and wait until it is on disk; then call [`Replay::written`].
+    /// Write this down about a write and wait until it is on disk; then call [`Replay::record_written`].
     Write(u64, Record),
     /// Send this write, if the lease is still there in this instant; then call [`Replay::outcome`].
     Send(u64),
@@ -63,23 +63,23 @@
     /// Records on their way to the disk.
     pub(crate) writing: BTreeMap<u64, Record>,
     /// Writes that are out.
-    pub(crate) out: BTreeMap<u64, Micros>,
+    pub(crate) in_flight: BTreeMap<u64, Micros>,
     /// Since when a write waits for another one.
     waiting: BTreeMap<u64, Micros>,
     /// Writes that can be looked at: they are not out, not in doubt, and nothing was seen that holds them up.
     ready: BTreeSet<u64>,
     /// Those that wait for others.
     held: BTreeSet<u64>,
-    look_at: Micros,
-    pace: Pace,
+    next_scan_at: Micros,
+    rate: ReplayRate,
     /// The store's process is gone.
-    gone: bool,
+    process_ended: bool,
 }
 
 /// Between two looks at what waits for other stores.
-const LOOK: Micros = 100_000;
+const SCAN_INTERVAL_US: Micros = 100_000;
 /// Writes that are looked at in one step, at most.
-const LOOKS: usize = 64;
+const MAX_SCANNED_PER_STEP: usize = 64;
 
 impl Replay {
     /// Takes a store over as its book stands.
@@ -91,13 +91,13 @@
             token,
             book,
             writing: BTreeMap::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             waiting: BTreeMap::new(),
             ready,
             held: BTreeSet::new(),
-            look_at: 0,
-            pace: Pace::new(config.fleet_per_second, now),
-            gone: false,
+            next_scan_at: 0,
+            rate: ReplayRate::new(config.fleet_writes_per_second, now),
+            process_ended: false,
         }
     }
 
@@ -112,103 +112,106 @@
     }
 
     /// So many stores of the fleet are being replayed.
-    pub fn set_stores(&mut self, stores: usize) {
-        self.pace.set_stores(stores);
+    pub fn set_store_count(&mut self, stores: usize) {
+        self.rate.set_store_count(stores);
     }
 
     /// Writes a second, at present.
     pub fn rate(&self) -> f64 {
-        self.pace.rate()
+        self.rate.rate()
     }
 
     /// More of the store's files has been read: a write that was kept since, an earlier owner's late word, an
     /// operator's.
-    pub fn read(&mut self, seq: u64, at: (u64, u32), record: &Record) {
+    pub fn apply_record(&mut self, seq: u64, at: (u64, u32), record: &Record) {
         // What an earlier owner has marked after this one took over did not go out: it looks at its lease
         // after the mark. To take it for out would leave it for ever.
         if matches!(record, Record::Mark { .. }) {
             return;
         }
         self.book.apply(seq, at, record);
-        let out = self.out.contains_key(&seq) || self.writing.contains_key(&seq);
+        let out = self.in_flight.contains_key(&seq) || self.writing.contains_key(&seq);
         if self.book.open.contains(&seq) && !out {
             self.ready.insert(seq);
         }
     }
 
     /// A part of the intake that was read since is spoilt; the write that it was about, if its head tells.
-    pub fn spoilt(&mut self, about: Option<u64>) {
-        self.book.doubt_taken(about);
+    pub fn intake_damaged(&mut self, about: Option<u64>) {
+        self.book.resolve_unacknowledged(about);
     }
 
     /// The store's process is gone, and all that it wrote has been read.
     /// What is not acknowledged by then never is: no client has a receipt for it.
-    pub fn process_is_gone(&mut self) {
-        self.gone = true;
-        self.ready.extend(&self.book.taken);
+    pub fn process_ended(&mut self) {
+        self.process_ended = true;
+        self.ready.extend(&self.book.unacknowledged);
     }
 
-    /// What is to be done next, if anything. `here` is the host's time, `unix_ms` Unix time, `elsewhere` tells of other
+    /// What is to be done next, if anything. `host_now` is the host's time, `unix_ms` Unix time, `elsewhere` tells of other
     /// stores.
     pub fn next(
         &mut self,
         now: Micros,
-        here: HostTime,
+        host_now: HostTime,
         unix_ms: u64,
         elsewhere: &dyn Fn(WriteId) -> Progress,
     ) -> Option<Step> {
-        if self.look_at <= now {
-            self.look_at = now + LOOK;
+        if self.next_scan_at <= now {
+            self.next_scan_at = now + SCAN_INTERVAL_US;
             let held = std::mem::take(&mut self.held);
             self.ready.extend(held);
         }
-        let room = self.out.len() + self.writing.len() < self.config.at_once.max(1);
-        for _ in 0..LOOKS {
+        let has_capacity =
+            self.in_flight.len() + self.writing.len() < self.config.max_concurrent.max(1);
+        for _ in 0..MAX_SCANNED_PER_STEP {
             let seq = *self.ready.first()?;
             self.ready.remove(&seq);
             let Some(entry) = self.book.entries.get(&seq) else { continue };
-            if unix_ms.saturating_sub(entry.kept_ms) > self.config.keep_ms
+            if unix_ms.saturating_sub(entry.kept_ms) > self.config.max_age_ms
                 && entry.state == State::Kept
             {
                 return Some(self.end(seq, End::Expired, unix_ms));
             }
             match entry.state {
-                State::Taken if self.gone && !self.writing.contains_key(&seq) => {
+                State::Unacknowledged if self.process_ended && !self.writing.contains_key(&seq) => {
                     return Some(self.end(seq, End::Withdrawn, unix_ms));
                 }
-                State::Taken | State::Ended(_) | State::Out(_) | State::Doubt => continue,
-                State::Again if !self.within(entry, here) => {
+                State::Unacknowledged | State::Ended(_) | State::InFlight(_) | State::InDoubt => {
+                    continue;
+                }
+                State::Repeatable if !self.is_within_window(entry, host_now) => {
                     if let Some(entry) = self.book.entries.get_mut(&seq) {
-                        entry.state = State::Doubt;
+                        entry.state = State::InDoubt;
                     }
                     continue;
                 }
-                State::Kept | State::Again => {}
+                State::Kept | State::Repeatable => {}
             }
-            match self.forerunners(now, seq, entry, elsewhere) {
-                Forerunners::Gone(late) => {
-                    if !room || self.pace.next() > now {
+            match self.check_predecessors(now, seq, entry, elsewhere) {
+                Predecessors::Ended(skipped) => {
+                    if !has_capacity || self.rate.next_send_at() > now {
                         self.ready.insert(seq);
                         return None;
                     }
                     self.waiting.remove(&seq);
                     if let Some(entry) = self.book.entries.get_mut(&seq) {
-                        entry.forsook |= late;
+                        entry.predecessor_skipped |= skipped;
                     }
-                    let mark = Record::Mark { by: self.token.into(), at: here };
+                    let mark = Record::Mark { by: self.token.into(), at: host_now };
                     if mutant::is(Mutant::NoMark) {
-                        self.out.insert(seq, now);
-                        self.pace.sends(now);
+                        self.in_flight.insert(seq, now);
+                        self.rate.on_send(now);
                         return Some(Step::Send(seq));
                     }
                     self.writing.insert(seq, mark.clone());
                     return Some(Step::Write(seq, mark));
                 }
-                Forerunners::Waited => {
+                Predecessors::Open => {
                     self.waiting.entry(seq).or_insert(now);
                     self.held.insert(seq);
                 }
-                Forerunners::Failed => return Some(self.end(seq, End::Forsaken, unix_ms)),
+                Predecessors::Failed => return Some(self.end(seq, End::Forsaken, unix_ms)),
             }
         }
         None
@@ -216,67 +219,68 @@
 
     /// When [`Replay::next`] may have something again, if nothing else happens.
     pub fn poll_timeout(&self) -> Micros {
-        let held = if self.held.is_empty() { Micros::MAX } else { self.look_at };
-        let ready = if self.ready.is_empty() { Micros::MAX } else { self.pace.next() };
+        let held = if self.held.is_empty() { Micros::MAX } else { self.next_scan_at };
+        let ready = if self.ready.is_empty() { Micros::MAX } else { self.rate.next_send_at() };
         held.min(ready)
     }
 
-    fn within(&self, entry: &Entry, here: HostTime) -> bool {
+    fn is_within_window(&self, entry: &Entry, host_now: HostTime) -> bool {
         let Repeat::Within { window_ms } = entry.repeat else {
             return mutant::is(Mutant::AlwaysAgain);
         };
-        let passed = entry.first_out.and_then(|first| here.since(first));
-        let last = window_ms.saturating_sub(self.config.margin_ms);
+        let passed = entry.first_sent.and_then(|first| host_now.since(first));
+        let last = window_ms.saturating_sub(self.config.repeat_margin_ms);
         passed.is_some_and(|passed| passed < last) || mutant::is(Mutant::NoWindow)
     }
 
-    fn forerunners(
+    fn check_predecessors(
         &self,
         now: Micros,
         seq: u64,
         entry: &Entry,
         elsewhere: &dyn Fn(WriteId) -> Progress,
-    ) -> Forerunners {
+    ) -> Predecessors {
         let mut open = false;
         // With those that stand behind a write that was taken out: of each, only the nearest are named.
-        let mut to_look: SmallVec<[(u64, WriteId); 8]> =
+        let mut unchecked: SmallVec<[(u64, WriteId); 8]> =
             entry.after.iter().map(|id| (seq, *id)).collect();
-        let mut looked: BTreeSet<WriteId> = BTreeSet::new();
-        while let Some((named_by, id)) = to_look.pop() {
+        let mut expanded: BTreeSet<WriteId> = BTreeSet::new();
+        while let Some((named_by, id)) = unchecked.pop() {
             // One that names itself or a later one names what it cannot have seen.
-            let here = id.edge == self.book.edge;
-            if here && (id.seq >= named_by || mutant::is(Mutant::NoOrder)) {
+            let in_this_store = id.edge == self.book.edge;
+            if in_this_store && (id.seq >= named_by || mutant::is(Mutant::NoOrder)) {
                 continue;
             }
-            let before = self.book.entries.get(&id.seq).filter(|_| here);
+            let before = self.book.entries.get(&id.seq).filter(|_| in_this_store);
             match before.map(|e| e.state) {
                 // Without this, what comes after this write would overtake what this write had to wait for.
                 Some(State::Ended(End::Withdrawn | End::Dropped)) => {
-                    let behind = before.into_iter().filter(|_| looked.insert(id));
-                    to_look.extend(behind.flat_map(|e| e.after.iter().map(|of| (id.seq, *of))));
+                    let behind = before.into_iter().filter(|_| expanded.insert(id));
+                    unchecked.extend(behind.flat_map(|e| e.after.iter().map(|of| (id.seq, *of))));
                 }
-                Some(State::Ended(end)) if end.is_well() || self.config.go_on => {}
-                Some(State::Ended(_)) => return Forerunners::Failed,
+                Some(State::Ended(end))
+                    if end.is_well() || self.config.send_without_predecessor => {}
+                Some(State::Ended(_)) => return Predecessors::Failed,
                 Some(_) => open = true,
                 // Its record is spoilt.
-                None if here => open = true,
+                None if in_this_store => open = true,
                 None if mutant::is(Mutant::NoOrderElsewhere) => {}
                 None => match elsewhere(id) {
                     Progress::Ended => {}
-                    Progress::Failed if self.config.go_on => {}
-                    Progress::Failed => return Forerunners::Failed,
+                    Progress::Failed if self.config.send_without_predecessor => {}
+                    Progress::Failed => return Predecessors::Failed,
                     Progress::Open | Progress::Unknown => open = true,
                 },
             }
         }
         if !open {
-            return Forerunners::Gone(false);
+            return Predecessors::Ended(false);
         }
         let since = self.waiting.get(&seq).copied().unwrap_or(now);
-        match (now >= since + self.config.forerunner, self.config.go_on) {
-            (false, _) => Forerunners::Waited,
-            (true, true) => Forerunners::Gone(true),
-            (true, false) => Forerunners::Failed,
+        match (now >= since + self.config.predecessor_wait, self.config.send_without_predecessor) {
+            (false, _) => Predecessors::Open,
+            (true, true) => Predecessors::Ended(true),
+            (true, false) => Predecessors::Failed,
         }
     }
 
@@ -287,11 +291,11 @@
     }
 
     /// What was to be written down about a write is on disk; None: that failed, and nothing of it holds.
-    pub fn written(&mut self, now: Micros, seq: u64, on_disk: bool) -> Option<Step> {
+    pub fn record_written(&mut self, now: Micros, seq: u64, on_disk: bool) -> Option<Step> {
         let record = self.writing.remove(&seq)?;
         if !on_disk {
             self.ready.insert(seq);
-            self.pace.refused();
+            self.rate.on_refusal();
             return None;
         }
         self.book.apply(seq, (0, 0), &record);
@@ -299,8 +303,8 @@
             // It was ended while its mark was on the way: an operator has dropped it, or it was withdrawn.
             Record::Mark { .. } if !self.book.open.contains(&seq) => None,
             Record::Mark { .. } => {
-                self.out.insert(seq, now);
-                self.pace.sends(now);
+                self.in_flight.insert(seq, now);
+                self.rate.on_send(now);
                 Some(Step::Send(seq))
             }
             _ => {
@@ -318,26 +322,26 @@
 
     /// What came of a write that went out.
     pub fn outcome(&mut self, seq: u64, outcome: Outcome, at_ms: u64) -> Option<Step> {
-        self.out.remove(&seq)?;
+        self.in_flight.remove(&seq)?;
         let by = self.token.into();
         let record = match outcome {
             Outcome::Served => {
-                self.pace.answered();
+                self.rate.on_answer();
                 Record::End { how: End::Done, status: 0, answer: Vec::new(), at_ms }
             }
             Outcome::Refused(status, answer) => {
-                self.pace.answered();
+                self.rate.on_answer();
                 Record::End { how: End::Refused, status, answer, at_ms }
             }
-            Outcome::Spoilt => {
+            Outcome::Damaged => {
                 Record::End { how: End::Spoilt, status: 0, answer: Vec::new(), at_ms }
             }
             Outcome::NotRun => {
-                self.pace.refused();
+                self.rate.on_refusal();
                 Record::NotRun { by }
             }
             Outcome::MayHaveRun => {
-                self.pace.refused();
+                self.rate.on_refusal();
                 Record::MayHaveRun { by }
             }
         };
@@ -346,10 +350,10 @@
     }
 }
 
-enum Forerunners {
+enum Predecessors {
     /// All have their end; true: one was not waited for any longer.
-    Gone(bool),
-    Waited,
+    Ended(bool),
+    Open,
     /// One has failed, or never came, and this one is not to go without it.
     Failed,
 }
--- a/crates/millethook-edge/src/mark.rs
+++ b/crates/millethook-edge/src/watermark.rs
@@ -14,25 +14,25 @@
 }
 
 /// Writes that ended otherwise than well which a mark names, at most.
-pub const FAILED: usize = 3;
+pub const MAX_FAILED: usize = 3;
 
 /// How far a store is, as others are told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct Watermark {
     /// All up to this number have ended,
     pub upto: u64,
     /// and of the 64 behind it those whose bit is set, the first one in the lowest.
     pub beyond: u64,
     /// The last writes that ended otherwise than well, the latest first; 0: none.
-    pub failed: [u64; FAILED],
+    pub failed: [u64; MAX_FAILED],
 }
 
-impl Mark {
+impl Watermark {
     /// What it says of a write.
     pub fn of(&self, seq: u64) -> Progress {
         let behind = seq.checked_sub(self.upto + 1);
         let ended = behind.is_none_or(|n| n < 64 && self.beyond >> n & 1 == 1);
-        let last = self.failed[FAILED - 1];
+        let last = self.failed[MAX_FAILED - 1];
         match ended {
             false => Progress::Open,
             true if self.failed.contains(&seq) => Progress::Failed,
--- a/crates/millethook-edge/tests/it/common/mod.rs
+++ b/crates/millethook-edge/tests/it/common/mod.rs
@@ -6,7 +6,7 @@
 
 use millethook_edge::record::{End, HostTime, Record, Repeat, Write};
 use millethook_edge::{
-    Book, Config, EdgeId, Mark, Outcome, Progress, Replay, State, Step, Token, WriteId, log,
+    Book, Config, EdgeId, Outcome, Progress, Replay, State, Step, Token, Watermark, WriteId, log,
 };
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
@@ -109,7 +109,7 @@
     leases: BTreeMap<EdgeId, (usize, u64, Token)>,
     counter: u32,
     /// What owners have told of their stores.
-    told: BTreeMap<EdgeId, (Token, Mark)>,
+    told: BTreeMap<EdgeId, (Token, Watermark)>,
     acked: BTreeMap<WriteId, Acked>,
     /// Those whose clients were answered that nobody knows, with the host's start at which they were.
     withdrawn: BTreeMap<WriteId, u64>,
@@ -126,12 +126,12 @@
 
 fn config() -> Config {
     Config {
-        at_once: 4,
-        fleet_per_second: 1_000.0,
-        keep_ms: 3_600_000,
-        forerunner: FORERUNNER * 1_000,
-        go_on: false,
-        margin_ms: 500,
+        max_concurrent: 4,
+        fleet_writes_per_second: 1_000.0,
+        max_age_ms: 3_600_000,
+        predecessor_wait: FORERUNNER * 1_000,
+        send_without_predecessor: false,
+        repeat_margin_ms: 500,
     }
 }
 
@@ -334,14 +334,14 @@
     }
 
     fn book(&self, edge: EdgeId) -> Book {
-        let mut book = Book::on(edge, Some(self.boot));
+        let mut book = Book::with_boot(edge, Some(self.boot));
         if let Some(folder) = self.folders.get(&edge) {
             take(&mut book, &folder.intake.bytes, false);
             folder.journals.values().for_each(|j| {
                 take(&mut book, &j.bytes, true);
             });
         }
-        book.is_read();
+        book.finish_intake();
         book
     }
 
@@ -360,7 +360,9 @@
                         self.fail(format!("{id} counts as done and never ran"));
                     }
                 }
-                Some(State::Taken) => self.fail(format!("{id} was acknowledged and is not kept")),
+                Some(State::Unacknowledged) => {
+                    self.fail(format!("{id} was acknowledged and is not kept"))
+                }
                 Some(State::Ended(End::Withdrawn)) => {
                     self.fail(format!("{id} was acknowledged and is withdrawn"));
                 }
@@ -396,7 +398,7 @@
             log::Item::Damaged { at, length, .. } => read = at + length,
             log::Item::Torn { .. } => {}
         }
-        book.take(&item, marks);
+        book.apply_item(&item, marks);
     }
     read
 }
--- a/crates/millethook-edge/tests/it/common/owners.rs
+++ b/crates/millethook-edge/tests/it/common/owners.rs
@@ -58,17 +58,17 @@
         }
         // What has not got to the disk yet may never: nothing goes out that a loss of power would undo.
         folder.intake.synced = folder.intake.bytes.len();
-        let mut book = Book::on(edge, Some(self.boot));
+        let mut book = Book::with_boot(edge, Some(self.boot));
         let mut read = BTreeMap::new();
         read.insert(None, take(&mut book, &folder.intake.bytes[..settled], false));
         for (token, journal) in &folder.journals {
             read.insert(Some(*token), take(&mut book, &journal.bytes, true));
         }
         folder.journals.insert(token, File::default());
-        book.is_read();
+        book.finish_intake();
         let mut replay = Replay::new(config(), token, book, self.now * 1_000);
         if gone {
-            replay.process_is_gone();
+            replay.process_ended();
         }
         let owner = Owner {
             edge,
@@ -149,7 +149,7 @@
                 let _ = log::append(&mut journal.bytes, seq, &record);
                 journal.synced = journal.bytes.len();
             }
-            let step = owner.replay.written(now * 1_000, seq, true);
+            let step = owner.replay.record_written(now * 1_000, seq, true);
             self.step(p, owner, step);
         }
         let (due, rest): (Vec<_>, Vec<_>) = owner.answers.drain(..).partition(|a| a.1 <= now);
@@ -181,8 +181,8 @@
         if let Err(violation) = owner.replay.check() {
             self.fail(format!("{}: {violation}", owner.edge));
         }
-        let mark = owner.replay.book().mark();
-        let told = self.told.entry(owner.edge).or_insert((token, Mark::default()));
+        let mark = owner.replay.book().watermark();
+        let told = self.told.entry(owner.edge).or_insert((token, Watermark::default()));
         if token >= told.0 {
             if (mark.upto, mark.beyond) < (told.1.upto, told.1.beyond) && !self.damaged {
                 self.broken.get_or_insert(format!("{}: progress went back", owner.edge));
@@ -207,12 +207,12 @@
                 match item {
                     log::Item::Record { seq, at, length, record } => {
                         *from = at + u64::from(length);
-                        owner.replay.read(seq, (at, length), &record);
+                        owner.replay.apply_record(seq, (at, length), &record);
                     }
                     log::Item::Damaged { at, length, seq } => {
                         *from = at + length;
                         if name.is_none() {
-                            owner.replay.spoilt(seq);
+                            owner.replay.intake_damaged(seq);
                         }
                     }
                     log::Item::Torn { .. } => {}
@@ -220,7 +220,7 @@
             }
         }
         if gone {
-            owner.replay.process_is_gone();
+            owner.replay.process_ended();
         }
     }
 
--- a/crates/millethook-edge/tests/it/common/servers.rs
+++ b/crates/millethook-edge/tests/it/common/servers.rs
@@ -14,12 +14,12 @@
             self.fail(format!("{id} went out behind its final answer"));
         }
         let Some(entry) = owner.replay.book().entry(seq) else { return };
-        let (at, length) = entry.at;
+        let (at, length) = entry.location;
         let folder = &self.folders[&owner.edge];
-        let begin = at as usize - log::HEAD;
+        let begin = at as usize - log::HEADER_BYTES;
         let bytes = &folder.intake.bytes[begin..at as usize + length as usize];
-        let Some((_, Record::Write(write))) = log::one(bytes) else {
-            owner.answers.push((seq, self.now, Outcome::Spoilt));
+        let Some((_, Record::Write(write))) = log::decode_one(bytes) else {
+            owner.answers.push((seq, self.now, Outcome::Damaged));
             return;
         };
         if write.body != format!("{id}{}", "x".repeat(40)).into_bytes() {
@@ -27,7 +27,7 @@
         }
         // A repeat of a keyed write that stops between its last look and its first byte can come after its window, as
         // any sidecar's own repeat can. Here the window is looked at with the lease.
-        let first = entry.first_out.filter(|_| entry.touched);
+        let first = entry.first_sent.filter(|_| entry.may_have_run);
         let too_late = first.is_some_and(|f| self.here().since(f).is_none_or(|ms| ms >= WINDOW));
         if too_late {
             owner.answers.push((seq, self.now, Outcome::NotRun));
--- a/crates/millethook-edge/tests/it/taken_out.rs
+++ b/crates/millethook-edge/tests/it/taken_out.rs
@@ -26,12 +26,12 @@
         book.apply(seq, (0, 0), &Record::Write(Box::new(write)));
     }
     let config = Config {
-        at_once: 4,
-        fleet_per_second: 1_000.0,
-        keep_ms: u64::MAX,
-        forerunner: u64::MAX / 2,
-        go_on: false,
-        margin_ms: 0,
+        max_concurrent: 4,
+        fleet_writes_per_second: 1_000.0,
+        max_age_ms: u64::MAX,
+        predecessor_wait: u64::MAX / 2,
+        send_without_predecessor: false,
+        repeat_margin_ms: 0,
     };
     Replay::new(config, TOKEN, book, 0)
 }
@@ -50,15 +50,15 @@
 fn what_comes_after_a_write_that_was_taken_out_waits_for_what_that_one_waited_for() {
     for how in [End::Dropped, End::Withdrawn] {
         let mut replay = replay(4);
-        [2, 3].iter().for_each(|seq| replay.read(*seq, (0, 0), &ended(how)));
+        [2, 3].iter().for_each(|seq| replay.apply_record(*seq, (0, 0), &ended(how)));
         assert_eq!(next(&mut replay, 0, Progress::Open), None, "{how:?}");
         let step = next(&mut replay, 1_000_000, Progress::Ended);
         assert!(matches!(step, Some(Step::Write(1, Record::Mark { .. }))), "{how:?}: {step:?}");
         assert_eq!(next(&mut replay, 2_000_000, Progress::Ended), None, "{how:?}");
-        assert_eq!(replay.written(2_000_000, 1, true), Some(Step::Send(1)));
+        assert_eq!(replay.record_written(2_000_000, 1, true), Some(Step::Send(1)));
         let step = replay.outcome(1, millethook_edge::Outcome::Served, 0);
         assert!(matches!(step, Some(Step::Write(1, Record::End { how: End::Done, .. }))));
-        assert_eq!(replay.written(3_000_000, 1, true), None);
+        assert_eq!(replay.record_written(3_000_000, 1, true), None);
         let step = next(&mut replay, 4_000_000, Progress::Ended);
         assert!(matches!(step, Some(Step::Write(4, Record::Mark { .. }))), "{how:?}: {step:?}");
     }
@@ -71,8 +71,8 @@
         let mut replay = replay(1);
         let step = next(&mut replay, 0, Progress::Ended);
         assert!(matches!(step, Some(Step::Write(1, Record::Mark { .. }))), "{how:?}: {step:?}");
-        replay.read(1, (0, 0), &ended(how));
-        assert_eq!(replay.written(1_000, 1, true), None, "{how:?}");
+        replay.apply_record(1, (0, 0), &ended(how));
+        assert_eq!(replay.record_written(1_000, 1, true), None, "{how:?}");
         replay.check().expect("its rules hold");
     }
 }
--- a/crates/millethook-http/src/edge/folder.rs
+++ b/crates/millethook-http/src/edge/folder.rs
@@ -123,9 +123,9 @@
 /// Fails if the file cannot be read.
 pub fn read_record(path: &Path, (at, length): (u64, u32)) -> io::Result<Vec<u8>> {
     let mut file = File::open(path)?;
-    file.seek(SeekFrom::Start(at.saturating_sub(log::HEAD as u64)))?;
+    file.seek(SeekFrom::Start(at.saturating_sub(log::HEADER_BYTES as u64)))?;
     let mut bytes = Vec::new();
-    file.take((log::HEAD as u64 + u64::from(length)).min(MAX_RECORD_READ_BYTES as u64))
+    file.take((log::HEADER_BYTES as u64 + u64::from(length)).min(MAX_RECORD_READ_BYTES as u64))
         .read_to_end(&mut bytes)?;
     Ok(bytes)
 }
@@ -147,7 +147,8 @@
 /// # Errors
 /// Names the file that cannot be read.
 pub fn load_up_to(folder: &Path, edge: EdgeId, settled: u64) -> io::Result<(Book, ReadOffsets)> {
-    let (mut book, mut read_offsets) = (Book::on(edge, Some(super::boot_id())), ReadOffsets::new());
+    let (mut book, mut read_offsets) =
+        (Book::with_boot(edge, Some(super::boot_id())), ReadOffsets::new());
     for store_file in list_files(folder, edge)? {
         let path = store_file.path(folder, edge);
         let bytes = read(&path, 0, store_file.readable_length(settled))
@@ -155,11 +156,11 @@
         let mut offset = 0;
         for item in log::scan(&bytes, 0) {
             offset = item_end(&item).unwrap_or(offset);
-            book.take(&item, store_file.holds_marks());
+            book.apply_item(&item, store_file.holds_marks());
         }
         read_offsets.insert(store_file, offset);
     }
-    book.is_read();
+    book.finish_intake();
     Ok((book, read_offsets))
 }
 
--- a/crates/millethook-http/src/edge/intake.rs
+++ b/crates/millethook-http/src/edge/intake.rs
@@ -254,7 +254,7 @@
     fn open_own_writes(&self) -> usize {
         let replays = self.replays.borrow();
         match replays.get(&self.own_store) {
-            Some(store) => store.replay.borrow().book().left(),
+            Some(store) => store.replay.borrow().book().open_count(),
             None => {
                 // The own store is not replayed here, so its announced progress is used.
                 let upto = self.announced_mark(self.own_store).map_or(0, |(mark, _)| mark.upto);
--- a/crates/millethook-http/src/edge/mod.rs
+++ b/crates/millethook-http/src/edge/mod.rs
@@ -18,7 +18,7 @@
 
 use coppercart::settings::{Class, DedupScope, RetrySafety, Settings};
 use millethook_edge::record::HostTime;
-use millethook_edge::{EdgeId, Mark, Progress, Replay, State, WriteId};
+use millethook_edge::{EdgeId, Progress, Replay, State, Watermark, WriteId};
 use millethook_engine::driver::Driver;
 use millethook_engine::fleet::{EntryValue, Fleet};
 use millethook_engine::names::Names;
@@ -226,11 +226,14 @@
     }
 
     /// Announced progress of a store, and its age.
-    fn announced_mark(&self, edge: EdgeId) -> Option<(Mark, Duration)> {
+    fn announced_mark(&self, edge: EdgeId) -> Option<(Watermark, Duration)> {
         let (value, age) = self.fleet.edge(edge.0)?;
         let EntryValue::Edge { upto, beyond, failed, .. } = value else { return None };
         let absolute = |back: u16| (upto + 65).checked_sub(u64::from(back)).filter(|_| back > 0);
-        Some((Mark { upto, beyond, failed: failed.map(|back| absolute(back).unwrap_or(0)) }, age))
+        Some((
+            Watermark { upto, beyond, failed: failed.map(|back| absolute(back).unwrap_or(0)) },
+            age,
+        ))
     }
 
     fn started(&self) -> std::time::Instant {
@@ -255,10 +258,10 @@
         for store in replays.values() {
             let replay: std::cell::Ref<'_, Replay> = store.replay.borrow();
             let counts = replay.book().counts();
-            stats.open_writes += replay.book().left();
-            stats.in_doubt += counts.doubt;
+            stats.open_writes += replay.book().open_count();
+            stats.in_doubt += counts.in_doubt;
             stats.damaged += counts.damaged;
-            oldest = [oldest, replay.book().oldest_ms()].into_iter().flatten().min();
+            oldest = [oldest, replay.book().oldest_open_ms()].into_iter().flatten().min();
         }
         stats.stores = replays.len();
         stats.oldest_s = oldest.map_or(0, |ms| unix_ms().saturating_sub(ms) / 1_000);
--- a/crates/millethook-http/src/edge/replayer.rs
+++ b/crates/millethook-http/src/edge/replayer.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use millethook_edge::{Config, EdgeId, Mark, Replay, Step, Token, log};
+use millethook_edge::{Config, EdgeId, Replay, Step, Token, Watermark, log};
 use millethook_engine::fleet::EntryValue;
 use millethook_engine::leases::JobId;
 use millethook_engine::names::stable_hash;
@@ -41,7 +41,7 @@
     pub replay: RefCell<Replay>,
     read_offsets: RefCell<ReadOffsets>,
     last_read: Cell<Instant>,
-    last_announced: Cell<Option<(Instant, Mark)>>,
+    last_announced: Cell<Option<(Instant, Watermark)>>,
     /// The disk thread refused a mark, because the store has another owner.
     pub fenced: Cell<bool>,
 }
@@ -65,7 +65,7 @@
                 self.apply_lease(edge).await;
             }
             let has_open_writes =
-                self.replays.borrow().values().any(|s| s.replay.borrow().book().left() > 0);
+                self.replays.borrow().values().any(|s| s.replay.borrow().book().open_count() > 0);
             if has_open_writes
                 && self.driver.is_isolated()
                 && last_try.elapsed() > REACHABILITY_TRY_INTERVAL
@@ -80,12 +80,13 @@
             // known.
             let others = self.fleet.counts().alive;
             for store in stores {
-                store.replay.borrow_mut().set_stores(others.max(1));
+                store.replay.borrow_mut().set_store_count(others.max(1));
                 self.read_appended(&store).await;
                 self.start_steps(&store);
                 self.announce_progress(&store);
             }
-            let busy = self.replays.borrow().values().any(|s| s.replay.borrow().book().left() > 0);
+            let busy =
+                self.replays.borrow().values().any(|s| s.replay.borrow().book().open_count() > 0);
             tokio::select! {
                 () = sleep(if busy { BUSY_ROUND_INTERVAL } else { SCAN_INTERVAL }) => {}
                 () = self.wake.notified() => sleep(Duration::from_millis(1)).await,
@@ -216,17 +217,17 @@
         }
         let settings = &self.settings;
         let config = Config {
-            at_once: settings.max_concurrent,
-            fleet_per_second: settings.fleet_per_second,
-            keep_ms: settings.retention.as_millis() as u64,
-            forerunner: settings.predecessor_wait.as_micros() as u64,
-            go_on: settings.send_without_predecessor,
-            margin_ms: self.driver.longest_deadline().as_millis() as u64 + 500,
+            max_concurrent: settings.max_concurrent,
+            fleet_writes_per_second: settings.fleet_per_second,
+            max_age_ms: settings.retention.as_millis() as u64,
+            predecessor_wait: settings.predecessor_wait.as_micros() as u64,
+            send_without_predecessor: settings.send_without_predecessor,
+            repeat_margin_ms: self.driver.longest_deadline().as_millis() as u64 + 500,
         };
-        let left = book.left();
+        let left = book.open_count();
         let mut replay = Replay::new(config, token, book, self.replay_clock());
         if process_gone {
-            replay.process_is_gone();
+            replay.process_ended();
         }
         let replay = RefCell::new(replay);
         let store = Store {
@@ -295,16 +296,16 @@
         for (store_file, base, item) in items {
             match item {
                 log::Item::Record { seq, at, length, record } => {
-                    replay.read(seq, (base + at, length), &record);
+                    replay.apply_record(seq, (base + at, length), &record);
                 }
                 log::Item::Damaged { seq, .. } if store_file == StoreFile::Intake => {
-                    replay.spoilt(seq)
+                    replay.intake_damaged(seq)
                 }
                 log::Item::Damaged { .. } | log::Item::Torn { .. } => {}
             }
         }
         if process_gone {
-            replay.process_is_gone();
+            replay.process_ended();
         }
     }
 
@@ -343,7 +344,7 @@
                     }
                     let on_disk = outcome == AppendOutcome::OnDisk;
                     self.count_end(&record, on_disk);
-                    store.replay.borrow_mut().written(self.replay_clock(), seq, on_disk)
+                    store.replay.borrow_mut().record_written(self.replay_clock(), seq, on_disk)
                 }
                 Step::Send(seq) => {
                     let outcome = self.send(&store, seq).await;
@@ -358,13 +359,13 @@
     fn announce_progress(&self, store: &Rc<Store>) {
         let (mark, left) = {
             let replay = store.replay.borrow();
-            (replay.book().mark(), replay.book().left())
+            (replay.book().watermark(), replay.book().open_count())
         };
         let is_due = store
             .last_announced
             .get()
             .is_none_or(|(at, announced)| announced != mark || at.elapsed() > ANNOUNCE_INTERVAL);
-        let Mark { upto, beyond, failed } = mark;
+        let Watermark { upto, beyond, failed } = mark;
         let back = |seq: u64| {
             let back = (upto + 65).saturating_sub(seq);
             if seq == 0 { 0 } else { u16::try_from(back).unwrap_or(0) }
--- a/crates/millethook-http/src/edge/send.rs
+++ b/crates/millethook-http/src/edge/send.rs
@@ -22,14 +22,14 @@
 impl Edge {
     /// Sends a write whose mark is on disk.
     pub(super) async fn send(&self, store: &Rc<Store>, seq: u64) -> Outcome {
-        let location = store.replay.borrow().book().entry(seq).map(|entry| entry.at);
+        let location = store.replay.borrow().book().entry(seq).map(|entry| entry.location);
         let Some(location) = location else { return Outcome::NotRun };
         let path = StoreFile::Intake.path(&self.settings.folder, store.edge);
         let read = spawn_blocking(move || folder::read_record(&path, location)).await;
         let Ok(Ok(bytes)) = read else { return Outcome::NotRun };
-        let write = match log::one(&bytes) {
+        let write = match log::decode_one(&bytes) {
             Some((of, Record::Write(write))) if of == seq => write,
-            _ => return Outcome::Spoilt,
+            _ => return Outcome::Damaged,
         };
         let Some((head, attempt_request)) = self.build_request(*write) else {
             return Outcome::NotRun;
--- a/crates/millethook-http/src/edge/writer.rs
+++ b/crates/millethook-http/src/edge/writer.rs
@@ -131,7 +131,7 @@
     fn acknowledge(&mut self, synced: Vec<Append>) {
         let (mut acknowledged, mut acknowledgements) = (Vec::new(), Vec::new());
         for Append { commit_sender, outcome_sender, bytes, .. } in synced {
-            let Some((seq, _)) = log::one(&bytes) else { continue };
+            let Some((seq, _)) = log::decode_one(&bytes) else { continue };
             if commit_sender.send(()).is_err() {
                 self.withdraw(seq);
                 continue;
@@ -304,7 +304,7 @@
 }
 
 fn is_mark(bytes: &[u8]) -> bool {
-    let record = millethook_edge::log::one(bytes);
+    let record = millethook_edge::log::decode_one(bytes);
     matches!(record, Some((_, millethook_edge::record::Record::Mark { .. })))
 }
 
--- a/crates/millethook-http/tests/edge_disk.rs
+++ b/crates/millethook-http/tests/edge_disk.rs
@@ -125,7 +125,7 @@
     assert_eq!(cancel_now(&mut cancelled), None);
     // The write is in the file by now. The process itself does not read it there, and for other processes
     // it is not stored, since this process may die at this moment.
-    assert_eq!(state(&test_disk.all_records(), 1), Some(State::Taken));
+    assert_eq!(state(&test_disk.all_records(), 1), Some(State::Unacknowledged));
     assert_eq!(state(&test_disk.settled_records(), 1), None);
     // A write that is accepted meanwhile goes to disk after it.
     let kept = test_disk.append_write(2);
@@ -229,7 +229,7 @@
     assert_eq!(cancel_now(&mut cancelled), None);
     let (kept, last) = (test_disk.append_write(3), test_disk.append_write(4));
     let states = |book: &Book| [1, 2, 3, 4].map(|seq| state(book, seq));
-    let (kept_state, taken) = (Some(State::Kept), Some(State::Taken));
+    let (kept_state, taken) = (Some(State::Kept), Some(State::Unacknowledged));
     assert_eq!(states(&test_disk.all_records()), [kept_state, taken, None, None]);
     test_disk.sync_result.send(Ok(())).expect("the thread lives");
     test_disk.sync_started.recv().expect("a sync of its end");
@@ -268,12 +268,13 @@
 fn after_a_power_loss_writes_without_an_end_are_kept() {
     let (write, opened) = (bytes(1, &write(1)), bytes(0, &Record::Opened { boot: 1 }));
     let states = [1, 2].map(|boot| {
-        let mut book = Book::on(OWN, Some(boot));
-        log::scan(&[opened.clone(), write.clone()].concat(), 0).for_each(|i| book.take(&i, false));
-        book.is_read();
+        let mut book = Book::with_boot(OWN, Some(boot));
+        log::scan(&[opened.clone(), write.clone()].concat(), 0)
+            .for_each(|i| book.apply_item(&i, false));
+        book.finish_intake();
         state(&book, 1)
     });
-    assert_eq!(states, [Some(State::Taken), Some(State::Kept)]);
+    assert_eq!(states, [Some(State::Unacknowledged), Some(State::Kept)]);
 }
 
 /// A flipped bit destroys the acknowledgement of one write. It is then unknown whether its client has a
@@ -284,9 +285,12 @@
     *acknowledgement.last_mut().expect("a body") ^= 1;
     let opened = bytes(0, &Record::Opened { boot: 1 });
     let parts = [opened, bytes(1, &write(1)), bytes(2, &write(2)), acknowledgement].concat();
-    let mut book = Book::on(OWN, Some(1));
-    log::scan(&parts, 0).for_each(|item| book.take(&item, false));
-    assert_eq!([1, 2].map(|seq| state(&book, seq)), [Some(State::Doubt), Some(State::Taken)]);
+    let mut book = Book::with_boot(OWN, Some(1));
+    log::scan(&parts, 0).for_each(|item| book.apply_item(&item, false));
+    assert_eq!(
+        [1, 2].map(|seq| state(&book, seq)),
+        [Some(State::InDoubt), Some(State::Unacknowledged)]
+    );
 }
 
 fn token(counter: u32) -> Token {
--- a/crates/plankvale/src/edge.rs
+++ b/crates/plankvale/src/edge.rs
@@ -87,11 +87,11 @@
 
 fn describe_state(state: State) -> String {
     match state {
-        State::Taken => "not acknowledged".into(),
+        State::Unacknowledged => "not acknowledged".into(),
         State::Kept => "kept".into(),
-        State::Out(token) => format!("out, under {token}"),
-        State::Again => "to be repeated".into(),
-        State::Doubt => "in doubt".into(),
+        State::InFlight(token) => format!("out, under {token}"),
+        State::Repeatable => "to be repeated".into(),
+        State::InDoubt => "in doubt".into(),
         State::Ended(end) => format!("{end:?}").to_lowercase(),
     }
 }
@@ -102,12 +102,12 @@
         "store {}: {} kept, {} out, {} in doubt, {} done, {} set apart, {} spoilt, {} not acknowledged",
         book.edge,
         counts.kept,
-        counts.out,
-        counts.doubt,
-        counts.done,
-        counts.aside,
+        counts.in_flight,
+        counts.in_doubt,
+        counts.served,
+        counts.not_served,
         counts.damaged,
-        counts.taken
+        counts.unacknowledged
     ));
     for (at, length, seq, _) in &book.damaged {
         let seq = seq.map_or("of no known write".to_owned(), |seq| format!("of write {seq:x}"));
@@ -128,8 +128,8 @@
 fn export(folder: &Path, book: &Book, lines: &mut Vec<String>) -> io::Result<()> {
     let path = StoreFile::Intake.path(folder, book.edge);
     for (seq, entry) in book.entries().filter(|(_, e)| e.state != State::Ended(End::Done)) {
-        let bytes = folder::read_record(&path, entry.at)?;
-        let Some((_, Record::Write(write))) = log::one(&bytes) else { continue };
+        let bytes = folder::read_record(&path, entry.location)?;
+        let Some((_, Record::Write(write))) = log::decode_one(&bytes) else { continue };
         let headers: Vec<(String, String)> = (write.headers.iter())
             .map(|(name, value)| (name.clone(), String::from_utf8_lossy(value).into_owned()))
             .collect();
@@ -151,7 +151,7 @@
     let entry = book.entry(write.seq).ok_or_else(|| format!("{write}: no such write"))?;
     let fits = match (record, entry.state) {
         (_, State::Ended(_)) => false,
-        (Record::Release, state) => state == State::Doubt || matches!(state, State::Out(_)),
+        (Record::Release, state) => state == State::InDoubt || matches!(state, State::InFlight(_)),
         _ => true,
     };
     if !fits {
