--- a/crates/millethook-edge/examples/edge_search.rs
+++ b/crates/millethook-edge/examples/edge_search.rs
@@ -1,6 +1,6 @@
-//! The search in its long form: `cargo run --release -p millethook-edge --example edge_search -- RUNS FIRST FLIPS`: so many
-//! runs, from this seed on, with bits that flip (0: none). Prints the
-//! shortest script of what it finds, and the seed that finds it again.
+//! Long random search: `cargo run --release -p millethook-edge --example edge_search -- RUNS FIRST FLIPS` plays RUNS
+//! scripts from seed FIRST on, with bit flips unless FLIPS is 0. Prints the shortest failing script and the seed that
+//! reproduces it.
 
 #[path = "../tests/it/common/mod.rs"]
 mod common;
@@ -19,7 +19,7 @@
         || script(50, flips),
         |seed, script| {
             let world = play(seed, script)?;
-            kept.fetch_add(world.kept, Ordering::Relaxed);
+            kept.fetch_add(world.stored, Ordering::Relaxed);
             effects.fetch_add(world.effects, Ordering::Relaxed);
             Ok(())
         },
--- a/crates/millethook-edge/examples/stores.rs
+++ b/crates/millethook-edge/examples/stores.rs
@@ -1,6 +1,6 @@
-//! The log beside `redb` and `fjall`: `cargo run --release -p millethook-edge --features contestants --example stores --
-//! FOLDER [ENTRIES]`. Each write of 400 bytes is on disk before the next one begins; then 32 at a time; then a store of
-//! ENTRIES writes is opened and read through.
+//! Compares the log with `redb` and `fjall`: `cargo run --release -p millethook-edge --features contestants --example
+//! stores -- FOLDER [ENTRIES]`. It stores writes of 400 bytes with a sync after each, then with a sync after every
+//! 32, and then opens and reads a store of ENTRIES writes.
 
 use std::fs::File;
 use std::io::Write as _;
@@ -26,7 +26,7 @@
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
-/// A store that takes writes in batches, each batch on disk when it returns.
+/// A store that takes writes in batches; a batch is on disk when `put` returns.
 trait Store {
     fn name(&self) -> &'static str;
     fn put(&mut self, first: u64, batch: &[Vec<u8>]) -> Result<()>;
@@ -91,7 +91,7 @@
     (first..first + count).map(body).collect()
 }
 
-/// Writes a second, and the 99th percentile of one batch.
+/// Returns the writes per second and the 99th percentile of a batch's duration.
 fn rate(
     store: &mut dyn Store,
     next: &mut u64,
--- a/crates/millethook-edge/src/book.rs
+++ b/crates/millethook-edge/src/book.rs
@@ -1,5 +1,5 @@
-//! What is known of one store: each write that it holds, and how far that has come. Built from the store's files, and
-//! kept in step with what is written to them.
+//! The in-memory index of one store: every write that it holds and that write's state. It is built from the store's
+//! files and updated with every record that is read or written later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,65 +13,65 @@
 use crate::watermark::{MAX_FAILED, Watermark};
 use crate::{EdgeId, WriteId};
 
-/// How many writes are what.
+/// The number of writes in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Taken in, and not acknowledged.
+    /// In the intake, but not acknowledged to the client.
     pub unacknowledged: usize,
-    /// Kept, and not known to have gone out.
+    /// Acknowledged and not known to have been sent.
     pub kept: usize,
-    /// Out, or to be repeated.
+    /// Marked as sent without a known outcome, or allowed to be repeated.
     pub in_flight: usize,
-    /// In doubt.
+    /// Possibly executed and not safe to repeat.
     pub in_doubt: usize,
-    /// Served.
+    /// Served by a server.
     pub served: usize,
-    /// Ended otherwise.
+    /// Ended in any other way.
     pub not_served: usize,
-    /// Records, or parts of files, that are spoilt.
+    /// Damaged records or parts of files.
     pub damaged: usize,
 }
 
 /// All writes of a store.
 #[derive(Clone, Debug)]
 pub struct Book {
-    /// The store.
+    /// The store's id.
     pub edge: EdgeId,
-    /// Names of classes.
+    /// Names of the traffic classes, indexed by [`Entry::class`].
     pub classes: Vec<String>,
     pub(crate) entries: BTreeMap<u64, Entry>,
-    /// Each member's last write.
+    /// The last write of each member.
     last_by_member: BTreeMap<u64, u64>,
-    /// Writes that have not ended, those that are to be sent among them.
+    /// Writes that have not ended, including those in flight.
     pub(crate) open: BTreeSet<u64>,
-    /// Marks, ends and words that came before their write did: files are read one after another.
+    /// Records that were read before the write that they belong to: files are read one after another.
     early_records: Vec<(u64, Record)>,
-    /// Spoilt parts of files: where, how many bytes, which write each was about, if that is known, and whether it may
-    /// have been a mark.
+    /// Damaged parts of files: offset, length in bytes, the write that the record belonged to (if known), and whether
+    /// the file holds marks, so that the record may have been one.
     pub damaged: Vec<(u64, u64, Option<u64>, bool)>,
     pub(crate) counts: Counts,
-    /// Writes that ended otherwise than well.
+    /// Writes that ended unsuccessfully, see [`End::is_well`].
     failed: BTreeSet<u64>,
-    /// The present start of the host, if it is known.
+    /// The current boot of the host, if it is known.
     boot: Option<u64>,
-    /// Whether writes count only once they are acknowledged.
+    /// Whether a write in the intake counts only after its acknowledgement.
     needs_acknowledgement: bool,
-    /// Whether its process ran before the host's present start.
+    /// Whether the store's process ran during an earlier boot of the host.
     from_earlier_boot: bool,
     /// Writes that are not acknowledged yet.
     pub(crate) unacknowledged: BTreeSet<u64>,
 }
 
-/// Records ahead of their write that are held, at most: one whose write is spoilt never gets one.
+/// Limit of [`Book::early_records`]: a record whose write is damaged is never claimed.
 const MAX_EARLY_RECORDS: usize = 65_536;
 
 impl Book {
-    /// An empty one, of a store of which no writer lives on this start of the host.
+    /// Creates an empty book of a store whose writer did not run during this boot of the host.
     pub fn new(edge: EdgeId) -> Book {
         Book::with_boot(edge, None)
     }
 
-    /// An empty one, on this start of the host.
+    /// Creates an empty book, given the host's current boot.
     pub fn with_boot(edge: EdgeId, boot: Option<u64>) -> Book {
         Book {
             edge,
@@ -90,17 +90,17 @@
         }
     }
 
-    /// A write.
+    /// Returns a write.
     pub fn entry(&self, seq: u64) -> Option<&Entry> {
         self.entries.get(&seq)
     }
 
-    /// All writes, by number.
+    /// Returns all writes, ordered by number.
     pub fn entries(&self) -> impl Iterator<Item = (u64, &Entry)> {
         self.entries.iter().map(|(seq, entry)| (*seq, entry))
     }
 
-    /// How many are what.
+    /// Counts the writes by state.
     pub fn counts(&self) -> Counts {
         let mut counts = self.counts;
         counts.damaged = self.damaged.len();
@@ -116,24 +116,24 @@
         counts
     }
 
-    /// How many have no end.
+    /// The number of writes that have not ended.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// The time at which the oldest without an end was kept.
+    /// The time at which the oldest open write was stored, in Unix milliseconds.
     pub fn oldest_open_ms(&self) -> Option<u64> {
         self.open.iter().next().map(|seq| self.entries[seq].kept_ms)
     }
 
-    /// The last write of a member, if that has no end yet.
+    /// Returns the last write of a member if it has not ended.
     pub fn last_of(&self, member: u64) -> Option<u64> {
         let last = self.last_by_member.get(&member).copied().filter(|_| member != 0)?;
         self.open.contains(&last).then_some(last)
     }
 
-    /// How far the store is; see [`Watermark`]. A write whose record is spoilt is nowhere, and counts as ended: what becomes
-    /// of it nobody can say.
+    /// Returns the store's progress; see [`Watermark`]. A write whose record is damaged has no entry and counts as
+    /// ended, since its outcome cannot be determined.
     pub fn watermark(&self) -> Watermark {
         let (upto, beyond) = self.ended_range();
         let mut failed = [0; MAX_FAILED];
@@ -141,7 +141,7 @@
         Watermark { upto, beyond, failed }
     }
 
-    /// All up to this number have ended, and of the 64 behind those whose bit is set.
+    /// Returns the number up to which all writes have ended, and a bit set of the ended ones among the next 64.
     pub(crate) fn ended_range(&self) -> (u64, u64) {
         let last = self.entries.last_key_value().map_or(0, |(seq, _)| *seq);
         let upto = self.open.first().map_or(last, |first| first - 1);
@@ -150,7 +150,7 @@
         (upto, beyond)
     }
 
-    /// Takes in an item of a file; `marks`: of one that holds marks.
+    /// Applies an item of a file. `marks`: whether the file holds marks (an owner's journal).
     pub fn apply_item(&mut self, item: &Item, marks: bool) {
         match item {
             Item::Record { seq, at, length, record } => self.apply(*seq, (*at, *length), record),
@@ -160,14 +160,15 @@
                     self.resolve_unacknowledged(*seq);
                 }
             }
-            // It was never on disk as a whole, so nothing was made to hang on it.
+            // A torn record was never completely on disk, so nothing depends on it.
             Item::Torn { .. } => {}
         }
     }
 
-    /// A spoilt record of the intake may have acknowledged this write, or any. Only somebody who knows can say.
+    /// Handles a damaged intake record, which may have acknowledged this write, or any write if `about` is None.
+    /// Within the same boot the writes become in doubt: only an operator can decide.
     pub(crate) fn resolve_unacknowledged(&mut self, about: Option<u64>) {
-        // What a loss of power has cut short is spoilt as a rule.
+        // After an earlier boot, damage is usually a write cut short by a power loss.
         let state = if self.from_earlier_boot { State::Kept } else { State::InDoubt };
         let spoilt = |seq: &u64| about.is_none_or(|about| about == *seq);
         let doubtful: Vec<u64> = self.unacknowledged.iter().copied().filter(spoilt).collect();
@@ -179,8 +180,8 @@
         }
     }
 
-    /// All of its intake has been read. With an earlier start of the host acknowledgements are lost that were not synced:
-    /// what comes behind the last one is kept, whatever its client was told.
+    /// Must be called when the whole intake has been read. After a reboot, acknowledgements that were not synced are
+    /// lost, so all writes after the last acknowledged one are kept, whatever their clients were told.
     pub fn finish_intake(&mut self) {
         if !self.from_earlier_boot {
             return;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Ends what was taken in before this write and is not acknowledged.
+    /// Ends the writes before this one that are in the intake and not acknowledged.
     fn withdraw_before(&mut self, seq: u64) {
         let later = self.unacknowledged.split_off(&seq);
         for seq in std::mem::replace(&mut self.unacknowledged, later) {
@@ -203,7 +204,8 @@
         }
     }
 
-    /// A process acknowledges in the order in which it has taken in.
+    /// Acknowledges a write. A process acknowledges writes in the order in which it stored them, so earlier ones
+    /// without an acknowledgement are withdrawn.
     fn acknowledge(&mut self, seq: u64) {
         self.withdraw_before(seq);
         if self.unacknowledged.remove(&seq)
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Takes in a record.
+    /// Applies a record.
     pub fn apply(&mut self, seq: u64, at: (u64, u32), record: &Record) {
         match record {
             Record::Opened { boot } => {
@@ -273,13 +275,13 @@
         if let State::Ended(_) = entry.state {
             return;
         }
-        // An owner went by it: for that one it was kept, as after a loss of power.
+        // An owner has processed this write, so it regarded it as kept, as it does after a power loss.
         self.unacknowledged.remove(&seq);
         match record {
             Record::Write(_) | Record::Opened { .. } | Record::Acknowledged => {}
             Record::Mark { by, at } => {
-                // The owner before this one was not heard of again. If only this mark's end counted, one that is
-                // known not to have run would look as if it had never gone out.
+                // The previous owner's attempt has no recorded outcome. Without this line, a `NotRun` for the new
+                // mark alone would make the write look as if it had never been sent.
                 if let State::InFlight(before) = entry.state {
                     entry.set_unresolved(before);
                 }
@@ -287,7 +289,7 @@
                 entry.state = State::InFlight((*by).into());
                 entry.first_sent.get_or_insert(*at);
             }
-            // Only whose mark it was knows; another mark may stand by now.
+            // Only the owner that set the mark knows the outcome, and another owner's mark may be in force by now.
             Record::NotRun { by } if entry.state == State::InFlight((*by).into()) => {
                 entry.clear_in_flight()
             }
@@ -295,7 +297,7 @@
                 entry.may_have_run = true;
                 entry.clear_in_flight();
             }
-            // An owner that was followed has come to say so.
+            // A previous owner reports the outcome of its attempt late.
             Record::NotRun { by } if entry.unresolved_owner == Some((*by).into()) => {
                 entry.unresolved_owner = None;
                 if matches!(entry.state, State::Repeatable | State::InDoubt) {
@@ -326,7 +328,7 @@
 
     fn class(&mut self, name: &str) -> u16 {
         let known = self.classes.iter().position(|class| class == name);
-        // Classes are a handful; of more than fit the last name stands for all.
+        // There are only a few classes. If they exceed the index, the last name stands for the rest.
         known.unwrap_or_else(|| {
             if self.classes.len() < usize::from(u16::MAX) {
                 self.classes.push(name.to_owned());
@@ -335,7 +337,7 @@
         }) as u16
     }
 
-    /// What earlier owners have marked has gone out, for all that is known: nobody answers for it any more.
+    /// Treats everything that earlier owners marked as possibly sent: their outcomes may never be reported.
     pub(crate) fn take_over(&mut self, me: Token) {
         for seq in &self.open {
             let Some(entry) = self.entries.get_mut(seq) else { continue };
@@ -348,14 +350,14 @@
                 entry.clear_in_flight();
             }
         }
-        // A spoilt record may have been a mark. Which write it was about its head may tell; where it does
-        // not, it may be any that was kept by then.
+        // A damaged record may have been a mark. Its header may tell which write it was for; otherwise it may be any
+        // write that was kept by then.
         let lost: Vec<Option<u64>> = self.damaged.iter().filter(|d| d.3).map(|d| d.2).collect();
         let doubt = |seq: &u64| lost.iter().any(|about| about.is_none_or(|about| about == *seq));
         for seq in self.open.iter().filter(|seq| doubt(seq)) {
             let Some(entry) = self.entries.get_mut(seq) else { continue };
             if entry.state == State::Kept {
-                // When it went out nobody knows, so that no repeat is in time either.
+                // The time of sending is unknown, so no repeat can be shown to be within the window.
                 entry.may_have_run = true;
                 entry.clear_in_flight();
             }
--- a/crates/millethook-edge/src/check.rs
+++ b/crates/millethook-edge/src/check.rs
@@ -1,4 +1,4 @@
-//! What may never be, by name.
+//! Invariants of a replay, each with a name.
 
 use millethook_machine::Violation;
 
@@ -6,29 +6,31 @@
 use crate::replay::Replay;
 
 impl Replay {
-    /// Looks at every rule of this store.
+    /// Checks every invariant of this store.
     ///
     /// # Errors
-    /// The first one that is broken, with the values.
+    /// The first violated invariant, with the values involved.
     pub fn check(&self) -> Result<(), Violation> {
         let rule = Violation::unless;
         let book = &self.book;
-        let most = self.config.max_concurrent.max(1);
-        rule(self.in_flight.len() <= most, "writes out at once are bounded", &|| {
-            format!("{} of {most}", self.in_flight.len())
+        let max_in_flight = self.config.max_concurrent.max(1);
+        rule(self.in_flight.len() <= max_in_flight, "writes in flight are limited", &|| {
+            format!("{} of {max_in_flight}", self.in_flight.len())
         })?;
         for seq in self.in_flight.keys() {
             let Some(entry) = book.entries.get(seq) else {
-                return rule(false, "what is out is in the store", &|| seq.to_string());
+                return rule(false, "a write in flight has an entry", &|| seq.to_string());
             };
-            // An earlier owner's answer may come while a repeat is out.
+            // An earlier owner's late record may end a write while a repeat of it is in flight.
             let marked = entry.state == State::InFlight(self.token);
             rule(
                 marked || matches!(entry.state, State::Ended(_)),
-                "what is out is marked on disk",
+                "a write in flight is marked on disk",
                 &|| format!("{seq}: {:?}", entry.state),
             )?;
-            rule(entry.first_sent.is_some(), "what is out has a time", &|| seq.to_string())?;
+            rule(entry.first_sent.is_some(), "a write in flight has a time of sending", &|| {
+                seq.to_string()
+            })?;
             for id in entry.after.iter().filter(|id| id.edge == book.edge && id.seq < *seq) {
                 let before = book.entries.get(&id.seq).map(|e| e.state);
                 let ended = match before {
@@ -39,20 +41,20 @@
                 };
                 rule(
                     ended || entry.predecessor_skipped,
-                    "a successor goes after its forerunner",
+                    "a write is sent after its dependencies",
                     &|| format!("{seq} after {}: {before:?}", id.seq),
                 )?;
             }
         }
         for (seq, entry) in &book.entries {
             let ended = matches!(entry.state, State::Ended(_));
-            rule(ended != book.open.contains(seq), "what is kept has an end or is open", &|| {
+            rule(ended != book.open.contains(seq), "a write is either open or ended", &|| {
                 format!("{seq}: {:?}", entry.state)
             })?;
             let doubtful = entry.state == State::InDoubt;
             rule(
                 !doubtful || !self.in_flight.contains_key(seq),
-                "what is in doubt is not out",
+                "a write in doubt is not in flight",
                 &|| seq.to_string(),
             )?;
         }
@@ -60,14 +62,14 @@
             let state = book.entries.get(seq).map(|entry| entry.state);
             rule(
                 state == Some(State::Unacknowledged),
-                "what is not acknowledged does not go out",
+                "an unacknowledged write is not sent",
                 &|| format!("{seq}: {state:?}"),
             )?;
         }
         let (upto, _) = book.ended_range();
         rule(
             book.open.first().is_none_or(|first| *first > upto),
-            "what is told as done is done",
+            "all writes up to the watermark have ended",
             &|| format!("up to {upto}, open {:?}", book.open.first()),
         )?;
         let counts = book.counts();
--- a/crates/millethook-edge/src/context.rs
+++ b/crates/millethook-edge/src/context.rs
@@ -1,24 +1,24 @@
-//! What a write comes after: the header that a client passes on as it got it.
+//! The dependencies of a write, in the header that a client passes on unchanged.
 
 use crate::WriteId;
 
-/// Writes that one context names at most: the nearest ones are enough, as each names its own.
+/// Maximum number of writes in a context. The nearest dependencies suffice, since each of them names its own.
 pub const MAX_CONTEXT_IDS: usize = 8;
-/// Bytes of a context at most.
+/// Maximum length of a context in bytes.
 pub const MAX_CONTEXT_BYTES: usize = 320;
 
-/// The nearest writes that one comes after.
+/// The nearest writes on which a write depends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Context(Vec<WriteId>);
 
-/// Why a header is no context.
+/// The reason why a header is not a valid context.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Malformed {
-    /// Too long.
+    /// The text is longer than [`MAX_CONTEXT_BYTES`].
     Length,
-    /// More ids than a context may name.
+    /// The text has more than [`MAX_CONTEXT_IDS`] ids.
     Many,
-    /// What stands there is no id.
+    /// A part of the text is not a write id.
     Id,
 }
 
@@ -35,10 +35,10 @@
 impl std::error::Error for Malformed {}
 
 impl Context {
-    /// Reads the value of a header; an empty one names nothing.
+    /// Parses the value of a header. An empty value names no writes.
     ///
     /// # Errors
-    /// It holds what was never given out in this form.
+    /// The value was not issued by a store in this form.
     pub fn parse(text: &str) -> Result<Context, Malformed> {
         if text.len() > MAX_CONTEXT_BYTES {
             return Err(Malformed::Length);
@@ -51,7 +51,7 @@
         if ids.len() > MAX_CONTEXT_IDS { Err(Malformed::Many) } else { Ok(Context(ids)) }
     }
 
-    /// The writes that it names, in order.
+    /// Returns the named writes in ascending order.
     pub fn ids(&self) -> &[WriteId] {
         &self.0
     }
--- a/crates/millethook-edge/src/entry.rs
+++ b/crates/millethook-edge/src/entry.rs
@@ -1,4 +1,4 @@
-//! One kept write, and how far its replay has come.
+//! The state of one stored write.
 
 use millethook_lease::Token;
 use smallvec::SmallVec;
@@ -7,50 +7,51 @@
 use crate::mutant::{self, Mutant};
 use crate::record::{End, HostTime, Repeat};
 
-/// How far a write has come.
+/// The replay state of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It is in the intake, and its client has no receipt yet: it may have been answered that the write failed.
+    /// The write is in the intake, and its client has no receipt yet: the client may have been told that the write
+    /// failed.
     Unacknowledged,
-    /// It has never gone out.
+    /// The write has never been sent.
     Kept,
-    /// It is marked as out under this token, and nothing is known of its end.
+    /// The write is marked as sent under this token, and its outcome is not known.
     InFlight(Token),
-    /// It may have run, and a repeat does no harm.
+    /// The write may have been executed, and repeating it is harmless.
     Repeatable,
-    /// It may have run, and only somebody who knows can say.
+    /// The write may have been executed and is not safe to repeat: an operator has to decide.
     InDoubt,
-    /// It has ended.
+    /// The write has ended.
     Ended(End),
 }
 
-/// One write.
+/// One stored write.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Where its record's body is in the file, and how long: bodies are read when they are sent.
+    /// Offset and length of the record's body in its file. Bodies are read only when they are sent.
     pub location: (u64, u32),
-    /// Unix time at which it was kept, in milliseconds.
+    /// Unix time at which the write was stored, in milliseconds.
     pub kept_ms: u64,
-    /// Its class, by its place in [`Book::classes`](crate::Book::classes).
+    /// The write's class, as an index into [`Book::classes`](crate::Book::classes).
     pub class: u16,
-    /// What a repeat does.
+    /// Whether the write may be repeated.
     pub repeat: Repeat,
-    /// What it comes after: what its client named, and its member's last write before it.
+    /// Dependencies: the writes named by the client, and the member's previous write.
     pub after: SmallVec<[WriteId; 2]>,
-    /// How far it has come.
+    /// The replay state.
     pub state: State,
-    /// When it first went out, unless it is known not to have run since.
+    /// Time of the first attempt, unless every attempt is known not to have been executed.
     pub first_sent: Option<HostTime>,
-    /// It went out before and may have run then.
+    /// An earlier attempt may have been executed.
     pub may_have_run: bool,
-    /// Whose mark nobody answers for: that owner may still come to say what became of it.
+    /// A previous owner whose mark has no recorded outcome. That owner may still report it.
     pub unresolved_owner: Option<Token>,
-    /// It goes, or went, without waiting for one that never came.
+    /// The write is or was sent without waiting any longer for a dependency.
     pub predecessor_skipped: bool,
 }
 
 impl Entry {
-    /// It is out no more, and has no end.
+    /// Leaves the in-flight state without an end.
     pub(crate) fn clear_in_flight(&mut self) {
         let may_have_run = self.may_have_run || self.unresolved_owner.is_some();
         self.state = match (may_have_run, self.repeat) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// An owner that is followed has left a mark, and no word.
+    /// Records that a previous owner marked the write and left no outcome.
     pub(crate) fn set_unresolved(&mut self, owner: Token) {
         self.may_have_run |= self.unresolved_owner.is_some();
         self.unresolved_owner = Some(owner);
--- a/crates/millethook-edge/src/id.rs
+++ b/crates/millethook-edge/src/id.rs
@@ -1,20 +1,20 @@
-//! The names of stores and of writes.
+//! Ids of stores and of writes.
 
 use serde::{Deserialize, Serialize};
 
-/// A store: one process' own, so that nobody else ever appends to it.
+/// The id of a store. Each process has its own store, so no other process appends to it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct EdgeId(pub u64);
 
 impl EdgeId {
-    /// That of a process: its number in the fleet and its epoch, of which 48 bits count.
+    /// Builds the id of a process's store from the process's number in the fleet and the low 48 bits of its epoch.
     pub fn new(number: u16, epoch: u64) -> EdgeId {
         EdgeId(u64::from(number) << 48 | epoch & 0xffff_ffff_ffff)
     }
 
-    /// The number of the sidecar whose store it is.
+    /// The number of the sidecar that owns the store.
     pub fn number(self) -> u16 {
         (self.0 >> 48) as u16
     }
@@ -26,7 +26,7 @@
     }
 }
 
-/// What was expected of an id.
+/// The error of parsing an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidId;
 
@@ -50,14 +50,14 @@
     }
 }
 
-/// A write that is kept: its store, and its number there, from 1 on.
+/// The id of a stored write. Numbers start at 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct WriteId {
     /// The store.
     pub edge: EdgeId,
-    /// Its number there.
+    /// The write's number in the store.
     pub seq: u64,
 }
 
--- a/crates/millethook-edge/src/lib.rs
+++ b/crates/millethook-edge/src/lib.rs
@@ -1,13 +1,13 @@
-//! Writes that are kept while no server can be reached, and their replay.
+//! Stores client writes while no server can be reached, and replays them.
 //!
-//! A write is acknowledged once it is on disk ([`log`] is the form). It is replayed after those that it depends on:
-//! the writes of its member before it, and those that its context names, at whatever edge they lie (causal+ order with
-//! nearest dependencies: COPS, Lloyd et al., SOSP 2011). Before a write goes out that is marked on disk; a marked one
-//! without an answer may have run, and is repeated only where that does no harm. Why it is so is in
-//! `docs/design/edge.md`.
+//! A write is acknowledged once it is on disk ([`log`] is the file format). It is replayed after the writes that it
+//! depends on: earlier writes of its member, and those that its context names, in any store (causal+ consistency with
+//! nearest dependencies: COPS, Lloyd et al., SOSP 2011). Each attempt is marked on disk before it is sent. A marked
+//! write without an answer may have been executed and is repeated only where that is harmless. `docs/design/edge.md`
+//! gives the reasons.
 //!
-//! Nothing here has a file, a socket or a clock: bytes, the time and outcomes are handed in; what is to be written and
-//! sent comes out.
+//! This crate has no files, sockets or clock: the caller passes in bytes, times and outcomes, and gets back what to
+//! write and what to send.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/millethook-edge/src/log.rs
+++ b/crates/millethook-edge/src/log.rs
@@ -1,11 +1,11 @@
-//! The form of a store's files: records one behind another, each with a head of its own checksum, so that a spoilt body is
-//! known by its name, and what follows it is found again.
+//! The format of a store's files: a sequence of records. Each header has its own checksum, so that a damaged body can
+//! be attributed to its write and the next record can be found.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 4 | `mhE1` |
 //! | 4 | length of the body |
-//! | 8 | the number of the write that it is about |
+//! | 8 | number of the write that the record belongs to |
 //! | 4 | CRC-32 of the body |
 //! | 4 | CRC-32 of the 20 bytes before |
 //! | n | the record (postcard) |
@@ -14,51 +14,51 @@
 use crate::record::Record;
 
 const MAGIC: [u8; 4] = *b"mhE1";
-/// The bytes of a head.
+/// Length of a record's header in bytes.
 pub const HEADER_BYTES: usize = 24;
-/// The longest body: a request's body is 64 KiB at most, and so may its head be.
+/// Maximum length of a record's body: a request's body has up to 64 KiB, and its head may be as long.
 pub const MAX_BODY_BYTES: usize = 256 << 10;
 
-/// What stands at a place of a file.
+/// One item of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// A record.
+    /// An intact record.
     Record {
-        /// The write that it is about.
+        /// The write that the record belongs to.
         seq: u64,
-        /// Where its body is,
+        /// Offset of the record's body.
         at: u64,
-        /// and how long.
+        /// Length of the record's body.
         length: u32,
-        /// What it says.
+        /// The decoded record.
         record: Record,
     },
-    /// Bytes that are spoilt; what follows is sound.
+    /// Damaged bytes, followed by intact ones.
     Damaged {
-        /// Where,
+        /// Offset of the damaged bytes.
         at: u64,
-        /// and how many.
+        /// Number of damaged bytes.
         length: u64,
-        /// The write that the record was about, if its head is sound.
+        /// The write that the record belonged to, if its header is intact.
         seq: Option<u64>,
     },
-    /// The end of the file is the begin of a record: an append that was cut short, on which nothing hangs yet.
+    /// An incomplete record at the end of the file: an append was cut short. Nothing depends on it yet.
     Torn {
-        /// Where,
+        /// Offset of the incomplete record.
         at: u64,
-        /// and how many bytes.
+        /// Number of bytes.
         length: u64,
     },
 }
 
-/// Why a record cannot be written.
+/// The record's body exceeds [`MAX_BODY_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Adds a record.
+/// Appends a record.
 ///
 /// # Errors
-/// It is longer than a record may be; nothing has changed.
+/// The record's body is too long; `bytes` is unchanged.
 pub fn append(bytes: &mut Vec<u8>, seq: u64, record: &Record) -> Result<(), TooLong> {
     let body = postcard::to_allocvec(record).map_err(|_| TooLong)?;
     if body.len() > MAX_BODY_BYTES {
@@ -92,7 +92,7 @@
     (sound && length <= MAX_BODY_BYTES).then_some(Header { length, seq, checksum: word(16)? })
 }
 
-/// One record, head first, where its place is known; None: it is spoilt, or not there.
+/// Decodes the record, header included, at the start of `bytes`. Returns None if it is damaged or missing.
 pub fn decode_one(bytes: &[u8]) -> Option<(u64, Record)> {
     match scan(bytes, 0).next()? {
         Item::Record { seq, record, .. } => Some((seq, record)),
@@ -100,20 +100,21 @@
     }
 }
 
-/// Reads what stands in a file from `from` on, in order. The next reading of a file that grows begins where an item of
-/// kind [`Item::Torn`] was.
+/// Iterates over the items of a file from offset `from`. To continue reading a file that grows, start at the offset
+/// of the [`Item::Torn`] item.
 pub fn scan(file: &[u8], from: u64) -> impl Iterator<Item = Item> {
     let mut at = (from as usize).min(file.len());
     std::iter::from_fn(move || {
         let rest = file.get(at..).filter(|rest| !rest.is_empty())?;
         let begin = at as u64;
         let Some(found) = parse_header(rest) else {
-            // What a spoilt head hides ends where the next sound one begins.
+            // A damaged header hides everything up to the next intact header.
             let next = (1..rest.len().saturating_sub(HEADER_BYTES - 1))
                 .find(|n| rest[*n..].starts_with(&MAGIC) && parse_header(&rest[*n..]).is_some());
             at += next.unwrap_or(rest.len());
             let length = (at as u64) - begin;
-            // An append that was cut short leaves less than a head, or nothing but zeros, whatever length the file got.
+            // An append that was cut short leaves less than a header, or only zeros if the file system extended the
+            // file first.
             let short = rest.len() < HEADER_BYTES || rest.iter().all(|b| *b == 0);
             return Some(if next.is_none() && short {
                 Item::Torn { at: begin, length }
--- a/crates/millethook-edge/src/mutant.rs
+++ b/crates/millethook-edge/src/mutant.rs
@@ -1,20 +1,20 @@
-//! Rules that tests take out (`--features mutants`).
+//! Rules that tests disable (`--features mutants`) to prove that the search detects their absence.
 
 millethook_machine::mutants! {
-    /// A write goes out before it is marked on disk.
+    /// A write is sent before its mark is on disk.
     NoMark,
-    /// What earlier owners marked is sent again as if it had never gone out.
+    /// A new owner resends writes that earlier owners marked, as if they had never been sent.
     MarksForgotten,
-    /// A successor does not wait for its forerunner in the same store,
+    /// A write does not wait for its dependencies in the same store.
     NoOrder,
-    /// nor for one in another store.
+    /// A write does not wait for its dependencies in another store.
     NoOrderElsewhere,
-    /// What may have run is sent again whatever it is.
+    /// A write that may have been executed is resent even if a repeat is harmful.
     AlwaysAgain,
-    /// A keyed write is repeated beyond its window, too.
+    /// A keyed write is repeated after its window.
     NoWindow,
-    /// A write that is not acknowledged goes out.
+    /// A write that is not acknowledged is sent.
     Unacknowledged,
-    /// A record whose sum is wrong counts as it stands.
+    /// A record with a wrong checksum is accepted.
     NoSum,
 }
--- a/crates/millethook-edge/src/rate.rs
+++ b/crates/millethook-edge/src/rate.rs
@@ -1,20 +1,21 @@
-//! How fast writes are replayed: what is free, and less as soon as that is short.
+//! The rate of a store's replay, limited to spare capacity.
 //!
-//! The decisions shed what is worth least long before there is no room, by how late answers are; replays are worth least.
-//! So a refusal says that others need the servers, and the rate falls by a share; each answer raises it by a little
-//! (additive increase, multiplicative decrease: Chiu and Jain, 1989). The delay itself, as LEDBAT (RFC 6817) takes it,
-//! was tried first: work that differs from write to write has no least answer time to measure it by.
+//! The load balancer sheds the least valuable class first, judged by answer times, long before capacity is exhausted,
+//! and replays are the least valuable class. A refusal therefore means that other requests need the servers: the rate
+//! is multiplied by a factor below 1. Each answer raises it a little (additive increase, multiplicative decrease:
+//! Chiu and Jain, 1989). Control by delay, as in LEDBAT (RFC 6817), was tried first, but writes differ in cost, so
+//! there is no minimum answer time to compare with.
 
 use crate::Micros;
 
-/// Writes a second at the start, at least, and at most, of one store.
+/// Initial, minimum and maximum rate of one store, in writes per second.
 const INITIAL_RATE: f64 = 8.0;
 const MIN_RATE: f64 = 2.0;
 const MAX_RATE: f64 = 2_000.0;
-/// What an answer adds: so many writes a second, and such a share of the rate, whichever is more.
+/// Increase per answer: writes per second or a share of the rate, whichever is more.
 const MIN_INCREASE: f64 = 0.25;
 const INCREASE_SHARE: f64 = 0.03;
-/// What a refusal leaves.
+/// Factor applied to the rate after a refusal.
 const REFUSAL_FACTOR: f64 = 0.8;
 
 /// The rate of one store.
@@ -22,14 +23,14 @@
 pub struct ReplayRate {
     rate: f64,
     next: Micros,
-    /// Stores that are replayed beside this one, itself counted.
+    /// Number of stores that are being replayed, including this one.
     stores: usize,
-    /// What all stores of the fleet may send in a second, together.
+    /// Writes per second that all stores of the fleet may send together.
     fleet_rate: f64,
 }
 
 impl ReplayRate {
-    /// Nothing is known yet. `fleet_rate`: writes a second that all stores of the fleet may send together.
+    /// Starts at the initial rate. `fleet_rate`: writes per second that all stores of the fleet may send together.
     pub fn new(fleet_rate: f64, now: Micros) -> ReplayRate {
         ReplayRate {
             rate: INITIAL_RATE,
@@ -39,35 +40,35 @@
         }
     }
 
-    /// So many stores of the fleet are being replayed.
+    /// Sets the number of stores that are being replayed in the fleet.
     pub fn set_store_count(&mut self, stores: usize) {
         self.stores = stores.max(1);
     }
 
-    /// Writes a second, at present.
+    /// The current rate in writes per second.
     pub fn rate(&self) -> f64 {
         self.rate
             .min(self.fleet_rate / self.stores as f64)
             .clamp(MIN_RATE.min(self.fleet_rate / self.stores as f64), MAX_RATE)
     }
 
-    /// When the next write may go out.
+    /// The time at which the next write may be sent.
     pub fn next_send_at(&self) -> Micros {
         self.next
     }
 
-    /// A write goes out.
+    /// Accounts for a write that is sent.
     pub fn on_send(&mut self, now: Micros) {
-        // What was not used is not saved up.
+        // Unused capacity is not saved up, so that no burst follows an idle time.
         self.next = self.next.max(now) + (1e6 / self.rate()) as Micros;
     }
 
-    /// An answer came.
+    /// Raises the rate after an answer.
     pub fn on_answer(&mut self) {
         self.rate = (self.rate + MIN_INCREASE.max(self.rate * INCREASE_SHARE)).min(MAX_RATE);
     }
 
-    /// It was refused, or had no answer: there is no room, or no server.
+    /// Lowers the rate after a refusal or a missing answer: there is no capacity or no server.
     pub fn on_refusal(&mut self) {
         self.rate = (self.rate * REFUSAL_FACTOR).max(MIN_RATE);
     }
--- a/crates/millethook-edge/src/record.rs
+++ b/crates/millethook-edge/src/record.rs
@@ -1,63 +1,63 @@
-//! What stands in a store's files, one record a thing that has happened.
+//! The records in a store's files, one for each event.
 
 use millethook_lease::Token;
 use serde::{Deserialize, Serialize};
 
 use crate::WriteId;
 
-/// What a repeat of a write does.
+/// Whether a write may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Harm.
+    /// A repeat is harmful.
     Never,
-    /// Nothing, within the window after the first attempt, wherever it goes. A class whose group is a zone or a cell
-    /// counts as [`Repeat::Never`]: a replay does not choose servers.
+    /// A repeat is harmless within a window after the first attempt, on any server. A class that deduplicates only
+    /// within a zone or a cell counts as [`Repeat::Never`], since a replay does not choose servers.
     Within {
-        /// The window, in milliseconds.
+        /// The window in milliseconds.
         window_ms: u64,
     },
 }
 
-/// A write, as its client sent it.
+/// A write as its client sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// Unix time at which it was kept, in milliseconds.
+    /// Unix time at which the write was stored, in milliseconds.
     pub at_ms: u64,
-    /// Its class, by name.
+    /// Name of the traffic class.
     pub class: String,
-    /// What a repeat of it does.
+    /// Whether the write may be repeated.
     pub repeat: Repeat,
-    /// Whose it is: writes of one member keep their order. 0: nobody's.
+    /// The member that sent the write; writes of one member keep their order. 0: no member.
     pub member: u64,
-    /// What it comes after.
+    /// The writes on which this one depends.
     pub after: Vec<WriteId>,
-    /// Its method,
+    /// HTTP method.
     pub method: String,
-    /// path and query,
+    /// Path and query.
     pub target: String,
-    /// header fields
+    /// Header fields.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// and body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// A time that all processes of one host measure alike.
+/// A time that is comparable between all processes of one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostTime {
-    /// Which boot of the host.
+    /// Identifies the boot of the host.
     pub boot: u64,
-    /// Milliseconds since then.
+    /// Milliseconds since the boot.
     pub ms: u64,
 }
 
 impl HostTime {
-    /// Milliseconds since `earlier`; None: the host was started anew, and nobody knows.
+    /// Milliseconds since `earlier`, or None if the host was rebooted in between, which makes the time unknown.
     pub fn since(self, earlier: HostTime) -> Option<u64> {
         if self.boot == earlier.boot { self.ms.checked_sub(earlier.ms) } else { None }
     }
 }
 
-/// A token as it stands on disk.
+/// A lease token as stored on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner(pub u64, pub u32, pub u16);
 
@@ -76,27 +76,27 @@
 /// How a write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// A server has served it.
+    /// A server served it.
     Done,
-    /// A server has refused it for good.
+    /// A server refused it permanently.
     Refused,
-    /// It was kept for too long.
+    /// It exceeded the maximum age.
     Expired,
-    /// One that it comes after has not been served, and never will be.
+    /// A write that it depends on failed or never arrived.
     Forsaken,
-    /// An operator has dropped it.
+    /// An operator dropped it.
     Dropped,
-    /// Its record was found spoilt as it was to go out.
+    /// Its record was found damaged when it was to be sent.
     Spoilt,
-    /// Its client was answered that nobody knows whether it is kept, or has gone without an answer.
+    /// Its client was told that the write's state is unknown, or got no answer.
     Withdrawn,
 }
 
 impl End {
-    /// Whether those that come after it may go on as if it had been served.
+    /// Whether writes that depend on this one may proceed as if it had been served.
     pub fn is_well(self) -> bool {
-        // One that was withdrawn has failed for its client, which a later write does not wait for without `[edge]`
-        // either.
+        // A withdrawn write has failed for its client. Without the `[edge]` section, too, later writes do not wait
+        // for a failed one.
         matches!(self, End::Done | End::Dropped | End::Withdrawn)
     }
 }
@@ -104,43 +104,43 @@
 /// One record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A write is kept.
+    /// A write is stored.
     Write(Box<Write>),
-    /// It goes out under this token.
+    /// The write is about to be sent under this token.
     Mark {
-        /// Whose.
+        /// The owner that sends it.
         by: Owner,
-        /// When.
+        /// The time of the attempt.
         at: HostTime,
     },
-    /// It did not go out, or is known not to have run.
+    /// The write was not sent, or is known not to have been executed.
     NotRun {
-        /// Whose mark that was.
+        /// The owner whose attempt it was.
         by: Owner,
     },
-    /// It may have run, and nobody answers for it.
+    /// The write may have been executed, and its outcome will not become known.
     MayHaveRun {
-        /// Whose mark that was.
+        /// The owner whose attempt it was.
         by: Owner,
     },
-    /// It has ended.
+    /// The write has ended.
     End {
-        /// How.
+        /// How it ended.
         how: End,
-        /// What a server answered, where it was no success: its status,
+        /// Status of the server's answer if the server refused the write, else 0.
         status: u16,
-        /// and the begin of the body.
+        /// The first bytes of that answer's body.
         answer: Vec<u8>,
-        /// Unix time, in milliseconds.
+        /// Unix time in milliseconds.
         at_ms: u64,
     },
-    /// An operator says that it has not run, or that it may be sent again.
+    /// An operator states that the write was not executed or may be repeated.
     Release,
-    /// The first record of an intake whose writes count only once they are acknowledged.
+    /// The first record of an intake whose writes count only after their acknowledgement.
     Opened {
-        /// The start of the host, as in [`HostTime::boot`].
+        /// The boot of the host, as in [`HostTime::boot`].
         boot: u64,
     },
-    /// The write's client gets a receipt for its answer.
+    /// The write's client gets a receipt.
     Acknowledged,
 }
--- a/crates/millethook-edge/src/replay.rs
+++ b/crates/millethook-edge/src/replay.rs
@@ -1,4 +1,5 @@
-//! Which kept write goes out next, and what becomes of it. One owner at a time, by its token.
+//! Decides which stored write is sent next and records its outcome. A store has one owner at a time, identified by
+//! its token.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,44 +14,45 @@
 use crate::watermark::Progress;
 use crate::{Micros, WriteId};
 
-/// How a store is replayed.
+/// Settings of a replay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Writes that are out at once, at most.
+    /// Maximum number of writes in flight.
     pub max_concurrent: usize,
-    /// Writes a second that all stores of the fleet may send together.
+    /// Writes per second that all stores of the fleet may send together.
     pub fleet_writes_per_second: f64,
-    /// What is kept for longer has expired, in milliseconds.
+    /// Age in milliseconds at which a write that was never sent expires.
     pub max_age_ms: u64,
-    /// For so long a write waits for one that it comes after, in microseconds.
+    /// How long a write waits for a dependency, in microseconds.
     pub predecessor_wait: Micros,
-    /// What is done with one whose forerunner has failed or never came: true: it goes all the same.
+    /// Whether a write is sent if a dependency failed or never arrived; otherwise it ends as forsaken.
     pub send_without_predecessor: bool,
-    /// A keyed write is not repeated in the last part of its window, in milliseconds: it has to arrive within it.
+    /// A keyed write is not repeated in the last milliseconds of its window, since it has to arrive within the
+    /// window.
     pub repeat_margin_ms: u64,
 }
 
-/// What came of a write that went out.
+/// The outcome of a write that was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A server has served it.
+    /// A server served it.
     Served,
-    /// A server has refused it for good: its status, and the begin of its answer.
+    /// A server refused it permanently: status and the first bytes of its answer.
     Refused(u16, Vec<u8>),
-    /// What was kept of it is spoilt; it did not go out.
+    /// The stored record is damaged; the write was not sent.
     Damaged,
-    /// It did not run: there was no room, no server, or it never went out.
+    /// It was not executed: there was no capacity or no server, or it was never sent.
     NotRun,
-    /// Nobody knows.
+    /// The outcome is unknown.
     MayHaveRun,
 }
 
-/// What is to be done.
+/// The next action of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Write this down about a write and wait until it is on disk; then call [`Replay::record_written`].
+    /// Write this record about a write, wait until it is on disk, then call [`Replay::record_written`].
     Write(u64, Record),
-    /// Send this write, if the lease is still there in this instant; then call [`Replay::outcome`].
+    /// Send this write if the lease is still valid at this instant, then call [`Replay::outcome`].
     Send(u64),
 }
 
@@ -60,29 +62,29 @@
     pub(crate) config: Config,
     pub(crate) token: Token,
     pub(crate) book: Book,
-    /// Records on their way to the disk.
+    /// Records that are being written to disk.
     pub(crate) writing: BTreeMap<u64, Record>,
-    /// Writes that are out.
+    /// Writes in flight, with the time of sending.
     pub(crate) in_flight: BTreeMap<u64, Micros>,
-    /// Since when a write waits for another one.
+    /// The time since which a write has been waiting for a dependency.
     waiting: BTreeMap<u64, Micros>,
-    /// Writes that can be looked at: they are not out, not in doubt, and nothing was seen that holds them up.
+    /// Candidates for sending: not in flight, not in doubt, and not known to be blocked.
     ready: BTreeSet<u64>,
-    /// Those that wait for others.
+    /// Writes that wait for dependencies.
     held: BTreeSet<u64>,
     next_scan_at: Micros,
     rate: ReplayRate,
-    /// The store's process is gone.
+    /// The store's process has ended.
     process_ended: bool,
 }
 
-/// Between two looks at what waits for other stores.
+/// Interval at which waiting writes are examined again.
 const SCAN_INTERVAL_US: Micros = 100_000;
-/// Writes that are looked at in one step, at most.
+/// Maximum number of writes that are examined in one step.
 const MAX_SCANNED_PER_STEP: usize = 64;
 
 impl Replay {
-    /// Takes a store over as its book stands.
+    /// Takes over a store, given its book.
     pub fn new(config: Config, token: Token, mut book: Book, now: Micros) -> Replay {
         book.take_over(token);
         let ready = book.open.clone();
@@ -101,31 +103,31 @@
         }
     }
 
-    /// The store.
+    /// The store's book.
     pub fn book(&self) -> &Book {
         &self.book
     }
 
-    /// The token that it goes by.
+    /// The token of this owner.
     pub fn token(&self) -> Token {
         self.token
     }
 
-    /// So many stores of the fleet are being replayed.
+    /// Sets the number of stores of the fleet that are being replayed.
     pub fn set_store_count(&mut self, stores: usize) {
         self.rate.set_store_count(stores);
     }
 
-    /// Writes a second, at present.
+    /// The current rate in writes per second.
     pub fn rate(&self) -> f64 {
         self.rate.rate()
     }
 
-    /// More of the store's files has been read: a write that was kept since, an earlier owner's late word, an
-    /// operator's.
+    /// Applies a record that was appended to the store's files since the takeover: a new write, a late outcome from
+    /// an earlier owner, or an operator's decision.
     pub fn apply_record(&mut self, seq: u64, at: (u64, u32), record: &Record) {
-        // What an earlier owner has marked after this one took over did not go out: it looks at its lease
-        // after the mark. To take it for out would leave it for ever.
+        // An earlier owner checks its lease after writing a mark. A write that it marked after this takeover was
+        // therefore not sent; treating it as in flight would leave it in that state forever.
         if matches!(record, Record::Mark { .. }) {
             return;
         }
@@ -136,20 +138,21 @@
         }
     }
 
-    /// A part of the intake that was read since is spoilt; the write that it was about, if its head tells.
+    /// Handles a damaged part of the intake that was read after the takeover. `about`: its write, if the header is
+    /// intact.
     pub fn intake_damaged(&mut self, about: Option<u64>) {
         self.book.resolve_unacknowledged(about);
     }
 
-    /// The store's process is gone, and all that it wrote has been read.
-    /// What is not acknowledged by then never is: no client has a receipt for it.
+    /// Must be called when the store's process has ended and everything that it wrote has been read. Writes without
+    /// an acknowledgement are then withdrawn: no client has a receipt for them.
     pub fn process_ended(&mut self) {
         self.process_ended = true;
         self.ready.extend(&self.book.unacknowledged);
     }
 
-    /// What is to be done next, if anything. `host_now` is the host's time, `unix_ms` Unix time, `elsewhere` tells of other
-    /// stores.
+    /// Returns the next action, if any. `host_now` is the host's time, `unix_ms` the Unix time, and `elsewhere`
+    /// returns the progress of writes in other stores.
     pub fn next(
         &mut self,
         now: Micros,
@@ -217,7 +220,7 @@
         None
     }
 
-    /// When [`Replay::next`] may have something again, if nothing else happens.
+    /// The time at which [`Replay::next`] may return an action again if nothing else happens.
     pub fn poll_timeout(&self) -> Micros {
         let held = if self.held.is_empty() { Micros::MAX } else { self.next_scan_at };
         let ready = if self.ready.is_empty() { Micros::MAX } else { self.rate.next_send_at() };
@@ -241,19 +244,21 @@
         elsewhere: &dyn Fn(WriteId) -> Progress,
     ) -> Predecessors {
         let mut open = false;
-        // With those that stand behind a write that was taken out: of each, only the nearest are named.
+        // Includes the dependencies of withdrawn and dropped writes, since a write names only its nearest
+        // dependencies.
         let mut unchecked: SmallVec<[(u64, WriteId); 8]> =
             entry.after.iter().map(|id| (seq, *id)).collect();
         let mut expanded: BTreeSet<WriteId> = BTreeSet::new();
         while let Some((named_by, id)) = unchecked.pop() {
-            // One that names itself or a later one names what it cannot have seen.
+            // A write cannot depend on itself or on a later write, so such a name is ignored.
             let in_this_store = id.edge == self.book.edge;
             if in_this_store && (id.seq >= named_by || mutant::is(Mutant::NoOrder)) {
                 continue;
             }
             let before = self.book.entries.get(&id.seq).filter(|_| in_this_store);
             match before.map(|e| e.state) {
-                // Without this, what comes after this write would overtake what this write had to wait for.
+                // Without this, a write that depends on the withdrawn one would overtake the dependencies of that
+                // one.
                 Some(State::Ended(End::Withdrawn | End::Dropped)) => {
                     let behind = before.into_iter().filter(|_| expanded.insert(id));
                     unchecked.extend(behind.flat_map(|e| e.after.iter().map(|of| (id.seq, *of))));
@@ -262,7 +267,7 @@
                     if end.is_well() || self.config.send_without_predecessor => {}
                 Some(State::Ended(_)) => return Predecessors::Failed,
                 Some(_) => open = true,
-                // Its record is spoilt.
+                // The dependency's record is damaged.
                 None if in_this_store => open = true,
                 None if mutant::is(Mutant::NoOrderElsewhere) => {}
                 None => match elsewhere(id) {
@@ -290,7 +295,8 @@
         Step::Write(seq, record)
     }
 
-    /// What was to be written down about a write is on disk; None: that failed, and nothing of it holds.
+    /// Reports that the record about a write is on disk, or, if `on_disk` is false, that writing it failed and it has
+    /// no effect.
     pub fn record_written(&mut self, now: Micros, seq: u64, on_disk: bool) -> Option<Step> {
         let record = self.writing.remove(&seq)?;
         if !on_disk {
@@ -300,7 +306,7 @@
         }
         self.book.apply(seq, (0, 0), &record);
         match record {
-            // It was ended while its mark was on the way: an operator has dropped it, or it was withdrawn.
+            // The write ended while its mark was being written: an operator dropped it, or it was withdrawn.
             Record::Mark { .. } if !self.book.open.contains(&seq) => None,
             Record::Mark { .. } => {
                 self.in_flight.insert(seq, now);
@@ -312,7 +318,7 @@
                 if open {
                     self.ready.insert(seq);
                 }
-                // Those behind it may go now.
+                // The writes that wait for this one may be ready now.
                 let held = std::mem::take(&mut self.held);
                 self.ready.extend(held);
                 None
@@ -320,7 +326,7 @@
         }
     }
 
-    /// What came of a write that went out.
+    /// Reports the outcome of a write that was sent.
     pub fn outcome(&mut self, seq: u64, outcome: Outcome, at_ms: u64) -> Option<Step> {
         self.in_flight.remove(&seq)?;
         let by = self.token.into();
@@ -351,9 +357,9 @@
 }
 
 enum Predecessors {
-    /// All have their end; true: one was not waited for any longer.
+    /// All have ended; true: the wait for one of them was given up.
     Ended(bool),
     Open,
-    /// One has failed, or never came, and this one is not to go without it.
+    /// One failed or never arrived, and the settings forbid sending without it.
     Failed,
 }
--- a/crates/millethook-edge/src/watermark.rs
+++ b/crates/millethook-edge/src/watermark.rs
@@ -1,34 +1,34 @@
-//! How far a store has been replayed, as its owner tells the others.
+//! The replay progress of a store, as its owner announces it to others.
 
-/// How far other stores have been replayed, by what their owners have told.
+/// The progress of a write in another store, according to that store's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The write has been served, or an operator has ended it.
+    /// The write was served, or ended in a way that does not hold up its successors.
     Ended,
-    /// It has ended otherwise.
+    /// The write ended unsuccessfully.
     Failed,
-    /// It has none.
+    /// The write has not ended.
     Open,
-    /// Nobody speaks of its store.
+    /// No information about the write is available.
     Unknown,
 }
 
-/// Writes that ended otherwise than well which a mark names, at most.
+/// Maximum number of unsuccessful writes that a watermark names.
 pub const MAX_FAILED: usize = 3;
 
-/// How far a store is, as others are told.
+/// The replay progress of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watermark {
-    /// All up to this number have ended,
+    /// All writes up to this number have ended.
     pub upto: u64,
-    /// and of the 64 behind it those whose bit is set, the first one in the lowest.
+    /// Bit n is set if write `upto + 1 + n` has ended, for the next 64 writes.
     pub beyond: u64,
-    /// The last writes that ended otherwise than well, the latest first; 0: none.
+    /// The latest unsuccessful writes, newest first; 0 is an empty place.
     pub failed: [u64; MAX_FAILED],
 }
 
 impl Watermark {
-    /// What it says of a write.
+    /// Returns the progress of a write.
     pub fn of(&self, seq: u64) -> Progress {
         let behind = seq.checked_sub(self.upto + 1);
         let ended = behind.is_none_or(|n| n < 64 && self.beyond >> n & 1 == 1);
@@ -36,7 +36,7 @@
         match ended {
             false => Progress::Open,
             true if self.failed.contains(&seq) => Progress::Failed,
-            // Of what lies before the earliest that is named nobody knows any more whether it ended well.
+            // For writes before the oldest named failure it is not known whether they ended well.
             true if last != 0 && seq < last => Progress::Unknown,
             true => Progress::Ended,
         }
--- a/crates/millethook-edge/tests/it/common/mod.rs
+++ b/crates/millethook-edge/tests/it/common/mod.rs
@@ -1,4 +1,4 @@
-//! One host whose sidecars share a folder of stores, servers that do what servers do, and random faults between them.
+//! A simulated host: sidecars that share a folder of stores, simulated servers, and random faults.
 
 #![allow(dead_code)]
 
@@ -20,27 +20,27 @@
 
 pub const PROCESSES: usize = 3;
 const MEMBERS: u64 = 4;
-/// A client is answered that nobody knows after so many milliseconds.
-const PATIENCE: u64 = 1_000;
-/// Milliseconds.
-const LEASE: u64 = 2_000;
-const WINDOW: u64 = 5_000;
-const STEP: u64 = 10;
-const FORERUNNER: u64 = 20_000;
+/// Time after which a client is told that the state of its write is unknown, in milliseconds.
+const CLIENT_TIMEOUT_MS: u64 = 1_000;
+/// Durations in milliseconds.
+const LEASE_MS: u64 = 2_000;
+const WINDOW_MS: u64 = 5_000;
+const STEP_MS: u64 = 10;
+const PREDECESSOR_WAIT_MS: u64 = 20_000;
 
-/// A file as processes see it, and how much of it is on disk.
+/// A file as processes see it, and how many of its bytes are on disk.
 #[derive(Clone, Default)]
 struct File {
     bytes: Vec<u8>,
     synced: usize,
 }
 
-/// A store's folder: what its process took in, and a journal for each owner.
+/// A store's folder: the intake of its process, and a journal for each owner.
 #[derive(Clone, Default)]
 struct Folder {
     intake: File,
-    /// How far its own process may read its intake: all before is acknowledged, or has its end.
-    settled: usize,
+    /// How far the store's own process may read its intake: all earlier writes are acknowledged or ended.
+    readable: usize,
     journals: BTreeMap<Token, File>,
 }
 
@@ -48,12 +48,12 @@
 struct Owner {
     edge: EdgeId,
     replay: Replay,
-    /// How far each file has been read.
+    /// Read offset in each file.
     read: BTreeMap<Option<Token>, u64>,
-    /// Records on their way to the disk, with the time at which they are there.
+    /// Records that are being written to disk, with the time at which they are on disk.
     writing: Vec<(u64, u64, Record)>,
-    /// Writes that are about to go out: looked at and not sent, or sent and not answered.
-    looked: Vec<u64>,
+    /// Writes whose lease check has passed and that are sent in the next step.
+    lease_checked: Vec<u64>,
     answers: Vec<(u64, u64, Outcome)>,
 }
 
@@ -61,26 +61,25 @@
     epoch: u64,
     paused_until: u64,
     owners: Vec<Owner>,
-    /// Writes that are being kept: number, what it is, when it is on disk.
-    keeping: Vec<Keeping>,
+    /// Writes that are being stored.
+    pending_writes: Vec<PendingWrite>,
     /// When the ends of withdrawn writes are on disk.
     withdrawing: Option<u64>,
-    /// Until then its disk syncs nothing that it takes in.
-    slow_until: u64,
+    /// Until this time the process's disk syncs nothing.
+    sync_blocked_until: u64,
     next: u64,
-    /// By member: the last write that is kept or being kept.
     alive: bool,
 }
 
-/// A write on its way to the disk.
-struct Keeping {
+/// A write that is being written to disk.
+struct PendingWrite {
     seq: u64,
     acked: Acked,
-    /// Where its record begins.
-    at: usize,
-    began: u64,
-    due: u64,
-    /// Its client was answered that nobody knows.
+    /// Offset of its record.
+    offset: usize,
+    started_at: u64,
+    synced_at: u64,
+    /// Its client was told that the write's state is unknown.
     withdrawn: bool,
 }
 
@@ -91,10 +90,10 @@
     repeat: Repeat,
 }
 
-/// What a server has done with a write.
+/// What a server did with a write.
 #[derive(Clone, Debug, Default)]
-struct Ran {
-    /// When it took effect; of a keyed one the first of each window.
+struct Executions {
+    /// The times at which it took effect; for a keyed write, the first of each window.
     at: Vec<u64>,
     refused: bool,
 }
@@ -105,22 +104,21 @@
     random: Pcg64Mcg,
     folders: BTreeMap<EdgeId, Folder>,
     processes: Vec<Process>,
-    /// The owner of each store, until when, and under which token.
+    /// The owner of each store, the end of its lease, and its token.
     leases: BTreeMap<EdgeId, (usize, u64, Token)>,
     counter: u32,
-    /// What owners have told of their stores.
-    told: BTreeMap<EdgeId, (Token, Watermark)>,
+    /// The progress that owners have announced.
+    announced: BTreeMap<EdgeId, (Token, Watermark)>,
     acked: BTreeMap<WriteId, Acked>,
-    /// Those whose clients were answered that nobody knows, with the host's start at which they were.
+    /// Writes whose clients were told that the state is unknown, with the host's boot at that time.
     withdrawn: BTreeMap<WriteId, u64>,
-    /// Of each member the last acknowledged write of each store.
-    ran: BTreeMap<WriteId, Ran>,
-    /// Whether servers answer, and how many in a hundred answers are lost.
+    executions: BTreeMap<WriteId, Executions>,
+    /// Whether servers answer; below it, the percentage of answers that are lost.
     reachable: bool,
-    lost: u64,
+    lost_answer_percent: u64,
     damaged: bool,
-    pub broken: Option<String>,
-    pub kept: u64,
+    pub violation: Option<String>,
+    pub stored: u64,
     pub effects: u64,
 }
 
@@ -129,7 +127,7 @@
         max_concurrent: 4,
         fleet_writes_per_second: 1_000.0,
         max_age_ms: 3_600_000,
-        predecessor_wait: FORERUNNER * 1_000,
+        predecessor_wait: PREDECESSOR_WAIT_MS * 1_000,
         send_without_predecessor: false,
         repeat_margin_ms: 500,
     }
@@ -141,9 +139,9 @@
             epoch: 0,
             paused_until: 0,
             owners: Vec::new(),
-            keeping: Vec::new(),
+            pending_writes: Vec::new(),
             withdrawing: None,
-            slow_until: 0,
+            sync_blocked_until: 0,
             next: 1,
             alive: false,
         };
@@ -155,15 +153,15 @@
             processes: (0..PROCESSES).map(process).collect(),
             leases: BTreeMap::new(),
             counter: 0,
-            told: BTreeMap::new(),
+            announced: BTreeMap::new(),
             acked: BTreeMap::new(),
             withdrawn: BTreeMap::new(),
-            ran: BTreeMap::new(),
+            executions: BTreeMap::new(),
             reachable: false,
-            lost: 0,
+            lost_answer_percent: 0,
             damaged: false,
-            broken: None,
-            kept: 0,
+            violation: None,
+            stored: 0,
             effects: 0,
         };
         (0..PROCESSES).for_each(|p| world.start(p));
@@ -196,7 +194,7 @@
         let process = &mut self.processes[p];
         process.alive = false;
         process.owners.clear();
-        process.keeping.clear();
+        process.pending_writes.clear();
         process.withdrawing = None;
     }
 
@@ -209,13 +207,13 @@
     }
 
     fn fail(&mut self, text: String) {
-        self.broken.get_or_insert(text);
+        self.violation.get_or_insert(text);
     }
 
     pub fn act(&mut self, act: &Act) {
         match *act {
-            Act::Keep(p, member, keyed, named) if self.awake(p) => {
-                self.keep(p, member, keyed, named)
+            Act::Store(p, member, keyed, named) if self.awake(p) => {
+                self.store_write(p, member, keyed, named)
             }
             Act::Kill(p) => self.kill(p),
             Act::Start(p) => self.start(p),
@@ -233,8 +231,8 @@
                 }
             }
             Act::Reachable(reachable) => self.reachable = reachable,
-            Act::Lost(lost) => self.lost = lost,
-            Act::SlowDisk(p, ms) => self.processes[p].slow_until = self.now + ms,
+            Act::LostAnswers(percent) => self.lost_answer_percent = percent,
+            Act::SlowDisk(p, ms) => self.processes[p].sync_blocked_until = self.now + ms,
             Act::PowerLoss => {
                 (0..PROCESSES).for_each(|p| self.kill(p));
                 let mut files: Vec<File> = Vec::new();
@@ -246,7 +244,7 @@
                     let unsure = (file.bytes.len() - file.synced) as u64;
                     let kept = file.synced + self.below(unsure + 1) as usize;
                     file.bytes.truncate(kept);
-                    // The length may have got to the disk without the content.
+                    // The file's length may have reached the disk without the content.
                     if self.below(3) == 0 {
                         file.bytes.resize(kept + 100, 0);
                     }
@@ -262,9 +260,9 @@
                 }
                 self.boot += 1;
                 self.leases.clear();
-                self.now += LEASE;
+                self.now += LEASE_MS;
             }
-            Act::Flip(at) => {
+            Act::FlipBit(at) => {
                 let mut files: Vec<&mut File> = Vec::new();
                 for folder in self.folders.values_mut() {
                     files.push(&mut folder.intake);
@@ -281,11 +279,11 @@
                     bit -= file.synced * 8;
                 }
             }
-            Act::Keep(..) | Act::Wait => {}
+            Act::Store(..) | Act::Wait => {}
         }
     }
 
-    fn keep(&mut self, p: usize, member: u64, keyed: bool, named: usize) {
+    fn store_write(&mut self, p: usize, member: u64, keyed: bool, named: usize) {
         let edge = self.edge(p);
         let after: Vec<WriteId> = {
             let all: Vec<WriteId> = self.acked.keys().copied().collect();
@@ -293,7 +291,7 @@
                 .map(|_| all[(self.random.next_u64() as usize) % all.len()])
                 .collect()
         };
-        let repeat = if keyed { Repeat::Within { window_ms: WINDOW } } else { Repeat::Never };
+        let repeat = if keyed { Repeat::Within { window_ms: WINDOW_MS } } else { Repeat::Never };
         let seq = self.processes[p].next;
         self.processes[p].next += 1;
         let id = WriteId { edge, seq };
@@ -313,21 +311,28 @@
         let at = file.bytes.len();
         let _ = log::append(&mut file.bytes, seq, &Record::Write(Box::new(write)));
         let due = self.now + self.random.next_u64() % 30;
-        let due = due.max(self.processes[p].slow_until);
+        let due = due.max(self.processes[p].sync_blocked_until);
         let acked = Acked { member, after, repeat };
-        let began = self.now;
-        self.processes[p].keeping.push(Keeping { seq, acked, at, began, due, withdrawn: false });
+        let started_at = self.now;
+        self.processes[p].pending_writes.push(PendingWrite {
+            seq,
+            acked,
+            offset: at,
+            started_at,
+            synced_at: due,
+            withdrawn: false,
+        });
     }
 
-    /// Lets time pass in small steps, each process doing what it has to.
+    /// Advances time in small steps and lets each process work.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
-        while self.now < end && self.broken.is_none() {
-            self.now += STEP.min(end - self.now);
-            self.give_leases();
+        while self.now < end && self.violation.is_none() {
+            self.now += STEP_MS.min(end - self.now);
+            self.assign_leases();
             for p in 0..PROCESSES {
                 if self.awake(p) {
-                    self.work(p);
+                    self.run_process(p);
                 }
             }
         }
@@ -345,19 +350,20 @@
         book
     }
 
-    /// Nothing that was acknowledged is lost: it is done, set apart, or in doubt. Returns how many are in doubt.
-    pub fn settle(&mut self) -> usize {
+    /// Checks that no acknowledged write is lost: each is served, ended otherwise, or in doubt. Returns the number in
+    /// doubt.
+    pub fn check_acknowledged(&mut self) -> usize {
         let mut doubt = 0;
         for (id, _) in self.acked.clone() {
             let book = self.book(id.edge);
             let gone = book.damaged.iter().any(|d| !d.3);
             match book.entry(id.seq).map(|e| e.state) {
                 None if gone => {}
-                None => self.fail(format!("{id} was acknowledged and is nowhere")),
+                None => self.fail(format!("{id} was acknowledged and has no entry")),
                 Some(State::Ended(millethook_edge::record::End::Done)) => {
-                    let ran = self.ran.get(&id).is_some_and(|r| !r.at.is_empty());
+                    let ran = self.executions.get(&id).is_some_and(|r| !r.at.is_empty());
                     if !ran {
-                        self.fail(format!("{id} counts as done and never ran"));
+                        self.fail(format!("{id} is marked as done and was never executed"));
                     }
                 }
                 Some(State::Unacknowledged) => {
@@ -403,25 +409,25 @@
     read
 }
 
-/// Plays a script, then lets all be well until the stores are empty.
+/// Plays a script, then ends all faults and runs until the stores are empty.
 pub fn play(seed: u64, script: &Script) -> Result<World, String> {
     let mut world = World::new(seed);
     for (gap, act) in script {
         world.run(*gap);
         world.act(act);
-        if let Some(broken) = world.broken.take() {
-            return Err(format!("{act:?}: {broken}"));
+        if let Some(violation) = world.violation.take() {
+            return Err(format!("{act:?}: {violation}"));
         }
     }
-    (world.reachable, world.lost) = (true, 0);
+    (world.reachable, world.lost_answer_percent) = (true, 0);
     for p in 0..PROCESSES {
         world.processes[p].paused_until = 0;
         world.start(p);
     }
-    world.run(4 * FORERUNNER);
-    world.settle();
-    match world.broken.take() {
-        Some(broken) => Err(broken),
+    world.run(4 * PREDECESSOR_WAIT_MS);
+    world.check_acknowledged();
+    match world.violation.take() {
+        Some(violation) => Err(violation),
         None => Ok(world),
     }
 }
--- a/crates/millethook-edge/tests/it/common/owners.rs
+++ b/crates/millethook-edge/tests/it/common/owners.rs
@@ -1,10 +1,10 @@
-//! Owners of stores: they get leases, read the files, write records and send.
+//! Owners of stores: they acquire leases, read the files, write records and send writes.
 
 use super::*;
 
 impl World {
-    /// The leases, as `millethook-lease` gives them: one owner at a time, tokens that grow.
-    pub(super) fn give_leases(&mut self) {
+    /// Assigns leases as `millethook-lease` does: one owner at a time, with increasing tokens.
+    pub(super) fn assign_leases(&mut self) {
         let edges: Vec<EdgeId> = self.folders.keys().copied().collect();
         for edge in edges {
             let held = self.leases.get(&edge).copied();
@@ -14,7 +14,7 @@
                     .iter()
                     .any(|o| o.edge == edge && o.replay.token() == token);
                 if self.awake(p) && holds && until > self.now {
-                    self.leases.insert(edge, (p, self.now + LEASE, token));
+                    self.leases.insert(edge, (p, self.now + LEASE_MS, token));
                     continue;
                 }
                 if until > self.now {
@@ -28,7 +28,7 @@
             let p = awake[self.below(awake.len() as u64) as usize];
             self.counter += 1;
             let token = Token { epoch: 1, counter: self.counter, owner: p as u16 };
-            self.leases.insert(edge, (p, self.now + LEASE, token));
+            self.leases.insert(edge, (p, self.now + LEASE_MS, token));
             self.take_over(p, edge, token);
         }
     }
@@ -39,28 +39,29 @@
     }
 
     /// How far a process may read a store's intake.
-    pub(super) fn settled(&self, p: usize, edge: EdgeId) -> usize {
+    pub(super) fn readable(&self, p: usize, edge: EdgeId) -> usize {
         let folder = &self.folders[&edge];
-        if edge == self.edge(p) { folder.settled } else { folder.intake.bytes.len() }
+        if edge == self.edge(p) { folder.readable } else { folder.intake.bytes.len() }
     }
 
-    /// Whether a store's process has ended: nobody holds its intake.
+    /// Whether a store's process has ended, so that nobody holds its intake.
     fn is_gone(&self, edge: EdgeId) -> bool {
         (0..PROCESSES).all(|p| !self.processes[p].alive || self.edge(p) != edge)
     }
 
     pub(super) fn take_over(&mut self, p: usize, edge: EdgeId, token: Token) {
-        let (settled, gone) = (self.settled(p, edge), self.is_gone(edge));
+        let (readable, gone) = (self.readable(p, edge), self.is_gone(edge));
         let Some(folder) = self.folders.get_mut(&edge) else { return };
-        // An earlier owner has read what its own process has yet to decide.
-        if settled < folder.intake.bytes.len() && !folder.journals.is_empty() {
+        // An earlier owner has read writes that the store's own process has not decided yet.
+        if readable < folder.intake.bytes.len() && !folder.journals.is_empty() {
             return;
         }
-        // What has not got to the disk yet may never: nothing goes out that a loss of power would undo.
+        // Unsynced bytes may never reach the disk, so the intake is synced first: nothing may be sent that a power
+        // loss would remove.
         folder.intake.synced = folder.intake.bytes.len();
         let mut book = Book::with_boot(edge, Some(self.boot));
         let mut read = BTreeMap::new();
-        read.insert(None, take(&mut book, &folder.intake.bytes[..settled], false));
+        read.insert(None, take(&mut book, &folder.intake.bytes[..readable], false));
         for (token, journal) in &folder.journals {
             read.insert(Some(*token), take(&mut book, &journal.bytes, true));
         }
@@ -75,25 +76,28 @@
             replay,
             read,
             writing: Vec::new(),
-            looked: Vec::new(),
+            lease_checked: Vec::new(),
             answers: Vec::new(),
         };
         self.processes[p].owners.push(owner);
     }
 
-    pub(super) fn work(&mut self, p: usize) {
-        // What is on disk is acknowledged.
+    pub(super) fn run_process(&mut self, p: usize) {
+        // Acknowledges the writes that are on disk.
         let edge = self.edge(p);
         let (now, next) = (self.now, self.processes[p].next);
-        let mut keeping = std::mem::take(&mut self.processes[p].keeping);
-        for late in keeping.iter_mut().filter(|k| k.due > now && k.began + PATIENCE <= now) {
+        let mut pending_writes = std::mem::take(&mut self.processes[p].pending_writes);
+        for late in pending_writes
+            .iter_mut()
+            .filter(|k| k.synced_at > now && k.started_at + CLIENT_TIMEOUT_MS <= now)
+        {
             late.withdrawn = true;
             self.withdrawn.insert(WriteId { edge, seq: late.seq }, self.boot);
         }
-        let due = keeping.iter().all(|k| k.due <= now);
-        if due && !keeping.is_empty() {
+        let due = pending_writes.iter().all(|k| k.synced_at <= now);
+        if due && !pending_writes.is_empty() {
             let (mut ends, mut acknowledgements) = (Vec::new(), Vec::new());
-            for Keeping { seq, acked, withdrawn, .. } in keeping {
+            for PendingWrite { seq, acked, withdrawn, .. } in pending_writes {
                 if withdrawn {
                     let how = End::Withdrawn;
                     let end = Record::End { how, status: 0, answer: Vec::new(), at_ms: now };
@@ -101,7 +105,7 @@
                 } else {
                     let _ = log::append(&mut acknowledgements, seq, &Record::Acknowledged);
                     self.acked.insert(WriteId { edge, seq }, acked);
-                    self.kept += 1;
+                    self.stored += 1;
                 }
             }
             if !ends.is_empty() {
@@ -113,7 +117,7 @@
                 folder.intake.bytes.extend(ends);
             }
         } else {
-            self.processes[p].keeping = keeping;
+            self.processes[p].pending_writes = pending_writes;
         }
         let process = &mut self.processes[p];
         if process.withdrawing.is_some_and(|due| due <= now) {
@@ -122,23 +126,23 @@
         if process.withdrawing.is_none()
             && let Some(folder) = self.folders.get_mut(&edge)
         {
-            let undecided = process.keeping.first().map(|k| k.at);
-            folder.settled = undecided.unwrap_or(folder.intake.bytes.len());
-            folder.intake.synced = folder.intake.synced.max(folder.settled);
+            let undecided = process.pending_writes.first().map(|k| k.offset);
+            folder.readable = undecided.unwrap_or(folder.intake.bytes.len());
+            folder.intake.synced = folder.intake.synced.max(folder.readable);
         }
         debug_assert!(next > 0);
         let mut owners = std::mem::take(&mut self.processes[p].owners);
-        owners.retain_mut(|owner| self.drive(p, owner));
+        owners.retain_mut(|owner| self.run_owner(p, owner));
         self.processes[p].owners = owners;
     }
 
-    /// False: another one owns the store, and nothing of this one is under way any more.
-    pub(super) fn drive(&mut self, p: usize, owner: &mut Owner) -> bool {
+    /// Returns false if another process owns the store and this owner has no work in progress.
+    pub(super) fn run_owner(&mut self, p: usize, owner: &mut Owner) -> bool {
         let token = owner.replay.token();
         let mine = self.holds(p, owner.edge, token);
-        // What was looked at goes out now, wherever the process stopped meanwhile.
-        for seq in std::mem::take(&mut owner.looked) {
-            self.serve(p, owner, seq);
+        // Writes whose lease check has passed are sent now, however long the process was paused in between.
+        for seq in std::mem::take(&mut owner.lease_checked) {
+            self.receive_write(p, owner, seq);
         }
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) = owner.writing.drain(..).partition(|w| w.1 <= now);
@@ -161,13 +165,13 @@
         if !mine {
             return !(owner.writing.is_empty() && owner.answers.is_empty());
         }
-        self.tail(p, owner);
-        let told = self.told.clone();
-        let elsewhere = |id: WriteId| match told.get(&id.edge) {
+        self.read_files(p, owner);
+        let announced = self.announced.clone();
+        let elsewhere = |id: WriteId| match announced.get(&id.edge) {
             Some((_, mark)) => mark.of(id.seq),
             None => Progress::Unknown,
         };
-        // Nothing goes out while nobody can be reached.
+        // No write is sent while no server can be reached.
         for _ in 0..4 {
             if !self.reachable {
                 break;
@@ -182,19 +186,19 @@
             self.fail(format!("{}: {violation}", owner.edge));
         }
         let mark = owner.replay.book().watermark();
-        let told = self.told.entry(owner.edge).or_insert((token, Watermark::default()));
-        if token >= told.0 {
-            if (mark.upto, mark.beyond) < (told.1.upto, told.1.beyond) && !self.damaged {
-                self.broken.get_or_insert(format!("{}: progress went back", owner.edge));
+        let announced = self.announced.entry(owner.edge).or_insert((token, Watermark::default()));
+        if token >= announced.0 {
+            if (mark.upto, mark.beyond) < (announced.1.upto, announced.1.beyond) && !self.damaged {
+                self.violation.get_or_insert(format!("{}: progress decreased", owner.edge));
             }
-            *told = (token, mark);
+            *announced = (token, mark);
         }
         true
     }
 
-    /// Reads what has come to the files of a store.
-    pub(super) fn tail(&mut self, p: usize, owner: &mut Owner) {
-        let (settled, gone) = (self.settled(p, owner.edge), self.is_gone(owner.edge));
+    /// Reads what was appended to the store's files.
+    pub(super) fn read_files(&mut self, p: usize, owner: &mut Owner) {
+        let (readable, gone) = (self.readable(p, owner.edge), self.is_gone(owner.edge));
         let Some(folder) = self.folders.get_mut(&owner.edge) else { return };
         folder.intake.synced = folder.intake.bytes.len();
         let own = owner.replay.token();
@@ -202,7 +206,7 @@
         let files = files.chain(folder.journals.iter().map(|(t, j)| (Some(*t), j)));
         for (name, file) in files.filter(|(name, _)| *name != Some(own)) {
             let from = owner.read.entry(name).or_default();
-            let upto = if name.is_none() { settled } else { file.bytes.len() };
+            let upto = if name.is_none() { readable } else { file.bytes.len() };
             for item in log::scan(&file.bytes[..upto], *from) {
                 match item {
                     log::Item::Record { seq, at, length, record } => {
@@ -231,9 +235,9 @@
                 owner.writing.push((seq, due, record));
             }
             Some(Step::Send(seq)) => {
-                // The last look; the process may stop right behind it.
+                // The last lease check; the process may be paused right after it.
                 if self.holds(p, owner.edge, owner.replay.token()) {
-                    owner.looked.push(seq);
+                    owner.lease_checked.push(seq);
                 } else {
                     owner.answers.push((seq, self.now, Outcome::NotRun));
                 }
--- a/crates/millethook-edge/tests/it/common/servers.rs
+++ b/crates/millethook-edge/tests/it/common/servers.rs
@@ -1,17 +1,17 @@
-//! Servers: what they do with a write, and the rules that hold for what they did.
+//! Simulated servers, and the rules for what they execute.
 
 use super::*;
 
 impl World {
-    /// A server gets a write.
-    pub(super) fn serve(&mut self, p: usize, owner: &mut Owner, seq: u64) {
+    /// A server receives a write.
+    pub(super) fn receive_write(&mut self, p: usize, owner: &mut Owner, seq: u64) {
         let id = WriteId { edge: owner.edge, seq };
         let withdrawn = self.withdrawn.get(&id);
-        // A loss of power may take its end, and a flipped bit what says that writes have to be acknowledged. Its own
-        // process knows better.
+        // After a power loss the end record may be missing, and a flipped bit may hide the record that requires
+        // acknowledgements. The store's own process still knows that the write was withdrawn.
         let own = owner.edge == self.edge(p);
         if withdrawn.is_some_and(|boot| own || *boot == self.boot && !self.damaged) {
-            self.fail(format!("{id} went out behind its final answer"));
+            self.fail(format!("{id} was sent after its client got a final answer"));
         }
         let Some(entry) = owner.replay.book().entry(seq) else { return };
         let (at, length) = entry.location;
@@ -23,12 +23,13 @@
             return;
         };
         if write.body != format!("{id}{}", "x".repeat(40)).into_bytes() {
-            self.fail(format!("{id}: went out as what nobody sent"));
+            self.fail(format!("{id} was sent with a body that no client sent"));
         }
-        // A repeat of a keyed write that stops between its last look and its first byte can come after its window, as
-        // any sidecar's own repeat can. Here the window is looked at with the lease.
+        // If the process is paused between the last check and the first byte, a repeat of a keyed write can arrive
+        // after its window, as any sidecar's own repeat can. This simulation checks the window together with the
+        // lease.
         let first = entry.first_sent.filter(|_| entry.may_have_run);
-        let too_late = first.is_some_and(|f| self.here().since(f).is_none_or(|ms| ms >= WINDOW));
+        let too_late = first.is_some_and(|f| self.here().since(f).is_none_or(|ms| ms >= WINDOW_MS));
         if too_late {
             owner.answers.push((seq, self.now, Outcome::NotRun));
             return;
@@ -43,59 +44,59 @@
             owner.answers.push((seq, late, Outcome::NotRun));
             return;
         }
-        let lost = self.below(100) < self.lost;
+        let lost = self.below(100) < self.lost_answer_percent;
         if lost && draw < 20 {
-            // It never got there, and nobody can tell.
+            // The request never arrived, which the sender cannot know.
             owner.answers.push((seq, late, Outcome::MayHaveRun));
             return;
         }
         if draw < 8 {
-            self.ran.entry(id).or_default().refused = true;
+            self.executions.entry(id).or_default().refused = true;
             let outcome = Outcome::Refused(422, b"no".to_vec());
             owner.answers.push((seq, late, if lost { Outcome::MayHaveRun } else { outcome }));
             return;
         }
-        self.run_effect(id, &write.repeat);
+        self.execute(id, &write.repeat);
         owner.answers.push((seq, late, if lost { Outcome::MayHaveRun } else { Outcome::Served }));
     }
 
-    pub(super) fn run_effect(&mut self, id: WriteId, repeat: &Repeat) {
+    pub(super) fn execute(&mut self, id: WriteId, repeat: &Repeat) {
         let now = self.now;
         self.effects += 1;
-        let ran = self.ran.entry(id).or_default();
+        let ran = self.executions.entry(id).or_default();
         let again = !ran.at.is_empty();
         match repeat {
             Repeat::Never if again => {
-                self.broken.get_or_insert(format!("{id} took effect twice"));
+                self.violation.get_or_insert(format!("{id} took effect twice"));
             }
             Repeat::Within { window_ms }
                 if ran.at.first().is_some_and(|at| now - at > *window_ms) =>
             {
-                self.broken.get_or_insert(format!("{id} took effect beyond its window"));
+                self.violation.get_or_insert(format!("{id} took effect beyond its window"));
             }
             _ => {}
         }
         ran.at.push(now);
         let Some(acked) = self.acked.get(&id).cloned() else { return };
-        for before in self.forerunners(id, &acked) {
-            let ran = self.ran.get(&before).is_some_and(|r| !r.at.is_empty());
-            // None is sent without one that failed: scripts say "apart".
-            if !ran && !self.damaged && self.known(before) {
-                self.fail(format!("{id} ran before {before}"));
+        for before in self.dependencies(id, &acked) {
+            let ran = self.executions.get(&before).is_some_and(|r| !r.at.is_empty());
+            // A write is not sent without a failed dependency: `send_without_predecessor` is false.
+            if !ran && !self.damaged && self.has_entry(before) {
+                self.fail(format!("{id} was executed before {before}"));
             }
         }
     }
 
-    /// What a write comes after: its context, and its member's last acknowledged one in the same store.
-    pub(super) fn forerunners(&self, id: WriteId, acked: &Acked) -> Vec<WriteId> {
+    /// The dependencies of a write: its context, and the last acknowledged write of its member in the same store.
+    pub(super) fn dependencies(&self, id: WriteId, acked: &Acked) -> Vec<WriteId> {
         let first = WriteId { edge: id.edge, seq: 0 };
         let mut of_member = self.acked.range(first..id).rev();
         let last = of_member.find(|(_, a)| a.member == acked.member && acked.member != 0);
         acked.after.iter().copied().chain(last.map(|(id, _)| *id)).collect()
     }
 
-    /// Whether a write is in its store.
-    pub(super) fn known(&self, id: WriteId) -> bool {
+    /// Whether a write has an entry in its store.
+    pub(super) fn has_entry(&self, id: WriteId) -> bool {
         self.book(id.edge).entry(id.seq).is_some()
     }
 }
--- a/crates/millethook-edge/tests/it/taken_out.rs
+++ b/crates/millethook-edge/tests/it/ended_unsent.rs
@@ -1,14 +1,14 @@
-//! Writes that were taken out, by an operator or because their clients were answered without a receipt: they do not go out,
-//! and what comes after them keeps its place behind all else.
+//! Writes that end without being sent, because an operator dropped them or their clients got no receipt: they are not
+//! sent, and their successors keep their order.
 
 use millethook_edge::record::{End, HostTime, Record, Repeat, Write};
 use millethook_edge::{Book, Config, EdgeId, Progress, Replay, Step, Token, WriteId};
 
 const EDGE: EdgeId = EdgeId(7);
 const TOKEN: Token = Token { epoch: 1, counter: 1, owner: 0 };
-const NOWHERE: WriteId = WriteId { edge: EdgeId(8), seq: 1 };
+const OTHER_STORE_WRITE: WriteId = WriteId { edge: EdgeId(8), seq: 1 };
 
-/// A store of one member's writes, the first of which comes after another store's.
+/// A store with writes of one member; the first depends on a write in another store.
 fn replay(writes: u64) -> Replay {
     let mut book = Book::new(EDGE);
     for seq in 1..=writes {
@@ -17,7 +17,7 @@
             class: "order".into(),
             repeat: Repeat::Never,
             member: 1,
-            after: if seq == 1 { vec![NOWHERE] } else { Vec::new() },
+            after: if seq == 1 { vec![OTHER_STORE_WRITE] } else { Vec::new() },
             method: "POST".into(),
             target: "/order".into(),
             headers: Vec::new(),
@@ -44,10 +44,10 @@
     replay.next(now, HostTime::default(), 0, &|_| elsewhere)
 }
 
-/// A write names only the nearest that it comes after. Once that one is taken out, it would go before the one that
-/// both had to wait for.
+/// A write names only its nearest dependency. If that one was dropped or withdrawn, the write must not overtake the
+/// earlier write on which both depend.
 #[test]
-fn what_comes_after_a_write_that_was_taken_out_waits_for_what_that_one_waited_for() {
+fn successors_of_an_ended_write_wait_for_its_dependencies() {
     for how in [End::Dropped, End::Withdrawn] {
         let mut replay = replay(4);
         [2, 3].iter().for_each(|seq| replay.apply_record(*seq, (0, 0), &ended(how)));
@@ -64,9 +64,9 @@
     }
 }
 
-/// The record that takes a write out may come while its mark is on its way to the disk.
+/// The record that ends a write may arrive while the write's mark is being written to disk.
 #[test]
-fn a_write_that_is_taken_out_while_it_is_marked_is_not_sent() {
+fn a_write_that_ends_while_its_mark_is_written_is_not_sent() {
     for how in [End::Dropped, End::Withdrawn] {
         let mut replay = replay(1);
         let step = next(&mut replay, 0, Progress::Ended);
--- a/crates/millethook-edge/tests/it/main.rs
+++ b/crates/millethook-edge/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! The edge store's rules, in one program.
+//! Tests of the edge store's rules.
 
 mod common;
+mod ended_unsent;
 mod search;
-mod taken_out;
--- a/crates/millethook-edge/tests/it/search.rs
+++ b/crates/millethook-edge/tests/it/search.rs
@@ -1,4 +1,4 @@
-//! Random load and random faults: no acknowledged write lost, none twice, none out of order.
+//! Random load and random faults: no acknowledged write is lost, executed twice or executed out of order.
 
 use crate::common::{play, script};
 use proptest::prelude::*;
@@ -7,17 +7,17 @@
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn nothing_is_lost_doubled_or_out_of_order(seed: u64, script in script(50, false)) {
+    fn no_write_is_lost_executed_twice_or_out_of_order(seed: u64, script in script(50, false)) {
         play(seed, &script).map_err(TestCaseError::fail)?;
     }
 
     #[test]
-    fn bits_that_flip_double_nothing(seed: u64, script in script(50, true)) {
+    fn flipped_bits_execute_no_write_twice(seed: u64, script in script(50, true)) {
         play(seed, &script).map_err(TestCaseError::fail)?;
     }
 }
 
-/// Each rule that is taken out is missed by the same search.
+/// The same search detects the absence of each rule.
 #[cfg(feature = "mutants")]
 #[test]
 fn each_missing_rule_is_found() {
