--- a/crates/millethook-forecast/src/change.rs
+++ b/crates/millethook-forecast/src/change.rs
@@ -1,62 +1,62 @@
-//! What could be changed.
+//! Changes of placement.
 
 use crate::mutant::{self, Mutant};
-use crate::placement::{Placement, Prefer, Server};
+use crate::placement::{Assignment, Placement, Server};
 
 /// A change of placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: what goes on as it is.
+    /// No change; the present placement continues.
     Nothing,
-    /// A server comes.
+    /// A server is added.
     Added(Server),
-    /// A server's process is followed by another, which knows nothing.
+    /// A server's process is replaced by a new one without warm state.
     Replaced(u64),
-    /// All of these are.
+    /// Several servers are replaced.
     ManyReplaced(Vec<u64>),
-    /// A server goes.
-    Gone(u64),
-    /// All servers of a zone go.
+    /// A server is removed.
+    Removed(u64),
+    /// All servers of a zone are removed.
     ZoneLost(u8),
-    /// Subsets have another size.
+    /// The subset size changes.
     SubsetSize(usize),
-    /// Slices have other servers.
+    /// The slices are mapped to other servers.
     Map(Vec<u16>),
 }
 
-/// Why a change makes no sense.
+/// The reason why a change does not apply to a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoSuchThing {
-    /// No server of this name, zone or place is there.
-    Server,
-    /// The server that would be added is there.
-    AlreadyThere,
-    /// No server would be left.
-    NobodyLeft,
+pub enum InvalidChange {
+    /// The placement has no server with this id, zone or index.
+    UnknownServer,
+    /// The server to add is already in the placement.
+    AlreadyPresent,
+    /// No server would remain.
+    NoServerLeft,
     /// The placement has no subsets, or no map.
-    OtherKind,
+    WrongKind,
 }
 
 impl Change {
-    /// Whether each slice of a map has a server of the placement.
+    /// Whether the map assigns each slice to a server of the placement.
     fn is_map_of(map: &[u16], placement: &Placement) -> bool {
         let servers = placement.servers.len();
         let within = map.iter().all(|place| usize::from(*place) < servers);
         !map.is_empty() && within || mutant::is(Mutant::AnyMap)
     }
 
-    /// The placement after it, and the servers that know nothing then.
+    /// Returns the placement after the change, and the ids of the servers without warm state.
     ///
     /// # Errors
-    /// It makes no sense here.
-    pub fn made(&self, before: &Placement) -> Result<(Placement, Vec<u64>), NoSuchThing> {
+    /// The change does not apply to this placement.
+    pub fn apply(&self, before: &Placement) -> Result<(Placement, Vec<u64>), InvalidChange> {
         let mut after = before.clone();
         let known = |id: &u64| before.servers.iter().any(|s| s.id == *id);
         let mut cold = Vec::new();
         match self {
             Change::Nothing => {}
             Change::Added(server) if known(&server.id) && !mutant::is(Mutant::AddedTwice) => {
-                return Err(NoSuchThing::AlreadyThere);
+                return Err(InvalidChange::AlreadyPresent);
             }
             Change::Added(server) => {
                 after.servers.push(*server);
@@ -64,33 +64,37 @@
             }
             Change::Replaced(id) => cold.push(*id),
             Change::ManyReplaced(ids) => cold.extend_from_slice(ids),
-            Change::Gone(id) => after.servers.retain(|s| s.id != *id),
+            Change::Removed(id) => after.servers.retain(|s| s.id != *id),
             Change::ZoneLost(zone) => after.servers.retain(|s| s.zone != *zone),
-            Change::SubsetSize(size) => match &mut after.prefer {
-                Prefer::Subset(of) => *of = *size,
-                Prefer::Map(_) => return Err(NoSuchThing::OtherKind),
+            Change::SubsetSize(size) => match &mut after.assignment {
+                Assignment::Subset(of) => *of = *size,
+                Assignment::Map(_) => return Err(InvalidChange::WrongKind),
             },
             Change::Map(map) if !Change::is_map_of(map, before) => {
-                let other = matches!(before.prefer, Prefer::Subset(_));
-                return Err(if other { NoSuchThing::OtherKind } else { NoSuchThing::Server });
+                let other = matches!(before.assignment, Assignment::Subset(_));
+                return Err(if other {
+                    InvalidChange::WrongKind
+                } else {
+                    InvalidChange::UnknownServer
+                });
             }
-            Change::Map(map) => match &mut after.prefer {
-                Prefer::Map(of) => of.clone_from(map),
-                Prefer::Subset(_) => return Err(NoSuchThing::OtherKind),
+            Change::Map(map) => match &mut after.assignment {
+                Assignment::Map(of) => of.clone_from(map),
+                Assignment::Subset(_) => return Err(InvalidChange::WrongKind),
             },
         }
         let replaced = matches!(self, Change::Replaced(_) | Change::ManyReplaced(_));
         let same = after.servers.len() == before.servers.len();
         if replaced && !cold.iter().all(known)
-            || matches!(self, Change::Gone(_) | Change::ZoneLost(_)) && same
+            || matches!(self, Change::Removed(_) | Change::ZoneLost(_)) && same
         {
-            return Err(NoSuchThing::Server);
+            return Err(InvalidChange::UnknownServer);
         }
         if after.servers.is_empty() {
-            return Err(NoSuchThing::NobodyLeft);
+            return Err(InvalidChange::NoServerLeft);
         }
-        // A map names places in the list: where that has changed, slices go by weight again.
-        if !same && matches!(after.prefer, Prefer::Map(_)) {
+        // A map holds indexes into the server list. If the list has changed, slices are assigned by weight again.
+        if !same && matches!(after.assignment, Assignment::Map(_)) {
             after = Placement::by_weight(after.servers);
         }
         Ok((after, cold))
--- a/crates/millethook-forecast/src/lib.rs
+++ b/crates/millethook-forecast/src/lib.rs
@@ -1,27 +1,30 @@
-//! What a change of placement does to hits, before it is made.
+//! Forecasts how a change of placement affects hit rates, before the change is made.
 //!
-//! Two warm states, one engine. A *connection*: a hit is a request that finds one open; placement says which servers a
-//! sidecar's subset has. A server's *memory*: a hit is a lookup of what the server has read lately; placement says which
-//! servers prefer which slice of the keys. Both are stores of bounded size and age at servers, filled by accesses.
+//! Two kinds of warm state use the same model. For *connections*, a hit is a request that finds an open connection,
+//! and placement is the choice of the servers in a sidecar's subset. For a server's *memory*, a hit is a lookup of
+//! data that the server read recently, and placement is the choice of the servers for each slice of the keys. Both
+//! are modelled as stores at servers, limited in size and age, that accesses fill.
 //!
-//! What is known is a thin sample: the accesses of those items whose hash is low (spatial sampling: SHARDS, Waldspurger
-//! et al., FAST 2015), the same items at all sidecars, so that samples can be merged. A forecast warms stores by the
-//! sample, makes the change, and lets the sample come again; several parts of the sample give its interval. Where there
-//! is too little to go by it says so. Why it is so is in `docs/design/forecast.md`.
+//! The input is a thin sample: the accesses of the items whose hash is below a threshold (spatial sampling: SHARDS,
+//! Waldspurger et al., FAST 2015). All sidecars sample the same items, so samples can be merged. A forecast warms the
+//! stores with the sample, applies the change, and plays the sample again; several parts of the sample give the
+//! interval. If there is too little data, the forecast says so. `docs/design/forecast.md` gives the reasons.
 #![forbid(unsafe_code)]
 
 mod change;
-mod engine;
 mod forecast;
 pub mod mutant;
 mod placement;
 mod proposal;
 mod sample;
+mod store;
 
-pub use change::{Change, NoSuchThing};
-pub use forecast::{AFTER, Forecast, Known, LEAST, Question, Unknown, forecast};
+pub use change::{Change, InvalidChange};
+pub use forecast::{
+    Estimate, Forecast, InsufficientData, MIN_ACCESSES, Question, WINDOWS, forecast,
+};
 pub use millethook_lease::{StaleToken, Token};
 pub use millethook_machine::{Micros, Violation};
-pub use placement::{Placement, Prefer, SLICES, Server};
-pub use proposal::{Placed, Proposal};
+pub use placement::{Assignment, Placement, SLICES, Server};
+pub use proposal::{AcceptedProposal, Proposal};
 pub use sample::{Access, MAX_ACCESSES, Sample};
--- a/crates/millethook-forecast/src/mutant.rs
+++ b/crates/millethook-forecast/src/mutant.rs
@@ -1,36 +1,36 @@
-//! Rules that tests take out (`--features mutants`).
+//! Rules that tests disable (`--features mutants`) to prove that the tests detect their absence.
 
 millethook_machine::mutants! {
-    /// A store holds as much of a sample as of everything.
+    /// A store's capacity is not scaled by the share of the sample.
     SizeNotScaled,
-    /// A server that was replaced keeps what it held.
+    /// A replaced server keeps its store.
     ReplacedStaysWarm,
-    /// An access is taken whatever the hash of its item.
+    /// An access is sampled whatever the hash of its item.
     AllSampled,
-    /// Little to go by is no reason to say nothing.
+    /// A figure is given even with too few accesses.
     AlwaysKnown,
-    /// A sample is not bounded.
+    /// A sample has no size limit.
     Unbounded,
-    /// What is older than a sample's span stays.
+    /// Accesses older than a sample's span are kept.
     NothingForgotten,
-    /// A sample that is too long loses its last accesses instead of half of its items.
+    /// A sample that is too large drops its last accesses instead of half of its items.
     ThinnedByCount,
-    /// Accesses of another sample are taken in one by one.
+    /// Accesses of another sample are merged one at a time.
     MergedOneByOne,
-    /// A connection in use is given out once more.
+    /// A connection in use is hit again.
     InUseTwice,
-    /// A store is not bounded.
+    /// A store has no size limit.
     StoreUnbounded,
-    /// What was not used for too long is hit behind what is in use for long.
+    /// An expired copy is hit if it is behind one that has been in use for long.
     OldHit,
-    /// A server that is there is added once more.
+    /// A server that is already there is added again.
     AddedTwice,
-    /// A slice may have a server that is not there.
+    /// A map may name a server that does not exist.
     AnyMap,
-    /// An interval may reach below 0 and above 1.
+    /// An interval may extend below 0 and above 1.
     IntervalNotClamped,
-    /// Accesses of the first pass count as those at rest, too, by zone.
+    /// Accesses of the first pass are also counted in the steady state, by zone.
     ZonesCountedTwice,
-    /// A proposal under a lower token is taken over, too.
+    /// A proposal with a lower token is accepted.
     AnyToken,
 }
--- a/crates/millethook-forecast/src/placement/check.rs
+++ b/crates/millethook-forecast/src/placement/check.rs
@@ -4,9 +4,9 @@
 
 use millethook_machine::Violation;
 
-use super::{Placement, Prefer};
+use super::{Assignment, Placement};
 
-/// Items whose servers are looked at.
+/// Number of items whose servers are checked.
 const ITEMS: u64 = 64;
 
 impl Placement {
@@ -17,24 +17,24 @@
     pub fn check(&self) -> Result<(), Violation> {
         let rule = Violation::unless;
         let ids: BTreeSet<u64> = self.servers.iter().map(|server| server.id).collect();
-        rule(ids.len() == self.servers.len(), "a server stands in a placement once", &|| {
+        rule(ids.len() == self.servers.len(), "a server is in a placement once", &|| {
             format!("{} names, {} servers", ids.len(), self.servers.len())
         })?;
-        if let Prefer::Map(map) = &self.prefer {
+        if let Assignment::Map(map) = &self.assignment {
             let outside = map.iter().find(|place| usize::from(**place) >= self.servers.len());
-            rule(outside.is_none(), "a slice has a server of the list", &|| {
+            rule(outside.is_none(), "a slice is assigned to a server of the list", &|| {
                 format!("{outside:?} of {}", self.servers.len())
             })?;
         }
         for item in 0..ITEMS {
-            let of = self.of(item);
+            let of = self.servers_for(item);
             rule(of.is_empty() == self.servers.is_empty(), "an item has a server", &|| {
                 format!("{item}: {of:?}")
             })?;
             let places: BTreeSet<&usize> = of.iter().collect();
             rule(
                 places.len() == of.len() && of.iter().all(|place| *place < self.servers.len()),
-                "the servers of an item are different ones of the list",
+                "the servers of an item are distinct and in the list",
                 &|| format!("{item}: {of:?}"),
             )?;
         }
--- a/crates/millethook-forecast/src/proposal.rs
+++ b/crates/millethook-forecast/src/proposal.rs
@@ -1,46 +1,46 @@
-//! A placement that the owner of the job proposes, and whoever takes it over.
+//! Placement proposals by the job's owner, and their acceptance by sidecars.
 
 use millethook_lease::{Fence, StaleToken, Token};
 
 use crate::mutant::{self, Mutant};
 
-/// What the owner proposes.
+/// A proposal by the job's owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Proposal {
-    /// Its token.
+    /// The owner's lease token.
     pub token: Token,
-    /// The size of a sidecar's subset.
+    /// The proposed size of a sidecar's subset.
     pub subset: u16,
 }
 
-/// What a sidecar goes by.
+/// The proposal that a sidecar follows.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Placed {
+pub struct AcceptedProposal {
     fence: Fence,
-    now: Option<Proposal>,
+    current: Option<Proposal>,
 }
 
-impl Placed {
-    /// What holds, if anything was proposed.
-    pub fn now(&self) -> Option<Proposal> {
-        self.now
+impl AcceptedProposal {
+    /// The proposal in force, if any.
+    pub fn current(&self) -> Option<Proposal> {
+        self.current
     }
 
-    /// Takes a proposal over.
+    /// Accepts a proposal.
     ///
     /// # Errors
-    /// One under a higher token is known: this one comes late, and changes nothing.
-    pub fn take(&mut self, proposal: Proposal) -> Result<(), StaleToken> {
+    /// A proposal with a higher token was seen before. The stale one is ignored.
+    pub fn accept(&mut self, proposal: Proposal) -> Result<(), StaleToken> {
         let admitted = self.fence.admit(proposal.token);
         if !mutant::is(Mutant::AnyToken) {
             admitted?;
         }
-        self.now = Some(proposal);
+        self.current = Some(proposal);
         Ok(())
     }
 
-    /// Goes back to the sidecar's own choice, as nobody owns the job any more.
-    pub fn forget(&mut self) {
-        self.now = None;
+    /// Returns to the sidecar's own choice when the job has no owner.
+    pub fn clear(&mut self) {
+        self.current = None;
     }
 }
--- a/crates/millethook-forecast/src/sample/check.rs
+++ b/crates/millethook-forecast/src/sample/check.rs
@@ -18,7 +18,7 @@
             "the share of a sample is within 0 and 1",
             &|| self.share().to_string(),
         )?;
-        let foreign = self.accesses.iter().find(|access| !self.takes(access.item));
+        let foreign = self.accesses.iter().find(|access| !self.samples(access.item));
         rule(foreign.is_none(), "only items of the sample's share are sampled", &|| {
             format!("{foreign:?} at {}", self.share())
         })?;
@@ -29,10 +29,8 @@
         )?;
         let first = self.accesses.front().map_or(0, |access| access.at);
         let last = self.accesses.back().map_or(0, |access| access.at);
-        rule(
-            last <= first.saturating_add(self.span),
-            "nothing older than the span is remembered",
-            &|| format!("from {first} to {last}, span {}", self.span),
-        )
+        rule(last <= first.saturating_add(self.span), "no access is older than the span", &|| {
+            format!("from {first} to {last}, span {}", self.span)
+        })
     }
 }
--- a/crates/millethook-forecast/tests/it/main.rs
+++ b/crates/millethook-forecast/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Forecasts against a made-up fleet, in one program.
+//! Tests of forecasts against a synthetic fleet.
 
 mod common;
 mod laws;
