--- a/crates/millethook-depth/src/chain.rs
+++ b/crates/millethook-depth/src/chain.rs
@@ -1,56 +1,57 @@
-//! What a chain of services is made of.
+//! The parameters of a chain of services.
 
 use serde_json::{Value, json};
 
-/// Microseconds.
+/// Time in microseconds.
 pub type Micros = u64;
 
-/// A chain of services, the same servers in each tier.
+/// A chain of services. Each tier has the same number of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chain {
-    /// Services one behind the other.
+    /// Number of services (tiers) in the chain.
     pub depth: usize,
-    /// Servers of each service, each with a sidecar of its own; as many sidecars call the first service.
+    /// Servers of each service, each with its own sidecar; the same number of sidecars calls the first service.
     pub servers: usize,
-    /// Requests that a server works on at once.
+    /// Number of requests that a server processes at the same time.
     pub slots: usize,
-    /// Requests that wait for a slot, at most. Of more, a server turns away.
+    /// Maximum number of requests that wait for a slot; a server refuses further ones.
     pub queue: usize,
-    /// The mean time that a request takes in a slot; spread exponentially, ten times as long at most.
-    pub work: Micros,
-    /// The aim of one tier's answer in mean times of work. A tier's aim holds those of the tiers behind it.
+    /// Mean processing time of a request, exponentially distributed and limited to ten times the mean.
+    pub mean_work: Micros,
+    /// Target answer time of one tier, in mean processing times. A tier's target includes those of the tiers behind
+    /// it.
     pub aim_in_work: Micros,
-    /// The calls at the root, as a share of what the servers of one tier can do.
+    /// Rate of calls at the root, as a share of the capacity of one tier.
     pub load: f64,
-    /// The share of requests that a bad tier answers with an error, once it has worked on them.
-    pub errors: f64,
-    /// The tier that is bad, counted from 0. None: all are well.
+    /// Share of requests that the bad tier answers with an error after processing them.
+    pub error_share: f64,
+    /// Index of the bad tier, from 0; None if all tiers are healthy.
     pub bad_tier: Option<usize>,
-    /// How long it runs before anything is counted.
+    /// Time before counting begins.
     pub warm_up: Micros,
-    /// How long is counted.
+    /// Length of the counted time.
     pub counted: Micros,
-    /// All that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// The aim of one tier's answer in mean times of work, if nothing else is said.
+/// Default target answer time of one tier, in mean processing times.
 pub const AIM_IN_WORK: Micros = 5;
-/// The deadline, in aims.
+/// Deadline as a multiple of the target answer time.
 const DEADLINE_IN_AIMS: Micros = 3;
 
 impl Chain {
-    /// A chain of three servers a tier, each with two slots, a queue of 16 and 20 ms of work.
-    pub fn of(depth: usize, load: f64, seed: u64) -> Chain {
+    /// Returns a chain with three servers for each tier, each with two slots, a queue of 16 and 20 ms of work.
+    pub fn with_defaults(depth: usize, load: f64, seed: u64) -> Chain {
         Chain {
             depth,
             servers: 3,
             slots: 2,
             queue: 16,
-            work: 20_000,
+            mean_work: 20_000,
             aim_in_work: AIM_IN_WORK,
             load,
-            errors: 0.3,
+            error_share: 0.3,
             bad_tier: None,
             warm_up: 5_000_000,
             counted: 20_000_000,
@@ -58,28 +59,28 @@
         }
     }
 
-    /// The same with this bad tier.
+    /// Returns the same chain with this bad tier.
     pub fn with_bad_tier(self, bad_tier: usize) -> Chain {
         Chain { bad_tier: Some(bad_tier), ..self }
     }
 
-    /// Calls at the root in a second.
+    /// Calls at the root per second.
     pub fn rate(&self) -> f64 {
-        self.load * (self.servers * self.slots) as f64 * 1e6 / self.work as f64
+        self.load * (self.servers * self.slots) as f64 * 1e6 / self.mean_work as f64
     }
 
-    /// The aim of a call of this tier: the tiers behind it have to answer first.
+    /// Target answer time of a call to this tier, which includes the tiers behind it.
     pub fn aim(&self, tier: usize) -> Micros {
-        self.aim_in_work * self.work * (self.depth - tier) as Micros
+        self.aim_in_work * self.mean_work * (self.depth - tier) as Micros
     }
 
-    /// The longest that a call of this tier may take.
+    /// Maximum duration of a call to this tier.
     pub fn deadline(&self, tier: usize) -> Micros {
         DEADLINE_IN_AIMS * self.aim(tier)
     }
 
-    /// The settings of a sidecar whose servers are this tier's. One class, safe to repeat: with others fewer attempts
-    /// are allowed.
+    /// Settings of a sidecar whose servers are in this tier. They have one class, which is safe to retry; other
+    /// classes would be allowed fewer attempts.
     pub fn settings(&self, tier: usize) -> Value {
         let mut settings = millethook_testkit::settings_json();
         let mut class = settings["classes"][0].clone();
--- a/crates/millethook-depth/src/lib.rs
+++ b/crates/millethook-depth/src/lib.rs
@@ -1,9 +1,9 @@
-//! Attempts that one call at the root of a chain of services causes.
+//! Counts the attempts that one call at the root of a chain of services causes.
 //!
-//! A [`chain::Chain`] is so many services one behind the other: each server of a service works on a request and then
-//! calls the next service through a sidecar of its own. [`model`] plays it on a virtual clock with the shipped
-//! decisions (`coppercart`), at any depth. [`processes`] runs the same chain with real daemons on loopback; it is
-//! what the model is checked against. Both give a [`tally::Tally`], which [`rows`] writes as CSV.
+//! In a [`chain::Chain`], each server of a service processes a request and then calls the next service through its
+//! own sidecar. [`model`] simulates the chain on a virtual clock with the balancer's decision module (`coppercart`),
+//! at any depth. [`processes`] runs the same chain with real daemons on loopback, to validate the model. Both return
+//! a [`tally::Tally`], which [`rows`] formats as CSV.
 #![forbid(unsafe_code)]
 
 pub mod chain;
--- a/crates/millethook-depth/src/model/calls.rs
+++ b/crates/millethook-depth/src/model/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are under way, and their attempts.
+//! Calls in progress and their attempts.
 
 use std::collections::HashMap;
 
@@ -6,23 +6,23 @@
 use super::server::ServerAt;
 use crate::chain::Micros;
 
-/// An attempt of a call.
+/// Identifies an attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     /// The call's number.
     pub call: u64,
-    /// The attempt's number in it.
+    /// The attempt's number within the call.
     pub number: usize,
 }
 
 /// An attempt.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where it went.
+    /// The server that it was sent to.
     pub server: ServerAt,
-    /// When.
+    /// The time at which it was sent.
     pub sent: Micros,
-    /// No outcome has come yet.
+    /// Whether its outcome is still outstanding.
     pub open: bool,
 }
 
@@ -31,17 +31,17 @@
 pub struct Call {
     /// The sidecar.
     pub sidecar: SidecarAt,
-    /// The attempt that the caller itself works on, and where. None: a call at the root.
+    /// The server that made the call and the attempt that it was processing. None for a call at the root.
     pub caller: Option<(ServerAt, AttemptId)>,
-    /// Its attempts.
+    /// The attempts of the call.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer.
+    /// Whether the call has its final answer.
     pub ended: bool,
-    /// It is counted.
+    /// Whether the call is counted in the tally.
     pub counted: bool,
 }
 
-/// Calls by number.
+/// Calls in progress, by number.
 #[derive(Default)]
 pub struct Calls {
     open: HashMap<u64, Call>,
@@ -49,19 +49,19 @@
 }
 
 impl Calls {
-    /// Adds one; its number.
+    /// Adds a call and returns its number.
     pub fn add(&mut self, call: Call) -> u64 {
         self.next += 1;
         self.open.insert(self.next, call);
         self.next
     }
 
-    /// One of them.
+    /// Returns a call.
     pub fn get(&mut self, number: u64) -> Option<&mut Call> {
         self.open.get_mut(&number)
     }
 
-    /// Forgets one that has its answer and no attempt out.
+    /// Removes a call that has its final answer and no outstanding attempt.
     pub fn forget(&mut self, number: u64) {
         let done = |call: &Call| call.ended && call.attempts.iter().all(|attempt| !attempt.open);
         if self.open.get(&number).is_some_and(done) {
--- a/crates/millethook-depth/src/model/mod.rs
+++ b/crates/millethook-depth/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The chain on a virtual clock, with the shipped decisions in each sidecar.
+//! Simulation of the chain on a virtual clock, with the balancer's decision module in each sidecar.
 
 mod calls;
 mod queue;
--- a/crates/millethook-depth/src/model/queue.rs
+++ b/crates/millethook-depth/src/model/queue.rs
@@ -1,4 +1,4 @@
-//! What is due, in order.
+//! The queue of future events.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,7 +9,7 @@
 use super::server::{Job, ServerAt};
 use crate::chain::Micros;
 
-/// A sidecar: the tier that it calls, and its number there.
+/// Identifies a sidecar by the tier that it calls and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SidecarAt {
     /// The tier of its servers.
@@ -18,39 +18,40 @@
     pub number: usize,
 }
 
-/// Something that happens at a moment.
+/// A scheduled event.
 #[derive(Clone, Debug)]
-pub enum Due {
+pub enum ScheduledEvent {
     /// The next call at the root.
     Call,
-    /// An attempt reaches its server.
-    Reaches(ServerAt, Job),
-    /// A server is done with its own work on a request.
-    Worked(ServerAt, Job),
-    /// An attempt's outcome reaches its sidecar, with the server's queue and requests at work.
-    Answered(AttemptId, Outcome, [f32; 2]),
-    /// A timer that the decisions asked for.
+    /// An attempt arrives at its server.
+    Arrival(ServerAt, Job),
+    /// A server has finished its own work on a request.
+    WorkDone(ServerAt, Job),
+    /// An attempt's outcome arrives at its sidecar, with the server's load report: queue length, and requests at the
+    /// server.
+    AnswerArrival(AttemptId, Outcome, [f32; 2]),
+    /// A timer that the decision module set.
     Timer(SidecarAt, u32),
 }
 
-/// Events by time; of one time in the order in which they were added.
+/// Events ordered by time, and by insertion among those of the same time.
 #[derive(Default)]
 pub struct Queue {
     order: BinaryHeap<Reverse<(Micros, u64)>>,
-    events: std::collections::HashMap<u64, Due>,
+    events: std::collections::HashMap<u64, ScheduledEvent>,
     next: u64,
 }
 
 impl Queue {
-    /// Adds one.
-    pub fn add(&mut self, at: Micros, due: Due) {
+    /// Schedules an event.
+    pub fn add(&mut self, at: Micros, event: ScheduledEvent) {
         self.order.push(Reverse((at, self.next)));
-        self.events.insert(self.next, due);
+        self.events.insert(self.next, event);
         self.next += 1;
     }
 
-    /// Takes the next one, with its time.
-    pub fn take(&mut self) -> Option<(Micros, Due)> {
+    /// Removes and returns the next event with its time.
+    pub fn pop(&mut self) -> Option<(Micros, ScheduledEvent)> {
         let Reverse((at, number)) = self.order.pop()?;
         Some((at, self.events.remove(&number)?))
     }
--- a/crates/millethook-depth/src/model/server.rs
+++ b/crates/millethook-depth/src/model/server.rs
@@ -1,37 +1,37 @@
-//! A server: slots and a queue before them.
+//! A simulated server: slots with a queue in front.
 
 use std::collections::VecDeque;
 
 use super::calls::AttemptId;
 use crate::chain::Micros;
 
-/// A server: its tier and its number there.
+/// Identifies a server by its tier and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerAt {
-    /// Its tier, counted from 0.
+    /// The tier, from 0.
     pub tier: usize,
-    /// Its number.
+    /// The number.
     pub number: usize,
 }
 
-/// An attempt as its server has it.
+/// An attempt at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// The attempt.
     pub attempt: AttemptId,
-    /// When the time is over that the server was told.
+    /// The deadline that was sent to the server.
     pub deadline: Micros,
 }
 
-/// What becomes of an attempt that has just come.
+/// The result of an attempt's arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// A slot is free.
-    Works,
-    /// It waits for one.
-    Waits,
-    /// It is turned away.
-    Full,
+    /// A slot is free, and processing starts.
+    Started,
+    /// The attempt waits for a slot.
+    Queued,
+    /// The attempt is refused.
+    Refused,
 }
 
 /// The state of a server.
@@ -42,21 +42,21 @@
 }
 
 impl Server {
-    /// Takes an attempt in, where there is room.
+    /// Admits an attempt if there is a free slot or room in the queue.
     pub fn admit(&mut self, job: Job, slots: usize, queue: usize) -> Admission {
         if self.working < slots {
             self.working += 1;
-            Admission::Works
+            Admission::Started
         } else if self.waiting.len() < queue {
             self.waiting.push_back(job);
-            Admission::Waits
+            Admission::Queued
         } else {
-            Admission::Full
+            Admission::Refused
         }
     }
 
-    /// Frees a slot; the job that takes it next.
-    pub fn free(&mut self) -> Option<Job> {
+    /// Frees a slot and returns the job that takes it next.
+    pub fn free_slot(&mut self) -> Option<Job> {
         let next = self.waiting.pop_front();
         if next.is_none() {
             self.working = self.working.saturating_sub(1);
@@ -64,7 +64,7 @@
         next
     }
 
-    /// Its load report: requests that wait, and requests that are there.
+    /// Returns the load report: waiting requests, and all requests at the server.
     pub fn report(&self) -> [f32; 2] {
         let waiting = self.waiting.len();
         [waiting as f32, (waiting + self.working) as f32]
--- a/crates/millethook-depth/src/model/simulation.rs
+++ b/crates/millethook-depth/src/model/simulation.rs
@@ -1,4 +1,4 @@
-//! The events of a run.
+//! The simulation loop and its events.
 
 use coppercart::api::{
     Action, Event, Health, ListKind, LoadReport, NewRequest, Outcome, RequestId, ServerEntry,
@@ -10,22 +10,22 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::calls::{Attempt, AttemptId, Call, Calls};
-use super::queue::{Due, Queue, SidecarAt};
+use super::queue::{Queue, ScheduledEvent, SidecarAt};
 use super::server::{Admission, Job, Server, ServerAt};
 use crate::chain::{Chain, Micros};
 use crate::tally::Tally;
 
-/// When a run begins: the decisions' clock starts anywhere.
-const START: Micros = 1_000_000_000;
-/// The way between a sidecar and a server, in one direction.
-const WAY: Micros = 100;
-/// The longest that work takes, in means.
-const LONGEST_WORK: f64 = 10.0;
+/// Start of a run: the decision module accepts any start of its clock.
+const START_TIME: Micros = 1_000_000_000;
+/// One-way latency between a sidecar and a server.
+const ONE_WAY_LATENCY_US: Micros = 100;
+/// Maximum processing time, in mean processing times.
+const MAX_WORK_FACTOR: f64 = 10.0;
 
-/// Plays a chain.
+/// Simulates a chain.
 ///
 /// # Errors
-/// The decisions refuse the chain's settings; the text names key and what was expected.
+/// The decision module rejects the chain's settings; the text names the key and the expected value.
 pub fn play(chain: &Chain) -> Result<Tally, String> {
     let mut simulation = Simulation::new(chain)?;
     simulation.run();
@@ -38,9 +38,9 @@
     random: ChaCha8Rng,
     queue: Queue,
     calls: Calls,
-    /// By tier and number.
+    /// Indexed by tier and number.
     servers: Vec<Vec<Server>>,
-    /// By the tier that they call, and number.
+    /// Indexed by the tier that they call, and number.
     sidecars: Vec<Vec<Balancer>>,
     tally: Tally,
 }
@@ -52,14 +52,14 @@
             let settings = Settings::from_json(chain.settings(tier).to_string().as_bytes())?;
             let start = |number: usize| {
                 let seed = chain.seed ^ ((tier * chain.servers + number + 1) as u64) << 32;
-                Balancer::new(settings.clone(), seed, START)
+                Balancer::new(settings.clone(), seed, START_TIME)
             };
             sidecars.push((0..chain.servers).map(start).collect());
         }
         let tier = || (0..chain.servers).map(|_| Server::default()).collect();
         Ok(Simulation {
             chain,
-            now: START,
+            now: START_TIME,
             random: ChaCha8Rng::seed_from_u64(chain.seed),
             queue: Queue::default(),
             calls: Calls::default(),
@@ -74,44 +74,48 @@
             for number in 0..self.chain.servers {
                 let entries: Vec<ServerEntry> = (0..self.chain.servers).map(entry).collect();
                 let list = Event::Servers { kind: ListKind::Whole, entries: &entries };
-                self.tell(SidecarAt { tier, number }, list);
+                self.handle_event(SidecarAt { tier, number }, list);
             }
         }
-        self.queue.add(START, Due::Call);
-        // What was called in the counted time has its answer by then.
-        let end = self.counted().1 + 2 * self.chain.deadline(0);
-        while let Some((at, due)) = self.queue.take() {
+        self.queue.add(START_TIME, ScheduledEvent::Call);
+        // All calls made in the counted time have their answer by then.
+        let end = self.counted_range().1 + 2 * self.chain.deadline(0);
+        while let Some((at, event)) = self.queue.pop() {
             if at > end {
                 return;
             }
             self.now = at;
-            self.happens(due);
+            self.dispatch(event);
         }
     }
 
-    fn counted(&self) -> (Micros, Micros) {
-        let from = START + self.chain.warm_up;
+    fn counted_range(&self) -> (Micros, Micros) {
+        let from = START_TIME + self.chain.warm_up;
         (from, from + self.chain.counted)
     }
 
     fn is_counted(&self) -> bool {
-        let (from, until) = self.counted();
+        let (from, until) = self.counted_range();
         (from..until).contains(&self.now)
     }
 
-    fn happens(&mut self, due: Due) {
-        match due {
-            Due::Call => self.call_at_the_root(),
-            Due::Reaches(server, job) => self.reaches(server, job),
-            Due::Worked(server, job) => self.worked(server, job),
-            Due::Answered(attempt, outcome, report) => self.answered(attempt, outcome, report),
-            Due::Timer(sidecar, token) => self.tell(sidecar, Event::Timer { token }),
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Call => self.call_root(),
+            ScheduledEvent::Arrival(server, job) => self.on_arrival(server, job),
+            ScheduledEvent::WorkDone(server, job) => self.on_work_done(server, job),
+            ScheduledEvent::AnswerArrival(attempt, outcome, report) => {
+                self.on_answer(attempt, outcome, report)
+            }
+            ScheduledEvent::Timer(sidecar, token) => {
+                self.handle_event(sidecar, Event::Timer { token })
+            }
         }
     }
 
-    fn call_at_the_root(&mut self) {
+    fn call_root(&mut self) {
         let gap = -(1.0 - self.random.random::<f64>()).ln() * 1e6 / self.chain.rate();
-        self.queue.add(self.now + gap as Micros, Due::Call);
+        self.queue.add(self.now + gap as Micros, ScheduledEvent::Call);
         let number = self.random.random_range(0..self.chain.servers);
         let sidecar = SidecarAt { tier: 0, number };
         self.call(sidecar, None, self.chain.deadline(0));
@@ -131,30 +135,33 @@
             work_hint: None,
             client_retry: false,
         };
-        self.tell(sidecar, Event::Request(new));
+        self.handle_event(sidecar, Event::Request(new));
     }
 
-    /// Tells a sidecar's decisions of an event, and does what they say.
-    fn tell(&mut self, sidecar: SidecarAt, event: Event<'_>) {
+    /// Passes an event to a sidecar's decision module and performs the resulting actions.
+    fn handle_event(&mut self, sidecar: SidecarAt, event: Event<'_>) {
         let mut actions = Vec::new();
         let balancer = &mut self.sidecars[sidecar.tier][sidecar.number];
         balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(sidecar, action);
+            self.perform(sidecar, action);
         }
     }
 
-    fn act(&mut self, sidecar: SidecarAt, action: Action) {
+    fn perform(&mut self, sidecar: SidecarAt, action: Action) {
         match action {
             Action::Send { id, server, timeout, .. } => self.send(sidecar, id, server, timeout),
             Action::Cancel { id, attempt } => {
                 let attempt = AttemptId { call: id.0, number: attempt };
-                self.queue.add(self.now, Due::Answered(attempt, Outcome::Cancelled, [0.0; 2]));
+                self.queue.add(
+                    self.now,
+                    ScheduledEvent::AnswerArrival(attempt, Outcome::Cancelled, [0.0; 2]),
+                );
             }
             Action::Refuse { id, .. } | Action::Fail { id } => self.end(id.0, Outcome::Error),
             Action::Timer { delay, token } => {
                 let at = self.now.saturating_add(delay);
-                self.queue.add(at, Due::Timer(sidecar, token));
+                self.queue.add(at, ScheduledEvent::Timer(sidecar, token));
             }
             Action::Probe { .. }
             | Action::CloseIdle { .. }
@@ -171,43 +178,43 @@
         let attempt = AttemptId { call: id.0, number: call.attempts.len() };
         call.attempts.push(Attempt { server, sent: self.now, open: true });
         let job = Job { attempt, deadline: self.now + timeout };
-        self.queue.add(self.now + WAY, Due::Reaches(server, job));
-        let late = Due::Answered(attempt, Outcome::TimedOut, [0.0; 2]);
+        self.queue.add(self.now + ONE_WAY_LATENCY_US, ScheduledEvent::Arrival(server, job));
+        let late = ScheduledEvent::AnswerArrival(attempt, Outcome::TimedOut, [0.0; 2]);
         self.queue.add(self.now + timeout, late);
     }
 
-    fn reaches(&mut self, at: ServerAt, job: Job) {
+    fn on_arrival(&mut self, at: ServerAt, job: Job) {
         let counted = self.is_counted();
         self.tally.attempts[at.tier] += u64::from(counted);
         let (slots, queue) = (self.chain.slots, self.chain.queue);
         let server = &mut self.servers[at.tier][at.number];
         match server.admit(job, slots, queue) {
-            Admission::Works => self.work(at, job),
-            Admission::Waits => {}
-            Admission::Full => self.answer(at, job.attempt, Outcome::Full),
+            Admission::Started => self.start_work(at, job),
+            Admission::Queued => {}
+            Admission::Refused => self.answer(at, job.attempt, Outcome::Full),
         }
     }
 
-    fn work(&mut self, at: ServerAt, job: Job) {
+    fn start_work(&mut self, at: ServerAt, job: Job) {
         let counted = self.is_counted();
         self.tally.worked[at.tier] += u64::from(counted);
-        let drawn = -(1.0 - self.random.random::<f64>()).ln();
-        let takes = self.chain.work as f64 * drawn.min(LONGEST_WORK);
-        self.queue.add(self.now + takes as Micros, Due::Worked(at, job));
+        let factor = -(1.0 - self.random.random::<f64>()).ln();
+        let duration = self.chain.mean_work as f64 * factor.min(MAX_WORK_FACTOR);
+        self.queue.add(self.now + duration as Micros, ScheduledEvent::WorkDone(at, job));
     }
 
-    fn worked(&mut self, at: ServerAt, job: Job) {
-        if let Some(next) = self.servers[at.tier][at.number].free() {
-            self.work(at, next);
+    fn on_work_done(&mut self, at: ServerAt, job: Job) {
+        if let Some(next) = self.servers[at.tier][at.number].free_slot() {
+            self.start_work(at, next);
         }
-        let bad = self.chain.bad_tier == Some(at.tier);
-        if bad && self.random.random::<f64>() < self.chain.errors {
+        let is_bad = self.chain.bad_tier == Some(at.tier);
+        if is_bad && self.random.random::<f64>() < self.chain.error_share {
             return self.answer(at, job.attempt, Outcome::Error);
         }
         if at.tier + 1 == self.chain.depth {
             return self.answer(at, job.attempt, Outcome::Served);
         }
-        // Times are told in whole milliseconds.
+        // The remaining time is passed on in whole milliseconds.
         let left = job.deadline.saturating_sub(self.now) / 1_000 * 1_000;
         if left == 0 {
             return self.answer(at, job.attempt, Outcome::Error);
@@ -218,10 +225,13 @@
 
     fn answer(&mut self, from: ServerAt, attempt: AttemptId, outcome: Outcome) {
         let report = self.servers[from.tier][from.number].report();
-        self.queue.add(self.now + WAY, Due::Answered(attempt, outcome, report));
+        self.queue.add(
+            self.now + ONE_WAY_LATENCY_US,
+            ScheduledEvent::AnswerArrival(attempt, outcome, report),
+        );
     }
 
-    fn answered(&mut self, id: AttemptId, outcome: Outcome, report: [f32; 2]) {
+    fn on_answer(&mut self, id: AttemptId, outcome: Outcome, report: [f32; 2]) {
         let Some(call) = self.calls.get(id.call) else { return };
         let sidecar = call.sidecar;
         let Some(attempt) = call.attempts.get_mut(id.number).filter(|a| a.open) else { return };
@@ -231,7 +241,7 @@
         if outcome == Outcome::Served {
             self.end(id.call, Outcome::Served);
         }
-        let told = Event::Answer {
+        let event = Event::Answer {
             id: RequestId(id.call),
             attempt: id.number,
             server: ServerId(server.number as u64 + 1),
@@ -240,11 +250,11 @@
             finished,
             report: LoadReport(report.into_iter().collect()),
         };
-        self.tell(sidecar, told);
+        self.handle_event(sidecar, event);
         self.calls.forget(id.call);
     }
 
-    /// A call's final answer, told to its caller.
+    /// Ends a call and passes its final answer to the caller.
     fn end(&mut self, number: u64, outcome: Outcome) {
         let Some(call) = self.calls.get(number).filter(|call| !call.ended) else { return };
         call.ended = true;
@@ -257,7 +267,7 @@
     }
 }
 
-/// A server as lists name it.
+/// Returns a server's entry in the server list.
 fn entry(number: usize) -> ServerEntry {
     ServerEntry {
         id: ServerId(number as u64 + 1),
--- a/crates/millethook-depth/src/processes/mod.rs
+++ b/crates/millethook-depth/src/processes/mod.rs
@@ -1,8 +1,8 @@
-//! The chain with real daemons on loopback.
+//! Runs the chain with real daemons on loopback.
 //!
-//! Each tier has stand-in servers (`service`); each of them, but for those of the last tier, calls the next tier
-//! through a daemon of its own. Clients (`clients`) call the first tier through daemons, in open loop.
-//! Everything ends by itself: the run's time is bounded, and a daemon's process ends with its handle.
+//! Each tier has stand-in servers (`service`). Each of them, except in the last tier, calls the next tier through its
+//! own daemon. Open-loop clients (`clients`) call the first tier through daemons. Everything ends by itself: the
+//! run's time is limited, and a daemon's process ends when its handle is dropped.
 
 mod clients;
 mod counters;
@@ -19,32 +19,35 @@
 use crate::chain::Chain;
 use crate::tally::Tally;
 
-/// What one daemon may hold open.
-const SOCKETS: u64 = 4_096;
+/// Maximum number of open sockets of one daemon.
+const MAX_SOCKETS: u64 = 4_096;
 
 /// Runs a chain.
 ///
 /// # Panics
-/// If a daemon does not start: the stand-ins are those of tests.
+/// If a daemon does not start, since the stand-ins come from the test kit.
 pub fn run(chain: &Chain) -> Tally {
     let counters = Arc::new(Counters::new(chain));
     let mut sidecars: Vec<Sidecar> = Vec::new();
     let mut agents: Vec<Agent> = Vec::new();
-    // From the last tier on: each tier's servers have to know the sidecars that call the next one.
-    let mut next: Vec<SocketAddr> = Vec::new();
+    // Starts with the last tier, because each tier's servers need the addresses of the sidecars that call the next
+    // one.
+    let mut next_sidecars: Vec<SocketAddr> = Vec::new();
     for tier in (0..chain.depth).rev() {
         let servers: Vec<Server> = (0..chain.servers)
-            .map(|number| service::start(chain, &counters, tier, number, next.get(number).copied()))
+            .map(|number| {
+                service::start(chain, &counters, tier, number, next_sidecars.get(number).copied())
+            })
             .collect();
         let agent = Agent::start(hosts(&servers));
         let tier_sidecars: Vec<Sidecar> =
             (0..chain.servers).map(|number| start_daemon(chain, tier, number, &agent)).collect();
-        next = tier_sidecars.iter().map(|sidecar| sidecar.address).collect();
+        next_sidecars = tier_sidecars.iter().map(|sidecar| sidecar.address).collect();
         sidecars.extend(tier_sidecars);
         agents.push(agent);
     }
-    clients::call(chain, &counters, &next);
-    // Attempts that clients have given up on are still counted where they began in time.
+    clients::run(chain, &counters, &next_sidecars);
+    // Attempts of calls that the clients have given up may still arrive within the counted time, so wait for them.
     std::thread::sleep(Duration::from_micros(chain.deadline(0)));
     counters.tally()
 }
@@ -53,7 +56,7 @@
     let config = config(agent.address, |config| {
         config["name"] = json!(format!("n{tier}-{number}"));
         config["seed"] = json!(format!("{:016x}", chain.seed << 16 | (tier * 64 + number) as u64));
-        config["limits"]["sockets"] = json!(SOCKETS);
+        config["limits"]["sockets"] = json!(MAX_SOCKETS);
         config["settings"] = chain.settings(tier);
     });
     Sidecar::start(&config)
--- a/crates/millethook-depth/src/processes/service.rs
+++ b/crates/millethook-depth/src/processes/service.rs
@@ -1,4 +1,5 @@
-//! A stand-in server: slots, a queue, errors of a bad tier, and a call of the next tier through its own sidecar.
+//! A stand-in server with slots, a queue, errors in the bad tier, and a call to the next tier through its own
+//! sidecar.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -9,23 +10,23 @@
 use super::counters::Counters;
 use crate::chain::Chain;
 
-/// What the service answers to a request.
+/// The service's answer to a request.
 enum Answer {
     Served,
     Failed,
-    TurnedAway,
+    Refused,
 }
 
-/// Slots and a queue before them.
+/// Slots with a queue in front.
 struct Slots {
-    state: Mutex<Occupied>,
+    state: Mutex<Occupancy>,
     freed: Condvar,
     slots: usize,
     queue: usize,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Occupied {
+struct Occupancy {
     working: usize,
     waiting: usize,
 }
@@ -36,8 +37,8 @@
         Slots { state: Mutex::default(), freed: Condvar::new(), slots, queue }
     }
 
-    /// Waits for a slot. False: the queue is full.
-    fn take(&self) -> bool {
+    /// Waits for a slot. Returns false if the queue is full.
+    fn acquire(&self) -> bool {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state.working < self.slots {
             state.working += 1;
@@ -55,12 +56,12 @@
         true
     }
 
-    fn free(&self) {
+    fn release(&self) {
         self.state.lock().unwrap_or_else(PoisonError::into_inner).working -= 1;
         self.freed.notify_one();
     }
 
-    fn occupied(&self) -> Occupied {
+    fn occupancy(&self) -> Occupancy {
         *self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -72,7 +73,7 @@
     counters: Arc<Counters>,
     slots: Slots,
     random: Mutex<Random>,
-    /// The sidecar through which it calls the next tier.
+    /// The sidecar through which the server calls the next tier.
     next: Option<SocketAddr>,
 }
 
@@ -97,44 +98,46 @@
 }
 
 impl Service {
-    /// Serves a connection until it ends.
+    /// Serves a connection until it closes.
     fn serve(&self, mut conn: Conn) {
         let mut next: Option<Conn> = None;
         while let Some(request) = conn.message().filter(|message| message.whole) {
-            let came = Instant::now();
+            let received_at = Instant::now();
             self.counters.count(|tally| tally.attempts[self.tier] += 1);
-            let answered = self.work(&request, came, &mut next);
-            conn.send(self.written(&answered));
+            let answered = self.process(&request, received_at, &mut next);
+            conn.send(self.response(&answered));
         }
     }
 
-    fn work(&self, request: &Message, came: Instant, next: &mut Option<Conn>) -> Answer {
-        if !self.slots.take() {
-            return Answer::TurnedAway;
+    fn process(&self, request: &Message, received_at: Instant, next: &mut Option<Conn>) -> Answer {
+        if !self.slots.acquire() {
+            return Answer::Refused;
         }
         self.counters.count(|tally| tally.worked[self.tier] += 1);
         std::thread::sleep(self.draw_work());
-        self.slots.free();
-        if self.chain.bad_tier == Some(self.tier) && self.draw() < self.chain.errors {
+        self.slots.release();
+        if self.chain.bad_tier == Some(self.tier) && self.draw() < self.chain.error_share {
             return Answer::Failed;
         }
         let Some(sidecar) = self.next else { return Answer::Served };
-        let told = request.header("x-time-left-ms").and_then(|told| told.parse().ok());
-        let left = Duration::from_millis(told.unwrap_or(0)).saturating_sub(came.elapsed());
+        let time_left_ms =
+            request.header("x-time-left-ms").and_then(|time_left_ms| time_left_ms.parse().ok());
+        let left =
+            Duration::from_millis(time_left_ms.unwrap_or(0)).saturating_sub(received_at.elapsed());
         match left.as_millis() {
             0 => Answer::Failed,
             left => self.call_next(sidecar, left, next),
         }
     }
 
-    /// Calls the next tier, on the connection that the last call left.
-    fn call_next(&self, sidecar: SocketAddr, left: u128, kept: &mut Option<Conn>) -> Answer {
-        let conn = kept.take().or_else(|| TcpStream::connect(sidecar).ok().map(Conn::new));
+    /// Calls the next tier, reusing the connection of the previous call.
+    fn call_next(&self, sidecar: SocketAddr, left: u128, idle_conn: &mut Option<Conn>) -> Answer {
+        let conn = idle_conn.take().or_else(|| TcpStream::connect(sidecar).ok().map(Conn::new));
         let Some(mut conn) = conn else { return Answer::Failed };
         let answered = conn.message_to(super::clients::request(left)).filter(|m| m.whole);
         let Some(answered) = answered else { return Answer::Failed };
         if answered.header("connection") != Some("close") {
-            *kept = Some(conn);
+            *idle_conn = Some(conn);
         }
         if answered.status() == 200 { Answer::Served } else { Answer::Failed }
     }
@@ -144,17 +147,17 @@
     }
 
     fn draw_work(&self) -> Duration {
-        let work = Delay::Exponential(Duration::from_micros(self.chain.work));
+        let work = Delay::Exponential(Duration::from_micros(self.chain.mean_work));
         work.draw(&mut self.random.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn written(&self, answered: &Answer) -> String {
-        let Occupied { working, waiting } = self.slots.occupied();
+    fn response(&self, answered: &Answer) -> String {
+        let Occupancy { working, waiting } = self.slots.occupancy();
         let load = format!("X-Backend-Load: inflight={},queue={waiting}\r\n", working + waiting);
         match answered {
             Answer::Served => answer("200 OK", &load, "done"),
             Answer::Failed => answer("500 Failed", &load, ""),
-            Answer::TurnedAway => answer("503 Full", &format!("{load}X-Unprocessed: 1\r\n"), ""),
+            Answer::Refused => answer("503 Full", &format!("{load}X-Unprocessed: 1\r\n"), ""),
         }
     }
 }
--- a/crates/millethook-depth/src/rows.rs
+++ b/crates/millethook-depth/src/rows.rs
@@ -1,18 +1,18 @@
-//! Rows of `docs/capacity/depth.csv`.
+//! Formats rows for `docs/capacity/depth.csv`.
 
 use std::fmt::Write;
 
 use crate::chain::{AIM_IN_WORK, Chain};
 use crate::tally::Tally;
 
-/// The first line.
+/// The header line.
 pub const HEADER: &str = "measurement,unit,size_of,size,seed,value,kind,machine,load\n";
 
-/// The chain's case as measurements name it.
-pub fn case(chain: &Chain) -> String {
+/// Returns the name of the chain's case in the measurements.
+pub fn case_name(chain: &Chain) -> String {
     let tiers = match chain.bad_tier {
         None => "all tiers well",
-        Some(_) if chain.errors >= 1.0 => "one tier down",
+        Some(_) if chain.error_share >= 1.0 => "one tier down",
         Some(_) => "one bad tier",
     };
     let load = chain.load * 100.0;
@@ -22,9 +22,9 @@
     }
 }
 
-/// The rows of a run, quoted where needed. `kind` is `processes` or `model`.
+/// Returns the rows of a run, with quoted fields where needed. `kind` is `processes` or `model`.
 pub fn rows(chain: &Chain, tally: &Tally, kind: &str, load: &str) -> String {
-    let case = case(chain);
+    let case = case_name(chain);
     let last = chain.depth - 1;
     let values = [
         ("attempts at the last tier", "attempts", tally.attempts_at(last)),
@@ -35,7 +35,7 @@
     ];
     let mut text = String::new();
     for (name, unit, value) in values {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             text,
             "\"{name}, {case}\",{unit},tiers,{},{},{value:.4},{kind},8 cores,\"{load}\"",
--- a/crates/millethook-forecast/tests/it/truth.rs
+++ b/crates/millethook-forecast/tests/it/truth.rs
@@ -75,7 +75,7 @@
         let bias = errors.iter().map(|e| e.0).sum::<f64>() / count;
         let error = errors.iter().map(|e| e.0.abs()).sum::<f64>() / count;
         let held = errors.iter().filter(|e| e.1).count();
-        let found = format!("{change}, {when}: bias {bias:+.4}, error {error:.4}, {held} held");
+        let found = format!("{change}, {when}: lean {bias:+.4}, error {error:.4}, {held} held");
         println!("{found}");
         let max_error = if when == "1 s" { 0.06 } else { 0.03 };
         assert!(bias.abs() <= 0.015 && error <= max_error, "{found}");
