--- a/crates/millethook-edge/src/book.rs
+++ b/crates/millethook-edge/src/book.rs
@@ -170,9 +170,9 @@
     pub(crate) fn resolve_unacknowledged(&mut self, about: Option<u64>) {
         // After an earlier boot, damage is usually a write cut short by a power loss.
         let state = if self.from_earlier_boot { State::Kept } else { State::InDoubt };
-        let spoilt = |seq: &u64| about.is_none_or(|about| about == *seq);
-        let doubtful: Vec<u64> = self.unacknowledged.iter().copied().filter(spoilt).collect();
-        for seq in doubtful {
+        let is_affected = |seq: &u64| about.is_none_or(|about| about == *seq);
+        let affected: Vec<u64> = self.unacknowledged.iter().copied().filter(is_affected).collect();
+        for seq in affected {
             self.unacknowledged.remove(&seq);
             if let Some(entry) = self.entries.get_mut(&seq) {
                 entry.state = state;
@@ -259,11 +259,11 @@
                 },
             );
             self.open.insert(seq);
-            let (mine, rest) =
+            let (own_records, other_records) =
                 std::mem::take(&mut self.early_records).into_iter().partition(|e| e.0 == seq);
-            self.early_records = rest;
-            let mine: Vec<(u64, Record)> = mine;
-            mine.iter().for_each(|(seq, record)| self.apply(*seq, (0, 0), record));
+            self.early_records = other_records;
+            let own_records: Vec<(u64, Record)> = own_records;
+            own_records.iter().for_each(|(seq, record)| self.apply(*seq, (0, 0), record));
             return;
         }
         let Some(entry) = self.entries.get_mut(&seq) else {
--- a/crates/millethook-edge/src/check.rs
+++ b/crates/millethook-edge/src/check.rs
@@ -51,9 +51,9 @@
             rule(ended != book.open.contains(seq), "a write is either open or ended", &|| {
                 format!("{seq}: {:?}", entry.state)
             })?;
-            let doubtful = entry.state == State::InDoubt;
+            let in_doubt = entry.state == State::InDoubt;
             rule(
-                !doubtful || !self.in_flight.contains_key(seq),
+                !in_doubt || !self.in_flight.contains_key(seq),
                 "a write in doubt is not in flight",
                 &|| seq.to_string(),
             )?;
--- a/crates/millethook-edge/tests/it/common/mod.rs
+++ b/crates/millethook-edge/tests/it/common/mod.rs
@@ -168,8 +168,8 @@
         world
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        self.random.next_u64() % most.max(1)
+    fn below(&mut self, bound: u64) -> u64 {
+        self.random.next_u64() % bound.max(1)
     }
 
     fn edge(&self, p: usize) -> EdgeId {
@@ -241,8 +241,8 @@
                     files.extend(folder.journals.values().cloned());
                 }
                 for file in &mut files {
-                    let unsure = (file.bytes.len() - file.synced) as u64;
-                    let kept = file.synced + self.below(unsure + 1) as usize;
+                    let unsynced = (file.bytes.len() - file.synced) as u64;
+                    let kept = file.synced + self.below(unsynced + 1) as usize;
                     file.bytes.truncate(kept);
                     // The file's length may have reached the disk without the content.
                     if self.below(3) == 0 {
@@ -356,9 +356,9 @@
         let mut doubt = 0;
         for (id, _) in self.acked.clone() {
             let book = self.book(id.edge);
-            let gone = book.damaged.iter().any(|d| !d.3);
+            let intake_damaged = book.damaged.iter().any(|d| !d.3);
             match book.entry(id.seq).map(|e| e.state) {
-                None if gone => {}
+                None if intake_damaged => {}
                 None => self.fail(format!("{id} was acknowledged and has no entry")),
                 Some(State::Ended(millethook_edge::record::End::Done)) => {
                     let ran = self.executions.get(&id).is_some_and(|r| !r.at.is_empty());
--- a/crates/millethook-edge/tests/it/common/owners.rs
+++ b/crates/millethook-edge/tests/it/common/owners.rs
@@ -45,12 +45,12 @@
     }
 
     /// Whether a store's process has ended, so that nobody holds its intake.
-    fn is_gone(&self, edge: EdgeId) -> bool {
+    fn has_process_ended(&self, edge: EdgeId) -> bool {
         (0..PROCESSES).all(|p| !self.processes[p].alive || self.edge(p) != edge)
     }
 
     pub(super) fn take_over(&mut self, p: usize, edge: EdgeId, token: Token) {
-        let (readable, gone) = (self.readable(p, edge), self.is_gone(edge));
+        let (readable, process_ended) = (self.readable(p, edge), self.has_process_ended(edge));
         let Some(folder) = self.folders.get_mut(&edge) else { return };
         // An earlier owner has read writes that the store's own process has not decided yet.
         if readable < folder.intake.bytes.len() && !folder.journals.is_empty() {
@@ -68,7 +68,7 @@
         folder.journals.insert(token, File::default());
         book.finish_intake();
         let mut replay = Replay::new(config(), token, book, self.now * 1_000);
-        if gone {
+        if process_ended {
             replay.process_ended();
         }
         let owner = Owner {
@@ -139,7 +139,7 @@
     /// Returns false if another process owns the store and this owner has no work in progress.
     pub(super) fn run_owner(&mut self, p: usize, owner: &mut Owner) -> bool {
         let token = owner.replay.token();
-        let mine = self.holds(p, owner.edge, token);
+        let holds_lease = self.holds(p, owner.edge, token);
         // Writes whose lease check has passed are sent now, however long the process was paused in between.
         for seq in std::mem::take(&mut owner.lease_checked) {
             self.receive_write(p, owner, seq);
@@ -162,7 +162,7 @@
             let step = owner.replay.outcome(seq, outcome, now);
             self.step(p, owner, step);
         }
-        if !mine {
+        if !holds_lease {
             return !(owner.writing.is_empty() && owner.answers.is_empty());
         }
         self.read_files(p, owner);
@@ -198,7 +198,8 @@
 
     /// Reads what was appended to the store's files.
     pub(super) fn read_files(&mut self, p: usize, owner: &mut Owner) {
-        let (readable, gone) = (self.readable(p, owner.edge), self.is_gone(owner.edge));
+        let (readable, process_ended) =
+            (self.readable(p, owner.edge), self.has_process_ended(owner.edge));
         let Some(folder) = self.folders.get_mut(&owner.edge) else { return };
         folder.intake.synced = folder.intake.bytes.len();
         let own = owner.replay.token();
@@ -223,7 +224,7 @@
                 }
             }
         }
-        if gone {
+        if process_ended {
             owner.replay.process_ended();
         }
     }
--- a/crates/millethook-forecast/src/forecast.rs
+++ b/crates/millethook-forecast/src/forecast.rs
@@ -302,14 +302,14 @@
 /// items and hardly change. The rate of misses is therefore computed from the expected number (the correction of
 /// SHARDS, Waldspurger et al., FAST 2015, section 3.4).
 fn expected_ratio(sample: &Sample, length: Micros, counts: &[Count]) -> f64 {
-    let came: f64 = counts.iter().map(|count| count.all).sum();
+    let actual: f64 = counts.iter().map(|count| count.all).sum();
     let start = sample.accesses().next().map_or(0, |access| access.at);
     let expected = sample.expected(start, start.saturating_add(length));
     // A sample of all items needs no correction.
-    if sample.share() >= 1.0 || came < 1.0 || expected < 1.0 {
+    if sample.share() >= 1.0 || actual < 1.0 || expected < 1.0 {
         return 1.0;
     }
-    expected / came
+    expected / actual
 }
 
 /// Returns the hit rate over all parts, with its jackknife interval, which leaves out each part in turn.
--- a/crates/millethook-forecast/src/forecast/check.rs
+++ b/crates/millethook-forecast/src/forecast/check.rs
@@ -28,13 +28,13 @@
     /// # Errors
     /// The first invariant that does not hold, with the values that break it.
     pub fn check(&self) -> Result<(), Violation> {
-        for (known, cost) in self.after.iter().zip(&self.cost) {
-            known.check(&"after the change", true)?;
+        for (estimate, cost) in self.after.iter().zip(&self.cost) {
+            estimate.check(&"after the change", true)?;
             cost.check(&"cost", false)?;
             Violation::unless(
-                known.mid().is_some() == cost.mid().is_some(),
+                estimate.mid().is_some() == cost.mid().is_some(),
                 "a cost has an estimate exactly if the hit rate has one",
-                &|| format!("{known:?}, {cost:?}"),
+                &|| format!("{estimate:?}, {cost:?}"),
             )?;
         }
         self.steady.check(&"in the steady state", true)?;
@@ -48,8 +48,8 @@
         &self,
         parts: &BTreeMap<K, Estimate>,
     ) -> Result<(), Violation> {
-        for (key, known) in parts {
-            known.check(key, true)?;
+        for (key, estimate) in parts {
+            estimate.check(key, true)?;
         }
         let found = &|| format!("{:?}, {parts:?}", self.steady);
         let mids: Vec<f64> = parts.values().filter_map(Estimate::mid).collect();
--- a/crates/millethook-forecast/src/sample.rs
+++ b/crates/millethook-forecast/src/sample.rs
@@ -113,8 +113,8 @@
         let count = self.arrivals.entry(at / COUNT_INTERVAL_US).or_default();
         *count = count.saturating_add(accesses);
         let seconds = (self.span / COUNT_INTERVAL_US).saturating_add(2);
-        let most = usize::try_from(seconds).unwrap_or(MAX_COUNTS).min(MAX_COUNTS);
-        while self.arrivals.len() > most {
+        let max_counts = usize::try_from(seconds).unwrap_or(MAX_COUNTS).min(MAX_COUNTS);
+        while self.arrivals.len() > max_counts {
             self.arrivals.pop_first();
         }
     }
--- a/crates/millethook-forecast/tests/it/laws.rs
+++ b/crates/millethook-forecast/tests/it/laws.rs
@@ -65,9 +65,9 @@
             items: 20.0, expiry: 5_000_000, exclusive, miss_cost: 2.0, seed: 1,
         };
         let made = forecast(&question).expect("server 0 is there");
-        for known in made.after.iter().chain([&made.steady]).chain(made.by_server.values()) {
-            if let Estimate::Interval { low, mid, high } = known {
-                prop_assert!((0.0..=1.0).contains(mid) && low <= mid && mid <= high, "{known:?}");
+        for estimate in made.after.iter().chain([&made.steady]).chain(made.by_server.values()) {
+            if let Estimate::Interval { low, mid, high } = estimate {
+                prop_assert!((0.0..=1.0).contains(mid) && low <= mid && mid <= high, "{estimate:?}");
             }
         }
     }
@@ -95,10 +95,10 @@
         let site = Site::new(11, false);
         let mut sound = site.sample.accesses().all(|a| site.sample.samples(a.item));
         for (_, change) in changes(&site) {
-            for (_, known, came) in site.compare(&change) {
-                sound &= known
-                    .contains(came)
-                    .is_none_or(|_| (known.mid().unwrap_or(came) - came).abs() < 0.08);
+            for (_, estimate, actual) in site.compare(&change) {
+                sound &= estimate
+                    .contains(actual)
+                    .is_none_or(|_| (estimate.mid().unwrap_or(actual) - actual).abs() < 0.08);
             }
         }
         let mut thin = Site::new(3, false);
--- a/crates/millethook-forecast/tests/it/truth.rs
+++ b/crates/millethook-forecast/tests/it/truth.rs
@@ -13,12 +13,14 @@
     for exclusive in [false, true] {
         let site = Site::new(11, exclusive);
         for (name, change) in changes(&site) {
-            for (when, forecast, came) in site.compare(&change) {
+            for (when, forecast, actual) in site.compare(&change) {
                 let Estimate::Interval { low, mid, high } = forecast else { continue };
-                errors.push((mid - came).abs());
+                errors.push((mid - actual).abs());
                 asked += 1;
-                held += usize::from((low..=high).contains(&came));
-                println!("{exclusive} {name} {when}: {low:.3} {mid:.3} {high:.3}, came {came:.3}");
+                held += usize::from((low..=high).contains(&actual));
+                println!(
+                    "{exclusive} {name} {when}: {low:.3} {mid:.3} {high:.3}, came {actual:.3}"
+                );
             }
         }
     }
@@ -35,7 +37,7 @@
     site.sample = Sample::new(0.0002, site.sample.span());
     site.resample();
     let all = site.compare(&millethook_forecast::Change::Nothing);
-    assert!(all.iter().any(|(_, known, _)| matches!(known, Estimate::Missing(_))), "{all:?}");
+    assert!(all.iter().any(|(_, estimate, _)| matches!(estimate, Estimate::Missing(_))), "{all:?}");
 }
 
 /// The error of a forecast, and whether its interval contains the actual value.
@@ -43,8 +45,8 @@
 
 /// The errors of all forecasts at one site, by change and window.
 fn errors_at(site: &Site) -> Vec<((&'static str, &'static str), ForecastError)> {
-    let error_of = |(when, known, came): (_, Estimate, f64)| {
-        Some((when, (known.mid()? - came, known.contains(came)?)))
+    let error_of = |(when, estimate, actual): (_, Estimate, f64)| {
+        Some((when, (estimate.mid()? - actual, estimate.contains(actual)?)))
     };
     let of = |(name, change)| {
         let errors = site.compare(&change).into_iter().filter_map(error_of);
