--- a/crates/millethook-depth/src/processes/service.rs
+++ b/crates/millethook-depth/src/processes/service.rs
@@ -101,7 +101,7 @@
     /// Serves a connection until it closes.
     fn serve(&self, mut conn: Conn) {
         let mut next: Option<Conn> = None;
-        while let Some(request) = conn.message().filter(|message| message.whole) {
+        while let Some(request) = conn.message().filter(|message| message.complete) {
             let received_at = Instant::now();
             self.counters.count(|tally| tally.attempts[self.tier] += 1);
             let answered = self.process(&request, received_at, &mut next);
@@ -134,7 +134,7 @@
     fn call_next(&self, sidecar: SocketAddr, left: u128, idle_conn: &mut Option<Conn>) -> Answer {
         let conn = idle_conn.take().or_else(|| TcpStream::connect(sidecar).ok().map(Conn::new));
         let Some(mut conn) = conn else { return Answer::Failed };
-        let answered = conn.message_to(super::clients::request(left)).filter(|m| m.whole);
+        let answered = conn.request(super::clients::request(left)).filter(|m| m.complete);
         let Some(answered) = answered else { return Answer::Failed };
         if answered.header("connection") != Some("close") {
             *idle_conn = Some(conn);
--- a/crates/millethook/tests/library/any_server/early.rs
+++ b/crates/millethook/tests/library/any_server/early.rs
@@ -76,10 +76,10 @@
 }
 
 /// Checks that no order ran twice, and that no order that ran is reported as `NeverRan`.
-pub fn check(begun: &Begun, class: &str, ends: &[End]) {
-    assert_eq!(begun.twice(), Vec::<String>::new(), "orders that ran twice");
+pub fn check(begun: &RequestCounts, class: &str, ends: &[End]) {
+    assert_eq!(begun.started_twice(), Vec::<String>::new(), "orders that ran twice");
     for (i, end) in ends.iter().enumerate() {
-        let times = begun.times(&format!("/{class}/{i}"));
+        let times = begun.starts_of(&format!("/{class}/{i}"));
         assert!(
             times == 0 || *end != End::NeverRan,
             "/{class}/{i} ran, but is reported as never run"
@@ -89,7 +89,7 @@
 
 #[derive(Clone)]
 struct Handler {
-    begun: Begun,
+    begun: RequestCounts,
     nth: Arc<AtomicUsize>,
     kind: usize,
     errors: Arc<AtomicUsize>,
@@ -101,7 +101,7 @@
     Path((class, n)): Path<(String, String)>,
 ) -> (StatusCode, String) {
     let path = format!("/{class}/{n}");
-    handler.begun.begin(&path);
+    handler.begun.count_start(&path);
     let nth = handler.nth.fetch_add(1, Ordering::SeqCst) + 1;
     tokio::time::sleep(Duration::from_millis(2)).await;
     match handler.kind {
@@ -112,7 +112,7 @@
         4 if nth.is_multiple_of(2) => tokio::time::sleep(Duration::from_millis(300)).await,
         _ => {}
     }
-    handler.begun.answer();
+    handler.begun.count_answer();
     (StatusCode::OK, path)
 }
 
@@ -121,8 +121,8 @@
     request: axum::extract::Request,
     next: axum::middleware::Next,
 ) -> axum::response::Response {
-    if let Some(name) = doubled(request.headers().iter().map(|(name, _)| name.as_str())) {
-        violation(format!("{}: {name} stands there twice", request.uri()));
+    if let Some(name) = repeated_field(request.headers().iter().map(|(name, _)| name.as_str())) {
+        record_violation(format!("{}: {name} stands there twice", request.uri()));
         return StatusCode::BAD_REQUEST.into_response();
     }
     next.run(request).await
@@ -130,7 +130,7 @@
 
 /// Five axum servers: three good ones, one that answers 500 to every third request, and one that delays
 /// every second request by 300 ms.
-async fn axum_servers(begun: &Begun, errors: &Arc<AtomicUsize>) -> FleetBuilder {
+async fn axum_servers(begun: &RequestCounts, errors: &Arc<AtomicUsize>) -> FleetBuilder {
     let (aim, deadline) = (Duration::from_millis(300), Duration::from_secs(15));
     let mut builder = FleetConfig::builder(&name())
         .seed(7)
@@ -154,7 +154,7 @@
 fn axum_handlers_that_ignore_their_body_run_no_order_twice() {
     let runtime = runtime();
     runtime.block_on(async {
-        let (begun, errors) = (Begun::default(), Arc::new(AtomicUsize::new(0)));
+        let (begun, errors) = (RequestCounts::default(), Arc::new(AtomicUsize::new(0)));
         let config = axum_servers(&begun, &errors).await.build().expect("valid");
         let fleet = Fleet::open(config).expect("open");
         let ends = orders(&fleet, "order", 1000, 16).await;
@@ -171,12 +171,12 @@
 fn axum_handlers_that_ignore_their_body_serve_keyed_requests() {
     let runtime = runtime();
     runtime.block_on(async {
-        let (begun, errors) = (Begun::default(), Arc::default());
+        let (begun, errors) = (RequestCounts::default(), Arc::default());
         let config = axum_servers(&begun, &errors).await.build().expect("valid");
         let fleet = Fleet::open(config).expect("open");
         let ends = orders(&fleet, "keep", 1000, 16).await;
         for (i, end) in ends.iter().enumerate() {
-            let ran = begun.times(&format!("/keep/{i}")) > 0;
+            let ran = begun.starts_of(&format!("/keep/{i}")) > 0;
             assert!(!ran || *end != End::NeverRan, "/keep/{i} ran, but is reported as never run");
         }
         let served = ends.iter().filter(|end| **end == End::Served).count();
@@ -188,16 +188,21 @@
 #[test]
 fn early_answers_are_served_once_whatever_becomes_of_the_body() {
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-    let kinds = [Early::ThenRead, Early::ThenClose, Early::ThenReset, Early::First(interim)];
+    let kinds = [
+        EarlyAnswer::ThenRead,
+        EarlyAnswer::ThenClose,
+        EarlyAnswer::ThenReset,
+        EarlyAnswer::BytesFirst(interim),
+    ];
     for what in kinds {
-        let begun = Begun::default();
-        let server = early(&begun, what);
+        let begun = RequestCounts::default();
+        let server = early_answering_server(&begun, what);
         let fleet = fleet(&[server]);
         runtime().block_on(async {
             let mut served = 0;
             for (n, size) in [0, 1, 2, 5, 64 << 10].into_iter().cycle().take(40).enumerate() {
                 let end = send_order(&fleet, "order", n, vec![b'x'; size]).await;
-                let times = begun.times(&format!("/order/{n}"));
+                let times = begun.starts_of(&format!("/order/{n}"));
                 // On a busy machine, a late close may hit the next order.
                 let lost = times == 0 && end == End::MayHaveRun;
                 let well = times == 1 && end == End::Served;
@@ -222,11 +227,11 @@
         ("503 Busy", None),
     ];
     for (status, expected) in cases {
-        let begun = Begun::default();
+        let begun = RequestCounts::default();
         let seen = begun.clone();
         let server = Server::start(move |mut conn| {
-            while let Some(message) = conn.message().filter(|m| m.whole) {
-                seen.begin(&path(&message.first));
+            while let Some(message) = conn.message().filter(|m| m.complete) {
+                seen.count_start(&path(&message.first));
                 conn.send(answer(status, "X-Kept: yes\r\n", "why"));
             }
         });
@@ -240,6 +245,6 @@
             (None, Err(e)) => assert_eq!(e.execution(), Execution::MayHaveRun, "{status}"),
             (_, end) => panic!("{status}: {end:?}"),
         }
-        assert_eq!(begun.times("/order/1"), 1, "{status}");
+        assert_eq!(begun.starts_of("/order/1"), 1, "{status}");
     }
 }
--- a/crates/millethook/tests/library/any_server/fleets.rs
+++ b/crates/millethook/tests/library/any_server/fleets.rs
@@ -12,15 +12,15 @@
 use crate::common::*;
 
 /// A server that counts open connections over all servers of its test.
-fn counted(begun: &Begun, open: &Arc<AtomicUsize>, most: &Arc<AtomicUsize>) -> Server {
+fn counted(begun: &RequestCounts, open: &Arc<AtomicUsize>, most: &Arc<AtomicUsize>) -> Server {
     let (begun, open, most) = (begun.clone(), open.clone(), most.clone());
     Server::start(move |mut conn| {
         most.fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
-        while let Some(message) = conn.message().filter(|m| m.whole) {
+        while let Some(message) = conn.message().filter(|m| m.complete) {
             let path = path(&message.first);
-            begun.begin(&path);
+            begun.count_start(&path);
             conn.send(ok(&path));
-            begun.answer();
+            begun.count_answer();
         }
         open.fetch_sub(1, Ordering::SeqCst);
     })
@@ -28,7 +28,7 @@
 
 #[test]
 fn eight_sockets_serve_sixty_six_servers() {
-    let begun = Begun::default();
+    let begun = RequestCounts::default();
     let (open, most) = (Arc::default(), Arc::default());
     let servers: Vec<Server> = (0..66).map(|_| counted(&begun, &open, &most)).collect();
     let fleet = Fleet::open(builder(&name(), &servers).sockets(8).build().expect("valid"));
@@ -42,13 +42,13 @@
         wait_until_idle(&fleet).await;
         assert!(fleet.usage().await.expect("alive").sockets <= 8);
     });
-    within("closed", || open.load(Ordering::SeqCst) <= 8);
+    wait_until("closed", || open.load(Ordering::SeqCst) <= 8);
 }
 
 /// All 66 servers are replaced by new ones, a third at a time, while every connection is in use.
 #[test]
 fn sixty_six_servers_are_replaced_under_load() {
-    let begun = Begun::default();
+    let begun = RequestCounts::default();
     let (open, most) = (Arc::default(), Arc::default());
     let start = |_| counted(&begun, &open, &most);
     let mut list: Vec<(String, Server)> = (0..66).map(|n| (format!("old-{n}"), start(n))).collect();
@@ -73,11 +73,11 @@
     });
     for third in 0..3 {
         // Each step waits for completed orders rather than for a time.
-        within("orders run", || begun.answered() > (third + 1) * per_round);
+        wait_until("orders run", || begun.answered() > (third + 1) * per_round);
         for (n, entry) in list.iter_mut().enumerate().skip(third * 22).take(22) {
             *entry = (format!("new-{n}"), start(n));
         }
-        agent.change(named(&list));
+        agent.set_hosts(named(&list));
     }
     runtime.block_on(load).expect("no caller panics");
     let ends = ends.lock().expect("no panic");
@@ -88,7 +88,7 @@
     assert!(served * 100 > ends.len() * 97, "{served} of {} served", ends.len());
     // Connections to removed servers are closed: the servers and the fleet count the same connections.
     runtime.block_on(wait_until_idle(&fleet));
-    within("old connections are closed", || {
+    wait_until("old connections are closed", || {
         let held = runtime.block_on(fleet.usage()).expect("alive").sockets;
         open.load(Ordering::SeqCst) == held
     });
