--- a/crates/millethook-hollow/src/conductor.rs
+++ b/crates/millethook-hollow/src/conductor.rs
@@ -1,4 +1,4 @@
-//! Starts hosts, gives them the steps of a plan, and waits for each step's end.
+//! Starts hosts, sends them the steps of a plan, and waits for the end of each step.
 
 mod agreement;
 mod hosts;
@@ -13,124 +13,131 @@
 use crate::plan::{Plan, Step};
 use crate::protocol::{Command, Phase, Report, Setup};
 use crate::usage;
-pub use agreement::Agreed;
 use agreement::Agreement;
+pub use agreement::AgreementTimes;
 use hosts::Hosts;
 
-/// Hosts end by themselves so long after the plan's longest time.
-const SPARE_S: f64 = 60.0;
-/// Addresses that are tried for a run before it gives up.
-const STARTS: usize = 3;
-/// How long a host may take to bind its sockets, or to report the end of a step.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Hosts exit on their own this long after the plan's maximum duration.
+const HOST_EXIT_MARGIN_S: f64 = 60.0;
+/// Number of address ranges that are tried before a run fails.
+const MAX_START_ATTEMPTS: usize = 3;
+/// Maximum time for a host to bind its sockets or to report the end of a step.
+const HOST_REPLY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A step that was run.
+/// The result of a completed step.
 #[derive(Clone, Debug, Serialize)]
-pub struct StepDone {
-    /// What it was.
+pub struct StepResult {
+    /// The step.
     pub step: Step,
-    /// How long it took, in seconds.
+    /// Duration in seconds.
     pub length_s: f64,
-    /// When all came to agree.
-    pub agreed: Agreed,
-    /// What the hosts of sidecars counted, all together.
+    /// When the sidecars reached agreement.
+    pub agreed: AgreementTimes,
+    /// Totals over all hosts of sidecars.
     pub phase: Phase,
-    /// What the hosts of control nodes counted.
+    /// Totals over all hosts of control nodes.
     pub control: Phase,
-    /// Datagrams that the kernel dropped because a socket's buffer was full: at sidecars, and at control nodes.
+    /// Datagrams that the kernel dropped because a socket's receive buffer was full: at sidecars, and at control
+    /// nodes.
     pub dropped: (u64, u64),
-    /// The load of the machine at its end.
+    /// Load average of the machine at the end of the step.
     pub load: f64,
 }
 
-/// Starts the hosts of a plan and waits until all sockets are bound. Before a run only its first address is looked at;
-/// without another try, a run would end because any other of its thousands is in use by another program.
+/// Starts the hosts of a plan and waits until all sockets are bound. Only the first address of a range is tested
+/// beforehand, so another program may hold one of the other thousands. Without a retry on another range the run would
+/// then fail.
 fn start_hosts(
     plan: &Plan,
     program: &Path,
-    mut choose: impl FnMut() -> Result<Addresses, HollowError>,
+    mut choose_addresses: impl FnMut() -> Result<Addresses, HollowError>,
 ) -> Result<(Addresses, Hosts), HollowError> {
-    let mut starts = 0;
+    let mut attempts = 0;
     loop {
-        starts += 1;
-        let addresses = choose()?;
+        attempts += 1;
+        let addresses = choose_addresses()?;
         let setup = |host| Setup {
             host,
             plan: plan.clone(),
             addresses,
-            limit_s: plan.longest_s() + SPARE_S + PATIENCE.as_secs_f64(),
+            limit_s: plan.max_duration_s() + HOST_EXIT_MARGIN_S + HOST_REPLY_TIMEOUT.as_secs_f64(),
         };
         let mut hosts = Hosts::start(program, plan.hosts + plan.control_hosts(), setup)?;
-        match hosts.wait_ready(PATIENCE) {
+        match hosts.wait_ready(HOST_REPLY_TIMEOUT) {
             Ok(()) => return Ok((addresses, hosts)),
-            Err(error) if starts == STARTS => return Err(error),
-            Err(error) => eprintln!("other addresses are tried: {error}"),
+            Err(error) if attempts == MAX_START_ATTEMPTS => return Err(error),
+            Err(error) => eprintln!("retrying with other addresses: {error}"),
         }
     }
 }
 
-/// Runs a plan with hosts that are started as `program host`, at addresses that are free.
+/// Runs a plan with hosts started as `program host`, on a free address range.
 ///
 /// # Errors
-/// The plan makes no sense, or a host failed.
+/// Fails if the plan is invalid or a host failed.
 pub fn run(
     plan: &Plan,
     program: &Path,
-    watch: impl FnMut(&StepDone),
-) -> Result<Vec<StepDone>, HollowError> {
-    run_at(plan, program, Addresses::free, watch)
+    on_step: impl FnMut(&StepResult),
+) -> Result<Vec<StepResult>, HollowError> {
+    run_at(plan, program, Addresses::find_free, on_step)
 }
 
-/// As [`run`], at the addresses that `choose` returns. It is asked again where hosts cannot bind all of them.
+/// Like [`run`], on the address range that `choose` returns. `choose` is called again if hosts cannot bind all
+/// addresses.
 ///
 /// # Errors
-/// The plan makes no sense, `choose` failed, or a host did.
+/// Fails if the plan is invalid, or if `choose` or a host failed.
 pub fn run_at(
     plan: &Plan,
     program: &Path,
-    choose: impl FnMut() -> Result<Addresses, HollowError>,
-    mut watch: impl FnMut(&StepDone),
-) -> Result<Vec<StepDone>, HollowError> {
+    choose_addresses: impl FnMut() -> Result<Addresses, HollowError>,
+    mut on_step: impl FnMut(&StepResult),
+) -> Result<Vec<StepResult>, HollowError> {
     plan.check()?;
-    let (addresses, mut hosts) = start_hosts(plan, program, choose)?;
-    let mut done: Vec<StepDone> = Vec::new();
-    let mut before: Option<(Step, f64, Agreed)> = None;
+    let (addresses, mut hosts) = start_hosts(plan, program, choose_addresses)?;
+    let mut done: Vec<StepResult> = Vec::new();
+    let mut before: Option<(Step, f64, AgreementTimes)> = None;
     let mut dropped = (0, 0);
     for nth in 0..=plan.steps.len() {
         let step = plan.steps.get(nth);
-        // Before the hosts are told: some begin the step while others still report on the last one.
+        // Taken before the command is sent: some hosts begin the step while others still report on the previous one.
         let begun = Instant::now();
-        hosts.tell(&Command { step: nth + 1, action: step.map(|step| step.action.clone()) })?;
-        let (phase, control) = hosts.collect(plan.hosts, PATIENCE)?;
+        hosts.send_to_all(&Command {
+            step: nth + 1,
+            action: step.map(|step| step.action.clone()),
+        })?;
+        let (phase, control) = hosts.collect(plan.hosts, HOST_REPLY_TIMEOUT)?;
         if let Some((step, length_s, agreed)) = before.take() {
             let all = usage::dropped(addresses, plan.size);
             let new = (all.0.saturating_sub(dropped.0), all.1.saturating_sub(dropped.1));
             let load = usage::load();
-            let one = StepDone { step, length_s, agreed, phase, control, dropped: new, load };
+            let one = StepResult { step, length_s, agreed, phase, control, dropped: new, load };
             dropped = all;
-            watch(&one);
+            on_step(&one);
             done.push(one);
         }
         if let Some(step) = step {
-            let (length_s, agreed) = wait(&mut hosts, step, (nth + 1, begun), plan.dilation)?;
+            let (length_s, agreed) =
+                wait_for_agreement(&mut hosts, step, (nth + 1, begun), plan.dilation)?;
             before = Some((step.clone(), length_s, agreed));
         }
     }
-    hosts.wait_ended(PATIENCE);
+    hosts.wait_exited(HOST_REPLY_TIMEOUT);
     Ok(done)
 }
 
-/// Waits until all agree, or the step's time is over. Times are the run's.
-fn wait(
+/// Waits until all sidecars agree or the step's time limit is reached. Times are in seconds of the run.
+fn wait_for_agreement(
     hosts: &mut Hosts,
     step: &Step,
     (nth, begun): (usize, Instant),
     dilation: f64,
-) -> Result<(f64, Agreed), HollowError> {
+) -> Result<(f64, AgreementTimes), HollowError> {
     let mut agreement = Agreement::new(hosts.len());
     loop {
         let passed = begun.elapsed().as_secs_f64() / dilation;
-        let enough = passed >= step.at_least_s && agreement.is_whole();
+        let enough = passed >= step.at_least_s && agreement.is_complete();
         if enough || passed >= step.at_most_s {
             return Ok((passed, agreement.agreed()));
         }
@@ -138,7 +145,7 @@
         if let Some((host, Report::Sample(sample))) = hosts.next(left)?
             && sample.step == nth
         {
-            agreement.take(host, sample, begun.elapsed().as_secs_f64() / dilation);
+            agreement.record(host, sample, begun.elapsed().as_secs_f64() / dilation);
         }
     }
 }
--- a/crates/millethook-hollow/src/conductor/agreement.rs
+++ b/crates/millethook-hollow/src/conductor/agreement.rs
@@ -1,53 +1,53 @@
-//! When all sidecars believe the same, and what is true.
+//! Determines when all sidecars hold the same, correct state.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::protocol::{Known, Sample};
+use crate::protocol::{RolloutStatus, Sample};
 
-/// When so many of 100 first believed the same and what is true, in seconds after a step's beginning; by samples, so
-/// to a quarter of a second.
+/// When a given share of the sidecars first held the same, correct state, in seconds after the beginning of a step.
+/// Taken from samples, so accurate to a quarter of a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Agreed {
-    /// 50 of 100.
+pub struct AgreementTimes {
+    /// 50% of the sidecars.
     pub half_s: Option<f64>,
-    /// 99 of 100.
+    /// 99% of the sidecars.
     pub most_s: Option<f64>,
-    /// All.
+    /// All sidecars.
     pub all_s: Option<f64>,
-    /// The share at the end.
+    /// The agreeing share at the end of the step.
     pub share: f64,
-    /// When the writer knew of all sidecars that run that its last document is in force or refused there; of documents
-    /// for all. And how far it was at the end.
+    /// When the writer knew, for every running sidecar, that its last document is in force or refused there. Only for
+    /// documents whose scope is all sidecars.
     pub reported_s: Option<f64>,
-    /// See `reported_s`.
-    pub known: Option<Known>,
+    /// What the writer knew at the end of the step.
+    pub known: Option<RolloutStatus>,
 }
 
-/// The last sample of each host in a step.
+/// The latest sample of each host in a step.
 #[derive(Clone, Debug)]
 pub(super) struct Agreement {
     samples: Vec<Option<Sample>>,
-    agreed: Agreed,
+    agreed: AgreementTimes,
 }
 
 impl Agreement {
     pub fn new(hosts: usize) -> Agreement {
-        Agreement { samples: vec![None; hosts], agreed: Agreed::default() }
+        Agreement { samples: vec![None; hosts], agreed: AgreementTimes::default() }
     }
 
-    pub fn take(&mut self, host: usize, sample: Sample, passed_s: f64) {
+    pub fn record(&mut self, host: usize, sample: Sample, passed_s: f64) {
         if let Some(known) = sample.rollout {
             self.agreed.known = Some(known);
-            self.report(&known, passed_s);
+            self.note_rollout(&known, passed_s);
         }
         if let Some(last) = self.samples.get_mut(host) {
             *last = Some(sample);
         }
         let share = self.share();
         self.agreed.share = share;
-        let Agreed { half_s, most_s, all_s, .. } = &mut self.agreed;
+        let AgreementTimes { half_s, most_s, all_s, .. } = &mut self.agreed;
         for (at, wanted) in [(half_s, 0.5), (most_s, 0.99), (all_s, 1.0)] {
             if at.is_none() && share >= wanted {
                 *at = Some(passed_s);
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Notes when the writer has heard of all sidecars that run: before that its sum is one of those it heard of.
-    fn report(&mut self, known: &Known, passed_s: f64) {
+    /// Records when the writer has status from all running sidecars. Before that its totals cover only the sidecars
+    /// it has heard from.
+    fn note_rollout(&mut self, known: &RolloutStatus, passed_s: f64) {
         if self.samples.iter().any(Option::is_none) {
             return;
         }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The largest class of each side, over all that run.
+    /// The sidecars in the largest class of each side, as a share of all running sidecars.
     fn share(&self) -> f64 {
         if self.samples.iter().any(Option::is_none) {
             return 0.0;
@@ -85,17 +86,17 @@
             *most = (*most).max(settled);
         }
         match live {
-            // Where none runs, none differs.
+            // With no running sidecar there is no disagreement.
             0 => 1.0,
             _ => largest.values().sum::<usize>() as f64 / live as f64,
         }
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.agreed.share >= 1.0
     }
 
-    pub fn agreed(&self) -> Agreed {
+    pub fn agreed(&self) -> AgreementTimes {
         self.agreed
     }
 }
--- a/crates/millethook-hollow/src/conductor/hosts.rs
+++ b/crates/millethook-hollow/src/conductor/hosts.rs
@@ -1,4 +1,4 @@
-//! The host processes, and the pipes to them.
+//! The host processes and the pipes to them.
 
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
@@ -9,23 +9,23 @@
 use crate::error::HollowError;
 use crate::protocol::{Command, Phase, Report, Setup};
 
-/// Time between two starts: binding a thousand sockets is work.
-const BETWEEN_STARTS: Duration = Duration::from_millis(50);
-/// Between two looks at a process that is about to end.
-const LOOK: Duration = Duration::from_millis(20);
+/// Delay between two process starts: binding a thousand sockets takes processor time.
+const START_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which exiting processes are polled.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Process {
     child: Child,
     input: Option<ChildStdin>,
 }
 
-/// All hosts of a run. They end when this is dropped.
+/// All hosts of a run. They are killed when this is dropped.
 pub(super) struct Hosts {
     processes: Vec<Process>,
     reports: Receiver<(usize, Result<Report, String>)>,
 }
 
-fn failed(host: usize, found: impl Into<String>) -> HollowError {
+fn host_error(host: usize, found: impl Into<String>) -> HollowError {
     HollowError::Host { host, found: found.into() }
 }
 
@@ -56,10 +56,10 @@
                         return;
                     }
                 }
-                let _ = sender.send((host, Err("it has ended".into())));
+                let _ = sender.send((host, Err("the process exited".into())));
             });
             hosts.write(host, &setup(host))?;
-            std::thread::sleep(BETWEEN_STARTS);
+            std::thread::sleep(START_INTERVAL);
         }
         Ok(hosts)
     }
@@ -69,44 +69,44 @@
     }
 
     fn write(&mut self, host: usize, line: &impl serde::Serialize) -> Result<(), HollowError> {
-        let mut line = serde_json::to_string(line).map_err(|e| failed(host, e.to_string()))?;
+        let mut line = serde_json::to_string(line).map_err(|e| host_error(host, e.to_string()))?;
         line.push('\n');
         let input = self.processes.get_mut(host).and_then(|process| process.input.as_mut());
-        let input = input.ok_or_else(|| failed(host, "it has no input"))?;
+        let input = input.ok_or_else(|| host_error(host, "standard input is closed"))?;
         input
             .write_all(line.as_bytes())
             .and_then(|()| input.flush())
-            .map_err(HollowError::system("tell a host"))
+            .map_err(HollowError::system("send a command to a host"))
     }
 
-    pub fn tell(&mut self, command: &Command) -> Result<(), HollowError> {
+    pub fn send_to_all(&mut self, command: &Command) -> Result<(), HollowError> {
         (0..self.len()).try_for_each(|host| self.write(host, command))
     }
 
-    /// The next report; None: there was none in this time.
+    /// Returns the next report, or `None` if there was none within the given time.
     pub fn next(&mut self, within: Duration) -> Result<Option<(usize, Report)>, HollowError> {
         match self.reports.recv_timeout(within) {
-            Ok((host, Ok(Report::Failed { why }))) => Err(failed(host, why)),
+            Ok((host, Ok(Report::Failed { why }))) => Err(host_error(host, why)),
             Ok((host, Ok(report))) => Ok(Some((host, report))),
-            Ok((host, Err(found))) => Err(failed(host, found)),
+            Ok((host, Err(found))) => Err(host_error(host, found)),
             Err(RecvTimeoutError::Timeout) => Ok(None),
-            Err(RecvTimeoutError::Disconnected) => Err(failed(0, "all have ended")),
+            Err(RecvTimeoutError::Disconnected) => Err(host_error(0, "all host processes exited")),
         }
     }
 
-    /// Waits for one report of each host that `take` takes.
+    /// Waits until `take` has accepted one report of each host.
     fn wait_for(
         &mut self,
-        patience: Duration,
+        timeout: Duration,
         what: &str,
         mut take: impl FnMut(usize, Report) -> bool,
     ) -> Result<(), HollowError> {
         let begun = Instant::now();
         let mut missing = vec![true; self.len()];
         while let Some(host) = missing.iter().position(|missing| *missing) {
-            let left = patience.saturating_sub(begun.elapsed());
+            let left = timeout.saturating_sub(begun.elapsed());
             if left.is_zero() {
-                return Err(failed(host, format!("no {what} within {patience:?}")));
+                return Err(host_error(host, format!("no {what} within {timeout:?}")));
             }
             if let Some((host, report)) = self.next(left)? {
                 missing[host] &= !take(host, report);
@@ -115,18 +115,18 @@
         Ok(())
     }
 
-    pub fn wait_ready(&mut self, patience: Duration) -> Result<(), HollowError> {
-        self.wait_for(patience, "sockets", |_, report| matches!(report, Report::Ready))
+    pub fn wait_ready(&mut self, timeout: Duration) -> Result<(), HollowError> {
+        self.wait_for(timeout, "ready report", |_, report| matches!(report, Report::Ready))
     }
 
-    /// The reports of a step: those of the first so many hosts together, and those of the others.
+    /// Collects the reports of a step: the totals of the first `first` hosts, and the totals of the others.
     pub fn collect(
         &mut self,
         first: usize,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(Phase, Phase), HollowError> {
         let (mut sidecars, mut others) = (Phase::default(), Phase::default());
-        self.wait_for(patience, "report", |host, report| {
+        self.wait_for(timeout, "step report", |host, report| {
             let Report::Phase(phase) = report else { return false };
             if host < first {
                 sidecars.add(*phase)
@@ -138,16 +138,16 @@
         Ok((sidecars, others))
     }
 
-    /// Waits until all have ended by themselves; those that have not are ended when this is dropped.
-    pub fn wait_ended(&mut self, patience: Duration) {
+    /// Waits until all hosts have exited on their own. Any that remain are killed when this is dropped.
+    pub fn wait_exited(&mut self, timeout: Duration) {
         let begun = Instant::now();
         self.processes.iter_mut().for_each(|process| process.input = None);
-        while begun.elapsed() < patience {
+        while begun.elapsed() < timeout {
             let ended = |process: &mut Process| !matches!(process.child.try_wait(), Ok(None));
             if self.processes.iter_mut().all(ended) {
                 return;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 }
--- a/crates/millethook-hollow/src/distribution/control.rs
+++ b/crates/millethook-hollow/src/distribution/control.rs
@@ -1,4 +1,4 @@
-//! A control node, and what it is given to publish.
+//! A control node and its queue of publications.
 
 use std::collections::VecDeque;
 
@@ -10,23 +10,24 @@
 
 use super::{DOCUMENT, serial};
 use crate::Micros;
-use crate::node::{Belief, Node};
+use crate::node::{Node, StateSummary};
 
-/// A publication that could not be made is tried again after this time.
-const AGAIN: Micros = 20_000;
-/// The channel only puts records into frames: the control node keeps its own budget, which is less than this part.
-const CHANNEL_RATE: u32 = 4;
+/// Delay before a failed publication is retried.
+const PUBLISH_RETRY_DELAY: Micros = 20_000;
+/// The channel's rate is the control node's own budget times this factor. The control node enforces its budget
+/// itself; the channel only packs records into frames and must not limit it further.
+const CHANNEL_RATE_FACTOR: u32 = 4;
 
 /// A document to be published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Publication {
-    /// When.
+    /// When it is due.
     pub at: Micros,
     /// Its serial number.
     pub serial: u32,
-    /// For whom.
+    /// Its scope.
     pub scope: Scope,
-    /// Bytes of its body.
+    /// Size of its body.
     pub bytes: usize,
 }
 
@@ -36,14 +37,14 @@
     channel: Channel,
     header: Header,
     publications: VecDeque<Publication>,
-    /// The last one that was published.
+    /// The version of the last publication.
     published: Option<Version>,
 }
 
 impl Control {
-    /// One that has just started, and knows nothing.
+    /// Creates a control node that has just started, with empty state.
     pub fn new(config: DistributionConfig, (fleet, epoch): (&str, u64), now: Micros) -> Control {
-        let rate = config.limits.rate.saturating_mul(CHANNEL_RATE);
+        let rate = config.limits.rate.saturating_mul(CHANNEL_RATE_FACTOR);
         let channel = ChannelConfig { rate, burst: rate, kinds: vec![DOCUMENT] };
         let header = Header { fleet: fleet_id(fleet), from: config.me, epoch };
         Control {
@@ -55,28 +56,29 @@
         }
     }
 
-    /// It is the writer from now on, by a lease whose owner the plan names.
-    pub fn lead(&mut self, now: Micros, epoch: u64) {
+    /// Makes this node the writer, with a lease whose owner the plan names.
+    pub fn become_writer(&mut self, now: Micros, epoch: u64) {
         let token = Token { epoch, counter: 1, owner: self.header.from };
         self.node.announce_writer(now, token);
     }
 
-    /// It publishes these when they are due and it may.
+    /// Queues documents, to be published when they are due and this node is able to.
     pub fn publish(&mut self, publications: impl IntoIterator<Item = Publication>) {
         self.publications.extend(publications);
     }
 
-    /// How far the last publication has come, as the writer knows. None: nothing was published, or not committed.
+    /// Rollout of the last publication as known to the writer, or `None` if nothing was published or it is not
+    /// committed.
     pub fn rollout(&self, now: Micros) -> Option<Rollout> {
         self.node.report(now, self.published?)
     }
 
-    /// What it counted.
+    /// Returns the control node's counters.
     pub fn figures(&self, now: Micros) -> ControlFigures {
         self.node.figures(now)
     }
 
-    /// Publishes what is due; when the next one is.
+    /// Publishes the documents that are due, and returns when the next one is.
     fn publish_due(&mut self, now: Micros) -> Micros {
         while let Some(next) = self.publications.front().copied() {
             if next.at > now {
@@ -89,8 +91,8 @@
                     self.published = Some(version);
                     self.publications.pop_front();
                 }
-                // The writer is not ready, or is none any more: a later one goes on.
-                Err(_) => return now + AGAIN,
+                // The writer is not ready, or no longer the writer: retried later.
+                Err(_) => return now + PUBLISH_RETRY_DELAY,
             }
         }
         Micros::MAX
@@ -115,7 +117,7 @@
         }
         while self.node.poll_event().is_some() {}
         while let Some((to, content)) = self.node.poll_transmit() {
-            // Offered one by one: of many that wait in a channel the oldest are dropped.
+            // Offered and sent one at a time: a channel with many queued records drops the oldest ones.
             self.channel.offer(to, DOCUMENT.number, content);
             while let Some((to, bytes)) = self.channel.poll(now, self.header) {
                 send(to, bytes);
@@ -125,8 +127,8 @@
         self.channel.poll_timeout().map_or(next, |at| next.min(at))
     }
 
-    fn belief(&self) -> Belief {
-        Belief::default()
+    fn state_summary(&self) -> StateSummary {
+        StateSummary::default()
     }
 
     fn check(&self, now: Micros) -> Result<(), Violation> {
--- a/crates/millethook-hollow/src/distribution/mod.rs
+++ b/crates/millethook-hollow/src/distribution/mod.rs
@@ -1,8 +1,8 @@
-//! The machines of `millethook-distribution`, driven on sockets: subscribers within a sidecar's channel, and control
+//! Drives the state machines of `millethook-distribution` on sockets: subscribers on a sidecar's channel, and control
 //! nodes.
 //!
-//! Every document's body begins with a serial number that counts all documents of a run. So a sidecar that has
-//! serial 7 in force is known to have all changes up to the seventh that were for it, whoever published them.
+//! Every document's body begins with a serial number that counts all documents of a run. A sidecar with serial 7 in
+//! force is therefore known to have all changes up to the seventh that were addressed to it, whoever published them.
 
 mod control;
 mod serial;
@@ -18,22 +18,22 @@
 pub use serial::{SERVICES, covers, scope_of};
 pub use subscriber::HollowSubscriber;
 
-/// The number of documents' messages in frames, and their part of a sidecar's budget.
+/// The record kind of document messages in frames, and its weight in a sidecar's budget.
 pub const DOCUMENT: Kind = Kind { number: 4, weight: 4 };
 
-/// How control nodes and subscribers are set up; the same for all.
+/// Settings of control nodes and subscribers, the same for all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DistributionPlan {
-    /// Control nodes.
+    /// Number of control nodes.
     pub control_nodes: u16,
-    /// Host processes of control nodes.
+    /// Number of host processes for control nodes.
     pub hosts: usize,
-    /// Bytes a second that one control node may send.
+    /// Bytes per second that one control node may send.
     pub rate: u32,
-    /// Time between two digests of a sidecar.
+    /// Interval between two digests of a sidecar.
     pub digest_ms: u64,
-    /// After a start a control node does not vote for so long.
+    /// Time after its start during which a control node does not vote.
     pub silence_ms: u64,
 }
 
@@ -50,19 +50,19 @@
     }
 }
 
-/// The configuration of one member.
+/// Returns the configuration of one member.
 pub fn configuration(
     plan: &DistributionPlan,
     topology: &Topology,
     number: u16,
     seed: u64,
 ) -> DistributionConfig {
-    let place = |number| (u32::from(topology.region(number)), u32::from(topology.zone(number)));
+    let location = |number| (u32::from(topology.region(number)), u32::from(topology.zone(number)));
     let control_nodes = (topology.size..topology.members()).map(|number| {
-        let (region, zone) = place(number);
+        let (region, zone) = location(number);
         ControlMember { number, region, zone }
     });
-    let (region, zone) = place(number);
+    let (region, zone) = location(number);
     DistributionConfig {
         me: number,
         members: topology.members(),
--- a/crates/millethook-hollow/src/distribution/serial.rs
+++ b/crates/millethook-hollow/src/distribution/serial.rs
@@ -1,21 +1,21 @@
-//! Serial numbers of documents, and whom the documents of a step are for.
+//! Serial numbers of documents, and the scopes of the documents of a step.
 
 use millethook_distribution::{Document, Identity, Scope};
 
 use crate::plan::PublishScope;
 use crate::topology::Topology;
 
-/// Services of the fleet.
+/// Number of services in the fleet.
 pub const SERVICES: u32 = 1_300;
-/// Bytes of a serial number at the beginning of a body.
-const LENGTH: usize = 4;
+/// Size of the serial number at the beginning of a body.
+const SERIAL_BYTES: usize = 4;
 
-/// The service that a sidecar stands beside.
+/// Returns the service that a sidecar belongs to.
 pub(super) fn service_of(number: u16) -> u32 {
     u32::from(number) % SERVICES
 }
 
-/// For whom the document with this serial number is.
+/// Returns the scope of the document with this serial number.
 pub fn scope_of(scope: PublishScope, serial: u32, topology: &Topology) -> Scope {
     match scope {
         PublishScope::All => Scope::All,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Whether a scope covers a sidecar.
+/// Returns whether a scope covers a sidecar.
 pub fn covers(scope: Scope, topology: &Topology, number: u16) -> bool {
     scope.covers(&Identity {
         region: u32::from(topology.region(number)),
@@ -34,16 +34,16 @@
     })
 }
 
-/// A body of so many bytes.
+/// Builds a body of `bytes` bytes that starts with the serial number.
 pub(super) fn body(serial: u32, bytes: usize) -> Vec<u8> {
     let mut body = serial.to_be_bytes().to_vec();
-    // No compression is at work; the rest only has to differ from document to document.
-    body.resize(bytes.max(LENGTH), serial as u8);
+    // Bodies are not compressed, so the padding only has to differ between documents.
+    body.resize(bytes.max(SERIAL_BYTES), serial as u8);
     body
 }
 
-/// The serial number of a document; 0: it has none.
+/// Returns the serial number of a document, or 0 if it has none.
 pub(super) fn serial(document: &Document) -> u32 {
     let body = document.body.as_deref().unwrap_or_default();
-    body.first_chunk::<LENGTH>().map_or(0, |bytes| u32::from_be_bytes(*bytes))
+    body.first_chunk::<SERIAL_BYTES>().map_or(0, |bytes| u32::from_be_bytes(*bytes))
 }
--- a/crates/millethook-hollow/src/distribution/subscriber.rs
+++ b/crates/millethook-hollow/src/distribution/subscriber.rs
@@ -1,4 +1,4 @@
-//! A sidecar that takes documents: subscriber and channel.
+//! A sidecar that receives documents: subscriber and channel.
 
 use millethook_distribution::{DistributionConfig, Subscriber, SubscriberEvent, Version};
 use millethook_frames::{Channel, ChannelConfig, Frame, Header, fleet_id};
@@ -6,12 +6,12 @@
 
 use super::{DOCUMENT, serial};
 use crate::Micros;
-use crate::node::{Belief, Node};
+use crate::node::{Node, StateSummary};
 
-/// Bytes that may go out at once, in seconds of the budget.
+/// Burst size, in seconds of the byte budget.
 const BURST_S: u32 = 2;
 
-/// One sidecar.
+/// One sidecar's subscriber and channel.
 pub struct HollowSubscriber {
     subscriber: Subscriber,
     channel: Channel,
@@ -20,7 +20,7 @@
 }
 
 impl HollowSubscriber {
-    /// One that has just started, and knows nothing.
+    /// Creates a sidecar that has just started, with empty state.
     pub fn new(
         config: DistributionConfig,
         bytes_per_second: u32,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Takes over all that is offered, as a host does whose `check` finds nothing wrong.
-    fn take_over(&mut self, now: Micros) {
+    /// Accepts all offered documents, like a daemon whose validation finds no fault.
+    fn accept_offered(&mut self, now: Micros) {
         while let Some(SubscriberEvent::Offered { documents }) = self.subscriber.poll_event() {
             let versions: Vec<Version> =
                 documents.iter().map(|document| document.version).collect();
-            // What was replaced meanwhile comes with the next event.
+            // If a version was replaced in the meantime, the newer one comes with the next event.
             if self.subscriber.accept(now, &versions).is_ok() {
                 let serials = documents.iter().map(|document| serial::serial(document));
                 self.serial = serials.fold(self.serial, u32::max);
@@ -65,7 +65,7 @@
     }
 
     fn pump(&mut self, now: Micros, send: &mut dyn FnMut(u16, Vec<u8>)) -> Micros {
-        self.take_over(now);
+        self.accept_offered(now);
         if self.subscriber.poll_timeout() <= now {
             self.subscriber.tick(now);
         }
@@ -79,8 +79,8 @@
         self.channel.poll_timeout().map_or(next, |at| next.min(at))
     }
 
-    fn belief(&self) -> Belief {
-        Belief { hash: 0, count: self.serial }
+    fn state_summary(&self) -> StateSummary {
+        StateSummary { hash: 0, count: self.serial }
     }
 
     fn check(&self, now: Micros) -> Result<(), Violation> {
--- a/crates/millethook-hollow/src/error.rs
+++ b/crates/millethook-hollow/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a run ends without figures.
+//! Errors that end a run without figures.
 
 use std::path::PathBuf;
 
@@ -10,39 +10,39 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// A plan makes no sense.
+    /// A plan is invalid.
     #[error("{path}: {found}; {expected} expected")]
     Plan {
-        /// The key, or the file.
+        /// The key or the file.
         path: String,
-        /// What stands there.
+        /// The value found.
         found: String,
-        /// What should.
+        /// The expected values.
         expected: &'static str,
     },
-    /// A socket, a pipe or a process.
+    /// An operation on a socket, a pipe or a process failed.
     #[error("{what}: {source}")]
     System {
-        /// What was tried.
+        /// The operation.
         what: &'static str,
-        /// What the system said.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// A host process ended, or said what makes no sense.
+    /// A host process exited, or sent an invalid report.
     #[error("host {host}: {found}")]
     Host {
-        /// Its number.
+        /// The host's number.
         host: usize,
-        /// What was found.
+        /// The fault.
         found: String,
     },
 }
 
 impl HollowError {
-    /// For `map_err`.
+    /// Returns a closure for `map_err` that wraps an I/O error.
     pub fn system(what: &'static str) -> impl Fn(std::io::Error) -> HollowError {
         move |source| HollowError::System { what, source }
     }
--- a/crates/millethook-hollow/src/figures.rs
+++ b/crates/millethook-hollow/src/figures.rs
@@ -1,29 +1,29 @@
-//! What a run has shown, as rows of `docs/capacity/*.csv`.
+//! The results of a run, as rows of `docs/capacity/*.csv`.
 
 use std::collections::BTreeMap;
 
-use crate::conductor::StepDone;
+use crate::conductor::StepResult;
 use crate::plan::Plan;
 use crate::protocol::Phase;
 use crate::usage;
 
-/// The header of a file of rows.
+/// The header line of a CSV file.
 pub const HEADER: &str = "measurement,unit,size_of,size,seed,value,kind,machine,load";
 
-/// A figure.
+/// One figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// The step, a point, and what was measured.
+    /// The step's name, a dot, and the name of the measurement.
     pub measurement: String,
     /// Its unit.
     pub unit: &'static str,
     /// The value.
     pub value: f64,
-    /// The load of the machine.
+    /// Load average of the machine.
     pub load: f64,
 }
 
-/// The value of which a share is as great at most; `values` need not be in order.
+/// Returns the smallest value such that at least `share` of all values are not greater. `values` need not be sorted.
 pub fn quantile(values: &[f64], share: f64) -> Option<f64> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -31,10 +31,10 @@
     sorted.get(nth.min(sorted.len().saturating_sub(1))).copied()
 }
 
-/// Points of a distribution that are named.
+/// Quantiles that get their own rows, with the suffix of their names.
 const SHARES: [(&str, f64); 3] = [("50", 0.5), ("99", 0.99), ("100", 1.0)];
 
-/// The value of a histogram of which a share is as great at most.
+/// Like [`quantile`], for a histogram of counts by value; 0 if it is empty.
 pub fn histogram_quantile(histogram: &BTreeMap<u32, u64>, share: f64) -> u32 {
     let all: u64 = histogram.values().sum();
     let wanted = ((all as f64 * share).ceil() as u64).max(1);
@@ -48,8 +48,8 @@
     0
 }
 
-/// Rows of one step.
-pub fn rows(plan: &Plan, done: &StepDone) -> Vec<Row> {
+/// Returns the rows of one step.
+pub fn rows(plan: &Plan, done: &StepResult) -> Vec<Row> {
     let (name, load) = (&done.step.name, done.load);
     let mut rows = Vec::new();
     let mut row = |measurement: &str, unit: &'static str, value: f64| {
@@ -70,7 +70,7 @@
     rows
 }
 
-/// What each member used.
+/// Adds rows for the resources that each member used.
 fn usage_rows(phase: &Phase, row: &mut impl FnMut(&str, &'static str, f64)) {
     let length = phase.length_s.max(1e-9);
     let live = phase.sent.len().max(1) as f64;
@@ -104,8 +104,8 @@
     row("violations", "count", phase.violations.len() as f64);
 }
 
-/// How long it took until all knew.
-fn settling_rows(done: &StepDone, row: &mut impl FnMut(&str, &'static str, f64)) {
+/// Adds rows for the time until all members knew of the change.
+fn settling_rows(done: &StepResult, row: &mut impl FnMut(&str, &'static str, f64)) {
     let phase = &done.phase;
     for (nth, share) in [("known_50", 0.5), ("known_99", 0.99), ("known_100", 1.0)] {
         let never = |at: &Option<f64>| at.unwrap_or(f64::INFINITY);
@@ -144,7 +144,7 @@
     }
 }
 
-/// Rows as lines of a file. What never happened is written as `inf`.
+/// Formats rows as CSV lines. A time for something that never happened is written as `inf`.
 pub fn csv(plan: &Plan, rows: &[Row]) -> String {
     let machine = usage::machine();
     let line = |row: &Row| {
--- a/crates/millethook-hollow/src/host/actions.rs
+++ b/crates/millethook-hollow/src/host/actions.rs
@@ -1,4 +1,4 @@
-//! What happens at the beginning of a step.
+//! Applies the action at the beginning of a step.
 
 use millethook_machine::hash::mix;
 
@@ -9,23 +9,23 @@
 use crate::protocol::Phase;
 
 impl Host {
-    /// Ends a step and begins the next one: something happens.
+    /// Ends the current step, begins the next one and applies its action.
     pub(super) fn step(&mut self, step: usize, action: &Action) -> Phase {
         let phase = self.end_phase(self.now());
-        // Whatever the end of the last step took is not this one's.
+        // The clock is read again, so that time spent on ending the last step does not count in this one.
         let now = self.now();
-        self.tally = Tally::begin(step, now, self.running());
+        self.tally = Tally::begin(step, now, self.cumulative_counts());
         self.slots.iter_mut().for_each(|slot| slot.sent = 0);
-        self.act(step, action, now);
+        self.apply_action(step, action, now);
         self.truth.count(&self.links);
         for slot in 0..self.slots.len() {
             self.slots[slot].settled = None;
-            self.settle(slot, now);
+            self.update_settled(slot, now);
         }
         phase
     }
 
-    fn act(&mut self, step: usize, action: &Action, now: Micros) {
+    fn apply_action(&mut self, step: usize, action: &Action, now: Micros) {
         match action {
             Action::Start => {
                 let all: Vec<u16> = (0..self.setup.plan.topology().members()).collect();
@@ -35,7 +35,7 @@
             Action::Kill(target) => {
                 let numbers = self.truth.targets(target, step);
                 self.truth.set(&numbers, false);
-                self.for_each(&numbers, |slot| (slot.node, slot.due) = (None, Micros::MAX));
+                self.for_each_slot(&numbers, |slot| (slot.node, slot.due) = (None, Micros::MAX));
             }
             Action::Restart { over_s } => {
                 let absent = self.truth.absent();
@@ -45,30 +45,30 @@
             Action::Pause(target) => {
                 let numbers = self.truth.targets(target, step);
                 self.truth.set(&numbers, false);
-                self.for_each(&numbers, |slot| slot.paused = true);
+                self.for_each_slot(&numbers, |slot| slot.paused = true);
             }
             Action::Resume => self.resume(now),
             Action::Cut { groups } => self.links.cut(groups),
             Action::Heal => self.links.heal(),
             Action::Loss { share } => self.links.set_loss(*share),
-            Action::Lead { node } => self.lead(self.setup.plan.size + *node, now),
+            Action::Lead { node } => self.make_writer(self.setup.plan.size + *node, now),
             Action::Publish(publish) => {
                 let publications = self.truth.publish(publish, now);
                 if let Some(writer) = self.slot_of(self.truth.writer) {
                     self.with_control(writer, |control| control.publish(publications));
-                    self.wake(writer, now);
+                    self.schedule(writer, now);
                 }
             }
         }
     }
 
-    /// A control node becomes the writer.
-    pub(super) fn lead(&mut self, number: u16, now: Micros) {
+    /// Makes a control node the writer.
+    pub(super) fn make_writer(&mut self, number: u16, now: Micros) {
         self.truth.writer = number;
         if let Some(slot) = self.slot_of(number) {
             let epoch = unix_ms();
-            self.with_control(slot, |control| control.lead(now, epoch));
-            self.wake(slot, now);
+            self.with_control(slot, |control| control.become_writer(now, epoch));
+            self.schedule(slot, now);
         }
     }
 
@@ -77,14 +77,14 @@
             (0..self.slots.len()).filter(|slot| self.slots[*slot].paused).collect();
         for slot in paused {
             self.slots[slot].paused = false;
-            self.waiting.push(slot);
-            self.wake(slot, now);
+            self.backlogged.push(slot);
+            self.schedule(slot, now);
         }
         let absent = self.truth.absent();
         self.truth.set(&absent, true);
     }
 
-    fn for_each(&mut self, numbers: &[u16], mut change: impl FnMut(&mut Slot)) {
+    fn for_each_slot(&mut self, numbers: &[u16], mut change: impl FnMut(&mut Slot)) {
         for number in numbers {
             if let Some(slot) = self.slot_of(*number).and_then(|n| self.slots.get_mut(n)) {
                 change(slot);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Starts members: sidecars at random moments within `over_s` seconds, control nodes at once.
+    /// Starts members: sidecars at random times within `over_s` seconds, control nodes immediately.
     fn start(&mut self, numbers: &[u16], over_s: f64, step: usize, now: Micros) {
         let over = (over_s.max(0.0) * 1e6) as u64;
         self.restarting_until = now + over;
@@ -101,7 +101,7 @@
             let Some(slot) = self.slot_of(*number) else { continue };
             let over = if self.setup.plan.topology().is_control(*number) { 0 } else { over };
             let at = now + mix(salt ^ u64::from(*number)) % over.max(1);
-            self.wake(slot, at);
+            self.schedule(slot, at);
         }
     }
 }
--- a/crates/millethook-hollow/src/host/truth.rs
+++ b/crates/millethook-hollow/src/host/ground_truth.rs
@@ -1,4 +1,4 @@
-//! What is true of all members, as every host works it out for itself from the same steps.
+//! The true state of all members. Every host computes it independently from the same steps.
 
 use millethook_machine::hash::mix;
 
@@ -8,26 +8,26 @@
 use crate::plan::{Publish, Target};
 use crate::topology::Topology;
 
-/// What is true of all members.
+/// The true state of all members.
 #[derive(Clone, Debug)]
-pub(crate) struct Truth {
+pub(crate) struct GroundTruth {
     topology: Topology,
     seed: u64,
-    /// Whether each runs, or will at once.
+    /// Whether each member runs or is about to start.
     runs: Vec<bool>,
-    /// How many sidecars run on each side of a cut.
+    /// Number of sidecars that run on each side of a partition.
     present: Vec<u32>,
-    /// Documents so far; the first has serial number 1.
+    /// Documents published so far. The first one has serial number 1.
     publications: Vec<Publication>,
-    /// The last serial number that each sidecar should have.
+    /// The last serial number that each sidecar should have in force.
     serials: Vec<u32>,
     /// The control node that publishes.
     pub writer: u16,
 }
 
-impl Truth {
-    pub fn new(topology: Topology, seed: u64) -> Truth {
-        Truth {
+impl GroundTruth {
+    pub fn new(topology: Topology, seed: u64) -> GroundTruth {
+        GroundTruth {
             topology,
             seed,
             runs: vec![true; usize::from(topology.members())],
@@ -42,7 +42,7 @@
         self.runs.get(usize::from(number)).copied().unwrap_or(false)
     }
 
-    /// Those that a target means, by number.
+    /// Returns the numbers of the running members that a target selects.
     pub fn targets(&self, target: &Target, step: usize) -> Vec<u16> {
         let all = (0..self.topology.members()).filter(|n| self.runs(*n));
         let mut all: Vec<u16> = all.filter(|n| target.covers(&self.topology, *n)).collect();
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Those that do not run.
+    /// Returns the members that do not run.
     pub fn absent(&self) -> Vec<u16> {
         (0..self.topology.members()).filter(|n| !self.runs(*n)).collect()
     }
 
-    /// Documents are published from `now` on: their serial numbers, scopes and times.
+    /// Registers documents that are published from `now` on, and returns their serial numbers, scopes and times.
     pub fn publish(&mut self, publish: &Publish, now: Micros) -> Vec<Publication> {
         let first = self.publications.len() as u32 + 1;
         let over = (publish.over_s.max(0.0) * 1e6) as u64;
@@ -83,7 +83,7 @@
         new
     }
 
-    /// Publications with serial numbers above `after`, up to `last`, that are for a sidecar.
+    /// Returns the publications whose scope covers a sidecar, with serial numbers above `after` and up to `last`.
     pub fn between(
         &self,
         number: u16,
@@ -94,7 +94,7 @@
         all.filter(move |p| covers(p.scope, &self.topology, number))
     }
 
-    /// Counts anew who can hear whom, and what each should have.
+    /// Recomputes the sidecars that run on each side, and the last serial number that each sidecar should have.
     pub fn count(&mut self, links: &Links) {
         let mut present = vec![0; usize::from(u8::MAX) + 1];
         for number in (0..self.topology.size).filter(|n| self.runs(*n)) {
@@ -113,12 +113,12 @@
         }
     }
 
-    /// How many sidecars run on a side.
+    /// Returns how many sidecars run on a side.
     pub fn present(&self, side: u8) -> u32 {
         self.present.get(usize::from(side)).copied().unwrap_or(0)
     }
 
-    /// The last serial number that a sidecar should have.
+    /// Returns the last serial number that a sidecar should have in force.
     pub fn serial(&self, number: u16) -> u32 {
         self.serials.get(usize::from(number)).copied().unwrap_or(0)
     }
--- a/crates/millethook-hollow/src/host/mod.rs
+++ b/crates/millethook-hollow/src/host/mod.rs
@@ -1,11 +1,11 @@
-//! One host: a thread that runs the machines of some thousand members on real sockets and a real clock.
+//! One host: a thread that runs the state machines of several thousand members on real sockets and a real clock.
 
 mod actions;
+mod ground_truth;
 mod reports;
 mod run;
 mod sockets;
 mod tally;
-mod truth;
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,23 +18,23 @@
 use crate::Micros;
 use crate::distribution::{Control, HollowSubscriber, configuration};
 use crate::error::HollowError;
-use crate::link::{Fate, Links};
-use crate::node::{Judgement, Node};
+use crate::link::{Delivery, Links};
+use crate::node::{MemberVerdict, Node};
 use crate::plan::Machines;
 use crate::protocol::Setup;
 use crate::sidecar::{Identity, Sidecar};
 use crate::usage;
+use ground_truth::GroundTruth;
 pub use run::run;
 use sockets::Sockets;
 use tally::Tally;
-use truth::Truth;
 
 /// The name of the fleet in frames.
 const FLEET: &str = "hollow";
-/// Datagrams that one member takes in before others have their turn.
-const TURN: usize = 64;
+/// Maximum number of datagrams that one member receives before other members are served.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// Milliseconds of Unix time.
+/// Returns the Unix time in milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
@@ -42,40 +42,40 @@
 /// One member at a host.
 struct Slot {
     number: u16,
-    /// None: it does not run.
+    /// `None` while the member does not run.
     node: Option<Box<dyn Node>>,
-    /// It starts, or its machines are to be called, at this time; [`Micros::MAX`]: never.
+    /// When the member starts, or its state machines are called next; [`Micros::MAX`] for never.
     due: Micros,
     paused: bool,
     started: Micros,
     /// Bytes sent in this step.
     sent: u64,
-    /// Since when it has believed what is true.
+    /// Since when the member's state has matched the ground truth.
     settled: Option<Micros>,
 }
 
-/// The members of one process.
+/// The members of one host process.
 pub struct Host {
     setup: Setup,
     clock: Instant,
     slots: Vec<Slot>,
     sockets: Sockets,
     timers: BinaryHeap<Reverse<(Micros, usize)>>,
-    /// Slots whose sockets may hold more than one turn's datagrams.
-    waiting: Vec<usize>,
+    /// Slots whose sockets may hold more datagrams than were read in the last turn.
+    backlogged: Vec<usize>,
     links: Links,
-    truth: Truth,
+    truth: GroundTruth,
     tally: Tally,
-    /// Until then members that were restarted may not be there yet.
+    /// Until this time restarted members may not have started yet.
     restarting_until: Micros,
     resident_before: u64,
 }
 
 impl Host {
-    /// Binds the sockets. Nothing runs before the first step.
+    /// Binds the sockets. No member runs before the first step.
     ///
     /// # Errors
-    /// An address or a descriptor is not to be had.
+    /// Fails if an address is in use or no file descriptor is available.
     pub fn new(setup: Setup, poll: &Poll) -> Result<Host, HollowError> {
         let plan = &setup.plan;
         let topology = plan.topology();
@@ -93,14 +93,14 @@
         };
         let slots = numbers.iter().map(slot).collect();
         let links = Links::new(topology, &plan.links, mix(plan.seed ^ setup.host as u64));
-        let mut truth = Truth::new(topology, plan.seed);
+        let mut truth = GroundTruth::new(topology, plan.seed);
         truth.count(&links);
         Ok(Host {
             clock: Instant::now(),
             slots,
             sockets,
             timers: BinaryHeap::new(),
-            waiting: Vec::new(),
+            backlogged: Vec::new(),
             links,
             truth,
             tally: Tally::default(),
@@ -110,19 +110,19 @@
         })
     }
 
-    /// The run's time.
+    /// Returns the time of the run.
     fn now(&self) -> Micros {
         (self.clock.elapsed().as_micros() as f64 / self.setup.plan.dilation) as Micros
     }
 
-    /// How long it is until a time of the run, by the machine's clock.
+    /// Returns the time left until `at`, by the machine's clock.
     fn until(&self, at: Micros) -> Duration {
         let left = at.saturating_sub(self.now());
         Duration::from_micros((left as f64 * self.setup.plan.dilation) as u64)
     }
 
-    /// A slot is due at this time, and no other.
-    fn wake(&mut self, slot: usize, at: Micros) {
+    /// Schedules a slot for this time, replacing any earlier schedule.
+    fn schedule(&mut self, slot: usize, at: Micros) {
         if let Some(one) = self.slots.get_mut(slot) {
             one.due = at;
             self.timers.push(Reverse((at, slot)));
@@ -150,18 +150,18 @@
         }
     }
 
-    /// A slot's member starts.
-    fn begin(&mut self, slot: usize, now: Micros) {
+    /// Starts a slot's member.
+    fn start_member(&mut self, slot: usize, now: Micros) {
         let number = self.slots[slot].number;
         let node = self.create(number, now);
         let one = &mut self.slots[slot];
         (one.node, one.started) = (Some(node), now);
-        if number == self.truth.writer && self.setup.plan.distributes() {
-            self.lead(number, now);
+        if number == self.truth.writer && self.setup.plan.has_control_nodes() {
+            self.make_writer(number, now);
         }
     }
 
-    /// Takes in what waits at a slot's socket, one turn of it.
+    /// Reads at most one turn's datagrams from a slot's socket.
     fn receive(&mut self, slot: usize) {
         if self.slots.get(slot).is_none_or(|one| one.paused) {
             return;
@@ -169,7 +169,7 @@
         let mut buffer = [0; MAX_FRAME_BYTES + 1];
         let now = self.now();
         let mut taken = 0;
-        while taken < TURN {
+        while taken < MAX_DATAGRAMS_PER_TURN {
             let Some((from, datagram)) = self.sockets.receive(slot, &mut buffer) else { break };
             taken += 1;
             if let Some(node) = &mut self.slots[slot].node {
@@ -179,63 +179,64 @@
                 self.tally.received += 1;
             }
         }
-        if taken == TURN {
-            self.waiting.push(slot);
+        if taken == MAX_DATAGRAMS_PER_TURN {
+            self.backlogged.push(slot);
         }
         if taken > 0 && self.slots[slot].node.is_some() {
             self.pump(slot, now);
         }
     }
 
-    /// Calls a slot's machines, and sends what they have to say.
+    /// Calls a slot's state machines and sends their output.
     fn pump(&mut self, slot: usize, now: Micros) {
         let one = &mut self.slots[slot];
         let Some(node) = &mut one.node else { return };
-        let (began, before) = (usage::thread_time(), node.belief().count);
+        let (began, before) = (usage::thread_time(), node.state_summary().count);
         let mut outgoing = Vec::new();
         let next = node.pump(now, &mut |to, bytes| outgoing.push((to, bytes)));
-        let judgements = node.judgements();
+        let verdicts = node.verdicts();
         self.tally.machines += usage::thread_time().saturating_sub(began);
-        let (number, after) = (one.number, node.belief().count);
-        // What is due already is due now: the past tells nothing of how late this host is.
+        let (number, after) = (one.number, node.state_summary().count);
+        // A timer in the past is treated as due now, so that it does not count towards this host's lateness.
         let next = next.max(now);
         if one.due != next {
-            self.wake(slot, next);
+            self.schedule(slot, next);
         }
         for (to, bytes) in outgoing {
             self.send(slot, number, to, bytes, now);
         }
-        for judgement in judgements {
-            self.judge(number, judgement, now);
+        for verdict in verdicts {
+            self.count_false_verdict(number, verdict, now);
         }
-        if self.setup.plan.distributes() && after > before {
+        if self.setup.plan.has_control_nodes() && after > before {
             self.count_in_force(slot, before, after, now);
         }
-        self.settle(slot, now);
+        self.update_settled(slot, now);
     }
 
     fn send(&mut self, slot: usize, from: u16, to: u16, bytes: Vec<u8>, now: Micros) {
         self.slots[slot].sent += bytes.len() as u64;
         self.tally.sent(&bytes);
-        match self.links.fate(from, to) {
-            Fate::Arrives(after) => self.sockets.send(slot, to, bytes, now + after),
-            Fate::Lost | Fate::Cut => self.tally.lost += 1,
+        match self.links.next_delivery(from, to) {
+            Delivery::Delayed(after) => self.sockets.send(slot, to, bytes, now + after),
+            Delivery::Lost | Delivery::Cut => self.tally.lost += 1,
         }
     }
 
-    /// Counts a judgement on a member that runs and can be reached.
-    fn judge(&mut self, number: u16, judgement: Judgement, now: Micros) {
-        let (Judgement::Suspect(of) | Judgement::Dead(of)) = judgement;
+    /// Counts a false verdict: one about a member that runs and can be reached.
+    fn count_false_verdict(&mut self, number: u16, verdict: MemberVerdict, now: Micros) {
+        let (MemberVerdict::Suspect(of) | MemberVerdict::Dead(of)) = verdict;
         let wrong =
             self.truth.runs(of) && self.links.connected(number, of) && now >= self.restarting_until;
-        match judgement {
+        match verdict {
             _ if !wrong => {}
-            Judgement::Suspect(_) => self.tally.false_suspect += 1,
-            Judgement::Dead(_) => self.tally.false_dead += 1,
+            MemberVerdict::Suspect(_) => self.tally.false_suspect += 1,
+            MemberVerdict::Dead(_) => self.tally.false_dead += 1,
         }
     }
 
-    /// A sidecar's last serial number has changed: counts how long each document took that is in force by that.
+    /// Called when a sidecar's last serial number has changed. Records, for each document that is now in force, the
+    /// time since its publication.
     fn count_in_force(&mut self, slot: usize, before: u32, after: u32, now: Micros) {
         let (number, started) = (self.slots[slot].number, self.slots[slot].started);
         let new = self.truth.between(number, before, after);
@@ -244,11 +245,11 @@
         }
     }
 
-    /// Looks whether a member believes what is true.
-    fn settle(&mut self, slot: usize, now: Micros) {
+    /// Updates whether a member's state matches the ground truth.
+    fn update_settled(&mut self, slot: usize, now: Micros) {
         let one = &mut self.slots[slot];
         let Some(node) = &one.node else { return };
-        let (plan, count) = (&self.setup.plan, node.belief().count);
+        let (plan, count) = (&self.setup.plan, node.state_summary().count);
         let expected = match plan.machines {
             _ if plan.topology().is_control(one.number) => count,
             Machines::View => self.truth.present(self.links.side(one.number)),
@@ -257,9 +258,9 @@
         one.settled = one.settled.or(Some(now)).filter(|_| count == expected);
     }
 
-    /// Serves what is due; when something is due again.
-    fn turn(&mut self) -> Option<Micros> {
-        for slot in std::mem::take(&mut self.waiting) {
+    /// Serves everything that is due, and returns when something is due next.
+    fn run_due(&mut self) -> Option<Micros> {
+        for slot in std::mem::take(&mut self.backlogged) {
             self.receive(slot);
         }
         let now = self.now();
@@ -272,19 +273,19 @@
             one.due = Micros::MAX;
             self.tally.served(at, now);
             if self.slots[slot].node.is_none() {
-                self.begin(slot, now);
+                self.start_member(slot, now);
             }
             self.pump(slot, self.now());
         }
         self.sockets.deliver(self.now());
-        if !self.waiting.is_empty() {
+        if !self.backlogged.is_empty() {
             return Some(0);
         }
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         [timer, self.sockets.next()].into_iter().flatten().min()
     }
 
-    /// Members that run now.
+    /// Iterates over the members that run now.
     fn live(&self) -> impl Iterator<Item = (&Slot, &dyn Node)> {
         let live = self.slots.iter().filter(|slot| !slot.paused);
         live.filter_map(|slot| Some((slot, slot.node.as_deref()?)))
--- a/crates/millethook-hollow/src/host/sockets.rs
+++ b/crates/millethook-hollow/src/host/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a host's sidecars, one each, and datagrams that are still on their way.
+//! The sockets of a host's members, one each, and the datagrams in flight.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,34 +13,34 @@
 use crate::address::Addresses;
 use crate::error::HollowError;
 
-/// Datagrams on their way at most. More is a storm that no link carries; what comes then is lost.
-const MAX_FLIGHTS: usize = 1 << 20;
+/// Maximum number of datagrams in flight. Further datagrams are dropped: no real link would carry more.
+const MAX_IN_FLIGHT: usize = 1 << 20;
 
-/// Bytes that a control node's socket keeps: some hundred sidecars answer it at once, and the kernel counts a datagram
-/// as three times its length. With the system's own 208 KiB digests were dropped as soon as the host had to wait for a
-/// processor.
-const CONTROL_BUFFER: usize = 4 << 20;
+/// Receive buffer of a control node's socket. Some hundred sidecars answer it at once, and the kernel counts a
+/// datagram as three times its length. With the system's default of 208 KiB, digests were dropped as soon as the host
+/// had to wait for a processor.
+const CONTROL_RECEIVE_BUFFER_BYTES: usize = 4 << 20;
 
-/// A datagram on its way; ordered by when it arrives.
+/// A datagram in flight, ordered by its arrival time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Flight {
-    arrives: Micros,
+struct InFlight {
+    arrival: Micros,
     slot: usize,
     to: u16,
     bytes: Vec<u8>,
 }
 
-/// Sockets by slot.
+/// The sockets of a host, by slot.
 pub(crate) struct Sockets {
     addresses: Addresses,
     sockets: Vec<UdpSocket>,
-    flights: BinaryHeap<Reverse<Flight>>,
-    /// Datagrams that the kernel, or a full queue, did not take.
+    in_flight: BinaryHeap<Reverse<InFlight>>,
+    /// Datagrams that the kernel or the full queue refused.
     pub refused: u64,
 }
 
 impl Sockets {
-    /// Binds a socket for each number; tokens are slots.
+    /// Binds a socket for each number. Tokens are slot indices.
     pub fn bind(
         registry: &Registry,
         addresses: Addresses,
@@ -49,22 +49,23 @@
     ) -> Result<Sockets, HollowError> {
         let mut sockets = Vec::with_capacity(numbers.len());
         for (slot, number) in numbers.iter().enumerate() {
-            let mut socket = UdpSocket::bind(addresses.of(*number))
-                .map_err(HollowError::system("bind a sidecar's address"))?;
+            let mut socket = UdpSocket::bind(addresses.address_of(*number))
+                .map_err(HollowError::system("bind a member's address"))?;
             if is_control(*number) {
                 SockRef::from(&socket)
-                    .set_recv_buffer_size(CONTROL_BUFFER)
-                    .map_err(HollowError::system("enlarge a control node's buffer"))?;
+                    .set_recv_buffer_size(CONTROL_RECEIVE_BUFFER_BYTES)
+                    .map_err(HollowError::system("enlarge a control node's receive buffer"))?;
             }
             registry
                 .register(&mut socket, Token(slot), Interest::READABLE)
-                .map_err(HollowError::system("watch a sidecar's socket"))?;
+                .map_err(HollowError::system("register a member's socket"))?;
             sockets.push(socket);
         }
-        Ok(Sockets { addresses, sockets, flights: BinaryHeap::new(), refused: 0 })
+        Ok(Sockets { addresses, sockets, in_flight: BinaryHeap::new(), refused: 0 })
     }
 
-    /// The next datagram that waits at a slot, and whose it is. None: nothing waits. Strangers' are passed over.
+    /// Receives the next datagram at a slot, with its sender's number, or `None` if there is none. Datagrams from
+    /// outside the run are ignored.
     pub fn receive<'b>(
         &self,
         slot: usize,
@@ -73,7 +74,7 @@
         loop {
             match self.sockets.get(slot)?.recv_from(buffer) {
                 Ok((length, from)) if length <= MAX_FRAME_BYTES => {
-                    if let Some(number) = self.addresses.number(from) {
+                    if let Some(number) = self.addresses.number_of(from) {
                         return Some((number, &buffer[..length]));
                     }
                 }
@@ -84,29 +85,29 @@
         }
     }
 
-    /// Sends a datagram so that it arrives at this time.
-    pub fn send(&mut self, slot: usize, to: u16, bytes: Vec<u8>, arrives: Micros) {
-        if self.flights.len() >= MAX_FLIGHTS {
+    /// Queues a datagram so that it arrives at the given time.
+    pub fn send(&mut self, slot: usize, to: u16, bytes: Vec<u8>, arrival: Micros) {
+        if self.in_flight.len() >= MAX_IN_FLIGHT {
             self.refused += 1;
         } else {
-            self.flights.push(Reverse(Flight { arrives, slot, to, bytes }));
+            self.in_flight.push(Reverse(InFlight { arrival, slot, to, bytes }));
         }
     }
 
-    /// Hands what arrives by now to the kernel.
+    /// Passes all datagrams whose arrival time has come to the kernel.
     pub fn deliver(&mut self, now: Micros) {
-        while self.flights.peek().is_some_and(|Reverse(flight)| flight.arrives <= now) {
-            let Some(Reverse(flight)) = self.flights.pop() else { return };
-            let to = self.addresses.of(flight.to);
-            let sent = self.sockets.get(flight.slot).map(|s| s.send_to(&flight.bytes, to));
+        while self.in_flight.peek().is_some_and(|Reverse(datagram)| datagram.arrival <= now) {
+            let Some(Reverse(datagram)) = self.in_flight.pop() else { return };
+            let to = self.addresses.address_of(datagram.to);
+            let sent = self.sockets.get(datagram.slot).map(|s| s.send_to(&datagram.bytes, to));
             if !matches!(sent, Some(Ok(_))) {
                 self.refused += 1;
             }
         }
     }
 
-    /// When the next datagram arrives.
+    /// Returns when the next datagram arrives.
     pub fn next(&self) -> Option<Micros> {
-        self.flights.peek().map(|Reverse(flight)| flight.arrives)
+        self.in_flight.peek().map(|Reverse(datagram)| datagram.arrival)
     }
 }
--- a/crates/millethook-hollow/src/host/tally.rs
+++ b/crates/millethook-hollow/src/host/tally.rs
@@ -1,4 +1,4 @@
-//! What a host counts during a step.
+//! Counters of a host during a step.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::sidecar::{EVIDENCE, LEASE, VIEW};
 use crate::usage;
 
-/// The bytes of a record's head: kind and length.
-const RECORD_HEAD: u64 = 2;
+/// Size of a record's header: kind and length.
+const RECORD_HEADER_BYTES: u64 = 2;
 
-/// Counts since the beginning of a step.
+/// Counters since the beginning of a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tally {
     pub step: usize,
@@ -24,9 +24,9 @@
     pub lost: u64,
     pub false_dead: u64,
     pub false_suspect: u64,
-    /// Time inside machines.
+    /// Processor time spent in state machines.
     pub machines: Duration,
-    /// From publication to in force, by milliseconds.
+    /// Number of documents by the milliseconds from publication to being in force.
     pub in_force_ms: BTreeMap<u32, u64>,
     late: (u64, Micros, Micros),
     processor: Duration,
@@ -34,27 +34,27 @@
     stalls: u64,
 }
 
-/// Counts that go on from step to step.
+/// Counters that are not reset between steps.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Running {
+pub(crate) struct CumulativeCounts {
     pub refused: u64,
     pub stalls: u64,
 }
 
 impl Tally {
-    pub fn begin(step: usize, now: Micros, running: Running) -> Tally {
-        let Running { refused, stalls } = running;
+    pub fn begin(step: usize, now: Micros, cumulative_counts: CumulativeCounts) -> Tally {
+        let CumulativeCounts { refused, stalls } = cumulative_counts;
         let processor = usage::process_time();
         Tally { step, begun: now, processor, refused, stalls, ..Tally::default() }
     }
 
-    /// A datagram was sent.
+    /// Counts a sent datagram.
     pub fn sent(&mut self, bytes: &[u8]) {
         self.datagrams += 1;
         let Ok(frame) = Frame::parse(bytes) else { return };
         let mut rest = bytes.len() as u64;
         for (kind, content) in frame.records() {
-            let length = content.len() as u64 + RECORD_HEAD;
+            let length = content.len() as u64 + RECORD_HEADER_BYTES;
             rest -= length;
             let count = match kind {
                 k if k == VIEW.number => &mut self.kinds.view,
@@ -67,21 +67,26 @@
         self.kinds.headers += rest;
     }
 
-    /// A document came into force, so many microseconds after it was published.
+    /// Counts a document that came into force `after` microseconds after its publication.
     pub fn in_force(&mut self, after: Micros) {
         let ms = u32::try_from(after / 1_000).unwrap_or(u32::MAX);
         *self.in_force_ms.entry(ms).or_default() += 1;
     }
 
-    /// A timer was served.
+    /// Counts a served timer and how late it was.
     pub fn served(&mut self, due: Micros, now: Micros) {
         let late = now.saturating_sub(due);
         let (count, sum, worst) = self.late;
         self.late = (count + 1, sum + late, worst.max(late));
     }
 
-    /// The report of the step.
-    pub fn end(&self, now: Micros, running: Running, resident_before: u64) -> Phase {
+    /// Returns the report of the step.
+    pub fn end(
+        &self,
+        now: Micros,
+        cumulative_counts: CumulativeCounts,
+        resident_before: u64,
+    ) -> Phase {
         let (count, sum, worst) = self.late;
         Phase {
             step: self.step,
@@ -91,13 +96,13 @@
             received: self.received,
             in_force_ms: self.in_force_ms.clone(),
             lost: self.lost,
-            refused: running.refused - self.refused,
+            refused: cumulative_counts.refused - self.refused,
             processor_s: usage::process_time().saturating_sub(self.processor).as_secs_f64(),
             machines_s: self.machines.as_secs_f64(),
             resident: usage::resident_bytes().saturating_sub(resident_before),
             false_dead: self.false_dead,
             false_suspect: self.false_suspect,
-            stalls: running.stalls.saturating_sub(self.stalls),
+            stalls: cumulative_counts.stalls.saturating_sub(self.stalls),
             late_mean_ms: sum as f64 / 1e3 / count.max(1) as f64,
             late_max_ms: worst as f64 / 1e3,
             ..Phase::default()
--- a/crates/millethook-hollow/src/lib.rs
+++ b/crates/millethook-hollow/src/lib.rs
@@ -1,9 +1,10 @@
-//! Hollow sidecars: the control state machines of many sidecars in one process, on real clocks and real UDP sockets.
+//! Hollow sidecars: runs the control state machines of many sidecars in one process, on real clocks and real UDP
+//! sockets.
 //!
-//! A hollow sidecar is what a daemon runs for control (channel, view, replica, lease) without clients, servers or
-//! discovery. Each has a UDP socket on a loopback address of its own. A [`conductor`] starts some [`host`] processes,
-//! gives them the steps of a [`plan`], and makes figures of what they report. Every wait is bounded, and hosts end
-//! with their conductor.
+//! A hollow sidecar contains the control components of a daemon (channel, view, replica, lease) without clients,
+//! servers or discovery. Each one has a UDP socket on its own loopback address. A [`conductor`] starts several
+//! [`host`] processes, sends them the steps of a [`plan`], and computes figures from their reports. Every wait is
+//! bounded, and hosts exit when their conductor does.
 #![forbid(unsafe_code)]
 
 pub mod address;
--- a/crates/millethook-hollow/src/link.rs
+++ b/crates/millethook-hollow/src/link.rs
@@ -1,5 +1,5 @@
-//! What happens to a datagram on its way: delay by distance, loss, and cuts between regions. It stands in front of
-//! the sender's socket; kernel loopback adds some 10 microseconds of its own.
+//! Simulated network links: delay by distance, loss, and partitions between regions. They apply before the sender's
+//! socket; the kernel's loopback adds about 10 microseconds.
 
 use millethook_machine::hash::mix;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 use crate::Micros;
 use crate::topology::Topology;
 
-/// One-way delays and loss.
+/// One-way delays and loss rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkConfig {
@@ -15,7 +15,8 @@
     pub zone_ms: f64,
     /// Between zones of a region, in milliseconds.
     pub region_ms: f64,
-    /// Between regions 0 and 1, 0 and 2, 1 and 2 and so on, in milliseconds; of more pairs the list begins anew.
+    /// Between regions 0 and 1, 0 and 2, 1 and 2 and so on, in milliseconds. If there are more pairs, the list is
+    /// repeated.
     pub far_ms: Vec<f64>,
     /// The share of datagrams that are lost.
     pub loss: f64,
@@ -27,26 +28,26 @@
     }
 }
 
-/// What becomes of a datagram.
+/// What happens to a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It arrives after so many microseconds.
-    Arrives(Micros),
-    /// It is lost by chance.
+pub enum Delivery {
+    /// It arrives after this many microseconds.
+    Delayed(Micros),
+    /// It is lost at random.
     Lost,
-    /// Sender and receiver are cut from each other.
+    /// Sender and receiver are partitioned.
     Cut,
 }
 
-/// The links between all sidecars, as one host sees them.
+/// The links between all sidecars, as simulated by one host.
 #[derive(Clone, Debug)]
 pub struct Links {
     topology: Topology,
-    /// Delays by pair of regions, row by row.
+    /// Delays by pair of regions, in row-major order.
     between: Vec<Micros>,
     zone: Micros,
     region: Micros,
-    /// The side of each region while regions are cut.
+    /// The side of the partition that each region is on; all 0 without a partition.
     side: Vec<u8>,
     loss: f64,
     random: u64,
@@ -57,7 +58,7 @@
 }
 
 impl Links {
-    /// Links without a cut.
+    /// Creates links without a partition.
     pub fn new(topology: Topology, config: &LinkConfig, seed: u64) -> Links {
         let regions = usize::from(topology.regions.max(1));
         let mut between = vec![micros(config.region_ms); regions * regions];
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Regions of different groups do not hear each other from now on. Regions that are not named stand alone.
+    /// Partitions regions of different groups from each other. A region that is in no group is partitioned from all
+    /// others.
     pub fn cut(&mut self, groups: &[Vec<u8>]) {
         for (region, side) in self.side.iter_mut().enumerate() {
             let group = groups.iter().position(|group| group.contains(&(region as u8)));
@@ -88,44 +90,44 @@
         }
     }
 
-    /// All regions hear each other again.
+    /// Ends the partition.
     pub fn heal(&mut self) {
         self.side.fill(0);
     }
 
-    /// The share of datagrams that are lost from now on.
+    /// Sets the share of datagrams that are lost.
     pub fn set_loss(&mut self, loss: f64) {
         self.loss = loss;
     }
 
-    /// Whether two sidecars can hear each other.
+    /// Returns whether two sidecars can reach each other.
     pub fn connected(&self, from: u16, to: u16) -> bool {
         self.side(from) == self.side(to)
     }
 
-    /// The side of a cut on which a sidecar is.
+    /// Returns the side of the partition that a sidecar is on.
     pub fn side(&self, number: u16) -> u8 {
         self.side[usize::from(self.topology.region(number))]
     }
 
-    /// What becomes of the next datagram.
-    pub fn fate(&mut self, from: u16, to: u16) -> Fate {
+    /// Decides what happens to the next datagram.
+    pub fn next_delivery(&mut self, from: u16, to: u16) -> Delivery {
         if !self.connected(from, to) {
-            return Fate::Cut;
+            return Delivery::Cut;
         }
         if self.loss > 0.0 && self.uniform() < self.loss {
-            return Fate::Lost;
+            return Delivery::Lost;
         }
         let (a, b) = (self.topology.zone(from), self.topology.zone(to));
         if a == b {
-            return Fate::Arrives(self.zone);
+            return Delivery::Delayed(self.zone);
         }
         let (a, b) = (self.topology.region(from), self.topology.region(to));
         if a == b {
-            return Fate::Arrives(self.region);
+            return Delivery::Delayed(self.region);
         }
         let regions = self.side.len();
-        Fate::Arrives(self.between[usize::from(a) * regions + usize::from(b)])
+        Delivery::Delayed(self.between[usize::from(a) * regions + usize::from(b)])
     }
 
     fn uniform(&mut self) -> f64 {
--- a/crates/millethook-hollow/src/main.rs
+++ b/crates/millethook-hollow/src/main.rs
@@ -1,4 +1,4 @@
-//! `millethook-hollow`: runs plans of hollow sidecars.
+//! `millethook-hollow`: runs plans with hollow sidecars.
 #![forbid(unsafe_code)]
 
 use std::io::Write;
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use millethook_hollow::conductor::{self, StepDone};
+use millethook_hollow::conductor::{self, StepResult};
 use millethook_hollow::figures::{HEADER, csv, rows};
 use millethook_hollow::plan::Plan;
 use millethook_hollow::{HollowError, host};
@@ -21,42 +21,42 @@
 
 #[derive(Subcommand, Debug)]
 enum Command {
-    /// Run a plan
+    /// Run a plan and print its figures
     Run(Run),
-    /// Be one of a run's processes; commands come from standard input
+    /// Run as one of a run's host processes; commands are read from standard input
     Host,
 }
 
 #[derive(clap::Args, Debug)]
 struct Run {
-    /// The plan
+    /// Path of the plan (TOML)
     plan: PathBuf,
-    /// So many sidecars instead of the plan's
+    /// Number of sidecars, instead of the plan's
     #[arg(long)]
     size: Option<u16>,
-    /// So many host processes instead of the plan's
+    /// Number of host processes for sidecars, instead of the plan's
     #[arg(long)]
     hosts: Option<usize>,
-    /// Another seed than the plan's
+    /// Random seed, instead of the plan's
     #[arg(long)]
     seed: Option<u64>,
-    /// Seconds of the machine's clock for one second of the run, instead of the plan's
+    /// Seconds of the machine's clock per second of the run, instead of the plan's
     #[arg(long)]
     dilation: Option<f64>,
-    /// Bytes a second that each sidecar may send, instead of the plan's
+    /// Bytes per second that each sidecar may send, instead of the plan's
     #[arg(long)]
     bytes_per_second: Option<u32>,
-    /// A word before the names of all measurements
+    /// Prefix for the names of all measurements
     #[arg(long)]
     label: Option<String>,
-    /// The file to which rows are added
+    /// CSV file to append rows to
     #[arg(long)]
     csv: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
     let result = match Cli::parse().command {
-        Command::Run(run) => play(&run),
+        Command::Run(run) => run_plan(&run),
         Command::Host => host::run(),
     };
     match result {
@@ -68,7 +68,7 @@
     }
 }
 
-fn play(run: &Run) -> Result<(), HollowError> {
+fn run_plan(run: &Run) -> Result<(), HollowError> {
     let mut plan = Plan::read(&run.plan)?;
     plan.size = run.size.unwrap_or(plan.size);
     plan.hosts = run.hosts.unwrap_or(plan.hosts);
@@ -79,7 +79,7 @@
     let program = std::env::current_exe().map_err(HollowError::system("find this program"))?;
     let mut failed = Ok(());
     conductor::run(&plan, &program, |done| {
-        let written = show(run, &plan, done);
+        let written = print_step(run, &plan, done);
         if failed.is_ok() {
             failed = written;
         }
@@ -87,8 +87,8 @@
     failed
 }
 
-/// Prints a step, and adds its rows to the file.
-fn show(run: &Run, plan: &Plan, done: &StepDone) -> Result<(), HollowError> {
+/// Prints the rows of a step and appends them to the CSV file.
+fn print_step(run: &Run, plan: &Plan, done: &StepResult) -> Result<(), HollowError> {
     let mut rows = rows(plan, done);
     if let Some(label) = &run.label {
         rows.iter_mut().for_each(|row| row.measurement = format!("{label}.{}", row.measurement));
@@ -97,16 +97,16 @@
         println!("{:<48} {:>14.3} {}", row.measurement, row.value, row.unit);
     }
     match &run.csv {
-        Some(path) => append(path, &csv(plan, &rows)),
+        Some(path) => append_rows(path, &csv(plan, &rows)),
         None => Ok(()),
     }
 }
 
-fn append(path: &Path, lines: &str) -> Result<(), HollowError> {
+fn append_rows(path: &Path, lines: &str) -> Result<(), HollowError> {
     let new = !path.exists();
     let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
-    let mut file = file.map_err(HollowError::system("open the file of rows"))?;
+    let mut file = file.map_err(HollowError::system("open the CSV file"))?;
     let head = if new { format!("{HEADER}\n") } else { String::new() };
     file.write_all(format!("{head}{lines}").as_bytes())
-        .map_err(HollowError::system("write the file of rows"))
+        .map_err(HollowError::system("write the CSV file"))
 }
--- a/crates/millethook-hollow/src/node.rs
+++ b/crates/millethook-hollow/src/node.rs
@@ -1,56 +1,56 @@
-//! What a host drives: one sidecar's machines, whatever they are.
+//! The interface between a host and one member's state machines.
 
 use millethook_machine::Violation;
 
 use crate::Micros;
 use crate::distribution::Control;
 
-/// What a node holds for true, to be compared between nodes.
+/// A summary of a node's state, for comparison between nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Belief {
-    /// The same for all that believe the same.
+pub struct StateSummary {
+    /// Hash of the state: equal for nodes with equal state.
     pub hash: u64,
-    /// Members that it thinks present, or what else can be counted of it.
+    /// Members that the node considers present, or for a subscriber its last serial number.
     pub count: u32,
 }
 
-/// A judgement on another member.
+/// A node's verdict about another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
-    /// It may be gone.
+pub enum MemberVerdict {
+    /// The member may be dead.
     Suspect(u16),
-    /// It is gone.
+    /// The member is dead.
     Dead(u16),
 }
 
-/// One sidecar's machines, without socket and clock.
+/// One member's state machines, without socket and clock.
 pub trait Node {
-    /// Takes a datagram from a peer's address.
+    /// Handles a datagram from a peer's address.
     fn handle(&mut self, now: Micros, from: u16, datagram: &[u8]);
 
-    /// Does what is due and hands out datagrams; when there is something to do again.
+    /// Does the work that is due, passes outgoing datagrams to `send`, and returns when the next work is due.
     fn pump(&mut self, now: Micros, send: &mut dyn FnMut(u16, Vec<u8>)) -> Micros;
 
-    /// What it believes now.
-    fn belief(&self) -> Belief;
+    /// Returns a summary of the current state.
+    fn state_summary(&self) -> StateSummary;
 
-    /// Judgements since the last call.
-    fn judgements(&mut self) -> Vec<Judgement> {
+    /// Returns the verdicts since the last call.
+    fn verdicts(&mut self) -> Vec<MemberVerdict> {
         Vec::new()
     }
 
-    /// Looks at every rule of the machines.
+    /// Checks all invariants of the state machines.
     ///
     /// # Errors
-    /// The first one that is broken, with the values.
+    /// Returns the first invariant that is violated, with its values.
     fn check(&self, now: Micros) -> Result<(), Violation>;
 
-    /// The control node, if it is one.
+    /// Returns the control node, if this is one.
     fn control(&mut self) -> Option<&mut Control> {
         None
     }
 
-    /// Times at which the process did not run for long, as the machines saw it.
+    /// Returns how often the state machines detected that the process had not run for a long time.
     fn stalls(&self) -> u64 {
         0
     }
--- a/crates/millethook-hollow/src/plan.rs
+++ b/crates/millethook-hollow/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan: how many sidecars, how they are set up, and the steps of a run. Written as TOML.
+//! The plan of a run, read from TOML: the number of sidecars, their settings, and the steps.
 
 use std::path::Path;
 
@@ -10,25 +10,25 @@
 use crate::sidecar::SidecarConfig;
 use crate::topology::Topology;
 
-/// Hosts of one run at most.
+/// Maximum number of hosts in a run.
 pub const MAX_HOSTS: usize = 16;
-/// Sidecars of one run at most: numbers are 16 bits wide, and some are left for control nodes.
+/// Maximum number of sidecars in a run. Member numbers are 16 bits wide, and some are reserved for control nodes.
 pub const MAX_SIDECARS: u16 = 32_000;
-/// Steps of one run at most.
+/// Maximum number of steps in a run.
 const MAX_STEPS: usize = 64;
-/// A run's seconds last so many seconds at most.
+/// Maximum number of seconds of the machine's clock per second of the run.
 const MAX_DILATION: f64 = 100.0;
-/// A step lasts so long at most, in seconds.
-const LONGEST_STEP_S: f64 = 900.0;
+/// Maximum duration of a step.
+const MAX_STEP_S: f64 = 900.0;
 
-/// Which machines run.
+/// The state machines that run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Machines {
-    /// Channel, full view, and what else [`SidecarConfig`] names.
+    /// Channel, full view, and the components enabled in [`SidecarConfig`].
     #[default]
     View,
-    /// Channel and subscriber, no view; and control nodes in hosts of their own.
+    /// Channel and subscriber without a view, and control nodes in separate hosts.
     Distribution,
 }
 
@@ -36,132 +36,132 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Sidecars.
+    /// Number of sidecars.
     pub size: u16,
-    /// Processes that host them.
+    /// Number of host processes for sidecars.
     #[serde(default = "Plan::default_hosts")]
     pub hosts: usize,
-    /// Which machines run.
+    /// The state machines that run.
     #[serde(default)]
     pub machines: Machines,
-    /// For random numbers.
+    /// Random seed.
     #[serde(default)]
     pub seed: u64,
-    /// Regions.
+    /// Number of regions.
     #[serde(default = "Plan::default_regions")]
     pub regions: u8,
-    /// Zones of each region.
+    /// Number of zones in each region.
     #[serde(default = "Plan::default_zones_per_region")]
     pub zones_per_region: u8,
-    /// Sidecars of a rack.
+    /// Number of sidecars in a rack.
     #[serde(default = "Plan::default_rack")]
     pub rack: u16,
-    /// All sidecars start within this time, at random moments.
+    /// All sidecars start at random times within this period.
     #[serde(default = "Plan::default_start_over_s")]
     pub start_over_s: f64,
-    /// How many seconds of the machine's clock are one second of the run (time dilation: Gupta et al., NSDI 2006).
-    /// Above 1 the machine has more time for each second, as if its processors were so much faster; all times and
-    /// rates of the run are in its own seconds.
+    /// Seconds of the machine's clock per second of the run (time dilation: Gupta et al., NSDI 2006). With a value
+    /// above 1 the machine has more time for each second of the run, as if its processors were faster by this factor.
+    /// All times and rates of the run are in its own seconds.
     #[serde(default = "Plan::default_dilation")]
     pub dilation: f64,
-    /// Delays and loss.
+    /// Link delays and loss.
     #[serde(default)]
     pub links: LinkConfig,
-    /// How sidecars with a view are set up.
+    /// Settings of sidecars with a view.
     #[serde(default)]
     pub sidecar: SidecarConfig,
-    /// Control nodes and their subscribers, where [`Machines::Distribution`] run.
+    /// Settings of control nodes and subscribers, for [`Machines::Distribution`].
     #[serde(default)]
     pub distribution: DistributionPlan,
-    /// What happens, in order.
+    /// The steps, in order.
     #[serde(default, rename = "step")]
     pub steps: Vec<Step>,
 }
 
-/// One step: something happens, and the run goes on once all agree again, or the time is over.
+/// One step: an action, followed by a wait until all sidecars agree or the time limit is reached.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
     /// Its name in figures.
     pub name: String,
-    /// What happens.
+    /// The action.
     #[serde(rename = "do")]
     pub action: Action,
-    /// The step lasts at least so long, in seconds.
+    /// Minimum duration of the step, in seconds.
     #[serde(default)]
     pub at_least_s: f64,
-    /// The step ends after so long at the latest, in seconds.
+    /// Maximum duration of the step, in seconds.
     pub at_most_s: f64,
 }
 
-/// What happens at the beginning of a step.
+/// The action at the beginning of a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum Action {
     /// All sidecars start.
     Start,
-    /// Nothing.
+    /// Does nothing.
     Quiet,
-    /// Machines stop and their state is lost.
+    /// Members stop and lose their state.
     Kill(Target),
-    /// What was killed starts anew.
+    /// Killed members start with empty state.
     Restart {
-        /// Within this time, at random moments.
+        /// They start at random times within this period.
         #[serde(default)]
         over_s: f64,
     },
-    /// Sidecars do nothing and hear nothing, and keep their state.
+    /// Members neither run nor receive, and keep their state.
     Pause(Target),
-    /// What was paused goes on.
+    /// Paused members continue.
     Resume,
-    /// Groups of regions do not hear one another.
+    /// Groups of regions are partitioned from one another.
     Cut {
-        /// Regions by group. Those that are not named stand alone.
+        /// Regions by group. A region that is in no group is partitioned from all others.
         groups: Vec<Vec<u8>>,
     },
-    /// All regions hear one another again.
+    /// The partition ends.
     Heal,
-    /// Another share of datagrams is lost from now on.
+    /// Changes the share of datagrams that are lost.
     Loss {
         /// The share.
         share: f64,
     },
     /// A control node becomes the writer.
     Lead {
-        /// Which one, from 0.
+        /// The index of the control node, from 0.
         node: u16,
     },
     /// The writer publishes documents.
     Publish(Publish),
 }
 
-/// Documents that are published.
+/// The documents to publish in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Publish {
-    /// How many.
+    /// Number of documents.
     pub count: u32,
-    /// Within this time, in even steps.
+    /// They are published at even intervals within this time.
     #[serde(default)]
     pub over_s: f64,
-    /// Bytes of each.
+    /// Size of each body.
     #[serde(default = "Publish::default_bytes")]
     pub bytes: usize,
-    /// For whom they are.
+    /// Their scope.
     #[serde(default)]
     pub scope: PublishScope,
 }
 
-/// For whom the documents of a step are.
+/// The scope of the documents of a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PublishScope {
-    /// All sidecars: a later one replaces those before.
+    /// All sidecars. A later document replaces the earlier ones.
     #[default]
     All,
-    /// Each for the next zone.
+    /// One zone per document, in turn.
     Zones,
-    /// Each for the next service.
+    /// One service per document, in turn.
     Services,
 }
 
@@ -171,19 +171,19 @@
     }
 }
 
-/// Which sidecars are meant. Fields that are given must all hold. A zone's or region's control nodes are meant, too.
+/// Selects members. All given fields must match. A zone or region includes its control nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Target {
-    /// A random share of all that run.
+    /// A random share of all running members.
     pub share: Option<f64>,
-    /// Those of a zone, counted over all regions.
+    /// A zone's members; zones are numbered over all regions.
     pub zone: Option<u8>,
-    /// Those of a rack of that zone; of zone 0 where none is named.
+    /// The members of a rack in that zone, or in zone 0 if no zone is given.
     pub rack: Option<u16>,
-    /// Those of a region.
+    /// A region's members.
     pub region: Option<u8>,
-    /// Instead of all these: so many control nodes, the last ones.
+    /// The last so many control nodes. The other fields are then ignored.
     pub control: Option<u16>,
 }
 
@@ -207,10 +207,10 @@
         5.0
     }
 
-    /// Reads a plan.
+    /// Reads and checks a plan.
     ///
     /// # Errors
-    /// It cannot be read, or makes no sense: the key, what stands there, and what should.
+    /// Fails if the file cannot be read or is invalid; names the key, the value found, and the expected values.
     pub fn read(path: &Path) -> Result<Plan, HollowError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| HollowError::Read { path: path.to_owned(), source })?;
@@ -223,56 +223,61 @@
         Ok(plan)
     }
 
-    /// Whether the plan can be run.
+    /// Checks whether the plan can be run.
     ///
     /// # Errors
-    /// The first value that makes no sense.
+    /// Returns the first invalid value.
     pub fn check(&self) -> Result<(), HollowError> {
-        let rule = |holds: bool, path: &str, found: String, expected: &'static str| match holds {
+        let require = |holds: bool, path: &str, found: String, expected: &'static str| match holds {
             true => Ok(()),
             false => Err(HollowError::Plan { path: path.to_owned(), found, expected }),
         };
         let size = self.size;
-        rule((1..=MAX_SIDECARS).contains(&size), "size", size.to_string(), "1 to 32000")?;
+        require((1..=MAX_SIDECARS).contains(&size), "size", size.to_string(), "1 to 32000")?;
         let hosts = self.hosts;
         let all = hosts + self.control_hosts();
-        let counted = hosts > 0 && all <= MAX_HOSTS;
-        rule(counted, "hosts", all.to_string(), "1 to 16 with those of control nodes")?;
+        let hosts_valid = hosts > 0 && all <= MAX_HOSTS;
+        require(hosts_valid, "hosts", all.to_string(), "1 to 16 with those of control nodes")?;
         let nodes = self.distribution.control_nodes;
-        rule(
+        require(
             (1..=64).contains(&nodes),
             "distribution.control_nodes",
             nodes.to_string(),
             "1 to 64",
         )?;
         let zones = u32::from(self.regions) * u32::from(self.zones_per_region);
-        rule((1..=64).contains(&zones), "regions", zones.to_string(), "1 to 64 zones in all")?;
+        require((1..=64).contains(&zones), "regions", zones.to_string(), "1 to 64 zones in all")?;
         let dilation = self.dilation;
-        let sound = (1.0..=MAX_DILATION).contains(&dilation);
-        rule(sound, "dilation", dilation.to_string(), "1 to 100")?;
+        let dilation_valid = (1.0..=MAX_DILATION).contains(&dilation);
+        require(dilation_valid, "dilation", dilation.to_string(), "1 to 100")?;
         let share = |share: f64| (0.0..=1.0).contains(&share);
         let loss = self.links.loss;
-        rule(share(loss), "links.loss", loss.to_string(), "0 to 1")?;
+        require(share(loss), "links.loss", loss.to_string(), "0 to 1")?;
         let steps = self.steps.len();
-        rule(steps <= MAX_STEPS, "step", steps.to_string(), "64 at most")?;
+        require(steps <= MAX_STEPS, "step", steps.to_string(), "64 at most")?;
         for step in &self.steps {
             let path = format!("step {}", step.name);
-            let leads = match step.action {
+            let action_valid = match step.action {
                 Action::Lead { node } => node < nodes,
                 Action::Publish(publish) => (4..=65_536).contains(&publish.bytes),
                 _ => true,
             };
             let found = format!("{:?}", step.action);
-            rule(leads, &path, found, "a control node below their count; 4 to 65536 bytes")?;
-            let times = (0.0..=step.at_most_s).contains(&step.at_least_s)
-                && step.at_most_s <= LONGEST_STEP_S;
+            require(
+                action_valid,
+                &path,
+                found,
+                "a control node below their count; 4 to 65536 bytes",
+            )?;
+            let times_valid =
+                (0.0..=step.at_most_s).contains(&step.at_least_s) && step.at_most_s <= MAX_STEP_S;
             let found = format!("{} to {} s", step.at_least_s, step.at_most_s);
-            rule(times, &path, found, "at_least_s below at_most_s, 900 s at most")?;
+            require(times_valid, &path, found, "at_least_s below at_most_s, 900 s at most")?;
             match &step.action {
-                Action::Loss { share: s } => rule(share(*s), &path, s.to_string(), "0 to 1")?,
+                Action::Loss { share: s } => require(share(*s), &path, s.to_string(), "0 to 1")?,
                 Action::Kill(target) | Action::Pause(target) => {
                     let found = format!("{target:?}");
-                    rule(target.is_sound(), &path, found, "a share of 0 to 1, a zone, a rack")?;
+                    require(target.is_valid(), &path, found, "a share of 0 to 1, a zone, a rack")?;
                 }
                 _ => {}
             }
@@ -280,24 +285,24 @@
         Ok(())
     }
 
-    /// The shape of the fleet.
+    /// Returns the topology of the fleet.
     pub fn topology(&self) -> Topology {
         let Plan { size, regions, zones_per_region, rack, .. } = *self;
-        let control = if self.distributes() { self.distribution.control_nodes } else { 0 };
+        let control = if self.has_control_nodes() { self.distribution.control_nodes } else { 0 };
         Topology { size, regions, zones_per_region, rack, control }
     }
 
-    /// Whether control nodes run.
-    pub fn distributes(&self) -> bool {
+    /// Returns whether control nodes run.
+    pub fn has_control_nodes(&self) -> bool {
         self.machines == Machines::Distribution
     }
 
-    /// Hosts of control nodes; they come after those of sidecars.
+    /// Returns the number of hosts for control nodes. They follow the hosts of sidecars.
     pub fn control_hosts(&self) -> usize {
-        if self.distributes() { self.distribution.hosts } else { 0 }
+        if self.has_control_nodes() { self.distribution.hosts } else { 0 }
     }
 
-    /// Members that a host has, by slot.
+    /// Returns the members of a host, by slot.
     pub fn members_of(&self, host: usize) -> Vec<u16> {
         let topology = self.topology();
         match host.checked_sub(self.hosts) {
@@ -308,7 +313,7 @@
         }
     }
 
-    /// The slot of a member at a host that has it; None: another host has it.
+    /// Returns the slot of a member at a host, or `None` if another host has it.
     pub fn slot_of(&self, host: usize, number: u16) -> Option<usize> {
         let (nth, hosts, first) = match number.checked_sub(self.size) {
             None => (usize::from(number), self.hosts, 0),
@@ -318,14 +323,14 @@
         (first + nth % hosts == host).then_some(nth / hosts)
     }
 
-    /// The longest time that the run may take, in seconds of the machine's clock.
-    pub fn longest_s(&self) -> f64 {
+    /// Returns the maximum duration of the run, in seconds of the machine's clock.
+    pub fn max_duration_s(&self) -> f64 {
         self.steps.iter().map(|step| step.at_most_s).sum::<f64>() * self.dilation
     }
 }
 
 impl Target {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let named = self.zone.is_some() || self.rack.is_some() || self.region.is_some();
         let named = named || self.control.is_some();
         match self.share {
@@ -334,7 +339,7 @@
         }
     }
 
-    /// Whether a sidecar stands where this says.
+    /// Returns whether this selects a member, apart from the random share.
     pub fn covers(&self, topology: &Topology, number: u16) -> bool {
         let control = topology.is_control(number);
         if let Some(last) = self.control {
--- a/crates/millethook-hollow/src/protocol.rs
+++ b/crates/millethook-hollow/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What conductor and hosts say to each other: JSON lines on the host's standard input and output.
+//! The protocol between conductor and hosts: JSON lines on the host's standard input and output.
 
 use std::collections::BTreeMap;
 
@@ -12,101 +12,102 @@
 pub struct Setup {
     /// The number of this host; see [`Plan::members_of`].
     pub host: usize,
-    /// The plan; its steps are not looked at.
+    /// The plan. Its steps are ignored.
     pub plan: Plan,
-    /// Where sidecars listen.
+    /// The address range of the members.
     pub addresses: Addresses,
-    /// The host ends by itself after this time, in seconds.
+    /// The host exits on its own after this time, in seconds.
     pub limit_s: f64,
 }
 
-/// Every other line to a host.
+/// Every further line to a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Command {
-    /// Counts steps from 1.
+    /// The number of the step, from 1.
     pub step: usize,
-    /// What happens; None: the run is over, and the host ends after its last report.
+    /// The action, or `None` at the end of the run: the host then exits after its last report.
     pub action: Option<Action>,
 }
 
-/// What a host says.
+/// A line from a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Report {
     /// All sockets are bound.
     Ready,
-    /// How things stand.
+    /// A periodic sample of the current state.
     Sample(Sample),
-    /// A step is over.
+    /// The counters of a completed step.
     Phase(Box<Phase>),
-    /// The host ends.
+    /// The host exits with an error.
     Failed {
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// Sidecars that believe the same, on one side of a cut.
+/// Sidecars with equal state on one side of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Class {
-    /// The side.
+pub struct AgreementClass {
+    /// The side of the partition.
     pub side: u8,
-    /// The hash of what they believe.
+    /// The hash of their state.
     pub hash: u64,
-    /// How many of them have the count that the truth has.
+    /// How many of them match the ground truth.
     pub settled: usize,
 }
 
-/// How things stand at a host.
+/// The current state at a host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Sample {
     /// The step.
     pub step: usize,
-    /// Sidecars that run.
+    /// Number of running sidecars.
     pub live: usize,
     /// The largest classes.
-    pub classes: Vec<Class>,
-    /// How far the writer knows its last document to be; None: the writer is elsewhere, or has none.
-    pub rollout: Option<Known>,
+    pub classes: Vec<AgreementClass>,
+    /// Rollout of the last document as known to the writer, or `None` if the writer is at another host or has
+    /// published nothing.
+    pub rollout: Option<RolloutStatus>,
 }
 
-/// What the writer knows of its last document.
+/// The rollout of the last document, as known to the writer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
-    /// Sidecars that it is for.
+pub struct RolloutStatus {
+    /// Sidecars in the document's scope.
     pub expected: u32,
-    /// It is in force there.
+    /// Sidecars where it is in force.
     pub in_force: u32,
-    /// It was refused there.
+    /// Sidecars that refused it.
     pub refused: u32,
-    /// These were not heard.
+    /// Sidecars without a status.
     pub not_heard: u32,
     /// Control nodes that have not reported.
     pub control_nodes_missing: u32,
 }
 
-/// Bytes sent, by what they are.
+/// Bytes sent, by kind of content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BytesByKind {
     /// Frame headers.
     pub headers: u64,
-    /// The view's records.
+    /// Records of the view.
     pub view: u64,
-    /// The replica's.
+    /// Records of the replica.
     pub evidence: u64,
-    /// Those of leases.
+    /// Records of leases.
     pub lease: u64,
-    /// All other kinds: documents and digests.
+    /// Records of all other kinds: documents and digests.
     pub other: u64,
 }
 
 impl BytesByKind {
-    /// All of them.
+    /// Returns the total.
     pub fn sum(&self) -> u64 {
         self.headers + self.view + self.evidence + self.lease + self.other
     }
 
-    /// Adds another count.
+    /// Adds the counts of `more`.
     pub fn add(&mut self, more: &BytesByKind) {
         self.headers += more.headers;
         self.view += more.view;
@@ -116,53 +117,54 @@
     }
 }
 
-/// What a host counted during a step.
+/// The counters of a host for one step.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Phase {
     /// The step.
     pub step: usize,
-    /// How long it was, in seconds.
+    /// Duration in seconds.
     pub length_s: f64,
-    /// Bytes that each member sent that ran at the end.
+    /// Bytes sent by each member that ran at the end of the step.
     pub sent: Vec<u64>,
-    /// When each that ran at the end had settled for good, in milliseconds after the beginning; None: never.
+    /// For each member that ran at the end: when its state finally matched the ground truth, in milliseconds after
+    /// the beginning of the step, or `None` if it did not.
     pub settled_ms: Vec<Option<f64>>,
-    /// The same, after its own start, of those that started in this step.
+    /// The same for each member that started in this step, in milliseconds after its own start.
     pub joined_ms: Vec<Option<f64>>,
-    /// From a document's publication until a sidecar had it in force: how many by milliseconds.
+    /// Histogram of the milliseconds from a document's publication until a sidecar had it in force.
     pub in_force_ms: BTreeMap<u32, u64>,
-    /// Rules that `check` found broken: the first one's name and values.
+    /// Invariants that `check` found violated: member, name and values of the first one of each member.
     pub violations: Vec<String>,
-    /// Bytes by kind, of all.
+    /// Bytes sent by all members, by kind.
     pub kinds: BytesByKind,
-    /// Datagrams that were sent,
+    /// Datagrams sent.
     pub datagrams: u64,
-    /// were received by what ran,
+    /// Datagrams received by running members.
     pub received: u64,
-    /// were lost by chance, or cut off,
+    /// Datagrams lost at random or to a partition.
     pub lost: u64,
-    /// or were not taken by the kernel.
+    /// Datagrams that the kernel or the full queue refused.
     pub refused: u64,
-    /// Processor time of the host, in seconds,
+    /// Processor time of the host, in seconds.
     pub processor_s: f64,
-    /// and the part of it inside machines, by the wall clock.
+    /// The part of it spent in state machines, by the thread's processor clock.
     pub machines_s: f64,
-    /// Resident bytes at the end, without those from before the first sidecar.
+    /// Resident bytes at the end, less those before the first member started.
     pub resident: u64,
-    /// Members that were called dead, or suspected, while they ran and could be reached.
+    /// Verdicts of dead about members that ran and could be reached.
     pub false_dead: u64,
-    /// See `false_dead`.
+    /// Verdicts of suspect about members that ran and could be reached.
     pub false_suspect: u64,
-    /// Times at which machines saw that they had not run for long.
+    /// How often state machines detected that they had not run for a long time.
     pub stalls: u64,
-    /// How late timers were served, in milliseconds: the mean,
+    /// Mean lateness of served timers, in milliseconds.
     pub late_mean_ms: f64,
-    /// and the worst.
+    /// Maximum lateness of served timers, in milliseconds.
     pub late_max_ms: f64,
 }
 
 impl Phase {
-    /// Adds what another host counted in the same step.
+    /// Adds the counters of another host for the same step.
     pub fn add(&mut self, more: Phase) {
         let hosts = |phase: &Phase| phase.sent.len() as f64;
         let weight = hosts(self) + hosts(&more);
--- a/crates/millethook-hollow/src/sidecar.rs
+++ b/crates/millethook-hollow/src/sidecar.rs
@@ -1,5 +1,5 @@
-//! A sidecar with the full view: channel, view, and if asked for replica and lease, driven as
-//! `millethook-engine/src/fleet.rs` drives them.
+//! A sidecar with the full view: channel, view, and optionally replica and lease, driven as in
+//! `millethook-engine/src/fleet.rs`.
 
 use millethook_frames::{Channel, ChannelConfig, Frame, Header, Kind, fleet_id};
 use millethook_lease::{Config, Event, JobId, Lease, Member, Members};
@@ -10,38 +10,39 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use crate::node::{Belief, Judgement, Node};
+use crate::node::{MemberVerdict, Node, StateSummary};
 
-/// The kinds of `millethook-engine/src/fleet.rs`, with its weights.
+/// Records of the view. The kinds and their weights are those of `millethook-engine/src/fleet.rs`.
 pub const VIEW: Kind = Kind { number: 1, weight: 4 };
-/// What is told of servers and jobs.
+/// Records of the replica: evidence on servers, and jobs.
 pub const EVIDENCE: Kind = Kind { number: 2, weight: 2 };
-/// What is said about leases.
+/// Records of leases.
 pub const LEASE: Kind = Kind { number: 3, weight: 1024 };
-/// Bytes that may go out at once, in seconds of the budget.
+/// Burst size, in seconds of the byte budget.
 const BURST_S: u32 = 2;
-/// The next so many members after one that has come tell it what they hold, each a part.
-const WELCOMING: usize = 3;
-/// The longest silence of a server before it is told of, in microseconds. No server is listed here.
-const SILENCE: Micros = 1_000_000;
+/// Number of members that send a newly joined member their state, each one part of it: those that follow it by
+/// number.
+const STATE_SENDERS: usize = 3;
+/// Maximum silence of a server before it is reported to peers. It has no effect here, since no server is listed.
+const MAX_SERVER_SILENCE: Micros = 1_000_000;
 
-/// How sidecars are set up; the same for all. Defaults are those of `deploy/millethook.toml`.
+/// Settings of sidecars, the same for all. Defaults are those of `deploy/millethook.toml`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SidecarConfig {
-    /// Time between two probes.
+    /// Interval between two probes.
     pub period_ms: u64,
-    /// What one sidecar may send to others.
+    /// Bytes per second that one sidecar may send to others.
     pub bytes_per_second: u32,
     /// Whether a replica runs.
     pub replica: bool,
     /// Whether leases run.
     pub lease: bool,
-    /// Jobs of the fleet that are wanted, each by three sidecars.
+    /// Number of jobs in the fleet, each requested by three sidecars.
     pub jobs: u32,
-    /// Seats of a job.
+    /// Number of acceptors of a job.
     pub seats: usize,
-    /// The longest lease.
+    /// Maximum duration of a lease.
     pub longest_ms: u64,
 }
 
@@ -59,40 +60,40 @@
     }
 }
 
-/// Whose sidecar it is.
+/// The identity of a sidecar.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// Its number.
+    /// Its member number.
     pub number: u16,
-    /// Sidecars in all.
+    /// Total number of sidecars.
     pub members: u16,
     /// Its zone.
     pub zone: u8,
-    /// Milliseconds of Unix time at its start.
+    /// Unix time of its start, in milliseconds.
     pub epoch: u64,
-    /// For random numbers.
+    /// Random seed.
     pub seed: u64,
 }
 
-/// One sidecar's machines.
+/// One sidecar's state machines.
 pub struct Sidecar {
     fleet: u32,
     view: View,
     channel: Channel,
     replica: Option<Replica>,
     lease: Option<Lease>,
-    judgements: Vec<Judgement>,
-    said: u16,
+    verdicts: Vec<MemberVerdict>,
+    last_job_sequence: u16,
 }
 
-/// Sidecars that want a job: three, spread over the fleet.
-fn wants(job: u64, number: u16, members: u16) -> bool {
+/// Returns whether a sidecar requests a job. Three sidecars, spread over the fleet, request each job.
+fn requests_job(job: u64, number: u16, members: u16) -> bool {
     let size = u64::from(members.max(1));
     (0..3).any(|nth| (mix(job) % size + nth * size / 3) % size == u64::from(number))
 }
 
 impl Sidecar {
-    /// One whose process has just started.
+    /// Creates a sidecar whose process has just started.
     pub fn new(config: &SidecarConfig, fleet: &str, identity: Identity, now: Micros) -> Sidecar {
         let Identity { number, members, zone, epoch, seed } = identity;
         let period = config.period_ms * 1_000;
@@ -102,7 +103,7 @@
         let channel = ChannelConfig { rate, burst, kinds: vec![VIEW, EVIDENCE, LEASE] };
         let replica = config.replica.then(|| {
             let me = number;
-            let silence = SILENCE;
+            let silence = MAX_SERVER_SILENCE;
             Replica::new(ReplicaConfig { me, members, epoch, zone, period, silence, seed }, now)
         });
         let lease = config.lease.then(|| Sidecar::lease(config, identity, now));
@@ -112,8 +113,8 @@
             channel: Channel::new(&channel, now),
             replica,
             lease,
-            judgements: Vec::new(),
-            said: 0,
+            verdicts: Vec::new(),
+            last_job_sequence: 0,
         }
     }
 
@@ -131,22 +132,22 @@
             seed,
         };
         let mut lease = Lease::new(lease, Members::new(list), now);
-        for job in (0..u64::from(config.jobs)).filter(|job| wants(*job, number, members)) {
+        for job in (0..u64::from(config.jobs)).filter(|job| requests_job(*job, number, members)) {
             lease.request(now, JobId(mix(job)), longest, 0);
         }
         lease
     }
 
-    fn pump_replica(&mut self, now: Micros, short: bool, joined: &[u16]) -> Micros {
+    fn pump_replica(&mut self, now: Micros, congested: bool, joined: &[u16]) -> Micros {
         let (view, channel) = (&mut self.view, &mut self.channel);
         let Some(replica) = &mut self.replica else { return Micros::MAX };
         for number in joined {
-            if let Some(part) = view.position_after(*number, WELCOMING) {
-                replica.send_state(now, *number, part, WELCOMING);
+            if let Some(part) = view.position_after(*number, STATE_SENDERS) {
+                replica.send_state(now, *number, part, STATE_SENDERS);
             }
         }
         replica.set_epoch(view.epoch());
-        replica.set_congested(short);
+        replica.set_congested(congested);
         if replica.poll_timeout() <= now {
             replica.tick(now);
         }
@@ -159,10 +160,10 @@
         replica.poll_timeout()
     }
 
-    fn pump_lease(&mut self, now: Micros, short: bool) -> Micros {
+    fn pump_lease(&mut self, now: Micros, congested: bool) -> Micros {
         let Some(lease) = &mut self.lease else { return Micros::MAX };
         lease.set_epoch(self.view.epoch());
-        lease.set_congested(short);
+        lease.set_congested(congested);
         if lease.poll_timeout() <= now {
             lease.tick(now);
         }
@@ -170,9 +171,13 @@
             let (Event::Granted(job, token), Some(replica)) = (event, &mut self.replica) else {
                 continue;
             };
-            self.said = self.said.wrapping_add(1);
-            let said = self.said;
-            replica.publish_owned(now, Key::Job { job: job.0 }, EntryValue::Job { token, said });
+            self.last_job_sequence = self.last_job_sequence.wrapping_add(1);
+            let sequence = self.last_job_sequence;
+            replica.publish_owned(
+                now,
+                Key::Job { job: job.0 },
+                EntryValue::Job { token, said: sequence },
+            );
         }
         while let Some((to, content)) = lease.poll_transmit() {
             self.channel.offer(to, LEASE.number, content);
@@ -180,7 +185,7 @@
         lease.poll_timeout()
     }
 
-    /// Does what the view has due; members that have come.
+    /// Does the view's work that is due, and returns the members that joined.
     fn pump_view(&mut self, now: Micros) -> Vec<u16> {
         if self.view.poll_timeout() <= now {
             self.view.tick(now);
@@ -190,11 +195,13 @@
         }
         let mut joined = Vec::new();
         while let Some(event) = self.view.poll_event() {
-            // What a newcomer is told of those that it never knew is no judgement.
+            // What a new member is told about members it never knew is not its own verdict.
             let known = event.old_status.is_present();
             match event.new_status {
-                Status::Suspect if known => self.judgements.push(Judgement::Suspect(event.number)),
-                Status::Dead if known => self.judgements.push(Judgement::Dead(event.number)),
+                Status::Suspect if known => {
+                    self.verdicts.push(MemberVerdict::Suspect(event.number))
+                }
+                Status::Dead if known => self.verdicts.push(MemberVerdict::Dead(event.number)),
                 Status::Alive if event.old_status != Status::Suspect => joined.push(event.number),
                 _ => {}
             }
@@ -211,7 +218,7 @@
             return;
         }
         for (kind, content) in frame.records() {
-            // What is malformed is counted by the machines.
+            // The state machines count malformed records.
             if kind == VIEW.number {
                 let _ = self.view.handle(now, from, epoch, content);
             } else if let (true, Some(replica)) = (kind == EVIDENCE.number, &mut self.replica) {
@@ -223,12 +230,12 @@
     }
 
     fn pump(&mut self, now: Micros, send: &mut dyn FnMut(u16, Vec<u8>)) -> Micros {
-        let short = self.channel.is_congested(now);
-        self.view.set_congested(short);
+        let congested = self.channel.is_congested(now);
+        self.view.set_congested(congested);
         let joined = self.pump_view(now);
         let mut next = self.view.poll_timeout();
-        next = next.min(self.pump_replica(now, short, &joined));
-        next = next.min(self.pump_lease(now, short));
+        next = next.min(self.pump_replica(now, congested, &joined));
+        next = next.min(self.pump_lease(now, congested));
         let header = Header { fleet: self.fleet, from: self.view.me(), epoch: self.view.epoch() };
         while let Some((to, bytes)) = self.channel.poll(now, header) {
             send(to, bytes);
@@ -236,9 +243,12 @@
         self.channel.poll_timeout().map_or(next, |at| next.min(at))
     }
 
-    fn belief(&self) -> Belief {
+    fn state_summary(&self) -> StateSummary {
         let counts = self.view.counts();
-        Belief { hash: u64::from(self.view.hash()), count: (counts.alive + counts.suspect) as u32 }
+        StateSummary {
+            hash: u64::from(self.view.hash()),
+            count: (counts.alive + counts.suspect) as u32,
+        }
     }
 
     fn check(&self, now: Micros) -> Result<(), Violation> {
@@ -253,8 +263,8 @@
         Ok(())
     }
 
-    fn judgements(&mut self) -> Vec<Judgement> {
-        std::mem::take(&mut self.judgements)
+    fn verdicts(&mut self) -> Vec<MemberVerdict> {
+        std::mem::take(&mut self.verdicts)
     }
 
     fn stalls(&self) -> u64 {
--- a/crates/millethook-hollow/src/topology.rs
+++ b/crates/millethook-hollow/src/topology.rs
@@ -1,29 +1,30 @@
-//! Where a sidecar stands: region, zone and rack follow from its number.
+//! The location of a member: its number determines its region, zone and rack.
 
 use serde::{Deserialize, Serialize};
 
-/// The shape of a fleet. Zones are blocks of successive numbers, racks smaller ones within a zone.
+/// The topology of a fleet. Zones are blocks of consecutive numbers, and racks are smaller blocks within a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Topology {
-    /// Sidecars.
+    /// Number of sidecars.
     pub size: u16,
-    /// Regions.
+    /// Number of regions.
     pub regions: u8,
-    /// Zones of each region.
+    /// Number of zones in each region.
     pub zones_per_region: u8,
-    /// Sidecars of a rack.
+    /// Number of sidecars in a rack.
     pub rack: u16,
-    /// Control nodes. Their numbers follow those of the sidecars, and they stand in all zones in turn.
+    /// Number of control nodes. Their numbers follow those of the sidecars, and they are assigned to all zones in
+    /// turn.
     pub control: u16,
 }
 
 impl Topology {
-    /// Zones of all regions.
+    /// Returns the number of zones in all regions.
     pub fn zones(&self) -> u8 {
         (self.regions * self.zones_per_region).max(1)
     }
 
-    /// The zone of a sidecar, counted over all regions.
+    /// Returns the zone of a member, numbered over all regions.
     pub fn zone(&self, number: u16) -> u8 {
         let (size, zones) = (u32::from(self.size.max(1)), u32::from(self.zones()));
         let number = u32::from(number);
@@ -31,13 +32,13 @@
         zone as u8
     }
 
-    /// The region of a sidecar.
+    /// Returns the region of a member.
     pub fn region(&self, number: u16) -> u8 {
         self.zone(number) / self.zones_per_region.max(1)
     }
 
-    /// The rack of a sidecar: its zone, and its number within that. The last rack of a zone may be smaller. None: a
-    /// control node, which stands apart.
+    /// Returns the rack of a sidecar: its zone, and the rack's number within that zone. The last rack of a zone may
+    /// be smaller. `None` for a control node, which is in no rack.
     pub fn rack(&self, number: u16) -> Option<(u8, u16)> {
         let size = u32::from(self.size);
         let zone = self.zone(number);
@@ -46,12 +47,12 @@
         Some((zone, within as u16 / self.rack.max(1)))
     }
 
-    /// Sidecars and control nodes.
+    /// Returns the number of sidecars and control nodes.
     pub fn members(&self) -> u16 {
         self.size + self.control
     }
 
-    /// Whether a number is that of a control node.
+    /// Returns whether a number is that of a control node.
     pub fn is_control(&self, number: u16) -> bool {
         number >= self.size
     }
--- a/crates/millethook-hollow/src/usage.rs
+++ b/crates/millethook-hollow/src/usage.rs
@@ -1,4 +1,4 @@
-//! What this process and this machine use, as the kernel counts it.
+//! Resource usage of this process and this machine, as reported by the kernel.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -13,17 +13,17 @@
     Duration::new(time.tv_sec.max(0) as u64, time.tv_nsec.clamp(0, 999_999_999) as u32)
 }
 
-/// Processor time of this thread so far.
+/// Returns the processor time used by this thread.
 pub fn thread_time() -> Duration {
     clock(ClockId::ThreadCPUTime)
 }
 
-/// Processor time of this process so far.
+/// Returns the processor time used by this process.
 pub fn process_time() -> Duration {
     clock(ClockId::ProcessCPUTime)
 }
 
-/// A field of /proc/self/status that is in kB, in bytes.
+/// Reads a field of /proc/self/status that is given in kB, in bytes.
 fn status_bytes(name: &str) -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix(name));
@@ -31,13 +31,13 @@
     kilobytes.unwrap_or(0) * 1024
 }
 
-/// Resident bytes of this process.
+/// Returns the resident bytes of this process.
 pub fn resident_bytes() -> u64 {
     status_bytes("VmRSS:")
 }
 
-/// Datagrams that the kernel dropped since the start because a socket's buffer was full, at sidecars and at control
-/// nodes of a run: those whose numbers are `size` or more.
+/// Returns how many datagrams the kernel has dropped because a socket's receive buffer was full: at a run's sidecars,
+/// and at its control nodes, whose numbers are `size` or more.
 pub fn dropped(addresses: Addresses, size: u16) -> (u64, u64) {
     let text = fs::read_to_string("/proc/net/udp").unwrap_or_default();
     let mut sums = (0, 0);
@@ -49,24 +49,24 @@
     sums
 }
 
-/// The member whose socket a line of /proc/net/udp is about, and what was dropped there.
+/// Parses a line of /proc/net/udp: the member that owns the socket, and the datagrams dropped there.
 fn socket_drops(addresses: Addresses, line: &str) -> Option<(u16, u64)> {
     let mut fields = line.split_whitespace();
     let (ip, port) = fields.nth(1)?.split_once(':')?;
-    // The kernel prints the address as the machine holds it.
+    // The kernel prints the address in the machine's byte order.
     let ip = u32::from_str_radix(ip, 16).ok()?.to_ne_bytes();
     let port = u16::from_str_radix(port, 16).ok()?;
-    let number = addresses.number(SocketAddr::from((ip, port)))?;
+    let number = addresses.number_of(SocketAddr::from((ip, port)))?;
     Some((number, fields.next_back()?.parse().ok()?))
 }
 
-/// Processes that ran or waited for a processor over the last minute, in the mean.
+/// Returns the one-minute load average.
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0.0)
 }
 
-/// The kind of this machine, without its name: processor, cores, memory.
+/// Describes this machine without its host name: processor, cores, memory.
 pub fn machine() -> String {
     let text = fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
     let model = text.lines().find_map(|l| l.strip_prefix("model name")?.split_once(": "));
--- a/crates/millethook-hollow/tests/distribution.rs
+++ b/crates/millethook-hollow/tests/distribution.rs
@@ -1,12 +1,13 @@
-//! Documents from nine control nodes to sixty sidecars, through loss, a zone that is gone, a cut and a cold start.
+//! Distribution of documents from nine control nodes to sixty sidecars, during loss, without a zone, during a
+//! partition and after a cold start.
 
 mod common;
 
 use common::Step;
-use millethook_hollow::conductor::StepDone;
+use millethook_hollow::conductor::StepResult;
 
-/// What a change may take until it is in force at all that can be reached, in milliseconds.
-const IN_FORCE_MS: u32 = 4_000;
+/// Maximum time until a change is in force at all reachable sidecars.
+const MAX_IN_FORCE_MS: u32 = 4_000;
 
 const FLEET: &str = r#"
 size = 60
@@ -24,8 +25,8 @@
 silence_ms = 500
 "#;
 
-/// Starts the fleet and runs these steps; the results of all, the start included.
-fn run(steps: Vec<Step>) -> Vec<StepDone> {
+/// Starts the fleet and runs these steps. Returns the results of all steps, including the start.
+fn run(steps: Vec<Step>) -> Vec<StepResult> {
     let start = Step::start().at_least(2.0);
     let done = common::run(FLEET, std::iter::once(start).chain(steps));
     for step in &done {
@@ -42,16 +43,16 @@
     Step::new(name, "{ publish = { count = 1 } }", 20)
 }
 
-/// Each of so many sidecars has had each of so many documents in force, the slowest in time.
-fn assert_in_force(done: &StepDone, sidecars: u64, documents: u64) {
+/// Asserts that each of `sidecars` sidecars has had each of `documents` documents in force within the time limit.
+fn assert_in_force(done: &StepResult, sidecars: u64, documents: u64) {
     let times = &done.phase.in_force_ms;
     assert_eq!(times.values().sum::<u64>(), sidecars * documents, "{}", done.step.name);
     let slowest = times.last_key_value().map_or(0, |(ms, _)| *ms);
-    assert!(slowest <= IN_FORCE_MS, "{}: {slowest} ms", done.step.name);
+    assert!(slowest <= MAX_IN_FORCE_MS, "{}: {slowest} ms", done.step.name);
 }
 
 #[test]
-fn changes_are_in_force_everywhere_in_time_also_at_loss_and_without_a_zone() {
+fn changes_are_in_force_in_time_also_with_packet_loss_and_without_a_zone() {
     let publish_three = "{ publish = { count = 3, over_s = 1.5, bytes = 3000 } }";
     let done = run(vec![
         Step::new("changes", publish_three, 20).at_least(2.0),
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_side_without_the_writer_keeps_what_it_has_and_gets_the_rest_once_healed() {
+fn a_partition_without_the_writer_keeps_its_documents_and_catches_up_after_it_heals() {
     let done = run(vec![
         publish_one("change"),
         Step::new("cut", "{ cut = { groups = [[0, 1], [2]] } }", 5),
@@ -79,11 +80,11 @@
     let healed = &done[4];
     assert_eq!(healed.phase.in_force_ms.values().sum::<u64>(), 20, "the other side has it, too");
     let slowest = healed.phase.settled_ms.iter().flatten().copied().fold(0.0, f64::max);
-    assert!(slowest <= f64::from(IN_FORCE_MS), "{slowest} ms after the end of the cut");
+    assert!(slowest <= f64::from(MAX_IN_FORCE_MS), "{slowest} ms after the end of the cut");
 }
 
 #[test]
-fn all_sidecars_that_start_together_have_the_last_document_soon() {
+fn sidecars_that_cold_start_together_get_the_last_document_in_time() {
     let done = run(vec![
         publish_one("change"),
         Step::new("down", "{ kill = { share = 1.0 } }", 5).at_least(0.5),
@@ -92,5 +93,5 @@
     let cold = &done[3];
     assert_eq!(cold.phase.joined_ms.len(), 60);
     let slowest = cold.phase.joined_ms.iter().flatten().copied().fold(0.0, f64::max);
-    assert!(slowest <= f64::from(IN_FORCE_MS), "{slowest} ms after its start");
+    assert!(slowest <= f64::from(MAX_IN_FORCE_MS), "{slowest} ms after its start");
 }
--- a/crates/millethook-hollow/tests/fleet.rs
+++ b/crates/millethook-hollow/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! Sixty sidecars in two processes, through the events of an ordinary year.
+//! Sixty sidecars in two processes: rack failure, partition, and paused processes.
 
 mod common;
 
 use common::Step;
-use millethook_hollow::conductor::StepDone;
+use millethook_hollow::conductor::StepResult;
 
-/// Periods are a fifth of the shipped ones, and budgets five times as large, so that a test takes some seconds.
+/// Periods are a fifth of the defaults and budgets five times as large, so that a test takes a few seconds.
 const FLEET: &str = r#"
 size = 60
 hosts = 2
@@ -20,8 +20,9 @@
 longest_ms = 1000
 "#;
 
-/// Starts the fleet and runs two more steps; the results of the three. After each of them all members agree.
-fn run(steps: [Step; 2]) -> [StepDone; 3] {
+/// Starts the fleet, runs two more steps and returns the three results. Asserts that all members agree after each
+/// step.
+fn run(steps: [Step; 2]) -> [StepResult; 3] {
     let done = common::run(FLEET, std::iter::once(Step::start()).chain(steps));
     for step in &done {
         assert_eq!(step.phase.violations, Vec::<String>::new(), "{}", step.step.name);
@@ -31,14 +32,14 @@
     done.try_into().unwrap_or_else(|_| panic!("three steps"))
 }
 
-/// When all members agreed, in seconds since the begin of the step.
-fn agreed(done: &StepDone) -> f64 {
+/// Returns when all members agreed, in seconds since the beginning of the step.
+fn agreed(done: &StepResult) -> f64 {
     let at = done.agreed.all_s;
     at.unwrap_or_else(|| panic!("{}: not all agree: {:?}", done.step.name, done.agreed))
 }
 
 #[test]
-fn sixty_agree_and_notice_a_rack_that_is_gone_and_back() {
+fn sixty_sidecars_agree_and_detect_a_rack_that_fails_and_returns() {
     let [start, rack, back] = run([
         Step::new("rack", "{ kill = { zone = 2, rack = 1 } }", 20),
         Step::new("back", "{ restart = {} }", 20),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn each_side_of_a_cut_agrees_and_all_do_once_it_is_healed() {
+fn each_side_of_a_partition_agrees_and_all_agree_after_it_heals() {
     let [_, cut, _] = run([
         Step::new("cut", "{ cut = { groups = [[0], [1, 2]] } }", 30),
         Step::new("healed", "\"heal\"", 30),
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn what_is_paused_is_thought_gone_and_comes_back() {
+fn paused_sidecars_are_declared_dead_and_rejoin() {
     let [_, paused, resumed] = run([
         Step::new("paused", "{ pause = { share = 0.05 } }", 20),
         Step::new("resumed", "\"resume\"", 20),
--- a/crates/millethook-hollow/tests/hosts.rs
+++ b/crates/millethook-hollow/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! How hosts are started, and that they do not outlive their conductor.
+//! Start of hosts, and their exit when their conductor is killed.
 
 use std::fs;
 use std::io::Write;
@@ -11,8 +11,8 @@
 use millethook_hollow::conductor;
 use millethook_hollow::plan::Plan;
 
-/// How long hosts may live on.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum wait for hosts to start or exit.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn children(pid: u32) -> Vec<u32> {
     let text = fs::read_to_string(format!("/proc/{pid}/task/{pid}/children")).unwrap_or_default();
@@ -28,7 +28,7 @@
 fn wait(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "not within {WAIT_TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_plan_that_makes_no_sense_is_named() {
+fn an_invalid_plan_is_rejected_with_the_offending_key() {
     let cases = [
         ("size = 0\n", "size: 0; 1 to 32000 expected"),
         ("size = 5\nhosts = 17\n", "hosts: 17; 1 to 16"),
@@ -80,16 +80,16 @@
 }
 
 #[test]
-fn a_run_whose_addresses_are_taken_in_part_starts_at_others() {
+fn a_run_whose_addresses_are_partly_in_use_retries_with_others() {
     let text =
         "size = 20\nhosts = 2\n\n[[step]]\nname = \"start\"\ndo = \"start\"\nat_most_s = 20\n";
     let plan: Plan = toml::from_str(text).expect("a plan");
-    let taken = Addresses::free().expect("addresses");
-    let last = UdpSocket::bind(taken.of(19)).expect("the last sidecar's address");
+    let taken = Addresses::find_free().expect("addresses");
+    let last = UdpSocket::bind(taken.address_of(19)).expect("the last sidecar's address");
     let mut asked = 0;
     let choose = || {
         asked += 1;
-        if asked == 1 { Ok(taken) } else { Addresses::free() }
+        if asked == 1 { Ok(taken) } else { Addresses::find_free() }
     };
     let program = Path::new(env!("CARGO_BIN_EXE_millethook-hollow"));
     let done = conductor::run_at(&plan, program, choose, |_| {}).expect("the run");
--- a/crates/millethook-hollow/tests/parts.rs
+++ b/crates/millethook-hollow/tests/parts.rs
@@ -1,10 +1,10 @@
-//! Addresses, places, links and quantiles.
+//! Unit tests of addresses, topology, links and quantiles.
 
 use std::collections::BTreeMap;
 
 use millethook_hollow::address::Addresses;
 use millethook_hollow::figures::{histogram_quantile, quantile};
-use millethook_hollow::link::{Fate, LinkConfig, Links};
+use millethook_hollow::link::{Delivery, LinkConfig, Links};
 use millethook_hollow::plan::{Plan, Target};
 use millethook_hollow::topology::Topology;
 
@@ -12,19 +12,19 @@
     Topology { size: 16_000, regions: 3, zones_per_region: 2, rack: 40, control: 36 };
 
 #[test]
-fn each_number_has_an_address_of_its_own() {
+fn each_number_has_a_unique_address() {
     let addresses = Addresses { octet: 70, port: 20_001 };
     for number in [0, 1, 255, 256, 16_035, 32_000, u16::MAX] {
-        assert_eq!(addresses.number(addresses.of(number)), Some(number));
+        assert_eq!(addresses.number_of(addresses.address_of(number)), Some(number));
     }
     let other = Addresses { octet: 71, ..addresses };
-    assert_eq!(addresses.number(other.of(5)), None, "another run's");
+    assert_eq!(addresses.number_of(other.address_of(5)), None, "another run's");
     let other = Addresses { port: 20_002, ..addresses };
-    assert_eq!(addresses.number(other.of(5)), None, "another run's");
+    assert_eq!(addresses.number_of(other.address_of(5)), None, "another run's");
 }
 
 #[test]
-fn zones_are_of_one_size_and_racks_of_forty() {
+fn zones_have_equal_size_and_racks_have_forty_members() {
     let mut zones = BTreeMap::<u8, u32>::new();
     let mut racks = BTreeMap::<(u8, u16), u32>::new();
     for number in 0..FLEET.size {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn targets_mean_whom_they_name() {
+fn targets_select_the_named_members() {
     let count = |target: Target| {
         (0..FLEET.members()).filter(|number| target.covers(&FLEET, *number)).count()
     };
@@ -66,25 +66,25 @@
 }
 
 #[test]
-fn delay_grows_with_distance_and_a_cut_holds_until_it_is_healed() {
+fn delay_grows_with_distance_and_a_partition_lasts_until_it_is_healed() {
     let mut links = Links::new(FLEET, &LinkConfig::default(), 1);
     let (same_zone, same_region, far, farther) = (1, 4_000, 6_000, 15_000);
-    assert_eq!(links.fate(0, same_zone), Fate::Arrives(200));
-    assert_eq!(links.fate(0, same_region), Fate::Arrives(1_000));
-    assert_eq!(links.fate(0, far), Fate::Arrives(30_000));
-    assert_eq!(links.fate(farther, 0), Fate::Arrives(80_000));
+    assert_eq!(links.next_delivery(0, same_zone), Delivery::Delayed(200));
+    assert_eq!(links.next_delivery(0, same_region), Delivery::Delayed(1_000));
+    assert_eq!(links.next_delivery(0, far), Delivery::Delayed(30_000));
+    assert_eq!(links.next_delivery(farther, 0), Delivery::Delayed(80_000));
     links.cut(&[vec![0, 1]]);
-    assert_eq!(links.fate(0, far), Fate::Arrives(30_000));
-    assert_eq!(links.fate(0, farther), Fate::Cut);
+    assert_eq!(links.next_delivery(0, far), Delivery::Delayed(30_000));
+    assert_eq!(links.next_delivery(0, farther), Delivery::Cut);
     links.heal();
-    assert_eq!(links.fate(0, farther), Fate::Arrives(80_000));
+    assert_eq!(links.next_delivery(0, farther), Delivery::Delayed(80_000));
     links.set_loss(0.2);
-    let lost = (0..10_000).filter(|_| links.fate(0, 1) == Fate::Lost).count();
+    let lost = (0..10_000).filter(|_| links.next_delivery(0, 1) == Delivery::Lost).count();
     assert!((1_800..2_200).contains(&lost), "{lost} of 10,000 at a loss of 0.2");
 }
 
 #[test]
-fn quantiles_are_values_that_occurred() {
+fn quantiles_are_observed_values() {
     let values: Vec<f64> = (1..=200).map(f64::from).rev().collect();
     assert_eq!(quantile(&values, 0.5), Some(100.0));
     assert_eq!(quantile(&values, 0.99), Some(198.0));
