--- a/crates/millethook-capacity/src/error.rs
+++ b/crates/millethook-capacity/src/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with measurements, figures and the page.
+//! Errors in measurements, figures and the page.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// A fault in one of the files: where it is, what was found and what was expected.
+/// An error in one of the files: its location, the value found and the expected value.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// A file cannot be read or written.
@@ -12,7 +12,7 @@
     File {
         /// The file.
         file: PathBuf,
-        /// What the system says.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
     /// A CSV file is not well-formed.
@@ -20,7 +20,7 @@
     Csv {
         /// The file.
         file: PathBuf,
-        /// What the reader says, with its line.
+        /// The parser's error, with the line.
         source: csv::Error,
     },
     /// A CSV file lacks a column.
@@ -33,7 +33,7 @@
         /// The header line.
         found: String,
     },
-    /// A field of a CSV file has another form than its column's.
+    /// A field of a CSV file is not valid for its column.
     #[error("{file}: line {line}, column `{column}`: {expected} expected, found `{found}`")]
     Field {
         /// The file.
@@ -42,9 +42,9 @@
         line: u64,
         /// The column.
         column: &'static str,
-        /// What the column holds.
+        /// The kind of value that the column holds.
         expected: &'static str,
-        /// What stands there.
+        /// The value found.
         found: String,
     },
     /// The TOML file is not well-formed, or lacks a key.
@@ -52,19 +52,19 @@
     Toml {
         /// The file.
         file: PathBuf,
-        /// What the reader says, with line, key and what was expected.
+        /// The parser's error, with line, key and expected value.
         source: Box<toml::de::Error>,
     },
-    /// A key of the TOML file has a value that does not fit the rest.
+    /// A key of the TOML file has an invalid value.
     #[error("{file}: {key}: {expected} expected, found {found}")]
     Key {
         /// The file.
         file: PathBuf,
         /// The key.
         key: String,
-        /// What was expected.
+        /// The expected value.
         expected: String,
-        /// What stands there.
+        /// The value found.
         found: String,
     },
     /// The page lacks a table's markers.
@@ -74,25 +74,25 @@
         file: PathBuf,
         /// The marker.
         expected: String,
-        /// How often it stands there.
+        /// Number of occurrences.
         found: usize,
     },
-    /// The page has a marker that names no table.
+    /// The page has a marker for an unknown table.
     #[error("{file}: line {line}: the name of a table expected, found `{found}`")]
     UnknownTable {
         /// The page.
         file: PathBuf,
         /// The marker's line, counted from 1.
         line: usize,
-        /// The name.
+        /// The name in the marker.
         found: String,
     },
-    /// A row of the page is not what the measurements give.
+    /// A row of the page differs from the computed row.
     #[error("{0}")]
     Differs(Box<Difference>),
 }
 
-/// A row of the page that is not what the measurements give.
+/// A row of the page that differs from the computed row.
 #[derive(Debug, Error)]
 #[error(
     "{file}: line {line}, table `{table}`, row `{row}`:\n  found    {found}\n  expected {expected}\nrun `millethook-capacity write`"
@@ -106,8 +106,8 @@
     pub table: String,
     /// The row's first cell.
     pub row: String,
-    /// What stands in the page.
+    /// The row in the page.
     pub found: String,
-    /// What the measurements give.
+    /// The row computed from the measurements.
     pub expected: String,
 }
--- a/crates/millethook-capacity/src/evaluation.rs
+++ b/crates/millethook-capacity/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! Rows with their figures.
+//! Evaluation of formulas and rows.
 
 use std::collections::BTreeSet;
 
@@ -9,51 +9,51 @@
 use crate::source::Sources;
 use crate::unit::Unit;
 
-/// What follows a slope's name in formulas where the value at size 0 is meant, or at size 1.
-const AT_NONE: &str = "_at_0";
-const AT_ONE: &str = "_at_1";
-/// What is said of a figure below 0 of something that cannot be.
-const BELOW: &str = "the fit is below 0 there";
-/// How deep derived figures may call each other. Each level takes some ten kB of stack.
-const DEEPEST: usize = 8;
+/// Suffixes of a slope's name in formulas, for the fit's value at size 0 and at size 1.
+const AT_SIZE_0: &str = "_at_0";
+const AT_SIZE_1: &str = "_at_1";
+/// Text for a figure whose fit gives an impossible negative value.
+const NEGATIVE_FIT: &str = "the fit is below 0 there";
+/// Maximum nesting of derived figures. Each level takes about ten kB of stack.
+const MAX_DEPTH: usize = 8;
 
 /// The size at which formulas are evaluated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scale {
-    /// The letter's.
-    Letter,
+    /// The design size given in `figures.toml`.
+    DesignSize,
     /// Twice that.
     Doubled,
 }
 
-/// Whether a figure is within its budget.
+/// The comparison of a figure with its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is.
+    /// The figure is within its budget.
     Fits,
-    /// It is not.
+    /// The figure is outside its budget.
     DoesNotFit,
-    /// Something in its formula was not measured.
+    /// A slope in the figure's or the budget's formula was not measured.
     NotMeasured,
-    /// It has no budget.
+    /// The figure has no budget.
     NoBudget,
 }
 
-/// A row's figure.
+/// The evaluated figure of a row.
 #[derive(Clone, Debug)]
 pub struct Evaluation {
     /// The figure, in base units.
     pub figure: Value,
     /// The budget, in base units.
     pub budget: Option<f64>,
-    /// Whether it fits.
+    /// Whether the figure is within its budget.
     pub verdict: Verdict,
-    /// The slopes that it comes from.
+    /// The slopes that the formula uses.
     pub slopes: BTreeSet<String>,
 }
 
 impl Evaluation {
-    /// How many times its budget the figure is; above 1 it does not fit.
+    /// Returns the ratio of figure to budget, inverted for a lower limit. Above 1 the figure does not fit.
     pub fn share_of_budget(&self, side: Side) -> Option<f64> {
         let (Value::Known(figure), Some(budget)) = (&self.figure, self.budget) else { return None };
         let share = match side {
@@ -64,27 +64,29 @@
     }
 }
 
-/// Evaluates formulas of one file against its slopes.
+/// Evaluates the formulas of a figures file with its fitted slopes.
 pub struct Evaluator<'a> {
-    /// The file.
+    /// The figures file.
     pub figures: &'a Figures,
-    /// The slopes.
+    /// The fitted slopes.
     pub sources: &'a Sources,
     /// The size.
     pub scale: Scale,
 }
 
 impl Evaluator<'_> {
-    /// A row's figure.
+    /// Evaluates a row.
     ///
     /// # Errors
-    /// Its formula or its budget's is not understood.
+    /// Fails if the row's formula or its budget's formula is invalid.
     pub fn row(&self, row: &Row) -> Result<Evaluation, CapacityError> {
         let key = |key: &str| format!("row `{}` of table `{}`: {key}", row.resource, row.table);
         let mut slopes = BTreeSet::new();
         let figure = self.formula(&key("formula"), &row.formula, &mut slopes)?;
         let figure = match figure {
-            Value::Known(below) if below < 0.0 => Value::NotMeasured(vec![BELOW.to_owned()]),
+            Value::Known(negative) if negative < 0.0 => {
+                Value::NotMeasured(vec![NEGATIVE_FIT.to_owned()])
+            }
             figure => figure,
         };
         let budget = match &row.budget {
@@ -109,29 +111,29 @@
         Ok(Evaluation { figure, budget, verdict, slopes })
     }
 
-    /// A formula's value. The slopes that it comes from are added to `slopes`.
+    /// Evaluates a formula, and adds the slopes that it uses to `slopes`.
     ///
     /// # Errors
-    /// It is not understood; `key` says where it stands.
+    /// Fails if the formula is invalid. The error gives `key` as its location.
     pub fn formula(
         &self,
         key: &str,
         text: &str,
         slopes: &mut BTreeSet<String>,
     ) -> Result<Value, CapacityError> {
-        self.value(text, slopes, &mut Vec::new()).map_err(|fault| {
-            let (expected, found) = match fault {
+        self.value(text, slopes, &mut Vec::new()).map_err(|error| {
+            let (expected, found) = match error {
                 FormulaError::Syntax(why) => ("a formula".to_owned(), format!("`{text}`: {why}")),
                 FormulaError::UnknownName(name) => {
                     ("the name of a parameter, slope or derived figure".to_owned(), name)
                 }
-                FormulaError::Circle(name) => {
+                FormulaError::Cycle(name) => {
                     let expected = "no circle, and at most";
-                    (format!("{expected} {DEEPEST} derived figures in each other"), name)
+                    (format!("{expected} {MAX_DEPTH} derived figures in each other"), name)
                 }
                 FormulaError::NotANumber => ("a number".to_owned(), format!("`{text}`")),
             };
-            self.figures.fault(key, expected, found)
+            self.figures.error(key, expected, found)
         })
     }
 
@@ -156,8 +158,8 @@
             return Ok(Value::Known(parameter.value * Unit::parse(&parameter.unit).scale * times));
         }
         if let Some(derived) = self.figures.derived.get(name) {
-            if path.len() >= DEEPEST || path.iter().any(|caller| caller == name) {
-                return Err(FormulaError::Circle(name.to_owned()));
+            if path.len() >= MAX_DEPTH || path.iter().any(|caller| caller == name) {
+                return Err(FormulaError::Cycle(name.to_owned()));
             }
             path.push(name.to_owned());
             let value = self.value(&derived.formula, slopes, path);
@@ -165,7 +167,7 @@
             return value;
         }
         let at = |suffix: &'static str| Some((name.strip_suffix(suffix)?, Some(suffix)));
-        let (slope, suffix) = at(AT_NONE).or_else(|| at(AT_ONE)).unwrap_or((name, None));
+        let (slope, suffix) = at(AT_SIZE_0).or_else(|| at(AT_SIZE_1)).unwrap_or((name, None));
         let source = self.sources.get(slope);
         let source = source.ok_or_else(|| FormulaError::UnknownName(name.to_owned()))?;
         slopes.insert(slope.to_owned());
@@ -174,8 +176,8 @@
         };
         match (suffix, fit.model) {
             (None, _) => Ok(Value::Known(fit.slope)),
-            (Some(AT_NONE), Model::Linear) => Ok(Value::Known(fit.intercept)),
-            (Some(AT_ONE), Model::Log | Model::Power) => Ok(Value::Known(fit.intercept)),
+            (Some(AT_SIZE_0), Model::Linear) => Ok(Value::Known(fit.intercept)),
+            (Some(AT_SIZE_1), Model::Log | Model::Power) => Ok(Value::Known(fit.intercept)),
             (Some(_), _) => Err(FormulaError::UnknownName(name.to_owned())),
         }
     }
--- a/crates/millethook-capacity/src/figures.rs
+++ b/crates/millethook-capacity/src/figures.rs
@@ -1,4 +1,4 @@
-//! Parameters, slopes and rows as `figures.toml` names them.
+//! The content of `figures.toml`: parameters, slopes and rows.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -8,29 +8,29 @@
 use crate::CapacityError;
 use crate::fit::Model;
 
-/// The whole file.
+/// The figures file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Figures {
-    /// Where it was read from.
+    /// The path that it was read from.
     #[serde(skip)]
     pub file: PathBuf,
-    /// The size that is designed for, and the budgets.
+    /// The design size and the budgets.
     pub parameters: BTreeMap<String, Parameter>,
-    /// Slopes by the name that formulas use.
+    /// Slopes, by their name in formulas.
     pub slopes: BTreeMap<String, Slope>,
-    /// Figures that several rows use.
+    /// Derived figures, used by several rows.
     #[serde(default)]
     pub derived: BTreeMap<String, Derived>,
     /// The rows of all tables, in order.
     #[serde(default)]
     pub row: Vec<Row>,
-    /// What was not measured, beyond slopes without measurements.
+    /// Quantities that were not measured, in addition to slopes without measurements.
     #[serde(default)]
     pub missing: Vec<Missing>,
 }
 
-/// A figure of the letter.
+/// A given figure of the design size.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
@@ -38,17 +38,17 @@
     pub value: f64,
     /// Its unit.
     pub unit: String,
-    /// What it says.
+    /// Its description in the page.
     pub meaning: String,
-    /// It is twice as much where the size doubles again.
+    /// Whether the value doubles when the design size doubles.
     #[serde(default)]
     pub doubles: bool,
 }
 
-/// A slope that is fitted to measurements.
+/// A slope fitted to measurements.
 ///
-/// Formulas call it by its name. Of a line they call the value at size 0 by the same name with `_at_0`, of a logarithm or
-/// a power the value at size 1 by `_at_1`.
+/// Formulas refer to it by its name. With the suffix `_at_0` the name is the value of a line at size 0; with `_at_1`
+/// it is the value of a logarithm or a power at size 1.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
@@ -56,40 +56,40 @@
     pub file: String,
     /// The value of its column `measurement`.
     pub measurement: String,
-    /// The value of its column `size_of`, where one measurement was varied in several ways.
+    /// The value of its column `size_of`, if several quantities were varied for one measurement.
     pub size_of: Option<String>,
-    /// The value of its column `kind`, where one measurement ran in several ways.
+    /// The value of its column `kind`, if one measurement was run in several ways.
     pub kind: Option<String>,
-    /// The value of its column `size`, where one size alone is meant.
+    /// The value of its column `size`, if only one size is used.
     pub size: Option<f64>,
-    /// The most load beside a run that still counts, where the load decides the value.
+    /// Maximum load of the machine for a run to count, if the load affects the value.
     pub most_load: Option<f64>,
-    /// How its value grows.
+    /// The model that is fitted.
     pub fit: Model,
-    /// Its unit, as the file writes it.
+    /// Its unit, as written in the CSV file.
     pub unit: String,
 }
 
-/// A figure that rows use by its name.
+/// A derived figure that formulas use by its name.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Derived {
-    /// How it is computed.
+    /// Its formula.
     pub formula: String,
     /// Its unit.
     pub unit: String,
-    /// What it says.
+    /// Its description in the page.
     pub meaning: String,
 }
 
-/// Which side of its budget a figure has to be on.
+/// Whether a budget is an upper or a lower limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Side {
-    /// At the budget or below.
+    /// The figure must not be above its budget.
     #[default]
     AtMost,
-    /// At the budget or above.
+    /// The figure must not be below its budget.
     AtLeast,
 }
 
@@ -99,34 +99,34 @@
 pub struct Row {
     /// The table's name.
     pub table: String,
-    /// What is used.
+    /// The resource that is used.
     pub resource: String,
-    /// How the figure is computed, in base units: bytes, seconds, cores.
+    /// The figure's formula, in base units: bytes, seconds, cores.
     pub formula: String,
     /// The figure's unit.
     pub unit: String,
-    /// The most (or least) that it may be, in base units. None: it has no budget.
+    /// The formula of the upper or lower limit, in base units. `None` if there is no budget.
     pub budget: Option<String>,
-    /// Which side of the budget it has to be on.
+    /// Whether the budget is an upper or a lower limit.
     #[serde(default)]
     pub side: Side,
-    /// What carries it.
+    /// The mechanism that the figure depends on.
     pub mechanism: String,
-    /// What would mend it, where it does not fit.
+    /// What would bring it within its budget, if it does not fit.
     #[serde(default)]
     pub next: String,
-    /// It is no figure of the size, and has no place in the table of twice the size.
+    /// Whether the figure does not depend on the design size, and is left out of the table for twice the size.
     #[serde(default)]
     pub fixed: bool,
 }
 
-/// Something that was not measured.
+/// A quantity that was not measured.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Missing {
-    /// What.
+    /// The quantity.
     pub what: String,
-    /// Why not.
+    /// The reason.
     pub why: String,
 }
 
@@ -134,7 +134,7 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// It cannot be read, or is not of this form; the error names line, key and what was expected.
+    /// Fails if the file cannot be read or is invalid. The error names line, key and expected value.
     pub fn read(file: &Path) -> Result<Figures, CapacityError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| CapacityError::File { file: file.to_owned(), source })?;
@@ -147,8 +147,8 @@
         Ok(figures)
     }
 
-    /// A fault at one of its keys.
-    pub fn fault(
+    /// Returns an error about one of the file's keys.
+    pub fn error(
         &self,
         key: impl Into<String>,
         expected: impl Into<String>,
--- a/crates/millethook-capacity/src/formula.rs
+++ b/crates/millethook-capacity/src/formula.rs
@@ -1,26 +1,26 @@
-//! Formulas over names.
+//! Formulas with named variables.
 
 use exmex::prelude::*;
 
-/// What became of a formula.
+/// The result of a formula.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Its value, in base units.
+    /// The value, in base units.
     Known(f64),
-    /// Names in it that have no measurements yet.
+    /// The names that have no measurements.
     NotMeasured(Vec<String>),
 }
 
-/// Why a formula has no value.
+/// Errors of a formula.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FormulaError {
-    /// It is not well-formed.
+    /// The formula is malformed.
     Syntax(String),
-    /// Nothing has this name.
+    /// A name is unknown.
     UnknownName(String),
-    /// Its names call each other in a circle.
-    Circle(String),
-    /// Its value is not a number, such as 0 / 0.
+    /// A derived figure depends on itself, or is nested too deeply.
+    Cycle(String),
+    /// The value is not a number, such as 0 / 0.
     NotANumber,
 }
 
@@ -28,7 +28,7 @@
 pub struct Formula(FlatEx<f64>);
 
 impl Formula {
-    /// Reads it.
+    /// Parses a formula.
     ///
     /// # Errors
     /// [`FormulaError::Syntax`].
@@ -36,15 +36,15 @@
         exmex::parse::<f64>(text).map(Formula).map_err(|e| FormulaError::Syntax(e.to_string()))
     }
 
-    /// Its names, each once.
+    /// Returns the distinct names in the formula.
     pub fn names(&self) -> &[String] {
         self.0.var_names()
     }
 
-    /// Its value, with `lookup` for each name.
+    /// Evaluates the formula, with the value of each name from `lookup`.
     ///
     /// # Errors
-    /// Those of `lookup`, and [`FormulaError::NotANumber`].
+    /// Returns errors of `lookup`, and [`FormulaError::NotANumber`].
     pub fn value(
         &self,
         mut lookup: impl FnMut(&str) -> Result<Value, FormulaError>,
--- a/crates/millethook-capacity/src/lib.rs
+++ b/crates/millethook-capacity/src/lib.rs
@@ -1,9 +1,9 @@
 //! Fits slopes to measurements and writes the tables of `docs/CAPACITY.md` from them.
 //!
-//! Measurements are CSV files under `docs/capacity/` ([`measurement`]). `docs/capacity/figures.toml` names the slopes
-//! that are fitted to them, the parameters of the size that is designed for, and the rows of each table
-//! ([`figures`]). [`evaluation`] computes each row, [`table`] writes it as Markdown, and [`page`] puts the tables
-//! between the page's markers or compares them with what stands there.
+//! Measurements are CSV files under `docs/capacity/` ([`measurement`]). `docs/capacity/figures.toml` defines the
+//! slopes that are fitted to them, the parameters of the design size, and the rows of each table ([`figures`]).
+//! [`evaluation`] computes each row, [`table`] formats it as Markdown, and [`page`] writes the tables between the
+//! page's markers or compares them with the page.
 #![forbid(unsafe_code)]
 
 pub mod error;
@@ -21,17 +21,17 @@
 
 pub use error::CapacityError;
 
-/// Where the repository keeps the page.
+/// Path of the page in the repository.
 pub const PAGE: &str = "docs/CAPACITY.md";
-/// Where it keeps measurements.
+/// Folder of the measurements.
 pub const MEASUREMENTS: &str = "docs/capacity";
-/// Where it keeps parameters, slopes and rows.
+/// Path of the file with parameters, slopes and rows.
 pub const FIGURES: &str = "docs/capacity/figures.toml";
 
-/// All tables of the repository at `root`, by name.
+/// Computes all tables of the repository at `root`.
 ///
 /// # Errors
-/// A file cannot be read, or says something that is not understood.
+/// Fails if a file cannot be read or is invalid.
 pub fn tables(root: &Path) -> Result<Vec<table::Table>, CapacityError> {
     let figures = figures::Figures::read(&root.join(FIGURES))?;
     let measurements = measurement::read_folder(&root.join(MEASUREMENTS))?;
@@ -42,7 +42,7 @@
 /// Writes the tables into the page.
 ///
 /// # Errors
-/// As [`tables`], and where the page lacks a table's markers.
+/// As [`tables`]; also fails if the page lacks a table's markers.
 pub fn write(root: &Path) -> Result<(), CapacityError> {
     page::write(&root.join(PAGE), &tables(root)?)
 }
@@ -50,7 +50,7 @@
 /// Compares the page with the tables.
 ///
 /// # Errors
-/// As [`write()`], and [`CapacityError::Differs`] for the first row that is not what the slopes give.
+/// As [`write()`], and [`CapacityError::Differs`] for the first row that differs from the computed one.
 pub fn check(root: &Path) -> Result<(), CapacityError> {
     page::check(&root.join(PAGE), &tables(root)?)
 }
--- a/crates/millethook-capacity/src/main.rs
+++ b/crates/millethook-capacity/src/main.rs
@@ -1,15 +1,15 @@
-//! The program: writes the tables of `docs/CAPACITY.md`, or checks them.
+//! `millethook-capacity`: writes or checks the tables of `docs/CAPACITY.md`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 
-/// Tables of docs/CAPACITY.md, from the measurements in docs/capacity.
+/// Computes the tables of docs/CAPACITY.md from the measurements in docs/capacity.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The repository's folder.
+    /// Root folder of the repository.
     #[arg(long, default_value = ".")]
     root: PathBuf,
     #[command(subcommand)]
@@ -18,9 +18,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Writes the tables into the page.
+    /// Write the tables into the page.
     Write,
-    /// Fails where the page is not what the measurements give.
+    /// Check the page, and fail if a table differs from the measurements.
     Check,
 }
 
@@ -32,8 +32,8 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/millethook-capacity/src/measurement.rs
+++ b/crates/millethook-capacity/src/measurement.rs
@@ -1,11 +1,11 @@
-//! Measurements as CSV files hold them.
+//! Measurements, read from CSV files.
 
 use std::path::{Path, PathBuf};
 
 use crate::CapacityError;
 use crate::unit::Unit;
 
-/// The columns that a file has to have, in any order.
+/// The required columns, in any order.
 pub const COLUMNS: [&str; 9] =
     ["measurement", "unit", "size_of", "size", "seed", "value", "kind", "machine", "load"];
 
@@ -14,42 +14,42 @@
 pub struct Measurement {
     /// The file's name without its folder.
     pub file: String,
-    /// What was measured.
+    /// The name of the measurement.
     pub measurement: String,
-    /// The unit as the file writes it.
+    /// The unit, as written in the file.
     pub unit: Unit,
-    /// What was varied.
+    /// The quantity that was varied.
     pub size_of: String,
-    /// How many of that there were.
+    /// How many of it there were.
     pub size: f64,
     /// The run's seed.
     pub seed: String,
-    /// The value, in base units; infinite: it never came in that run.
+    /// The value, in base units. Infinite if the run never reached it.
     pub value: f64,
-    /// How it ran: `processes`, `hollow`, `virtual`, `model`.
+    /// The kind of run: `processes`, `hollow`, `virtual`, `model`.
     pub kind: String,
     /// The machine that it ran on.
     pub machine: String,
-    /// What else ran beside it.
+    /// The other load on the machine.
     pub load: String,
 }
 
 impl Measurement {
-    /// The number at the end of what stands for its load. None: there is none.
+    /// Returns the number at the end of the load field, or `None` if there is none.
     pub fn load_figure(&self) -> Option<f64> {
         self.load.rsplit(' ').next()?.parse().ok()
     }
 }
 
-/// Reads all CSV files of a folder, in the order of their names.
+/// Reads all CSV files of a folder, sorted by name.
 ///
 /// # Errors
-/// A file cannot be read, or a field does not have its column's form.
+/// Fails if a file cannot be read, or a field is not valid for its column.
 pub fn read_folder(folder: &Path) -> Result<Vec<Measurement>, CapacityError> {
-    let fault = |source| CapacityError::File { file: folder.to_owned(), source };
+    let error = |source| CapacityError::File { file: folder.to_owned(), source };
     let mut files: Vec<PathBuf> = Vec::new();
-    for entry in std::fs::read_dir(folder).map_err(fault)? {
-        let path = entry.map_err(fault)?.path();
+    for entry in std::fs::read_dir(folder).map_err(error)? {
+        let path = entry.map_err(error)?.path();
         if path.extension().is_some_and(|extension| extension == "csv") {
             files.push(path);
         }
@@ -67,22 +67,22 @@
 /// # Errors
 /// As [`read_folder`].
 pub fn read_file(file: &Path) -> Result<Vec<Measurement>, CapacityError> {
-    let fault = |source| CapacityError::Csv { file: file.to_owned(), source };
+    let error = |source| CapacityError::Csv { file: file.to_owned(), source };
     let mut reader = csv::ReaderBuilder::new()
         .comment(Some(b'#'))
         .trim(csv::Trim::All)
         .from_path(file)
-        .map_err(fault)?;
-    let header = reader.headers().map_err(fault)?.clone();
+        .map_err(error)?;
+    let header = reader.headers().map_err(error)?.clone();
     let columns = Columns::of(file, &header)?;
     let mut measurements = Vec::new();
     for record in reader.records() {
-        measurements.push(columns.measurement(&record.map_err(fault)?)?);
+        measurements.push(columns.measurement(&record.map_err(error)?)?);
     }
     Ok(measurements)
 }
 
-/// Where each column of a file is.
+/// The positions of the columns in a file.
 struct Columns<'a> {
     file: &'a Path,
     positions: Vec<usize>,
@@ -106,7 +106,7 @@
         let [measurement, unit, size_of, _, seed, _, kind, machine, load] =
             [0, 1, 2, 3, 4, 5, 6, 7, 8].map(|column| self.text(record, column));
         if measurement.is_empty() {
-            return Err(self.fault(record, 0, "a name"));
+            return Err(self.error(record, 0, "a name"));
         }
         let unit = Unit::parse(&unit);
         let value = self.number(record, 5)? * unit.scale;
@@ -130,15 +130,15 @@
 
     fn number(&self, record: &csv::StringRecord, column: usize) -> Result<f64, CapacityError> {
         let number = self.text(record, column).parse().ok().filter(|n: &f64| !n.is_nan());
-        number.ok_or_else(|| self.fault(record, column, "a number"))
+        number.ok_or_else(|| self.error(record, column, "a number"))
     }
 
     fn finite(&self, record: &csv::StringRecord, column: usize) -> Result<f64, CapacityError> {
         let number = Some(self.number(record, column)?).filter(|number| number.is_finite());
-        number.ok_or_else(|| self.fault(record, column, "a finite number"))
+        number.ok_or_else(|| self.error(record, column, "a finite number"))
     }
 
-    fn fault(
+    fn error(
         &self,
         record: &csv::StringRecord,
         column: usize,
--- a/crates/millethook-capacity/src/page.rs
+++ b/crates/millethook-capacity/src/page.rs
@@ -1,4 +1,4 @@
-//! The page: tables between markers.
+//! Writes and checks the tables between the markers of the page.
 
 use std::path::Path;
 
@@ -6,23 +6,23 @@
 use crate::error::Difference;
 use crate::table::Table;
 
-/// How the line before a table begins and ends.
-const BEGIN: (&str, &str) = ("<!-- table: ", " -->");
-/// The line behind a table.
-const END: &str = "<!-- end -->";
+/// Prefix and suffix of the marker line before a table.
+const BEGIN_MARKER: (&str, &str) = ("<!-- table: ", " -->");
+/// The marker line after a table.
+const END_MARKER: &str = "<!-- end -->";
 
 /// Writes each table between its markers.
 ///
 /// # Errors
-/// The page cannot be read or written, lacks a table's markers, or has a marker of no table.
+/// Fails if the page cannot be read or written, lacks a table's markers, or has a marker for an unknown table.
 pub fn write(file: &Path, tables: &[Table]) -> Result<(), CapacityError> {
     let text = read(file)?;
-    let fault = |source| CapacityError::File { file: file.to_owned(), source };
+    let io_error = |source| CapacityError::File { file: file.to_owned(), source };
     let written = fill(file, &text, tables)?;
-    std::fs::write(file, written).map_err(fault)
+    std::fs::write(file, written).map_err(io_error)
 }
 
-/// Compares each table with what stands between its markers.
+/// Compares each table with the text between its markers.
 ///
 /// # Errors
 /// As [`write()`], and [`CapacityError::Differs`] for the first row that differs.
@@ -56,17 +56,17 @@
         .map_err(|source| CapacityError::File { file: file.to_owned(), source })
 }
 
-/// The table that a marker's line names.
+/// Returns the name of the table in a marker line.
 fn table_name(line: &str) -> Option<&str> {
-    line.strip_prefix(BEGIN.0)?.strip_suffix(BEGIN.1)
+    line.strip_prefix(BEGIN_MARKER.0)?.strip_suffix(BEGIN_MARKER.1)
 }
 
-/// The page's text with each table in its place.
+/// Returns the page's text with all tables filled in.
 fn fill(file: &Path, text: &str, tables: &[Table]) -> Result<String, CapacityError> {
     for table in tables {
         let found = text.lines().filter(|line| table_name(line) == Some(&table.name)).count();
         if found != 1 {
-            let expected = format!("{}{}{}", BEGIN.0, table.name, BEGIN.1);
+            let expected = format!("{}{}{}", BEGIN_MARKER.0, table.name, BEGIN_MARKER.1);
             return Err(CapacityError::Marker { file: file.to_owned(), expected, found });
         }
     }
@@ -80,12 +80,12 @@
             let found = name.to_owned();
             return Err(CapacityError::UnknownTable { file: file.to_owned(), line: at + 1, found });
         };
-        if !lines.any(|(_, line)| line == END) {
-            let expected = format!("{END} behind table {name}");
+        if !lines.any(|(_, line)| line == END_MARKER) {
+            let expected = format!("{END_MARKER} behind table {name}");
             return Err(CapacityError::Marker { file: file.to_owned(), expected, found: 0 });
         }
         filled.push_str(&table.text);
-        filled.push_str(END);
+        filled.push_str(END_MARKER);
         filled.push('\n');
     }
     Ok(filled)
--- a/crates/millethook-capacity/src/source.rs
+++ b/crates/millethook-capacity/src/source.rs
@@ -1,4 +1,4 @@
-//! Slopes with the measurements that they come from.
+//! Fits slopes to their measurements.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +11,15 @@
 /// A slope of `figures.toml` with its fit.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// What its value measures.
+    /// The dimension of its value.
     pub dimension: Dimension,
-    /// The fit. None: too little was measured for it.
+    /// The fit, or `None` if there are too few measurements.
     pub fit: Option<Fit>,
-    /// Why there is none.
-    pub lacks: String,
-    /// How it ran, each once.
+    /// Why there is no fit; empty if there is one.
+    pub missing_reason: String,
+    /// The distinct kinds of runs.
     pub kinds: Vec<String>,
-    /// What was varied.
+    /// The quantity that was varied.
     pub size_of: String,
     /// The CSV file.
     pub file: String,
@@ -31,16 +31,16 @@
 /// Fits each slope to its measurements.
 ///
 /// # Errors
-/// The measurements are in another unit than the slope.
+/// Fails if the measurements have a different dimension than the slope's unit.
 pub fn fit_all(figures: &Figures, all: &[Measurement]) -> Result<Sources, CapacityError> {
     let fit = |(name, slope): (&String, &Slope)| {
-        let own: Vec<&Measurement> = all.iter().filter(|m| belongs(slope, m)).collect();
+        let own: Vec<&Measurement> = all.iter().filter(|m| matches(slope, m)).collect();
         Ok((name.clone(), fit_one(figures, name, slope, &own)?))
     };
     figures.slopes.iter().map(fit).collect()
 }
 
-fn belongs(slope: &Slope, m: &Measurement) -> bool {
+fn matches(slope: &Slope, m: &Measurement) -> bool {
     m.file == slope.file
         && m.measurement == slope.measurement
         && slope.size_of.as_ref().is_none_or(|size_of| *size_of == m.size_of)
@@ -59,7 +59,7 @@
     if let Some(other) = own.iter().find(|m| m.unit.dimension != unit.dimension) {
         let expected = format!("the unit of {} ({:?})", slope.file, other.unit.dimension);
         let found = format!("`{}`", slope.unit);
-        return Err(figures.fault(format!("slopes.{name}.unit"), expected, found));
+        return Err(figures.error(format!("slopes.{name}.unit"), expected, found));
     }
     let mut kinds: Vec<String> = own.iter().map(|m| m.kind.clone()).collect();
     kinds.sort();
@@ -67,33 +67,36 @@
     let point = |m: &&Measurement| Point { size: m.size, seed: m.seed.clone(), value: m.value };
     let points: Vec<Point> = own.iter().map(point).collect();
     let fit = Fit::of(slope.fit, &points);
-    let lacks = if fit.is_some() { String::new() } else { lacks(slope, points.len()) };
+    let missing_reason =
+        if fit.is_some() { String::new() } else { missing_reason(slope, points.len()) };
     Ok(Source {
         dimension: unit.dimension,
         fit,
-        lacks,
+        missing_reason,
         kinds,
         size_of: own.first().map(|m| m.size_of.clone()).unwrap_or_default(),
         file: slope.file.clone(),
     })
 }
 
-/// Why a slope has no fit.
-fn lacks(slope: &Slope, count: usize) -> String {
+/// Explains why a slope has no fit.
+fn missing_reason(slope: &Slope, count: usize) -> String {
     let (file, measurement) = (&slope.file, &slope.measurement);
     let load = slope.most_load.map(|most| format!(" at a load of {most} or less"));
     let load = load.unwrap_or_default();
     match count {
         0 => format!("`{file}` has no values of `{measurement}`{load}"),
         _ => {
-            let needed = needed(slope.fit);
-            format!("`{file}` has {count} values of `{measurement}`{load}, and {needed} are needed")
+            let required_points = required_points(slope.fit);
+            format!(
+                "`{file}` has {count} values of `{measurement}`{load}, and {required_points} are needed"
+            )
         }
     }
 }
 
-/// The points that a fit needs.
-fn needed(model: Model) -> &'static str {
+/// Describes the points that a fit needs.
+fn required_points(model: Model) -> &'static str {
     match model {
         Model::Linear => "two different sizes",
         Model::Log => "two different sizes above 0",
--- a/crates/millethook-capacity/src/table/cells.rs
+++ b/crates/millethook-capacity/src/table/cells.rs
@@ -1,4 +1,4 @@
-//! Cells of tables.
+//! Formats the cells of tables.
 
 use std::collections::BTreeSet;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The slopes of a formula, each on a line of its own.
+/// Formats the slopes of a formula, one per line.
 pub(super) fn slope_cell(names: &BTreeSet<String>, sources: &Sources) -> String {
     if names.is_empty() {
         return "paper only".to_owned();
@@ -49,7 +49,7 @@
     names.iter().filter_map(cell).collect::<Vec<_>>().join("<br>")
 }
 
-/// A slope with its spread, sizes, kind of run and file.
+/// Describes a slope with its spread, sizes, kind of run and file.
 fn describe(source: &Source) -> String {
     let Some(fit) = &source.fit else { return format!("not measured ({})", source.file) };
     let print = |value: f64| Quantity { value, dimension: &source.dimension }.to_string();
@@ -61,7 +61,7 @@
         None => "one seed".to_owned(),
     };
     let residual = match fit.residual {
-        Some(residual) if fit.model.is_growing() && !fit.is_growth_seen() => {
+        Some(residual) if fit.model.is_growing() && !fit.is_growth_significant() => {
             format!("residual {}; its growth is within the residual", print(residual))
         }
         Some(residual) => format!("residual {}", print(residual)),
@@ -73,7 +73,7 @@
     format!("{value} ({seeds}; {residual}; {sizes}; {kinds}; {})", source.file)
 }
 
-/// What a fit says of how the value grows.
+/// Describes how the fitted value grows.
 fn growth(source: &Source, fit: &Fit) -> String {
     let print = |value: f64| Quantity { value, dimension: &source.dimension }.to_string();
     let (slope, base, of) = (print(fit.slope), print(fit.intercept), &source.size_of);
@@ -88,7 +88,7 @@
     }
 }
 
-/// How many sizes were measured, and which.
+/// Describes the sizes that were measured.
 fn sizes(source: &Source, fit: &Fit) -> String {
     let of = &source.size_of;
     match (fit.sizes.first(), fit.sizes.last()) {
@@ -104,7 +104,7 @@
     Quantity { value, dimension: &Unit::parse(unit).dimension }.to_string()
 }
 
-/// How many times its budget a figure is.
-pub(super) fn times(share: Option<f64>) -> String {
+/// Formats the ratio of a figure to its budget.
+pub(super) fn ratio_cell(share: Option<f64>) -> String {
     share.map_or_else(|| "-".to_owned(), |share| format!("{} times", number(share)))
 }
--- a/crates/millethook-capacity/src/table/mod.rs
+++ b/crates/millethook-capacity/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! Tables as Markdown.
+//! Formats tables as Markdown.
 
 mod cells;
 mod summary;
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 
 use self::cells::{budget_cell, figure_cell, slope_cell, verdict_cell};
-use self::summary::{derived, does_not_fit, not_measured, parameters, slopes, twice};
+use self::summary::{derived, does_not_fit, doubled_size, not_measured, parameters, slopes};
 use crate::CapacityError;
 use crate::evaluation::{Evaluator, Scale};
 use crate::figures::Figures;
@@ -15,19 +15,19 @@
 /// A table of the page.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// The name that its marker has.
+    /// The name in its marker.
     pub name: String,
     /// Its lines.
     pub text: String,
 }
 
-/// All tables: those that rows name, and those that the file itself gives (`parameters`, `derived`, `slopes`,
+/// Builds all tables: those that rows name, and the predefined ones (`parameters`, `derived`, `slopes`,
 /// `does-not-fit`, `doubled`, `not-measured`).
 ///
 /// # Errors
-/// A formula is not understood.
+/// Fails if a formula is invalid.
 pub fn all(figures: &Figures, sources: &Sources) -> Result<Vec<Table>, CapacityError> {
-    let letter = Evaluator { figures, sources, scale: Scale::Letter };
+    let design = Evaluator { figures, sources, scale: Scale::DesignSize };
     let doubled = Evaluator { figures, sources, scale: Scale::Doubled };
     let mut names: Vec<&str> = Vec::new();
     for row in &figures.row {
@@ -37,14 +37,14 @@
     }
     let mut tables = vec![
         parameters(figures),
-        derived(&letter)?,
+        derived(&design)?,
         slopes(figures, sources),
-        does_not_fit(&letter)?,
-        twice(&letter, &doubled)?,
+        does_not_fit(&design)?,
+        doubled_size(&design, &doubled)?,
         not_measured(figures, sources),
     ];
     for name in names {
-        tables.push(role(name, &letter)?);
+        tables.push(role_table(name, &design)?);
     }
     Ok(tables)
 }
@@ -56,17 +56,17 @@
 }
 
 impl Builder {
-    fn new(name: &str, heads: &[&str]) -> Builder {
+    fn new(name: &str, headers: &[&str]) -> Builder {
         let mut builder = Builder { name: name.to_owned(), text: String::new() };
-        builder.row(heads.iter().map(|head| (*head).to_owned()));
-        builder.row(heads.iter().map(|_| "---".to_owned()));
+        builder.row(headers.iter().map(|head| (*head).to_owned()));
+        builder.row(headers.iter().map(|_| "---".to_owned()));
         builder
     }
 
     fn row(&mut self, cells: impl IntoIterator<Item = String>) {
         for cell in cells {
             let cell = cell.replace('|', "\\|").replace('\n', " ");
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(self.text, "| {cell} ");
         }
         self.text.push_str("|\n");
@@ -77,7 +77,7 @@
     }
 }
 
-fn role(name: &str, evaluator: &Evaluator<'_>) -> Result<Table, CapacityError> {
+fn role_table(name: &str, evaluator: &Evaluator<'_>) -> Result<Table, CapacityError> {
     let mut table = Builder::new(
         name,
         &[
--- a/crates/millethook-capacity/src/table/summary.rs
+++ b/crates/millethook-capacity/src/table/summary.rs
@@ -1,10 +1,10 @@
-//! Tables that `figures.toml` gives as a whole.
+//! The predefined tables, which summarize the whole of `figures.toml`.
 
 use std::collections::BTreeSet;
 
 use super::Builder;
 use super::Table;
-use super::cells::{budget_cell, figure_cell, quantity, times};
+use super::cells::{budget_cell, figure_cell, quantity, ratio_cell};
 use crate::CapacityError;
 use crate::evaluation::{Evaluator, Verdict};
 use crate::figures::Figures;
@@ -44,7 +44,7 @@
     Ok(table.build())
 }
 
-/// Where each slope comes from.
+/// Lists the measurements that each slope is fitted to.
 pub(super) fn slopes(figures: &Figures, sources: &Sources) -> Table {
     let mut table = Builder::new("slopes", &["name", "measurement", "file", "fit", "points"]);
     for (name, slope) in &figures.slopes {
@@ -73,7 +73,7 @@
     table.build()
 }
 
-/// The rows that do not fit, the worst first.
+/// Lists the rows outside their budget, the worst first.
 pub(super) fn does_not_fit(evaluator: &Evaluator<'_>) -> Result<Table, CapacityError> {
     let mut rows = Vec::new();
     for row in &evaluator.figures.row {
@@ -93,21 +93,21 @@
             row.resource.clone(),
             figure_cell(row, &evaluation.figure),
             budget_cell(row, &evaluation),
-            times(share),
+            ratio_cell(share),
             row.next.clone(),
         ]);
     }
     Ok(table.build())
 }
 
-/// What no longer fits when the size doubles again, the nearest to its budget today first.
-pub(super) fn twice(
-    letter: &Evaluator<'_>,
+/// Lists the rows that fit at the design size but not at twice that size, those nearest to their budget first.
+pub(super) fn doubled_size(
+    design: &Evaluator<'_>,
     doubled: &Evaluator<'_>,
 ) -> Result<Table, CapacityError> {
     let mut rows = Vec::new();
-    for row in letter.figures.row.iter().filter(|row| !row.fixed) {
-        let (now, then) = (letter.row(row)?, doubled.row(row)?);
+    for row in design.figures.row.iter().filter(|row| !row.fixed) {
+        let (now, then) = (design.row(row)?, doubled.row(row)?);
         if now.verdict == Verdict::Fits && then.verdict == Verdict::DoesNotFit {
             rows.push((now.share_of_budget(row.side), row, now, then));
         }
@@ -124,7 +124,7 @@
             figure_cell(row, &now.figure),
             figure_cell(row, &then.figure),
             budget_cell(row, &then),
-            times(then.share_of_budget(row.side)),
+            ratio_cell(then.share_of_budget(row.side)),
         ]);
     }
     Ok(table.build())
@@ -133,7 +133,7 @@
 pub(super) fn not_measured(figures: &Figures, sources: &Sources) -> Table {
     let mut table = Builder::new("not-measured", &["what", "why"]);
     for (name, source) in sources.iter().filter(|(_, source)| source.fit.is_none()) {
-        table.row([format!("`{name}`"), source.lacks.clone()]);
+        table.row([format!("`{name}`"), source.missing_reason.clone()]);
     }
     for missing in &figures.missing {
         table.row([missing.what.clone(), missing.why.clone()]);
--- a/crates/millethook-capacity/src/unit.rs
+++ b/crates/millethook-capacity/src/unit.rs
@@ -1,35 +1,35 @@
-//! Units: what a figure measures, in which multiple it was written, and how it is printed.
+//! Units: the dimension of a figure, the multiple it is written in, and its printed form.
 
 use std::fmt;
 
-/// What a figure measures. Values are held in the base unit that each variant names.
+/// The dimension of a figure. Values are stored in the base unit that each variant names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Dimension {
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesPerSecond,
     /// Seconds.
     Seconds,
-    /// Cores: seconds of processor time in a second.
+    /// Cores: seconds of processor time per second.
     Cores,
-    /// A share of one.
+    /// A share of 1.
     Share,
-    /// A plain number of what the name says.
+    /// A number of things of the given name.
     Count(String),
 }
 
-/// A unit as files write it: a dimension, and how many base units one of it is.
+/// A unit as written in files: a dimension, and a factor to the base unit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unit {
-    /// What it measures.
+    /// The dimension.
     pub dimension: Dimension,
-    /// Base units in one of it.
+    /// Number of base units in one unit.
     pub scale: f64,
 }
 
 impl Unit {
-    /// Reads a unit's name. A name that is not known counts things of that name.
+    /// Parses the name of a unit. An unknown name counts things of that name.
     pub fn parse(name: &str) -> Unit {
         use Dimension::{Bytes, BytesPerSecond, Cores, Seconds, Share};
         let (dimension, scale) = match name {
@@ -57,12 +57,12 @@
     }
 }
 
-/// A value in base units, and what it measures.
+/// A value in base units with its dimension.
 #[derive(Clone, Debug)]
 pub struct Quantity<'a> {
-    /// The value.
+    /// The value, in base units.
     pub value: f64,
-    /// What it measures.
+    /// Its dimension.
     pub dimension: &'a Dimension,
 }
 
@@ -97,17 +97,17 @@
     }
 }
 
-/// Digits that a printed figure keeps.
-const SIGNIFICANT: i32 = 3;
+/// Number of significant digits in a printed figure.
+const SIGNIFICANT_DIGITS: i32 = 3;
 
-/// A number with three significant digits, and commas between thousands.
+/// Formats a number with three significant digits and commas between thousands.
 pub fn number(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
     }
     let magnitude = value.abs().log10().floor() as i32;
-    let decimals = (SIGNIFICANT - 1 - magnitude).max(0) as usize;
-    // Whole figures, such as a number of servers, are printed whole.
+    let decimals = (SIGNIFICANT_DIGITS - 1 - magnitude).max(0) as usize;
+    // Digits before the decimal point are never rounded away, such as in a number of servers.
     let text = format!("{value:.decimals$}");
     let (whole, fraction) = text.split_once('.').unwrap_or((&text, ""));
     let fraction = fraction.trim_end_matches('0');
--- a/crates/millethook-capacity/tests/it/fit.rs
+++ b/crates/millethook-capacity/tests/it/fit.rs
@@ -1,4 +1,4 @@
-//! Fits, units and formulas.
+//! Unit tests of fits, units and formulas.
 
 use millethook_capacity::fit::{Fit, Model, Point};
 use millethook_capacity::formula::{Formula, FormulaError, Value};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_line_is_found_with_its_spread() {
+fn a_line_is_fitted_with_its_spread() {
     let measured = points(&[
         (1.0, "a", 12.0),
         (2.0, "a", 14.0),
@@ -27,23 +27,23 @@
     close(fit.intercept, 10.0);
     assert_eq!(fit.seeds.map(|s| (s.0.round(), s.1.round())), Some((2.0, 4.0)));
     assert_eq!(fit.sizes, [1.0, 2.0, 4.0]);
-    // The two seeds are 1, 2 and 4 off the line at the three sizes.
+    // The two seeds are 1, 2 and 4 away from the line at the three sizes.
     close(fit.residual.expect("a residual"), (21.0_f64 / 3.0).sqrt());
 }
 
 #[test]
-fn growth_within_the_residual_is_no_growth() {
+fn growth_within_the_residual_is_not_significant() {
     let flat = points(&[(8.0, "1", 80.0), (60.0, "1", 120.0), (120.0, "1", 90.0)]);
-    assert!(!Fit::of(Model::Linear, &flat).expect("a line").is_growth_seen());
+    assert!(!Fit::of(Model::Linear, &flat).expect("a line").is_growth_significant());
     let two = points(&[(8.0, "1", 80.0), (60.0, "1", 120.0)]);
     let exact = Fit::of(Model::Linear, &two).expect("a line");
-    assert_eq!((exact.residual, exact.is_growth_seen()), (None, false));
+    assert_eq!((exact.residual, exact.is_growth_significant()), (None, false));
     let rising = points(&[(8.0, "1", 80.0), (60.0, "1", 130.0), (120.0, "1", 190.0)]);
-    assert!(Fit::of(Model::Linear, &rising).expect("a line").is_growth_seen());
+    assert!(Fit::of(Model::Linear, &rising).expect("a line").is_growth_significant());
 }
 
 #[test]
-fn a_logarithm_is_found() {
+fn a_logarithm_is_fitted() {
     let value = |size: f64| 2.0 + 3.0 * size.ln();
     let measured = points(&[
         (60.0, "1", value(60.0)),
@@ -58,18 +58,18 @@
 }
 
 #[test]
-fn a_power_is_found() {
+fn a_power_is_fitted() {
     let measured = points(&[(10.0, "1", 300.0), (100.0, "1", 30_000.0), (20.0, "1", 1_200.0)]);
     let fit = Fit::of(Model::Power, &measured).expect("three points give a power");
     close(fit.slope, 2.0);
     close(fit.intercept, 3.0);
-    assert!(fit.residual.is_some_and(|residual| residual < 1e-6) && fit.is_growth_seen());
+    assert!(fit.residual.is_some_and(|residual| residual < 1e-6) && fit.is_growth_significant());
     let at_none = points(&[(10.0, "1", 0.0), (20.0, "1", 6.0)]);
     assert_eq!(Fit::of(Model::Power, &at_none), None, "0 has no logarithm");
 }
 
 #[test]
-fn fits_without_a_slope_take_their_points() {
+fn models_without_a_slope_use_their_points() {
     let measured = points(&[(1.0, "1", 5.0), (9.0, "1", 6.0), (9.0, "2", 8.0)]);
     let slope = |model| Fit::of(model, &measured).map(|fit| fit.slope);
     assert_eq!(slope(Model::Largest), Some(7.0));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_never_came_is_infinite_in_each_fit() {
+fn an_infinite_value_makes_each_fit_infinite() {
     let measured = points(&[(1.0, "1", 5.0), (9.0, "1", f64::INFINITY)]);
     for model in
         [Model::Linear, Model::Log, Model::Power, Model::Constant, Model::Largest, Model::Highest]
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn units_are_brought_to_their_base() {
+fn units_are_converted_to_base_units() {
     let of = |name: &str| {
         let unit = Unit::parse(name);
         (unit.dimension, unit.scale)
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn formulas_take_names_and_say_what_is_missing() {
+fn formulas_look_up_names_and_report_missing_ones() {
     let formula = Formula::parse("servers * exp_rate + ln(e_folds)").expect("well-formed");
     assert_eq!(formula.names(), ["e_folds", "exp_rate", "servers"]);
     let value = formula.value(|name| {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn formulas_without_a_value_are_refused() {
+fn formulas_without_a_value_are_rejected() {
     assert!(matches!(Formula::parse("servers *"), Err(FormulaError::Syntax(_))));
     let by_none = Formula::parse("none / none").expect("well-formed");
     assert_eq!(by_none.value(|_| Ok(Value::Known(0.0))), Err(FormulaError::NotANumber));
--- a/crates/millethook-capacity/tests/it/main.rs
+++ b/crates/millethook-capacity/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The tables of capacity and their checks, in one program.
+//! Tests of the capacity tables.
 
 mod faults;
 mod fit;
--- a/crates/millethook-capacity/tests/it/repository.rs
+++ b/crates/millethook-capacity/tests/it/repository.rs
@@ -1,12 +1,12 @@
-//! The repository's own page.
+//! Checks the repository's own page.
 
 use std::path::Path;
 
-/// A figure in the page that is not what the slopes give fails here.
+/// Fails if a figure in the page differs from the measurements.
 #[test]
-fn the_page_says_what_the_measurements_give() {
+fn the_page_matches_the_measurements() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    if let Err(fault) = millethook_capacity::check(&root) {
-        panic!("{fault}");
+    if let Err(error) = millethook_capacity::check(&root) {
+        panic!("{error}");
     }
 }
