--- a/crates/millethook-bench/src/contestant.rs
+++ b/crates/millethook-bench/src/contestant.rs
@@ -1,4 +1,4 @@
-//! The contestants, each a proxy in a process of its own on the first core.
+//! The contestants. Each one is a proxy in a separate process on the first core.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::{Fault, pin};
+use crate::{BenchError, pin};
 
 mod discovery;
 mod library;
@@ -20,59 +20,61 @@
 mod proxy;
 mod round_robin;
 
-use discovery::follow;
+use discovery::follow_discovery;
 use library::Library;
 pub use library::library;
-use p2c::p2c;
+use p2c::p2c_proxy;
 use proxy::listen;
-use round_robin::turns;
+use round_robin::round_robin_proxy;
 
-/// The class that all requests are of: answers within the aim count in full, and nobody waits longer
-/// than the deadline.
+/// The aim of the class that all requests belong to: answers within it count in full.
 pub const AIM: Duration = Duration::from_millis(100);
-/// See [`AIM`].
+/// The deadline of the class: no client waits longer.
 pub const DEADLINE: Duration = Duration::from_millis(1000);
 
-/// What is measured.
+/// A load balancer that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Contestant {
-    /// No balancer: callers take the servers by turns.
+    /// No balancer: clients use the servers round-robin.
     Direct,
-    /// A plain hyper reverse proxy with a connection pool; the servers by turns.
+    /// A plain hyper reverse proxy with a connection pool and round-robin.
     Hyper,
-    /// The same over `tower::balance::p2c` with peak EWMA.
+    /// The same proxy with `tower::balance::p2c` and peak EWMA.
     Tower,
-    /// The same over millethook as a library.
+    /// The same proxy with millethook as a library.
     Library,
     /// The daemon.
     Daemon,
 }
 
 impl Contestant {
-    /// The ones named, or all.
+    /// Returns the given contestants, or all if none is given.
     pub fn or_all(named: Vec<Contestant>) -> Vec<Contestant> {
         if named.is_empty() { Contestant::value_variants().to_vec() } else { named }
     }
 
-    /// Its name in tables.
+    /// Returns its name in tables.
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
     }
 }
 
-/// A contestant at work. Dropped, it ends.
-pub struct Running {
+/// A running contestant. Its process is killed when this is dropped.
+pub struct RunningContestant {
     child: Child,
-    /// Where it listens.
+    /// The address that it listens on.
     pub at: SocketAddr,
 }
 
-impl Running {
-    /// Starts it; None for [`Contestant::Direct`], which is no process.
+impl RunningContestant {
+    /// Starts a contestant. Returns `None` for [`Contestant::Direct`], which has no process.
     ///
     /// # Errors
-    /// It did not come up.
-    pub fn start(contestant: Contestant, discovery: SocketAddr) -> Result<Option<Running>, Fault> {
+    /// Fails if the contestant does not start.
+    pub fn start(
+        contestant: Contestant,
+        discovery: SocketAddr,
+    ) -> Result<Option<RunningContestant>, BenchError> {
         if contestant == Contestant::Direct {
             return Ok(None);
         }
@@ -85,28 +87,29 @@
             let at = line.rsplit_once("listens on ")?.1;
             at.split_whitespace().next()?.parse().ok()
         });
-        let running = Running { child, at: at.ok_or("it ended before it listened")? };
+        let running =
+            RunningContestant { child, at: at.ok_or("the contestant exited before it listened")? };
         std::thread::spawn(move || lines.for_each(drop));
-        // Its list of servers has to be there, too.
+        // Gives the contestant time to fetch its list of servers.
         std::thread::sleep(Duration::from_millis(300));
         Ok(Some(running))
     }
 
-    /// Its process.
+    /// Returns its process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningContestant {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Puts the daemon in this process's place.
-fn daemon(discovery: SocketAddr) -> Result<(), Fault> {
+/// Replaces this process with the daemon.
+fn daemon(discovery: SocketAddr) -> Result<(), BenchError> {
     use std::os::unix::process::CommandExt;
     let config = config(discovery, |c| {
         c["begins"] = "head".into();
@@ -121,18 +124,18 @@
     Err(Command::new(program("plankvale")).env_clear().env("LB_CONFIG", path).exec().into())
 }
 
-/// A contestant's own process.
+/// Runs a contestant in this process.
 ///
 /// # Errors
-/// It cannot listen.
-pub fn serve(contestant: Contestant, discovery: SocketAddr) -> Result<(), Fault> {
+/// Fails if the contestant cannot listen.
+pub fn serve(contestant: Contestant, discovery: SocketAddr) -> Result<(), BenchError> {
     pin::pin(0);
     if contestant == Contestant::Daemon {
         return daemon(discovery);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async move {
-        let (tell, lists) = mpsc::unbounded_channel();
+        let (list_sender, lists) = mpsc::unbounded_channel();
         match contestant {
             Contestant::Direct | Contestant::Daemon => Ok(()),
             Contestant::Library => {
@@ -141,12 +144,12 @@
                 listen(Library(fleet)).await
             }
             Contestant::Hyper => {
-                spawn_local(follow(discovery, tell));
-                turns(lists).await
+                spawn_local(follow_discovery(discovery, list_sender));
+                round_robin_proxy(lists).await
             }
             Contestant::Tower => {
-                spawn_local(follow(discovery, tell));
-                p2c(lists).await
+                spawn_local(follow_discovery(discovery, list_sender));
+                p2c_proxy(lists).await
             }
         }
     })
@@ -154,8 +157,7 @@
 
 static IDS: AtomicU64 = AtomicU64::new(0);
 
-/// The headers of a request, with an id that no other request of this process has. An id that comes
-/// again is turned away by the daemon.
+/// Returns the headers of a request, with an id that is unique within this process. The daemon rejects a repeated id.
 pub fn headers() -> HeaderMap {
     let n = IDS.fetch_add(1, Ordering::Relaxed);
     let mut headers = HeaderMap::new();
--- a/crates/millethook-bench/src/contestant/discovery.rs
+++ b/crates/millethook-bench/src/contestant/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the list of servers for the contestants that have no client of their own.
+//! Follows the list of servers, for the contestants without a discovery client of their own.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use tokio::sync::mpsc;
 
-use super::proxy::plain;
+use super::proxy::http_client;
 
 #[derive(Deserialize)]
 pub(super) struct List {
@@ -20,9 +20,12 @@
     dial: SocketAddr,
 }
 
-/// Tells of each new list of servers.
-pub(super) async fn follow(discovery: SocketAddr, tell: mpsc::UnboundedSender<Vec<SocketAddr>>) {
-    let client = plain();
+/// Sends each new list of servers to a channel.
+pub(super) async fn follow_discovery(
+    discovery: SocketAddr,
+    list_sender: mpsc::UnboundedSender<Vec<SocketAddr>>,
+) {
+    let client = http_client();
     let mut seq = 0;
     loop {
         let uri = format!("http://{discovery}/registry/instances?from={seq}&hold_ms=5000");
@@ -34,7 +37,7 @@
         match answer.await {
             Some(list) if list.seq > seq => {
                 seq = list.seq;
-                if tell.send(list.hosts.iter().map(|entry| entry.dial).collect()).is_err() {
+                if list_sender.send(list.hosts.iter().map(|entry| entry.dial).collect()).is_err() {
                     return;
                 }
             }
--- a/crates/millethook-bench/src/contestant/library.rs
+++ b/crates/millethook-bench/src/contestant/library.rs
@@ -1,4 +1,4 @@
-//! A reverse proxy over millethook as a library.
+//! A reverse proxy that uses millethook as a library.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use super::proxy::{Answer, Proxy, status};
 use super::{AIM, DEADLINE};
-use crate::Fault;
+use crate::BenchError;
 
 #[derive(Clone)]
 pub(super) struct Library(pub(super) millethook::Fleet);
@@ -35,13 +35,13 @@
     }
 }
 
-/// The library's configuration of a run.
+/// Returns the library's configuration for a run.
 ///
 /// # Errors
-/// It makes no sense.
-pub fn library(name: &str, discovery: SocketAddr) -> Result<FleetConfig, Fault> {
+/// Fails if the configuration is invalid.
+pub fn library(name: &str, discovery: SocketAddr) -> Result<FleetConfig, BenchError> {
     let class = ClassConfig::safe("look", AIM, DEADLINE);
-    // The clients that it is compared with use connections for any number of requests.
+    // The other contestants reuse a connection for any number of requests.
     let config = FleetConfig::builder(name).discovery(discovery).class(class).open(4096);
     Ok(config.reuse(Reuse::Unlimited).build()?)
 }
--- a/crates/millethook-bench/src/contestant/p2c.rs
+++ b/crates/millethook-bench/src/contestant/p2c.rs
@@ -1,4 +1,4 @@
-//! A reverse proxy over `tower::balance::p2c` with peak EWMA.
+//! A reverse proxy that uses `tower::balance::p2c` with peak EWMA.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,32 +18,32 @@
 use tower::discover::Change;
 use tower::load::{CompleteOnResponse, PeakEwma};
 
-use super::proxy::{Answer, Plain, Proxy, listen, plain, status, to};
-use crate::Fault;
+use super::proxy::{Answer, HttpClient, Proxy, http_client, listen, readdress, status};
+use crate::BenchError;
 
-/// One server of tower's.
+/// A server as a tower service.
 pub(super) struct Endpoint {
-    client: Plain,
+    client: HttpClient,
     at: SocketAddr,
 }
 
 impl Service<Request<Incoming>> for Endpoint {
     type Response = Response<Incoming>;
-    type Error = Fault;
-    type Future = Pin<Box<dyn Future<Output = Result<Response<Incoming>, Fault>> + Send>>;
+    type Error = BenchError;
+    type Future = Pin<Box<dyn Future<Output = Result<Response<Incoming>, BenchError>> + Send>>;
 
-    fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<Result<(), Fault>> {
+    fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<Result<(), BenchError>> {
         Poll::Ready(Ok(()))
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
-        let request = to(request, self.at).map(|request| self.client.request(request));
+        let request = readdress(request, self.at).map(|request| self.client.request(request));
         Box::pin(async move { Ok(request.ok_or("no path")?.await?) })
     }
 }
 
 pub(super) type Changes =
-    Pin<Box<dyn stream::Stream<Item = Result<Change<SocketAddr, Measured>, Fault>>>>;
+    Pin<Box<dyn stream::Stream<Item = Result<Change<SocketAddr, Measured>, BenchError>>>>;
 
 pub(super) type Measured = PeakEwma<Endpoint>;
 
@@ -64,21 +64,23 @@
     }
 }
 
-pub(super) async fn p2c(mut lists: mpsc::UnboundedReceiver<Vec<SocketAddr>>) -> Result<(), Fault> {
-    let (tell, mut changes) = mpsc::unbounded_channel();
-    let client = plain();
+pub(super) async fn p2c_proxy(
+    mut lists: mpsc::UnboundedReceiver<Vec<SocketAddr>>,
+) -> Result<(), BenchError> {
+    let (change_sender, mut changes) = mpsc::unbounded_channel();
+    let client = http_client();
     spawn_local(async move {
         let mut known: Vec<SocketAddr> = Vec::new();
         while let Some(list) = lists.recv().await {
             for at in known.iter().filter(|at| !list.contains(at)) {
-                let _ = tell.send(Ok(Change::Remove(*at)));
+                let _ = change_sender.send(Ok(Change::Remove(*at)));
             }
             for at in list.iter().filter(|at| !known.contains(at)) {
                 let endpoint = Endpoint { client: client.clone(), at: *at };
                 let decay = Duration::from_secs(10).as_nanos() as f64;
                 let usual = Duration::from_millis(5);
                 let measured = PeakEwma::new(endpoint, usual, decay, CompleteOnResponse::default());
-                let _ = tell.send(Ok(Change::Insert(*at, measured)));
+                let _ = change_sender.send(Ok(Change::Insert(*at, measured)));
             }
             known = list;
         }
--- a/crates/millethook-bench/src/contestant/proxy.rs
+++ b/crates/millethook-bench/src/contestant/proxy.rs
@@ -1,4 +1,4 @@
-//! What the contestants that are plain HTTP proxies have in common.
+//! Code shared by the contestants that are plain HTTP proxies.
 
 use std::net::SocketAddr;
 
@@ -13,19 +13,22 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-use crate::Fault;
+use crate::BenchError;
 
-pub(super) type Plain = Client<HttpConnector, Empty<Bytes>>;
+pub(super) type HttpClient = Client<HttpConnector, Empty<Bytes>>;
 
 pub(super) type Answer = Response<Either<Incoming, Full<Bytes>>>;
 
-pub(super) fn plain() -> Plain {
+pub(super) fn http_client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new()).build(connector)
 }
 
-pub(super) fn to(request: Request<Incoming>, at: SocketAddr) -> Option<Request<Empty<Bytes>>> {
+pub(super) fn readdress(
+    request: Request<Incoming>,
+    at: SocketAddr,
+) -> Option<Request<Empty<Bytes>>> {
     let (mut head, _) = request.into_parts();
     let path = head.uri.path_and_query()?.clone();
     head.uri = Uri::builder()
@@ -43,12 +46,12 @@
     response
 }
 
-/// How a proxy gets an answer.
+/// Forwards a request and returns the answer.
 pub(super) trait Proxy: Clone + 'static {
     fn call(&self, request: Request<Incoming>) -> impl Future<Output = Answer>;
 }
 
-pub(super) async fn listen(proxy: impl Proxy) -> Result<(), Fault> {
+pub(super) async fn listen(proxy: impl Proxy) -> Result<(), BenchError> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     eprintln!("listens on {}", listener.local_addr()?);
     loop {
--- a/crates/millethook-bench/src/contestant/round_robin.rs
+++ b/crates/millethook-bench/src/contestant/round_robin.rs
@@ -1,4 +1,4 @@
-//! A plain hyper reverse proxy: the servers by turns.
+//! A plain hyper reverse proxy that uses the servers round-robin.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use super::proxy::{Answer, Plain, Proxy, listen, plain, status, to};
-use crate::Fault;
+use super::proxy::{Answer, HttpClient, Proxy, http_client, listen, readdress, status};
+use crate::BenchError;
 
-/// The servers by turns.
+/// A round-robin proxy: its client, the number of requests so far, and the list of servers.
 #[derive(Clone)]
-pub(super) struct Turns {
-    client: Plain,
+pub(super) struct RoundRobin {
+    client: HttpClient,
     servers: Rc<RefCell<(usize, Vec<SocketAddr>)>>,
 }
 
-impl Proxy for Turns {
+impl Proxy for RoundRobin {
     async fn call(&self, request: Request<Incoming>) -> Answer {
         let at = {
             let mut servers = self.servers.borrow_mut();
@@ -29,7 +29,7 @@
             let list = &servers.1;
             if list.is_empty() { None } else { list.get(n % list.len()).copied() }
         };
-        let Some(request) = at.and_then(|at| to(request, at)) else {
+        let Some(request) = at.and_then(|at| readdress(request, at)) else {
             return status(StatusCode::BAD_GATEWAY);
         };
         match self.client.request(request).await {
@@ -39,10 +39,10 @@
     }
 }
 
-pub(super) async fn turns(
+pub(super) async fn round_robin_proxy(
     mut lists: mpsc::UnboundedReceiver<Vec<SocketAddr>>,
-) -> Result<(), Fault> {
-    let proxy = Turns { client: plain(), servers: Rc::default() };
+) -> Result<(), BenchError> {
+    let proxy = RoundRobin { client: http_client(), servers: Rc::default() };
     let servers = proxy.servers.clone();
     spawn_local(async move {
         while let Some(list) = lists.recv().await {
--- a/crates/millethook-bench/src/cost.rs
+++ b/crates/millethook-bench/src/cost.rs
@@ -1,5 +1,5 @@
-//! What a request costs: closed loops before servers that answer at once, each contestant on a core of
-//! its own.
+//! Measures the cost of a request: closed loops to servers that answer immediately, with the contestant on a separate
+//! core.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,25 +18,25 @@
 use millethook::{ClassConfig, FleetConfig, RequestMeta, Reuse};
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::contestant::{Contestant, DEADLINE, Running, headers};
-use crate::fleet::{Fleet, Work};
+use crate::contestant::{Contestant, DEADLINE, RunningContestant, headers};
+use crate::fleet::{Fleet, ServerBehavior};
 use crate::report::Table;
-use crate::{Fault, load, pin};
+use crate::{BenchError, load, pin};
 
 const SERVERS: usize = 8;
-/// Load that is not counted.
-const WARM: Duration = Duration::from_millis(700);
+/// Duration of the warm-up load, which is not counted.
+const WARM_UP: Duration = Duration::from_millis(700);
 
-/// Clients that are called in their own process.
+/// Clients that are called within their process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum InProcess {
-    /// A plain hyper client with a connection pool; the servers by turns.
+    /// A plain hyper client with a connection pool and round-robin.
     Client,
     /// The library.
     Fleet,
 }
 
-/// Requests a second, CPU in microseconds a request, median and p99 in milliseconds.
+/// Requests per second, CPU time per request in microseconds, median and p99 in milliseconds.
 type Figures = [f64; 4];
 
 fn median(mut rounds: Vec<Figures>) -> Figures {
@@ -46,17 +46,17 @@
     })
 }
 
-/// Measures, prints a table, and keeps it.
+/// Runs the measurements, prints the table and writes it to `out`.
 ///
 /// # Errors
-/// A part of the run did not start.
+/// Fails if a part of the run does not start.
 pub fn run(
     seconds: u64,
     connections: &[usize],
     contestants: &[Contestant],
     rounds: usize,
     out: Option<PathBuf>,
-) -> Result<(), Fault> {
+) -> Result<(), BenchError> {
     let span = Duration::from_secs(seconds);
     let mut table =
         Table::new(&["contestant", "connections", "requests/s", "CPU us", "p50 ms", "p99 ms"]);
@@ -65,8 +65,8 @@
         for &contestant in contestants {
             let mut figures = Vec::new();
             for _ in 0..rounds.max(1) {
-                let fleet = Fleet::start(&[Work::INSTANT; SERVERS])?;
-                let running = Running::start(contestant, fleet.agent.address)?;
+                let fleet = Fleet::start(&[ServerBehavior::INSTANT; SERVERS])?;
+                let running = RunningContestant::start(contestant, fleet.agent.address)?;
                 figures.push(proxied(&fleet, running.as_ref(), n, span)?);
             }
             table.row(&contestant.name(), &format!("{n}"), &median(figures));
@@ -74,7 +74,7 @@
         for client in InProcess::value_variants() {
             let mut figures = Vec::new();
             for _ in 0..rounds.max(1) {
-                let fleet = Fleet::start(&[Work::INSTANT; SERVERS])?;
+                let fleet = Fleet::start(&[ServerBehavior::INSTANT; SERVERS])?;
                 figures.push(in_process(&fleet, *client, n, seconds)?);
             }
             let name = match client {
@@ -93,20 +93,20 @@
 
 fn proxied(
     fleet: &Fleet,
-    running: Option<&Running>,
+    running: Option<&RunningContestant>,
     n: usize,
     span: Duration,
-) -> Result<Figures, Fault> {
+) -> Result<Figures, BenchError> {
     let to = running.map_or_else(|| fleet.addresses(), |running| vec![running.at]);
-    let play = |span| {
+    let run_load = |span| {
         let to = to.clone();
         std::thread::spawn(move || load::closed(&to, n, span)).join()
     };
     let ended = |_| "a caller's thread panicked";
-    play(WARM).map_err(ended)??;
+    run_load(WARM_UP).map_err(ended)??;
     let cpu = || running.and_then(|running| pin::cpu(running.pid())).unwrap_or_default();
     let before = cpu();
-    let outcomes = play(span).map_err(ended)??;
+    let outcomes = run_load(span).map_err(ended)??;
     let used = cpu() - before;
     if outcomes.failed + outcomes.refused > 0 {
         eprintln!("{} failed, {} refused", outcomes.failed, outcomes.refused);
@@ -116,7 +116,12 @@
     Ok([rate, used.as_secs_f64() * 1e6 / served, outcomes.ms(0.5), outcomes.ms(0.99)])
 }
 
-fn in_process(fleet: &Fleet, client: InProcess, n: usize, seconds: u64) -> Result<Figures, Fault> {
+fn in_process(
+    fleet: &Fleet,
+    client: InProcess,
+    n: usize,
+    seconds: u64,
+) -> Result<Figures, BenchError> {
     let servers: Vec<String> = fleet.addresses().iter().map(ToString::to_string).collect();
     let name = client.to_possible_value().ok_or("no name")?;
     let output = Command::new(std::env::current_exe()?)
@@ -128,11 +133,11 @@
     figures.try_into().map_err(|_| format!("the client's figures: {text:?}").into())
 }
 
-/// The part of an in-process client: it prints its figures.
+/// Runs an in-process client and prints its figures.
 ///
 /// # Errors
-/// It did not start.
-pub fn client(which: InProcess, n: usize, seconds: u64, servers: &str) -> Result<(), Fault> {
+/// Fails if the client does not start or a request fails.
+pub fn client(which: InProcess, n: usize, seconds: u64, servers: &str) -> Result<(), BenchError> {
     pin::pin(0);
     let servers: Vec<SocketAddr> = servers.split(',').map(str::parse).collect::<Result<_, _>>()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -158,7 +163,7 @@
                 .await
             }
             InProcess::Fleet => {
-                // No answer is late here.
+                // The aim is so long that no answer counts as late.
                 let class = ClassConfig::safe("look", DEADLINE * 4, DEADLINE * 5);
                 let mut config = FleetConfig::builder("cost").class(class).open(4096);
                 config = config.reuse(Reuse::Unlimited);
@@ -187,13 +192,13 @@
     n: usize,
     span: Duration,
     call: impl Fn() -> F + 'static,
-) -> Result<Figures, Fault>
+) -> Result<Figures, BenchError>
 where
-    F: Future<Output = Result<(), Fault>> + 'static,
+    F: Future<Output = Result<(), BenchError>> + 'static,
 {
     let call = Rc::new(call);
     let mut figures = [0.0; 4];
-    for span in [WARM, span] {
+    for span in [WARM_UP, span] {
         let before = pin::cpu(std::process::id()).unwrap_or_default();
         let began = Instant::now();
         let mut tasks = Vec::new();
@@ -206,7 +211,7 @@
                     call().await?;
                     took.push(started.elapsed().as_nanos() as u64);
                 }
-                Ok::<_, Fault>(took)
+                Ok::<_, BenchError>(took)
             }));
         }
         let mut took = Vec::new();
--- a/crates/millethook-bench/src/fleet.rs
+++ b/crates/millethook-bench/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The servers of a run: eight or more on loopback, with places, a queue and a time for work, and the
-//! discovery that lists them.
+//! The servers of a run: eight or more on loopback, each with slots, a queue and a service time, and the discovery
+//! that lists them.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -21,36 +21,36 @@
 use tokio::sync::Semaphore;
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 
-use crate::{Fault, pin};
+use crate::{BenchError, pin};
 
-/// How a server works.
+/// The behavior of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
-    /// Requests that it works on at once.
+pub struct ServerBehavior {
+    /// Number of requests that it serves concurrently.
     pub slots: usize,
-    /// Requests that wait behind them; more are turned away unseen.
+    /// Number of requests that may wait; more are rejected as unprocessed.
     pub queue: usize,
-    /// The mean time of one; exponentially spread. None: it answers at once.
+    /// The mean of the exponentially distributed service time. `None` if it answers immediately.
     pub mean: Option<Duration>,
-    /// It answers 500 at once.
+    /// Whether it answers 500 immediately.
     pub errs: bool,
-    /// It accepts, reads, and never answers.
+    /// Whether it accepts, reads and never answers.
     pub silent: bool,
 }
 
-impl Work {
-    /// It answers at once.
-    pub const INSTANT: Work =
-        Work { slots: usize::MAX >> 4, queue: 0, mean: None, errs: false, silent: false };
+impl ServerBehavior {
+    /// A server that answers immediately.
+    pub const INSTANT: ServerBehavior =
+        ServerBehavior { slots: usize::MAX >> 4, queue: 0, mean: None, errs: false, silent: false };
 
-    /// Requests a second that it can do.
+    /// Returns its capacity in requests per second.
     pub fn capacity(&self) -> f64 {
         self.mean.map_or(f64::INFINITY, |mean| self.slots as f64 / mean.as_secs_f64())
     }
 }
 
 struct Server {
-    work: Work,
+    behavior: ServerBehavior,
     slots: Semaphore,
     waiting: Cell<usize>,
     held: Cell<usize>,
@@ -68,14 +68,14 @@
             }
             response
         };
-        if self.work.silent {
+        if self.behavior.silent {
             std::future::pending::<()>().await;
         }
-        if self.work.errs {
+        if self.behavior.errs {
             return reply(StatusCode::INTERNAL_SERVER_ERROR, b"");
         }
-        let Some(mean) = self.work.mean else { return reply(StatusCode::OK, b"ok") };
-        if self.slots.available_permits() == 0 && self.waiting.get() >= self.work.queue {
+        let Some(mean) = self.behavior.mean else { return reply(StatusCode::OK, b"ok") };
+        if self.slots.available_permits() == 0 && self.waiting.get() >= self.behavior.queue {
             let mut full = reply(StatusCode::SERVICE_UNAVAILABLE, b"");
             full.headers_mut().insert("x-unprocessed", http::HeaderValue::from_static("1"));
             return full;
@@ -98,7 +98,7 @@
             spawn_local(async move {
                 let answer = service_fn(move |_: Request<Incoming>| {
                     let server = server.clone();
-                    // Work that has begun goes on when its caller has gone.
+                    // Started work continues after its client has disconnected.
                     let done = spawn_local(async move { server.answer().await });
                     async move {
                         let failed = || Response::new(Full::default());
@@ -114,25 +114,25 @@
 }
 
 enum Command {
-    Start(Work, u64, tokio::sync::oneshot::Sender<std::io::Result<(SocketAddr, usize)>>),
+    Start(ServerBehavior, u64, tokio::sync::oneshot::Sender<std::io::Result<(SocketAddr, usize)>>),
     Stop(usize),
 }
 
-/// Servers on a thread and core of their own, and the list of them.
+/// Servers on a separate thread and core, and the discovery that lists them.
 pub struct Fleet {
     commands: tokio::sync::mpsc::UnboundedSender<Command>,
-    /// Discovery.
+    /// The discovery that lists the servers.
     pub agent: Agent,
     servers: Vec<(String, SocketAddr, usize)>,
     started: u64,
 }
 
 impl Fleet {
-    /// One of these servers.
+    /// Starts a fleet with a server of each given behavior.
     ///
     /// # Errors
-    /// There is no thread or no port to be had.
-    pub fn start(works: &[Work]) -> Result<Fleet, Fault> {
+    /// Fails if no thread can be started or no port is available.
+    pub fn start(behaviors: &[ServerBehavior]) -> Result<Fleet, BenchError> {
         let (commands, mut queue) = tokio::sync::mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         std::thread::spawn(move || {
@@ -142,13 +142,13 @@
                 while let Some(command) = queue.recv().await {
                     match command {
                         Command::Stop(n) => running[n].abort(),
-                        Command::Start(work, seed, told) => {
+                        Command::Start(behavior, seed, start_result) => {
                             let bound = TcpListener::bind("127.0.0.1:0").await;
                             let bound = bound.and_then(|l| Ok((l.local_addr()?, l)));
-                            let _ = told.send(bound.map(|(at, listener)| {
+                            let _ = start_result.send(bound.map(|(at, listener)| {
                                 let server = Rc::new(Server {
-                                    work,
-                                    slots: Semaphore::new(work.slots),
+                                    behavior,
+                                    slots: Semaphore::new(behavior.slots),
                                     waiting: Cell::new(0),
                                     held: Cell::new(0),
                                     random: RefCell::new(SmallRng::seed_from_u64(seed)),
@@ -164,17 +164,17 @@
         });
         let mut fleet =
             Fleet { commands, agent: Agent::start(Vec::new()), servers: Vec::new(), started: 0 };
-        for work in works {
-            fleet.add(*work)?;
+        for behavior in behaviors {
+            fleet.add(*behavior)?;
         }
         fleet.list();
         Ok(fleet)
     }
 
-    fn add(&mut self, work: Work) -> Result<(), Fault> {
-        let (told, started) = tokio::sync::oneshot::channel();
+    fn add(&mut self, behavior: ServerBehavior) -> Result<(), BenchError> {
+        let (start_result, started) = tokio::sync::oneshot::channel();
         self.started += 1;
-        let _ = self.commands.send(Command::Start(work, self.started, told));
+        let _ = self.commands.send(Command::Start(behavior, self.started, start_result));
         let (at, task) = started.blocking_recv()??;
         self.servers.push((format!("s{}", self.started), at, task));
         Ok(())
@@ -184,20 +184,20 @@
         self.agent.set_hosts(self.servers.iter().map(|(name, at, _)| host(name, *at)).collect());
     }
 
-    /// Puts a new server in place of the one that has been there longest. The old one takes no new
-    /// connection from then on; what it has, it finishes.
+    /// Replaces the oldest server with a new one. The old server accepts no new connections, and finishes the
+    /// requests on its open ones.
     ///
     /// # Errors
-    /// There is no port to be had.
-    pub fn replace_one(&mut self, work: Work) -> Result<(), Fault> {
-        self.add(work)?;
+    /// Fails if no port is available.
+    pub fn replace_one(&mut self, behavior: ServerBehavior) -> Result<(), BenchError> {
+        self.add(behavior)?;
         let (_, _, task) = self.servers.remove(0);
         self.list();
         let _ = self.commands.send(Command::Stop(task));
         Ok(())
     }
 
-    /// Where the servers are.
+    /// Returns the addresses of the servers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.servers.iter().map(|(_, at, _)| *at).collect()
     }
--- a/crates/millethook-bench/src/lists.rs
+++ b/crates/millethook-bench/src/lists.rs
@@ -1,4 +1,5 @@
-//! What lists of many servers cost the decisions: a first whole list, the same again, one changed entry.
+//! Measures the decision module's cost of long server lists: a first whole list, the same list again, a wholly new
+//! list, and one changed entry.
 
 use std::time::Instant;
 
@@ -7,7 +8,7 @@
 use coppercart::settings::Settings;
 use millethook_testkit::settings_json;
 
-use crate::Fault;
+use crate::BenchError;
 use crate::report::Table;
 
 const CHANGES: u32 = 200;
@@ -24,11 +25,11 @@
     }
 }
 
-/// Measures fleets of these sizes.
+/// Measures lists of these sizes.
 ///
 /// # Errors
-/// The settings are not sound.
-pub fn run(sizes: &[usize]) -> Result<(), Fault> {
+/// Fails if the settings are invalid.
+pub fn run(sizes: &[usize]) -> Result<(), BenchError> {
     let mut table =
         Table::new(&["servers", "", "first list ms", "same again ms", "all new ms", "change us"]);
     for &size in sizes {
--- a/crates/millethook-bench/src/load.rs
+++ b/crates/millethook-bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Load: closed loops for what a request costs, an open loop for what callers see.
+//! Load generators: closed loops to measure the cost of a request, and an open loop to measure what clients see.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,27 +20,27 @@
 use tokio::task::{LocalSet, spawn_local};
 
 use crate::contestant::{AIM, DEADLINE, headers};
-use crate::{Fault, pin};
+use crate::{BenchError, pin};
 
-/// Where requests go, by turns.
+/// The targets of requests, used round-robin.
 pub type Targets = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// What came of a load.
+/// The results of a load.
 #[derive(Clone, Debug)]
 pub struct Outcomes {
-    /// Times of the answers served, in microseconds, from when each request was due.
+    /// Times of the served answers in microseconds, from when each request was due.
     pub times: Histogram<u64>,
     /// Requests that were due.
     pub due: u64,
     /// Answers with the status 200, in time.
     pub served: u64,
-    /// Of these, those within the aim.
+    /// Those of them that were within the aim.
     pub in_aim: u64,
-    /// 503 or 429.
+    /// Answers with the status 503 or 429.
     pub refused: u64,
-    /// All else, no answer in time among it.
+    /// All other requests, including those without an answer in time.
     pub failed: u64,
-    /// How long it took.
+    /// Duration of the load.
     pub took: Duration,
 }
 
@@ -57,26 +57,26 @@
         }
     }
 
-    fn add(&mut self, end: End, time: Duration) {
+    fn add(&mut self, end: Outcome, time: Duration) {
         match end {
-            End::Served => {
+            Outcome::Served => {
                 self.served += 1;
                 self.in_aim += u64::from(time <= AIM);
                 self.times.saturating_record(time.as_micros().max(1) as u64);
             }
-            End::Refused => self.refused += 1,
-            End::Failed => self.failed += 1,
+            Outcome::Refused => self.refused += 1,
+            Outcome::Failed => self.failed += 1,
         }
     }
 
-    /// A quantile of the answer times, in milliseconds.
+    /// Returns a quantile of the answer times in milliseconds.
     pub fn ms(&self, quantile: f64) -> f64 {
         self.times.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum End {
+enum Outcome {
     Served,
     Refused,
     Failed,
@@ -84,7 +84,7 @@
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-async fn connect(to: SocketAddr) -> Result<Sender, Fault> {
+async fn connect(to: SocketAddr) -> Result<Sender, BenchError> {
     let socket = TcpStream::connect(to).await?;
     socket.set_nodelay(true)?;
     let (sender, driving) = handshake(TokioIo::new(socket)).await?;
@@ -92,7 +92,7 @@
     Ok(sender)
 }
 
-async fn ask(sender: &mut Sender) -> Result<End, Fault> {
+async fn perform_request(sender: &mut Sender) -> Result<Outcome, BenchError> {
     sender.ready().await?;
     let mut request = Request::get("/look/1").body(Empty::new())?;
     *request.headers_mut() = headers();
@@ -100,17 +100,17 @@
     let status = answer.status();
     answer.into_body().collect().await?;
     Ok(match status {
-        StatusCode::OK => End::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => End::Refused,
-        _ => End::Failed,
+        StatusCode::OK => Outcome::Served,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Outcome::Refused,
+        _ => Outcome::Failed,
     })
 }
 
-/// Callers that each ask again as soon as they are answered.
+/// Runs clients that each send the next request as soon as the last one is answered.
 ///
 /// # Errors
-/// There is no runtime, or no connection, to be had.
-pub fn closed(to: &[SocketAddr], callers: usize, span: Duration) -> Result<Outcomes, Fault> {
+/// Fails if no runtime or connection can be created.
+pub fn closed(to: &[SocketAddr], callers: usize, span: Duration) -> Result<Outcomes, BenchError> {
     pin::pin(2);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -125,16 +125,16 @@
                 while began.elapsed() < span {
                     let started = Instant::now();
                     next.set(next.get() + 1);
-                    let end = match ask(&mut sender).await {
+                    let end = match perform_request(&mut sender).await {
                         Ok(end) => end,
                         Err(_) => {
                             sender = connect(to).await?;
-                            End::Failed
+                            Outcome::Failed
                         }
                     };
                     all.borrow_mut().add(end, started.elapsed());
                 }
-                Ok::<_, Fault>(())
+                Ok::<_, BenchError>(())
             }));
         }
         for task in tasks {
@@ -147,13 +147,17 @@
     })
 }
 
-/// Requests that are due at random moments, `rate` a second, whether earlier ones are answered or not.
-/// Times count from when a request was due, so that what a stall delays is counted, too (coordinated
-/// omission).
+/// Sends requests that are due at random times, at `rate` per second, whether or not earlier ones are answered. Times
+/// are measured from when a request was due, so that delays caused by a stall count as well (coordinated omission).
 ///
 /// # Errors
-/// There is no runtime to be had.
-pub fn open(targets: &Targets, rate: f64, span: Duration, seed: u64) -> Result<Outcomes, Fault> {
+/// Fails if no runtime can be created or there is no target.
+pub fn open(
+    targets: &Targets,
+    rate: f64,
+    span: Duration,
+    seed: u64,
+) -> Result<Outcomes, BenchError> {
     pin::pin(2);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let targets = targets.clone();
@@ -185,12 +189,12 @@
                         Some(sender) => sender,
                         None => connect(to).await?,
                     };
-                    let end = ask(&mut sender).await?;
+                    let end = perform_request(&mut sender).await?;
                     idle.borrow_mut().entry(to).or_default().push(sender);
-                    Ok::<_, Fault>(end)
+                    Ok::<_, BenchError>(end)
                 };
                 let end = tokio::time::timeout_at(due + DEADLINE, exchange).await;
-                let end = end.map_or(End::Failed, |end| end.unwrap_or(End::Failed));
+                let end = end.map_or(Outcome::Failed, |end| end.unwrap_or(Outcome::Failed));
                 all.borrow_mut().add(end, due.elapsed());
             });
             while tasks.try_join_next().is_some() {}
--- a/crates/millethook-bench/src/main.rs
+++ b/crates/millethook-bench/src/main.rs
@@ -1,15 +1,15 @@
-//! Measures contestants in one run: no balancer, a plain hyper reverse proxy, `tower`'s power of two
-//! choices over peak EWMA, millethook as a library, and the daemon.
+//! Compares load balancers in one run: no balancer, a plain hyper reverse proxy, `tower`'s power of two choices with
+//! peak EWMA, millethook as a library, and the daemon.
 //!
 //!     cargo build --release --workspace
-//!     target/release/millethook-bench cost        # what a request costs, closed loop
-//!     target/release/millethook-bench faults      # what callers see, open loop, faults
-//!     target/release/millethook-bench memory      # what connections at rest hold
-//!     target/release/millethook-bench starts      # a start with an old list, discovery down
-//!     target/release/millethook-bench lists       # what long lists of servers cost
-//!     target/release/millethook-bench failures    # which failures of connections cost an order
+//!     target/release/millethook-bench cost        # cost of a request, closed loop
+//!     target/release/millethook-bench faults      # what clients see, open loop, with faults
+//!     target/release/millethook-bench memory      # memory used by connections
+//!     target/release/millethook-bench starts      # a start with an old list while discovery is down
+//!     target/release/millethook-bench lists       # cost of long server lists
+//!     target/release/millethook-bench failures    # which connection failures lose an order
 //!
-//! Everything runs on loopback, and every load stops by itself.
+//! Everything runs on loopback, and every load is limited in time.
 #![forbid(unsafe_code)]
 
 mod contestant;
@@ -29,10 +29,10 @@
 use clap::{Parser, Subcommand};
 use contestant::Contestant;
 
-/// What goes wrong here ends the run, with a word on where.
-pub type Fault = Box<dyn std::error::Error + Send + Sync>;
+/// An error that ends the run.
+pub type BenchError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Measures balancers side by side, on loopback.
+/// Compares load balancers on loopback.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -42,82 +42,82 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// What a request costs: closed loops, servers that answer at once, each contestant on one core.
+    /// Measure the cost of a request: closed loops, servers that answer immediately, each contestant on one core.
     Cost {
-        /// Seconds of each measurement.
+        /// Duration of each measurement in seconds.
         #[arg(long, default_value_t = 4)]
         seconds: u64,
-        /// Connections of callers.
+        /// Numbers of client connections.
         #[arg(long, value_delimiter = ',', default_value = "1,16,200")]
         connections: Vec<usize>,
-        /// Contestants; all of them if none is named.
+        /// Contestants to measure; all of them by default.
         #[arg(long, value_delimiter = ',')]
         contestants: Vec<Contestant>,
-        /// Rounds; the median of each figure is shown.
+        /// Number of rounds; the median of each figure is reported.
         #[arg(long, default_value_t = 3)]
         rounds: usize,
-        /// Where the table goes as CSV.
+        /// CSV file to write the table to.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// What callers see: open loops, servers with queues, faults.
+    /// Measure what clients see: open loops, servers with queues, faults.
     Faults {
-        /// Seconds of each scenario.
+        /// Duration of each scenario in seconds.
         #[arg(long, default_value_t = 10)]
         seconds: u64,
-        /// Scenarios; all of them if none is named.
+        /// Scenarios to run; all of them by default.
         #[arg(long, value_delimiter = ',')]
         scenarios: Vec<scenario::Scenario>,
-        /// Contestants; all of them if none is named.
+        /// Contestants to measure; all of them by default.
         #[arg(long, value_delimiter = ',')]
         contestants: Vec<Contestant>,
-        /// The seed of arrivals.
+        /// Random seed for request arrivals.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The folder that CSV and plots go to.
+        /// Folder to write the CSV file and plots to.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Which failures of connections cost an order, under either contract.
+    /// Measure which connection failures lose an order, under either contract.
     Failures {
-        /// Orders before each kind of server.
+        /// Number of orders for each kind of server.
         #[arg(long, default_value_t = 400)]
         orders: usize,
     },
-    /// What lists of many servers cost the decisions.
+    /// Measure the decision module's cost of long server lists.
     Lists {
-        /// How many servers.
+        /// Numbers of servers.
         #[arg(long, value_delimiter = ',', default_value = "500,5000,50000")]
         servers: Vec<usize>,
     },
-    /// A start while discovery is down, with a list of 20 days ago.
+    /// Measure a start while discovery is down, with a server list that is 20 days old.
     Starts {
-        /// For how many seconds discovery is down.
+        /// Seconds for which discovery is down.
         #[arg(long, default_value_t = 5)]
         down: u64,
     },
-    /// What connections cost in memory (library).
+    /// Measure the memory used by connections (library).
     Memory {
-        /// Requests held at once; as many descriptors are needed here and there.
+        /// Number of concurrent requests; this process and the measured one need as many file descriptors each.
         #[arg(long, default_value_t = 10_000)]
         connections: usize,
     },
-    /// The measured part of `memory`.
+    /// Run the measured process of `memory`.
     #[command(hide = true)]
     Hold { connections: usize, servers: String },
-    /// One contestant as a process of its own; the other commands start it.
+    /// Run one contestant as a separate process; started by the other commands.
     #[command(hide = true)]
     Serve {
         contestant: Contestant,
-        /// Where discovery is.
+        /// Address of discovery.
         discovery: std::net::SocketAddr,
     },
-    /// One in-process client as a process of its own.
+    /// Run one in-process client as a separate process.
     #[command(hide = true)]
     Client { contestant: cost::InProcess, connections: usize, seconds: u64, servers: String },
 }
 
-fn main() -> Result<(), Fault> {
+fn main() -> Result<(), BenchError> {
     match Arguments::parse().command {
         Command::Cost { seconds, connections, contestants, rounds, out } => {
             cost::run(seconds, &connections, &Contestant::or_all(contestants), rounds, out)
--- a/crates/millethook-bench/src/memory.rs
+++ b/crates/millethook-bench/src/memory.rs
@@ -1,5 +1,5 @@
-//! What connections cost in memory: so many requests are held open at once, and so many connections rest
-//! afterwards.
+//! Measures the memory used by connections: a given number of concurrent requests are held open, and as many idle
+//! connections remain afterwards.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -19,21 +19,21 @@
 use tokio::sync::Notify;
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::Fault;
+use crate::BenchError;
 
 const SERVERS: usize = 10;
 const DEADLINE: Duration = Duration::from_secs(60);
 
-/// Answers once `n` requests are held, all at once.
-fn servers(n: usize) -> Result<Vec<SocketAddr>, Fault> {
-    let (tell, told) = std::sync::mpsc::channel();
+/// Starts servers that hold all requests until `n` have arrived, and then answer all of them.
+fn servers(n: usize) -> Result<Vec<SocketAddr>, BenchError> {
+    let (address_sender, addresses) = std::sync::mpsc::channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::spawn(move || {
         LocalSet::new().block_on(&runtime, async move {
             let (held, all) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
             for _ in 0..SERVERS {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
-                let _ = tell.send(listener.local_addr()?);
+                let _ = address_sender.send(listener.local_addr()?);
                 let (held, all) = (held.clone(), all.clone());
                 spawn_local(async move {
                     while let Ok((socket, _)) = listener.accept().await {
@@ -42,10 +42,10 @@
                             let answer = service_fn(move |_: Request<Incoming>| {
                                 let (held, all) = (held.clone(), all.clone());
                                 async move {
-                                    let told = all.notified();
+                                    let all_arrived = all.notified();
                                     held.set(held.get() + 1);
                                     match held.get() {
-                                        m if m < n => told.await,
+                                        m if m < n => all_arrived.await,
                                         m if m == n => all.notify_waiters(),
                                         _ => {}
                                     }
@@ -60,17 +60,17 @@
                     }
                 });
             }
-            std::future::pending::<Result<(), Fault>>().await
+            std::future::pending::<Result<(), BenchError>>().await
         })
     });
-    Ok(told.iter().take(SERVERS).collect())
+    Ok(addresses.iter().take(SERVERS).collect())
 }
 
-/// Measures the library in a process of its own.
+/// Measures the library in a separate process.
 ///
 /// # Errors
-/// A part of it did not start; too few descriptors (`ulimit -n`) among it.
-pub fn run(n: usize) -> Result<(), Fault> {
+/// Fails if a part does not start, for example for lack of file descriptors (`ulimit -n`).
+pub fn run(n: usize) -> Result<(), BenchError> {
     let list: Vec<String> = servers(n)?.iter().map(ToString::to_string).collect();
     let own = std::env::current_exe()?;
     let status = Command::new(own).args(["hold", &n.to_string(), &list.join(",")]).status()?;
@@ -83,11 +83,11 @@
     line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// The measured process's part.
+/// Runs the measured process.
 ///
 /// # Errors
-/// It did not start, or a request failed.
-pub fn hold(n: usize, servers: &str) -> Result<(), Fault> {
+/// Fails if the library does not start or a request fails.
+pub fn hold(n: usize, servers: &str) -> Result<(), BenchError> {
     let class = ClassConfig::safe("look", DEADLINE, DEADLINE);
     let mut config = FleetConfig::builder("memory").class(class).open(2 * n).sockets(2 * n);
     for (i, at) in servers.split(',').enumerate() {
@@ -97,17 +97,17 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let fleet = Fleet::open(config.build()?)?;
-        let ask = |fleet: Fleet| async move {
+        let perform_request = |fleet: Fleet| async move {
             let mut request = Request::get("/look/1").body(Empty::<Bytes>::new())?;
             request.extensions_mut().insert(RequestMeta::new().timeout(DEADLINE));
             fleet.call(request).await?.into_body().collect().await?;
-            Ok::<_, Fault>(())
+            Ok::<_, BenchError>(())
         };
         let before = resident_kib();
         let mut tasks = tokio::task::JoinSet::new();
         for i in 0..n {
-            tasks.spawn(ask(fleet.clone()));
-            // Handshakes are bounded, and who waits for one for too long is refused.
+            tasks.spawn(perform_request(fleet.clone()));
+            // Concurrent handshakes are limited, and a request that waits too long for one is refused.
             if i % 100 == 99 {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
--- a/crates/millethook-bench/src/pin.rs
+++ b/crates/millethook-bench/src/pin.rs
@@ -1,13 +1,13 @@
-//! Which part of a run works on which core, and what processes use.
+//! Assignment of threads to cores, and the CPU time of processes.
 
 use std::time::Duration;
 
-/// Cores as they are shared out: the contestant has the first one for itself.
+/// Returns the number of cores. The contestant gets the first one for itself.
 pub fn cores() -> usize {
     core_affinity::get_core_ids().map_or(1, |ids| ids.len())
 }
 
-/// Holds the present thread to the nth core, where there is one.
+/// Pins the current thread to core `n`, or to the last core if there are fewer. Does nothing with a single core.
 pub fn pin(n: usize) {
     if let Some(ids) = core_affinity::get_core_ids().filter(|ids| ids.len() > 1)
         && let Some(id) = ids.get(n.min(ids.len() - 1))
@@ -16,7 +16,7 @@
     }
 }
 
-/// CPU that a process has used so far, as the system counts it (in hundredths of a second).
+/// Returns the CPU time used by a process, in the kernel's resolution of 1/100 s.
 pub fn cpu(pid: u32) -> Option<Duration> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
--- a/crates/millethook-bench/src/report.rs
+++ b/crates/millethook-bench/src/report.rs
@@ -5,42 +5,42 @@
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 
-use crate::Fault;
+use crate::BenchError;
 
-/// A table of figures, each row with two names ahead.
+/// A table of figures. Each row starts with two names.
 pub struct Table {
     columns: Vec<&'static str>,
     rows: Vec<(String, String, Vec<f64>)>,
 }
 
 impl Table {
-    /// An empty one; the first two columns hold names.
+    /// Creates an empty table. The first two columns hold names.
     pub fn new(columns: &[&'static str]) -> Table {
         Table { columns: columns.to_vec(), rows: Vec::new() }
     }
 
-    /// One more row.
+    /// Appends a row.
     pub fn row(&mut self, first: &str, second: &str, figures: &[f64]) {
         let row = (first.to_owned(), second.to_owned(), figures.to_vec());
         eprintln!("{} {}: {:?}", row.0, row.1, row.2);
         self.rows.push(row);
     }
 
-    /// Prints it, as Markdown has tables.
+    /// Prints the table as Markdown.
     pub fn print(&self) {
         println!("| {} |", self.columns.join(" | "));
         println!("|{}", " --- |".repeat(self.columns.len()));
         for (first, second, figures) in &self.rows {
-            let figures: Vec<String> = figures.iter().map(|f| shown(*f)).collect();
+            let figures: Vec<String> = figures.iter().map(|f| format_figure(*f)).collect();
             println!("| {first} | {second} | {} |", figures.join(" | "));
         }
     }
 
-    /// Writes it as CSV.
+    /// Writes the table as CSV.
     ///
     /// # Errors
-    /// The file cannot be written.
-    pub fn save(&self, path: &Path) -> Result<(), Fault> {
+    /// Fails if the file cannot be written.
+    pub fn save(&self, path: &Path) -> Result<(), BenchError> {
         let mut text = self.columns.join(",") + "\n";
         for (first, second, figures) in &self.rows {
             let figures: Vec<String> = figures.iter().map(|f| format!("{f:.4}")).collect();
@@ -50,7 +50,7 @@
     }
 }
 
-fn shown(figure: f64) -> String {
+fn format_figure(figure: f64) -> String {
     match figure.abs() {
         f if f >= 1000.0 => format!("{figure:.0}"),
         f if f >= 10.0 => format!("{figure:.1}"),
@@ -59,11 +59,15 @@
     }
 }
 
-/// Plots answer times by quantile, one line a contestant: both axes by tenfolds, so that the tail shows.
+/// Plots answer times by quantile, one line per contestant. Both axes are logarithmic, so that the tail is visible.
 ///
 /// # Errors
-/// The file cannot be written.
-pub fn plot(path: &Path, title: &str, lines: &[(String, Histogram<u64>)]) -> Result<(), Fault> {
+/// Fails if the file cannot be written.
+pub fn plot(
+    path: &Path,
+    title: &str,
+    lines: &[(String, Histogram<u64>)],
+) -> Result<(), BenchError> {
     let area = SVGBackend::new(path, (860, 480)).into_drawing_area();
     area.fill(&WHITE)?;
     let quantiles: Vec<f64> =
--- a/crates/millethook-bench/src/scenario.rs
+++ b/crates/millethook-bench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What callers see: an open loop before servers with places and queues, while something goes wrong.
+//! Measures what clients see: an open loop of requests to servers with slots and queues, during faults.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,37 +6,42 @@
 
 use clap::ValueEnum;
 
-use crate::contestant::{Contestant, Running};
-use crate::fleet::{Fleet, Work};
+use crate::contestant::{Contestant, RunningContestant};
+use crate::fleet::{Fleet, ServerBehavior};
 use crate::report::{Table, plot};
-use crate::{Fault, load, pin};
+use crate::{BenchError, load, pin};
 
-/// A server that is well: two places, 4 ms of work on the mean, so some 500 requests a second.
-const WELL: Work =
-    Work { slots: 2, queue: 100, mean: Some(Duration::from_millis(4)), errs: false, silent: false };
+/// A healthy server: two slots and a mean service time of 4 ms, so about 500 requests per second.
+const HEALTHY: ServerBehavior = ServerBehavior {
+    slots: 2,
+    queue: 100,
+    mean: Some(Duration::from_millis(4)),
+    errs: false,
+    silent: false,
+};
 const SERVERS: usize = 8;
 
-/// What goes wrong.
+/// A load or fault scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// Nothing; half of what the servers can do.
+    /// No fault, at half of the servers' capacity.
     Well,
-    /// Nothing; nine tenths of it.
+    /// No fault, at 90% of the servers' capacity.
     Load90,
-    /// 1.3 times what the servers can do.
+    /// No fault, at 1.3 times the servers' capacity.
     Load130,
     /// One server of eight takes ten times as long.
     Slow,
-    /// One server of eight answers 500 at once, and so looks the quickest and emptiest.
+    /// One server of eight answers 500 immediately, and so appears to be the fastest and least loaded.
     Errs,
     /// One server of eight accepts, reads and never answers.
     BlackHole,
-    /// Three servers of ten are replaced by new ones, one after the other.
+    /// Three servers of ten are replaced by new ones, one at a time.
     Replaced,
 }
 
 impl Scenario {
-    /// The ones named, or all.
+    /// Returns the given scenarios, or all if none is given.
     pub fn or_all(named: Vec<Scenario>) -> Vec<Scenario> {
         if named.is_empty() { Scenario::value_variants().to_vec() } else { named }
     }
@@ -45,42 +50,45 @@
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
     }
 
-    fn works(self) -> Vec<Work> {
-        let mut works = vec![WELL; if self == Scenario::Replaced { 10 } else { SERVERS }];
+    fn behaviors(self) -> Vec<ServerBehavior> {
+        let mut behaviors = vec![HEALTHY; if self == Scenario::Replaced { 10 } else { SERVERS }];
         match self {
-            Scenario::Slow => works[0].mean = Some(Duration::from_millis(40)),
-            Scenario::Errs => works[0].errs = true,
-            Scenario::BlackHole => works[0].silent = true,
+            Scenario::Slow => behaviors[0].mean = Some(Duration::from_millis(40)),
+            Scenario::Errs => behaviors[0].errs = true,
+            Scenario::BlackHole => behaviors[0].silent = true,
             _ => {}
         }
-        works
+        behaviors
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     fn rate(self) -> f64 {
         let share = match self {
             Scenario::Load90 => 0.9,
             Scenario::Load130 => 1.3,
             _ => 0.5,
         };
-        // What a sick server does not do is not counted on.
-        let well =
-            self.works().iter().filter(|w| !w.errs && !w.silent && w.mean == WELL.mean).count();
-        share * WELL.capacity() * well as f64
+        // The capacity of faulty servers is not counted.
+        let healthy = self
+            .behaviors()
+            .iter()
+            .filter(|w| !w.errs && !w.silent && w.mean == HEALTHY.mean)
+            .count();
+        share * HEALTHY.capacity() * healthy as f64
     }
 }
 
-/// Plays every scenario with every contestant.
+/// Runs every scenario with every contestant.
 ///
 /// # Errors
-/// A part of a run did not start, or a file could not be written.
+/// Fails if a part of a run does not start, or a file cannot be written.
 pub fn run(
     seconds: u64,
     scenarios: &[Scenario],
     contestants: &[Contestant],
     seed: u64,
     out: Option<PathBuf>,
-) -> Result<(), Fault> {
+) -> Result<(), BenchError> {
     let span = Duration::from_secs(seconds);
     let mut table = Table::new(&[
         "scenario",
@@ -102,7 +110,7 @@
     for &scenario in scenarios {
         let mut lines = Vec::new();
         for &contestant in contestants {
-            let (outcomes, cpu) = play(scenario, contestant, span, seed)?;
+            let (outcomes, cpu) = run_load(scenario, contestant, span, seed)?;
             let due = outcomes.due.max(1) as f64;
             let share = |n: u64| 100.0 * n as f64 / due;
             let figures = [
@@ -132,35 +140,36 @@
     }
 }
 
-fn play(
+fn run_load(
     scenario: Scenario,
     contestant: Contestant,
     span: Duration,
     seed: u64,
-) -> Result<(load::Outcomes, Duration), Fault> {
-    let mut fleet = Fleet::start(&scenario.works())?;
-    let running = Running::start(contestant, fleet.agent.address)?;
+) -> Result<(load::Outcomes, Duration), BenchError> {
+    let mut fleet = Fleet::start(&scenario.behaviors())?;
+    let running = RunningContestant::start(contestant, fleet.agent.address)?;
     let to = running.as_ref().map_or_else(|| fleet.addresses(), |running| vec![running.at]);
     let targets = Arc::new(Mutex::new(to));
-    let play = |rate: f64, span, seed| {
+    let run_load = |rate: f64, span, seed| {
         let targets = targets.clone();
         std::thread::spawn(move || load::open(&targets, rate, span, seed))
     };
     let panicked = |_| "a caller's thread panicked";
-    // A gentle start, not counted: connections, capacities and answer times are learned.
-    play(scenario.rate() / 2.0, span / 5, seed + 1).join().map_err(panicked)??;
+    // A warm-up at low rate that is not counted: it opens connections, and balancers learn capacities and answer
+    // times.
+    run_load(scenario.rate() / 2.0, span / 5, seed + 1).join().map_err(panicked)??;
     let used = || running.as_ref().and_then(|r| pin::cpu(r.pid())).unwrap_or_default();
     let before = used();
-    let playing = play(scenario.rate(), span, seed);
+    let load_thread = run_load(scenario.rate(), span, seed);
     if scenario == Scenario::Replaced {
         for _ in 0..3 {
             std::thread::sleep(span / 4);
-            fleet.replace_one(WELL)?;
+            fleet.replace_one(HEALTHY)?;
             if running.is_none() {
                 *targets.lock().unwrap_or_else(PoisonError::into_inner) = fleet.addresses();
             }
         }
     }
-    let outcomes = playing.join().map_err(panicked)??;
+    let outcomes = load_thread.join().map_err(panicked)??;
     Ok((outcomes, used() - before))
 }
--- a/crates/millethook-bench/src/starts.rs
+++ b/crates/millethook-bench/src/starts.rs
@@ -1,7 +1,8 @@
-//! A start while discovery is down, with a list of 20 days ago: none, trusted blindly, weighed.
+//! Measures a start while discovery is down, with a server list that is 20 days old: not used, trusted without
+//! checks, or verified.
 //!
-//! Of ten listed servers four are there, four are gone, and two addresses are other programs' by now, which
-//! answer anything with 200. Discovery comes back after a while with the four and four new ones.
+//! Of ten listed servers four still run, four are gone, and two addresses now belong to other programs, which answer
+//! any request with 200. Discovery returns after a while, with the four servers and four new ones.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -17,21 +18,22 @@
 };
 use serde_json::{Value, json};
 
-use crate::Fault;
+use crate::BenchError;
 use crate::report::Table;
 
 const CALLERS: usize = 4;
-const PAUSE: Duration = Duration::from_millis(10);
-const AGE: Duration = Duration::from_secs(20 * 86_400);
+const REQUEST_PAUSE: Duration = Duration::from_millis(10);
+const SNAPSHOT_AGE: Duration = Duration::from_secs(20 * 86_400);
 
-/// How the list of before is taken.
+/// How the old list is used, with the daemon's settings for it.
 const MODES: [(&str, Option<&str>); 3] = [
     ("no snapshot", None),
     ("trusted blindly", Some("usable_above = 0\ndropped_below = 0")),
     ("weighed", Some("identity_header = \"X-Server-Name\"")),
 ];
 
-/// A program that answers requests with `name`, and what it was asked beside its own page.
+/// Starts a program that answers requests with `name`, and returns it with a counter of its requests other than
+/// health checks.
 fn program(name: &'static str) -> (Server, Arc<AtomicUsize>) {
     let requests = Arc::new(AtomicUsize::new(0));
     let count = requests.clone();
@@ -48,31 +50,31 @@
     (server, requests)
 }
 
-/// What the callers saw, with the time since the start of each answer.
+/// The status of each answer that a client received, with the time since the start.
 #[derive(Default)]
-struct Seen(Vec<(Duration, u16)>);
+struct Responses(Vec<(Duration, u16)>);
 
-fn call(sidecar: &Sidecar, began: Instant, stop: &AtomicBool, caller: usize) -> Seen {
-    let mut seen = Seen::default();
+fn call(sidecar: &Sidecar, began: Instant, stop: &AtomicBool, caller: usize) -> Responses {
+    let mut seen = Responses::default();
     let mut n = caller;
     while !stop.load(Ordering::SeqCst) {
-        // Half of them must not run twice.
+        // Half of the requests must not run twice.
         let request = if n.is_multiple_of(2) { safe() } else { unsafe_with("an order") };
         n += 1;
         let mut client = sidecar.client();
         client.send(request);
         let status = client.message().map_or(0, |message| message.status());
         seen.0.push((began.elapsed(), status));
-        thread::sleep(PAUSE);
+        thread::sleep(REQUEST_PAUSE);
     }
     seen
 }
 
-/// Plays each mode.
+/// Runs each mode and prints the table.
 ///
 /// # Errors
-/// Something did not start.
-pub fn run(down: Duration) -> Result<(), Fault> {
+/// Fails if a part of the run does not start.
+pub fn run(down: Duration) -> Result<(), BenchError> {
     let mut table = Table::new(&[
         "list of before",
         "",
@@ -82,14 +84,14 @@
         "whole service ms after",
     ]);
     for (name, more) in MODES {
-        let figures = play(more, down)?;
+        let figures = run_mode(more, down)?;
         table.row(name, "", &figures);
     }
     table.print();
     Ok(())
 }
 
-fn play(more: Option<&str>, down: Duration) -> Result<[f64; 4], Fault> {
+fn run_mode(more: Option<&str>, down: Duration) -> Result<[f64; 4], BenchError> {
     let names = ["s-0", "s-1", "s-2", "s-3", "s-new0", "s-new1", "s-new2", "s-new3"];
     let members: Vec<(Server, Arc<AtomicUsize>)> = names.into_iter().map(program).collect();
     let entry = |n: usize| host(names[n], members[n].0.address);
@@ -131,7 +133,7 @@
         thread::sleep(Duration::from_secs(3));
         stop.store(true, Ordering::SeqCst);
         let ended = callers.into_iter().map(|c| c.join().map_err(|_| "a caller panicked"));
-        ended.collect::<Result<Vec<Seen>, _>>()
+        ended.collect::<Result<Vec<Responses>, _>>()
     })?;
     let mut seen: Vec<(Duration, u16)> = seen.into_iter().flat_map(|s| s.0).collect();
     seen.sort_unstable();
@@ -139,28 +141,28 @@
     let served = before.iter().filter(|(_, status)| *status == 200).count();
     let ms = |at: Duration| at.as_secs_f64() * 1e3;
     let first = seen.iter().find(|(_, status)| *status == 200).map_or(f64::NAN, |(at, _)| ms(*at));
-    // Service is whole from the last answer that was none.
+    // Service counts as complete from the last failed request on.
     let last_failed = seen.iter().rev().find(|(_, status)| *status != 200).map(|(at, _)| *at);
     let whole = last_failed.map_or(0.0, |at| ms(at.saturating_sub(back)));
     let requests: usize = others.iter().map(|(_, requests)| requests.load(Ordering::SeqCst)).sum();
     Ok([100.0 * served as f64 / before.len().max(1) as f64, first, requests as f64, whole])
 }
 
-/// A folder of the run's own, gone with it.
+/// A temporary folder of the run, removed when this is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
-    fn new() -> Result<Folder, Fault> {
+    fn new() -> Result<Folder, BenchError> {
         let path = std::env::temp_dir().join(format!("millethook-starts-{}", std::process::id()));
         std::fs::create_dir_all(&path)?;
         Ok(Folder(path))
     }
 
-    /// Writes the product's file and a snapshot of `hosts`; the file's path.
-    fn write(&self, more: &str, hosts: &[Value]) -> Result<String, Fault> {
+    /// Writes the daemon's configuration file and a snapshot of `hosts`, and returns the path of the file.
+    fn write(&self, more: &str, hosts: &[Value]) -> Result<String, BenchError> {
         let (file, members) = (self.0.join("millethook.toml"), self.0.join("members"));
         std::fs::write(&file, format!("[membership]\nsnapshot = {members:?}\n{more}\n"))?;
-        let confirmed = SystemTime::now().duration_since(UNIX_EPOCH)? - AGE;
+        let confirmed = SystemTime::now().duration_since(UNIX_EPOCH)? - SNAPSHOT_AGE;
         let confirmed_ms = confirmed.as_millis() as u64;
         let mut servers = Vec::new();
         for host in hosts {
