--- a/crates/millethook-lab/src/scale/bench.rs
+++ b/crates/millethook-lab/src/scale/bench.rs
@@ -12,7 +12,7 @@
 use super::load::LoadWatch;
 use super::registry::{ListedServer, Registry};
 use super::row::{Kind, Row, RowWriter, Unit};
-use crate::world::machine;
+use crate::world::machine_error;
 
 /// The number of zones of the design's fleet.
 pub const ZONES: usize = 6;
@@ -85,7 +85,7 @@
         options: RunOptions,
     ) -> Result<Bench, ScaleError> {
         let launcher = Launcher::new(program, folder.clone())?;
-        Ok(Bench { launcher, options, folder, rows, machine: super::process::machine() })
+        Ok(Bench { launcher, options, folder, rows, machine: super::process::machine_error() })
     }
 
     /// Writes a value that was measured on real daemons.
@@ -134,7 +134,7 @@
         let mut backends = Vec::new();
         for _ in 0..count {
             let backend = Backend::start(self.stand_in(), delay).await;
-            backends.push(backend.map_err(machine("a stand-in server"))?);
+            backends.push(backend.map_err(machine_error("a stand-in server"))?);
         }
         Ok(backends)
     }
@@ -145,7 +145,7 @@
     /// A port cannot be bound.
     pub async fn registry(&self, listed: Vec<ListedServer>) -> Result<Registry, ScaleError> {
         let registry = Registry::start(self.stand_in(), listed).await;
-        Ok(registry.map_err(machine("a stand-in for discovery"))?)
+        Ok(registry.map_err(machine_error("a stand-in for discovery"))?)
     }
 
     /// Starts daemon 0 with this discovery, after applying `change` to its configuration.
--- a/crates/millethook-lab/src/scale/daemon.rs
+++ b/crates/millethook-lab/src/scale/daemon.rs
@@ -15,9 +15,9 @@
 use crate::timeline::Timeline;
 use crate::world::addresses::Addresses;
 use crate::world::daemon::{Exit, Launch, Wiring, configuration, signal};
-use crate::world::readiness::until_ready;
-use crate::world::views::metrics;
-use crate::world::{RunError, machine};
+use crate::world::readiness::wait_until_ready;
+use crate::world::views::fetch_metrics;
+use crate::world::{RunError, machine_error};
 
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const OPERATION_TIMEOUT: Duration = Duration::from_secs(5);
@@ -64,13 +64,13 @@
     /// # Errors
     /// The folder cannot be created, or no loopback addresses are free.
     pub fn new(program: PathBuf, folder: PathBuf) -> Result<Launcher, RunError> {
-        std::fs::create_dir_all(&folder).map_err(machine("the folder of logs"))?;
+        std::fs::create_dir_all(&folder).map_err(machine_error("the folder of logs"))?;
         let mut timeline = Timeline::default();
         timeline.classes.push(Default::default());
         timeline.sidecars.memory_mb = 256;
         timeline.sidecars.descriptors = 8192;
         timeline.sidecars.zones = 6;
-        let addresses = Addresses::take().map_err(machine("loopback addresses"))?;
+        let addresses = Addresses::take().map_err(machine_error("loopback addresses"))?;
         Ok(Launcher { launch: Launch { program, args: Vec::new(), folder }, addresses, timeline })
     }
 
@@ -93,12 +93,13 @@
         let number = spec.number;
         let name = format!("n{number}");
         let config = self.configuration(spec);
-        let written = self.launch.write(&name, &config).map_err(machine("a configuration"))?;
+        let written =
+            self.launch.write(&name, &config).map_err(machine_error("a configuration"))?;
         let product = self.write_product(&name, spec.product)?;
         let (exits, exited) = mpsc::unbounded_channel();
         let started = self.launch.start(&name, &written, product.as_deref(), exits);
         Ok(Daemon {
-            pid: started.map_err(machine(name.clone()))?,
+            pid: started.map_err(machine_error(name.clone()))?,
             listen: self.addresses.listen(number, 0),
             admin: self.addresses.admin(number, 0),
             log: self.launch.folder.join(format!("{name}.log")),
@@ -140,7 +141,7 @@
             return Ok(None);
         }
         let path = self.launch.folder.join(format!("{name}.toml"));
-        std::fs::write(&path, text).map_err(machine("the product's file"))?;
+        std::fs::write(&path, text).map_err(machine_error("the product's file"))?;
         Ok(Some(path))
     }
 }
@@ -172,7 +173,7 @@
     pub async fn ready(&mut self) -> Result<(), ScaleError> {
         let listen = self.listen;
         tokio::select! {
-            ready = timeout(READY_TIMEOUT, until_ready(listen)) => {
+            ready = timeout(READY_TIMEOUT, wait_until_ready(listen)) => {
                 let seconds = READY_TIMEOUT.as_secs_f64();
                 let what = format!("{} is ready", self.name);
                 ready.map_err(|_| ScaleError::Late { what, seconds })
@@ -216,8 +217,8 @@
     /// # Errors
     /// The file cannot be written, or the signal cannot be sent.
     pub fn send_configuration(&self, config: &Value) -> Result<(), ScaleError> {
-        self.launch.write(&self.name, config).map_err(machine("a configuration"))?;
-        Ok(signal(self.pid, Signal::SIGHUP).map_err(machine("SIGHUP"))?)
+        self.launch.write(&self.name, config).map_err(machine_error("a configuration"))?;
+        Ok(signal(self.pid, Signal::SIGHUP).map_err(machine_error("SIGHUP"))?)
     }
 
     /// Replaces its configuration and waits until the new one is in force. Returns how long that took.
@@ -287,7 +288,7 @@
 
 /// Reads metrics at an operators' address, named without `sidecar.`; `None` if it does not answer or lacks a metric.
 pub async fn figures<const N: usize>(admin: SocketAddr, names: [&str; N]) -> Option<[u64; N]> {
-    let text = timeout(OPERATION_TIMEOUT, metrics(admin)).await.ok()??;
+    let text = timeout(OPERATION_TIMEOUT, fetch_metrics(admin)).await.ok()??;
     let mut figures = [0; N];
     for (figure, name) in figures.iter_mut().zip(names) {
         let line = text.lines().find_map(|l| l.strip_prefix("sidecar.")?.strip_prefix(name));
--- a/crates/millethook-lab/tests/it/distribution.rs
+++ b/crates/millethook-lab/tests/it/distribution.rs
@@ -1,7 +1,7 @@
 //! Tests the figures and expectations of documents on hand-written logs and outcomes.
 
 use millethook_lab::figures::distribution::{DistributionFigures, distribution, missed};
-use millethook_lab::ledger::{Absence, Book};
+use millethook_lab::ledger::{Absence, RunRecords};
 use millethook_lab::timeline::Timeline;
 use millethook_lab::world::Outcome;
 use millethook_lab::world::documents::{DocumentEvent, DocumentEventKind, DocumentVersion, read};
@@ -67,17 +67,17 @@
 fn an_absent_sidecar_is_timed_from_its_return() {
     let mut outcome = outcome_of_one_change([Some(2 * S), Some(3 * S), Some(12 * S)]);
     let absence = |to| Absence { sidecar: 2, from: S / 2, to, ended: true };
-    outcome.book = Book { absences: vec![absence(10 * S)], ..Book::default() };
+    outcome.records = RunRecords { absences: vec![absence(10 * S)], ..RunRecords::default() };
     assert_eq!(evaluate(&outcome).0.in_force_all_s, 2.0);
-    outcome.book.absences = vec![absence(5 * S)];
+    outcome.records.absences = vec![absence(5 * S)];
     assert_eq!(evaluate(&outcome).1, ["in_force_within_s: 4 expected, not 7.00"]);
     // The lab notices slightly later that the sidecar is ready again.
     outcome = outcome_of_one_change([Some(2 * S), Some(3 * S), Some(12 * S)]);
-    outcome.book.absences = vec![absence(12 * S + S / 10)];
+    outcome.records.absences = vec![absence(12 * S + S / 10)];
     assert_eq!(evaluate(&outcome).0.in_force_all_s, 2.0);
     // A sidecar that stays down until the end does not count.
     outcome = outcome_of_one_change([Some(2 * S), Some(3 * S), None]);
-    outcome.book.absences = vec![absence(u64::MAX)];
+    outcome.records.absences = vec![absence(u64::MAX)];
     assert_eq!(evaluate(&outcome).0.never, 0);
 }
 
--- a/crates/millethook-lab/tests/it/figures.rs
+++ b/crates/millethook-lab/tests/it/figures.rs
@@ -2,10 +2,11 @@
 
 use millethook_lab::compare::compare;
 use millethook_lab::figures::Figures;
-use millethook_lab::ledger::cold::{ColdBudget, Warmth, bears};
+use millethook_lab::ledger::cold::{ColdBudget, WarmUpCurve, tolerated_requests};
 use millethook_lab::ledger::judge::{Rule, judge};
 use millethook_lab::ledger::{
-    Absence, Attempt, Book, DoubledHeader, End, Fate, Listed, Request, RequestId, ServerRow, Told,
+    Absence, Attempt, DuplicateHeader, End, Fate, Listed, Request, RequestId, RunRecords,
+    ServerNotice, ServerRow,
 };
 use millethook_lab::timeline::{Class, Effect, Group, Rules};
 use proptest::prelude::*;
@@ -31,23 +32,23 @@
 
 #[test]
 fn a_cold_server_fails_at_its_work_limit_and_not_before() {
-    let warmth = Warmth { slots: 2.0, share: 0.25, length: 10_000_000 };
+    let warm_up = WarmUpCurve { slots: 2.0, share: 0.25, length: 10_000_000 };
     // The server can do 0.5 s of work in its first second, and slightly more as it warms up.
     let fails = |work| {
-        let mut budget = ColdBudget::new(warmth, 2.0, 1_000_000, 10_000.0);
-        (0..100).any(|n| budget.send(n * 10_000, work))
+        let mut budget = ColdBudget::new(warm_up, 2.0, 1_000_000, 10_000.0);
+        (0..100).any(|n| budget.add_work(n * 10_000, work))
     };
     // The sidecars may send it 115 requests of mean work in that time, so it withstands 115 + 21 + 2.
-    assert_eq!(bears(9.0), 17.0);
+    assert_eq!(tolerated_requests(9.0), 17.0);
     assert!(!fails(13_000));
     assert!(fails(14_500));
-    let mut warm = ColdBudget::new(warmth, 2.0, 1_000_000, 10_000.0);
-    assert!(!(0..1000).any(|n| warm.send(10_000_000 + n * 1_000, 100_000)));
+    let mut warm = ColdBudget::new(warm_up, 2.0, 1_000_000, 10_000.0);
+    assert!(!(0..1000).any(|n| warm.add_work(10_000_000 + n * 1_000, 100_000)));
 }
 
 /// A ledger with one request of the class, sent at 1 s with 1 s left, and two servers in two zones.
 struct Case {
-    book: Book,
+    records: RunRecords,
     class: Class,
 }
 
@@ -65,18 +66,18 @@
     };
     let request = Request { id, class: 0, due: S, sent: S, left: S, ended, end, after: None };
     let servers = vec![row("s0", 0), row("s1", 1)];
-    let book = Book { requests: vec![request], servers, ..Book::default() };
+    let records = RunRecords { requests: vec![request], servers, ..RunRecords::default() };
     let class = Class { effect, group, window_ms: 500.0, ..Class::default() };
-    Case { book, class }
+    Case { records, class }
 }
 
 impl Case {
     fn attempt(mut self, server: usize, at: u64, fate: Fate) -> Case {
-        let id = self.book.requests[0].id;
+        let id = self.records.requests[0].id;
         let ran = (!matches!(fate, Fate::TurnedAway)).then_some(at);
         let ended = at + 10_000;
         let (first_byte, arrived, work, fresh) = (at, at, 1_000, false);
-        self.book.attempts.push(Attempt {
+        self.records.attempts.push(Attempt {
             id,
             server,
             first_byte,
@@ -91,19 +92,19 @@
     }
 
     fn with_absence(mut self, from: u64, to: u64, ended: bool) -> Case {
-        self.book.absences.push(Absence { sidecar: 0, from, to, ended });
+        self.records.absences.push(Absence { sidecar: 0, from, to, ended });
         self
     }
 
     /// For each breach that is found, whether it depends on timing alone.
-    fn timing_breaches(&self) -> Vec<bool> {
-        let breaches = judge(&self.book, std::slice::from_ref(&self.class), &Rules::default());
-        breaches.iter().map(|b| b.by_time).collect()
+    fn timing_only(&self) -> Vec<bool> {
+        let breaches = judge(&self.records, std::slice::from_ref(&self.class), &Rules::default());
+        breaches.iter().map(|b| b.timing_only).collect()
     }
 
     fn broken_rules(&self) -> Vec<Rule> {
-        let breaches = judge(&self.book, std::slice::from_ref(&self.class), &Rules::default());
-        assert!(breaches.iter().all(|b| b.request.is_none() || !b.way.is_empty()));
+        let breaches = judge(&self.records, std::slice::from_ref(&self.class), &Rules::default());
+        assert!(breaches.iter().all(|b| b.request.is_none() || !b.history.is_empty()));
         breaches.iter().map(|b| b.rule).collect()
     }
 }
@@ -137,25 +138,30 @@
 #[test]
 fn only_late_answers_and_late_sends_are_timing_breaches() {
     let of = |effect, end, ended| case(effect, Group::All, end, ended);
-    assert_eq!(of(Effect::Safe, End::Served, 2 * S + 60_000).timing_breaches(), [true]);
-    assert_eq!(of(Effect::Safe, End::Silent, 4 * S).timing_breaches(), [true]);
-    assert_eq!(of(Effect::Safe, End::Foreign, S + 1).timing_breaches(), [false]);
-    assert_eq!(of(Effect::Safe, End::Broken, S + 5_000).timing_breaches(), [false]);
+    assert_eq!(of(Effect::Safe, End::Served, 2 * S + 60_000).timing_only(), [true]);
+    assert_eq!(of(Effect::Safe, End::Silent, 4 * S).timing_only(), [true]);
+    assert_eq!(of(Effect::Safe, End::Foreign, S + 1).timing_only(), [false]);
+    assert_eq!(of(Effect::Safe, End::Broken, S + 5_000).timing_only(), [false]);
     let after = of(Effect::Safe, End::Served, S + 5_000).attempt(0, S + 100_000, Fate::Served);
-    assert_eq!(after.timing_breaches(), [false]);
+    assert_eq!(after.timing_only(), [false]);
     let refused = of(Effect::Unsafe, End::Refused, S + 400_000).attempt(0, S, Fate::Open);
-    assert_eq!(refused.timing_breaches(), [false]);
+    assert_eq!(refused.timing_only(), [false]);
     let mut stray = of(Effect::Safe, End::Served, S + 5_000);
-    stray.book.strays.push((S + 9_000, stray.book.requests[0].id));
-    assert_eq!(stray.timing_breaches(), [false]);
+    stray.records.strays.push((S + 9_000, stray.records.requests[0].id));
+    assert_eq!(stray.timing_only(), [false]);
     let late = 2 * S + 70_000;
     let mut drained =
         of(Effect::Safe, End::Served, S + 900_000).attempt(0, S + 800_000, Fate::Served);
-    drained.book.told.push(Told { at: 1, sidecar: 0, server: 0, listed: Listed::Leaving });
-    assert_eq!(drained.timing_breaches(), [true]);
+    drained.records.notices.push(ServerNotice {
+        at: 1,
+        sidecar: 0,
+        server: 0,
+        listed: Listed::Leaving,
+    });
+    assert_eq!(drained.timing_only(), [true]);
     // A breach that does not depend on timing keeps this property beside one that does.
     let both = of(Effect::Unsafe, End::Served, late).attempt(0, S, Fate::Served);
-    assert_eq!(both.attempt(1, S + 100_000, Fate::Served).timing_breaches(), [true, false]);
+    assert_eq!(both.attempt(1, S + 100_000, Fate::Served).timing_only(), [true, false]);
 }
 
 #[test]
@@ -201,8 +207,9 @@
     let judged = |told: &[(u64, Listed)], at| {
         let mut case =
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, at, Fate::Served);
-        let notice = |t: &(u64, Listed)| Told { at: t.0, sidecar: 0, server: 0, listed: t.1 };
-        case.book.told = told.iter().map(notice).collect();
+        let notice =
+            |t: &(u64, Listed)| ServerNotice { at: t.0, sidecar: 0, server: 0, listed: t.1 };
+        case.records.notices = told.iter().map(notice).collect();
         case.broken_rules()
     };
     use Listed::{Active, Leaving};
@@ -218,9 +225,10 @@
     let judged = |told| {
         let mut case =
             case(Effect::Safe, Group::All, End::Served, S + 900_000).attempt(0, S, Fate::Served);
-        case.book.servers[0].fell = Some(S + 1);
+        case.records.servers[0].fell = Some(S + 1);
         if told {
-            case.book.told = vec![Told { at: 1, sidecar: 0, server: 0, listed: Listed::Active }];
+            case.records.notices =
+                vec![ServerNotice { at: 1, sidecar: 0, server: 0, listed: Listed::Active }];
         }
         case.broken_rules()
     };
@@ -233,10 +241,10 @@
     let mut case =
         case(Effect::Safe, Group::All, End::Served, S + 1_000).attempt(0, S, Fate::Served);
     assert_eq!(case.broken_rules(), []);
-    let found = |id| DoubledHeader { at: S, server: 1, id, header: "x-time-left-ms".into() };
-    case.book.doubled = vec![found(Some(case.book.requests[0].id)), found(None)];
+    let found = |id| DuplicateHeader { at: S, server: 1, id, header: "x-time-left-ms".into() };
+    case.records.duplicate_headers = vec![found(Some(case.records.requests[0].id)), found(None)];
     assert_eq!(case.broken_rules(), [Rule::Header, Rule::Header]);
-    let reported = judge(&case.book, std::slice::from_ref(&case.class), &Rules::default());
+    let reported = judge(&case.records, std::slice::from_ref(&case.class), &Rules::default());
     assert!(
         reported.iter().all(|b| b.text == "s1 got x-time-left-ms twice at 1.000 s"),
         "{reported:?}"
@@ -247,7 +255,7 @@
     #[test]
     fn an_id_keeps_its_parts(sidecar in 0usize..2000, arrival in 0usize..(1 << 24), attempt in 0u32..11) {
         let id = RequestId::new(sidecar, arrival, attempt);
-        prop_assert_eq!(RequestId::parse(&id.wire()), Some(id));
+        prop_assert_eq!(RequestId::parse(&id.to_hex()), Some(id));
         prop_assert_eq!(id.sidecar(), sidecar);
         prop_assert_eq!(id.operation(), RequestId::new(sidecar, arrival, 0).operation());
     }
@@ -260,31 +268,36 @@
 
 #[test]
 fn a_list_at_an_agent_counts_as_received_after_a_time_even_if_it_was_not_delivered() {
-    let sends_at = |at: u64, book: fn(&mut Book)| {
+    let sends_at = |at: u64, records: fn(&mut RunRecords)| {
         let mut case = case(Effect::Safe, Group::All, End::Served, at + 10_000);
-        case.book.requests[0].sent = at;
+        case.records.requests[0].sent = at;
         let mut case = case.attempt(0, at, Fate::Served);
-        let leaves = |at| Told { at, sidecar: 0, server: 0, listed: Listed::Leaving };
-        case.book.has.push(leaves(2 * S));
-        book(&mut case.book);
+        let leaves = |at| ServerNotice { at, sidecar: 0, server: 0, listed: Listed::Leaving };
+        case.records.available.push(leaves(2 * S));
+        records(&mut case.records);
         case.broken_rules()
     };
     // A pushed list counts at once; the sidecar has 500 ms and the socket slack to act on it.
     assert_eq!(sends_at(2 * S + 540_000, |_| {}), []);
     assert_eq!(sends_at(2 * S + 560_000, |_| {}), [Rule::Drain]);
     // If the watch had fallen silent before, the list counts 6 s after the silence, or when it was received.
-    let silent = |book: &mut Book| book.silences.push((0, S));
+    let silent = |records: &mut RunRecords| records.silences.push((0, S));
     assert_eq!(sends_at(7 * S + 540_000, silent), []);
     assert_eq!(sends_at(7 * S + 560_000, silent), [Rule::Drain]);
-    let written = |book: &mut Book| {
-        book.silences.push((0, S));
-        book.told.push(Told { at: 3 * S, sidecar: 0, server: 0, listed: Listed::Leaving });
+    let written = |records: &mut RunRecords| {
+        records.silences.push((0, S));
+        records.notices.push(ServerNotice {
+            at: 3 * S,
+            sidecar: 0,
+            server: 0,
+            listed: Listed::Leaving,
+        });
     };
     assert_eq!(sends_at(3 * S + 560_000, written), [Rule::Drain]);
     // The silence of another sidecar's watch does not matter.
-    assert_eq!(sends_at(3 * S, |book| book.silences.push((1, S))), [Rule::Drain]);
+    assert_eq!(sends_at(3 * S, |records| records.silences.push((1, S))), [Rule::Drain]);
     // After a configuration that moved discovery, the list counts 4 s after the move.
-    let moved = |book: &mut Book| book.moves.push((0, S));
+    let moved = |records: &mut RunRecords| records.moves.push((0, S));
     assert_eq!(sends_at(5 * S + 540_000, moved), []);
     assert_eq!(sends_at(5 * S + 560_000, moved), [Rule::Drain]);
 }
@@ -293,11 +306,11 @@
 fn one_new_connection_in_two_hundred_may_be_closed_without_an_answer() {
     let closed = |count: usize| {
         let mut case = case(Effect::Safe, Group::All, End::Served, S + 1_000);
-        let first = case.book.requests[0].clone();
+        let first = case.records.requests[0].clone();
         for n in 1..400 {
             let end = if n <= count { End::Closed } else { End::Served };
             let id = RequestId::new(0, n, 0);
-            case.book.requests.push(Request { id, end, ..first.clone() });
+            case.records.requests.push(Request { id, end, ..first.clone() });
         }
         case.broken_rules().len()
     };
