--- a/crates/millethook-bench/src/scenario.rs
+++ b/crates/millethook-bench/src/scenario.rs
@@ -35,7 +35,7 @@
     /// One server of eight answers 500 immediately, and so appears to be the fastest and least loaded.
     Errs,
     /// One server of eight accepts, reads and never answers.
-    BlackHole,
+    Silent,
     /// Three servers of ten are replaced by new ones, one at a time.
     Replaced,
 }
@@ -55,7 +55,7 @@
         match self {
             Scenario::Slow => behaviors[0].mean = Some(Duration::from_millis(40)),
             Scenario::Errs => behaviors[0].errs = true,
-            Scenario::BlackHole => behaviors[0].silent = true,
+            Scenario::Silent => behaviors[0].silent = true,
             _ => {}
         }
         behaviors
