--- a/crates/millethook-edge/examples/stores.rs
+++ b/crates/millethook-edge/examples/stores.rs
@@ -133,23 +133,24 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for kind in 0..3 {
-        let place = folder.join(format!("store{kind}"));
-        std::fs::create_dir_all(&place)?;
-        let open = |place: &Path| -> Result<Box<dyn Store>> {
+        let store_folder = folder.join(format!("store{kind}"));
+        std::fs::create_dir_all(&store_folder)?;
+        let open = |store_folder: &Path| -> Result<Box<dyn Store>> {
             Ok(match kind {
                 0 => {
-                    let file = File::options().create(true).append(true).open(place.join("log"))?;
+                    let file =
+                        File::options().create(true).append(true).open(store_folder.join("log"))?;
                     Box::new(Log(file))
                 }
-                1 => Box::new(Redb(redb::Database::create(place.join("db"))?)),
+                1 => Box::new(Redb(redb::Database::create(store_folder.join("db"))?)),
                 _ => {
-                    let keyspace = fjall::Config::new(place).open()?;
+                    let keyspace = fjall::Config::new(store_folder).open()?;
                     let partition = keyspace.open_partition("writes", Default::default())?;
                     Box::new(Fjall(keyspace, partition))
                 }
             })
         };
-        let mut store = open(&place)?;
+        let mut store = open(&store_folder)?;
         let name = store.name();
         let mut next = 1;
         let one = rate(&mut *store, &mut next, 1, Duration::from_secs(3))?;
@@ -164,13 +165,13 @@
         let mut seen = 0u64;
         match kind {
             0 => {
-                let file = std::fs::read(place.join("log"))?;
+                let file = std::fs::read(store_folder.join("log"))?;
                 let sound = |item: &log::Item| matches!(item, log::Item::Record { .. });
                 seen += log::scan(&file, 0).filter(sound).count() as u64;
             }
             1 => {
                 use redb::ReadableTable;
-                let db = redb::Database::open(place.join("db"))?;
+                let db = redb::Database::open(store_folder.join("db"))?;
                 let table = db.begin_read()?.open_table(TABLE)?;
                 for entry in table.iter()? {
                     let (_, value) = entry?;
@@ -178,7 +179,7 @@
                 }
             }
             _ => {
-                let keyspace = fjall::Config::new(&place).open()?;
+                let keyspace = fjall::Config::new(&store_folder).open()?;
                 let partition = keyspace.open_partition("writes", Default::default())?;
                 for entry in partition.iter() {
                     let (_, value) = entry?;
@@ -195,7 +196,7 @@
             one.1.as_secs_f64() * 1e3,
             many.0,
             many.1.as_secs_f64() * 1e3,
-            bytes_of(&place) as f64 / 1e6 * per,
+            bytes_of(&store_folder) as f64 / 1e6 * per,
             opened.as_secs_f64() * per
         );
     }
--- a/crates/millethook-edge/src/book.rs
+++ b/crates/millethook-edge/src/book.rs
@@ -353,8 +353,9 @@
         // A damaged record may have been a mark. Its header may tell which write it was for; otherwise it may be any
         // write that was kept by then.
         let lost: Vec<Option<u64>> = self.damaged.iter().filter(|d| d.3).map(|d| d.2).collect();
-        let doubt = |seq: &u64| lost.iter().any(|about| about.is_none_or(|about| about == *seq));
-        for seq in self.open.iter().filter(|seq| doubt(seq)) {
+        let may_be_marked =
+            |seq: &u64| lost.iter().any(|about| about.is_none_or(|about| about == *seq));
+        for seq in self.open.iter().filter(|seq| may_be_marked(seq)) {
             let Some(entry) = self.entries.get_mut(seq) else { continue };
             if entry.state == State::Kept {
                 // The time of sending is unknown, so no repeat can be shown to be within the window.
--- a/crates/millethook-edge/src/log.rs
+++ b/crates/millethook-edge/src/log.rs
@@ -83,13 +83,13 @@
 
 fn parse_header(bytes: &[u8]) -> Option<Header> {
     let header = bytes.get(..HEADER_BYTES)?;
-    let word = |at: usize| -> Option<u32> {
+    let u32_at = |at: usize| -> Option<u32> {
         Some(u32::from_le_bytes(header.get(at..at + 4)?.try_into().ok()?))
     };
-    let sound = header[..4] == MAGIC && word(20)? == crc32fast::hash(&header[..20]);
+    let sound = header[..4] == MAGIC && u32_at(20)? == crc32fast::hash(&header[..20]);
     let seq = u64::from_le_bytes(header.get(8..16)?.try_into().ok()?);
-    let length = word(4)? as usize;
-    (sound && length <= MAX_BODY_BYTES).then_some(Header { length, seq, checksum: word(16)? })
+    let length = u32_at(4)? as usize;
+    (sound && length <= MAX_BODY_BYTES).then_some(Header { length, seq, checksum: u32_at(16)? })
 }
 
 /// Decodes the record, header included, at the start of `bytes`. Returns None if it is damaged or missing.
--- a/crates/millethook-explore/tests/it/judge.rs
+++ b/crates/millethook-explore/tests/it/judge.rs
@@ -120,8 +120,8 @@
     let send = send_at(30 * MS, MS);
     assert_eq!(check_send(&of(3), &ready, send), None);
     assert_eq!(check_send(&of(4), &ready, send), Some(Rule::AttemptsBounded));
-    let long = Send { timeout: send.timeout + 1, ..send };
-    assert_eq!(check_send(&of(0), &ready, long), Some(Rule::AttemptsBounded));
+    let past_deadline_send = Send { timeout: send.timeout + 1, ..send };
+    assert_eq!(check_send(&of(0), &ready, past_deadline_send), Some(Rule::AttemptsBounded));
     assert_eq!(check_send(&of(0), &ready, send_at(DEADLINE, 0)), Some(Rule::AttemptsBounded));
     let out = request(RequestKind::Safe, vec![attempt(0, AttemptProgress::Out)]);
     assert_eq!(check_send(&out, &ready, send), None);
--- a/crates/millethook-forecast/src/sample.rs
+++ b/crates/millethook-forecast/src/sample.rs
@@ -138,8 +138,8 @@
             self.thin();
         }
         // An item with hash 0 is in a sample of any share, so thinning alone would never end.
-        let over = self.accesses.len().saturating_sub(MAX_ACCESSES);
-        self.accesses.drain(..over);
+        let excess = self.accesses.len().saturating_sub(MAX_ACCESSES);
+        self.accesses.drain(..excess);
     }
 
     /// Halves the sampled items, keeping those with the lower hashes, as any sample of that share does.
--- a/crates/millethook-hollow/src/host/actions.rs
+++ b/crates/millethook-hollow/src/host/actions.rs
@@ -94,13 +94,13 @@
 
     /// Starts members: sidecars at random times within `over_s` seconds, control nodes immediately.
     fn start(&mut self, numbers: &[u16], over_s: f64, step: usize, now: Micros) {
-        let over = (over_s.max(0.0) * 1e6) as u64;
-        self.restarting_until = now + over;
+        let span = (over_s.max(0.0) * 1e6) as u64;
+        self.restarting_until = now + span;
         let salt = mix(self.setup.plan.seed ^ mix(0x57a7 ^ step as u64));
         for number in numbers {
             let Some(slot) = self.slot_of(*number) else { continue };
-            let over = if self.setup.plan.topology().is_control(*number) { 0 } else { over };
-            let at = now + mix(salt ^ u64::from(*number)) % over.max(1);
+            let delay_bound = if self.setup.plan.topology().is_control(*number) { 0 } else { span };
+            let at = now + mix(salt ^ u64::from(*number)) % delay_bound.max(1);
             self.schedule(slot, at);
         }
     }
--- a/crates/millethook-hollow/src/host/ground_truth.rs
+++ b/crates/millethook-hollow/src/host/ground_truth.rs
@@ -70,8 +70,8 @@
     /// Registers documents that are published from `now` on, and returns their serial numbers, scopes and times.
     pub fn publish(&mut self, publish: &Publish, now: Micros) -> Vec<Publication> {
         let first = self.publications.len() as u32 + 1;
-        let over = (publish.over_s.max(0.0) * 1e6) as u64;
-        let each = over / u64::from(publish.count.max(1));
+        let span = (publish.over_s.max(0.0) * 1e6) as u64;
+        let each = span / u64::from(publish.count.max(1));
         let new = (0..publish.count).map(|nth| Publication {
             at: now + u64::from(nth) * each,
             serial: first + nth,
--- a/crates/millethook-lab/src/figures/distribution.rs
+++ b/crates/millethook-lab/src/figures/distribution.rs
@@ -90,8 +90,8 @@
     }
     times.sort_by(f64::total_cmp);
     let of = |share: f64| {
-        let place = (times.len() as f64 * share).ceil() as usize;
-        times.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
+        let rank = (times.len() as f64 * share).ceil() as usize;
+        times.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
     };
     figures.in_force_p50_s = of(0.5);
     figures.in_force_p99_s = of(0.99);
--- a/crates/millethook-lab/src/figures/events.rs
+++ b/crates/millethook-lab/src/figures/events.rs
@@ -81,7 +81,7 @@
             herds: HERD_WINDOWS_US.map(|w| herd(outcome, plan.server_zones.len(), at, w)),
             view_agrees_s: since(views::views_agree_at(outcome, end, next)),
             evidence_agrees_s: since(views::evidence_agrees_at(outcome, end, next)),
-            lists: timeline.discovery.asked.then(|| {
+            lists: timeline.discovery.on_request.then(|| {
                 let (sidecars, work_s) = (plan.sidecars.len(), timeline.discovery.work_s);
                 lists::after(outcome, &timeline.events[event], sidecars, work_s, (at, end, next))
             }),
--- a/crates/millethook-lab/src/figures/trials.rs
+++ b/crates/millethook-lab/src/figures/trials.rs
@@ -32,9 +32,9 @@
     for sample in &outcome.views {
         for (job, token) in &sample.owned {
             let sidecar = sample.sidecar;
-            let first = Ownership { sidecar, first: sample.at, last: sample.asked };
+            let first = Ownership { sidecar, first: sample.at, last: sample.requested_at };
             let span = spans.entry((*job, token.as_str(), sidecar)).or_insert(first);
-            span.last = sample.asked;
+            span.last = sample.requested_at;
         }
     }
     spans.into_values().collect()
--- a/crates/millethook-lab/src/figures/views.rs
+++ b/crates/millethook-lab/src/figures/views.rs
@@ -76,7 +76,7 @@
         for (job, token) in &sample.owned {
             let by = owners.entry(*job).or_default();
             let spans = by.entry((sample.sidecar, token.as_str())).or_default();
-            spans.push((sample.asked, sample.at));
+            spans.push((sample.requested_at, sample.at));
         }
     }
     let mut count = 0;
--- a/crates/millethook-lab/src/scale/bench.rs
+++ b/crates/millethook-lab/src/scale/bench.rs
@@ -158,7 +158,7 @@
         seed: u64,
         change: &dyn Fn(&mut Value),
     ) -> Result<Daemon, ScaleError> {
-        let spec = DaemonSpec {
+        let daemon_spec = DaemonSpec {
             number: 0,
             instances: 1,
             discovery: registry.address,
@@ -167,7 +167,7 @@
             peers: None,
             change,
         };
-        self.launcher.start(&spec).await
+        self.launcher.start(&daemon_spec).await
     }
 
     /// Starts sampling the load of the machine by processes other than these daemons.
--- a/crates/millethook-lab/src/scale/discovery.rs
+++ b/crates/millethook-lab/src/scale/discovery.rs
@@ -113,7 +113,7 @@
         sleep(self.options.span).await;
         let spent = Usage::of(registry, daemons)?.since(&before);
         let load = (load + self.watch(daemons).mean()) / 2.0;
-        let second = spent.over(self.options.span);
+        let second = spent.per_second(self.options.span);
         let each = at.size as f64;
         self.record(row(mode.calls, Unit::Count), at, second.calls / each, load)?;
         self.record(row(mode.bytes, Unit::BytesPerSecond), at, second.bytes / each, load)?;
@@ -160,7 +160,7 @@
         }
     }
 
-    fn over(&self, span: Duration) -> Usage {
+    fn per_second(&self, span: Duration) -> Usage {
         let seconds = span.as_secs_f64();
         Usage {
             calls: self.calls / seconds,
--- a/crates/millethook-lab/src/scale/fleet.rs
+++ b/crates/millethook-lab/src/scale/fleet.rs
@@ -62,7 +62,7 @@
     ) -> Result<Vec<Daemon>, ScaleError> {
         let mut daemons = Vec::new();
         for number in 0..count {
-            let spec = DaemonSpec {
+            let daemon_spec = DaemonSpec {
                 number,
                 instances: count,
                 discovery: registry.address,
@@ -71,7 +71,7 @@
                 peers: None,
                 change,
             };
-            daemons.push(self.launcher.launch(&spec)?);
+            daemons.push(self.launcher.launch(&daemon_spec)?);
         }
         for daemon in &mut daemons {
             daemon.ready().await?;
@@ -126,7 +126,7 @@
         for &number in numbers {
             let (each, everyone) =
                 self.relay.peers(number).map_err(machine_error("the relay's addresses"))?;
-            let spec = DaemonSpec {
+            let daemon_spec = DaemonSpec {
                 number,
                 instances: self.daemons.len(),
                 discovery: self.discovery,
@@ -135,7 +135,7 @@
                 peers: Some(Peers { each, everyone }),
                 change: &|_| {},
             };
-            self.daemons[number] = Some(bench.launcher.launch(&spec)?);
+            self.daemons[number] = Some(bench.launcher.launch(&daemon_spec)?);
             self.relay.admit(number, bench.launcher.addresses.datagrams(number, 0));
         }
         for &number in numbers {
--- a/crates/millethook-lab/src/scale/memory.rs
+++ b/crates/millethook-lab/src/scale/memory.rs
@@ -115,7 +115,7 @@
             for seed in self.options.seeds.clone() {
                 let backends = self.backends(BACKENDS, Duration::ZERO).await?;
                 let registry = self.registry(listed(MEAN_SERVICE, &backends)).await?;
-                let spec = DaemonSpec {
+                let daemon_spec = DaemonSpec {
                     number: 0,
                     instances: size,
                     discovery: registry.address,
@@ -124,7 +124,7 @@
                     peers: Some(unreachable_peers(size, self.stand_in())),
                     change: &|_| {},
                 };
-                let daemon = self.launcher.start(&spec).await?;
+                let daemon = self.launcher.start(&daemon_spec).await?;
                 warm_up(&daemon).await;
                 sleep(self.options.span).await;
                 self.record_memory("members", Point { size, seed }, &daemon)?;
--- a/crates/millethook-lab/src/soak/fleet.rs
+++ b/crates/millethook-lab/src/soak/fleet.rs
@@ -55,7 +55,7 @@
         timeline.discovery.late_s = hundredths(random.random_range(0.05..=1.0));
     }
     if random.random_bool(POLLED_DISCOVERY_SHARE) {
-        timeline.discovery.asked = true;
+        timeline.discovery.on_request = true;
         timeline.discovery.work_s = 0.02;
     }
 }
--- a/crates/millethook-lab/src/timeline/check.rs
+++ b/crates/millethook-lab/src/timeline/check.rs
@@ -109,7 +109,7 @@
     }
     check_distribution(f, parts);
     let (e, at) = parts.expect;
-    if e.lists_within.is_some() && !parts.discovery.0.asked {
+    if e.lists_within.is_some() && !parts.discovery.0.on_request {
         f.at(&parts.discovery.1, "asked", "true expected, as lists_within is set");
     }
     let expected = [
@@ -151,7 +151,7 @@
         ("lists_from", d.lists_from as f64, 0.0, most_writers as f64),
     ];
     check_bounds(f, at, &sizes);
-    if d.lists_from > 0 && !parts.discovery.0.asked {
+    if d.lists_from > 0 && !parts.discovery.0.on_request {
         f.at(&parts.discovery.1, "asked", "true expected, as distribution.lists_from is set");
     }
     let streams = |kind| {
@@ -188,8 +188,8 @@
         if c.aim_ms > c.deadline_ms {
             f.at(at, "aim_ms", format!("{} at most expected, as deadline_ms says", c.deadline_ms));
         }
-        let word = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-        if c.name.is_empty() || !c.name.bytes().all(word) {
+        let is_name_byte = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+        if c.name.is_empty() || !c.name.bytes().all(is_name_byte) {
             f.at(at, "name", "small letters, digits and dashes expected");
         }
         if !names.insert(&c.name) {
--- a/crates/millethook-lab/src/timeline/mod.rs
+++ b/crates/millethook-lab/src/timeline/mod.rs
@@ -248,7 +248,8 @@
     /// Maximum delay until a change reaches an agent, in seconds; the delay is drawn from 0 to this for each agent.
     pub late_s: f64,
     /// Whether discovery is one service that all sidecars poll (`on_request`) and that processes calls in order.
-    pub asked: bool,
+    #[serde(rename = "asked")]
+    pub on_request: bool,
     /// Processing time of a call, in seconds. Calls that continue a watch take none.
     pub work_s: f64,
     /// Number of calls that may wait besides the one in processing; further calls are answered 503 at once.
@@ -257,7 +258,7 @@
 
 impl Default for Discovery {
     fn default() -> Discovery {
-        Discovery { late_s: 0.0, asked: false, work_s: 0.05, line: 16 }
+        Discovery { late_s: 0.0, on_request: false, work_s: 0.05, line: 16 }
     }
 }
 
--- a/crates/millethook-lab/src/world/conductor.rs
+++ b/crates/millethook-lab/src/world/conductor.rs
@@ -143,13 +143,13 @@
         servers.push((name, 0, server));
     }
     let discovery_settings = &timeline.discovery;
-    let registry = discovery_settings.asked.then(|| {
+    let registry = discovery_settings.on_request.then(|| {
         Arc::new(Registry::start(
             Duration::from_secs_f64(discovery_settings.work_s),
             discovery_settings.line,
         ))
     });
-    ledger.open().polled_discovery = discovery_settings.asked;
+    ledger.open().polled_discovery = discovery_settings.on_request;
     let (mut agents, mut discovery) = (Vec::new(), Vec::new());
     for (n, sidecar) in plan.sidecars.iter().enumerate() {
         let agent =
--- a/crates/millethook-lab/src/world/daemon.rs
+++ b/crates/millethook-lab/src/world/daemon.rs
@@ -71,7 +71,7 @@
         "discovery": wiring.discovery.to_string(), "seed": format!("{seed:016x}"),
         "limits": {"cores": 1.0, "memory_mb": s.memory_mb, "sockets": s.descriptors},
         "settings": {
-            "classes": classes, "discovery": if timeline.discovery.asked { "on_request" } else { "pushed" },
+            "classes": classes, "discovery": if timeline.discovery.on_request { "on_request" } else { "pushed" },
             "goal": {"whole": 0.6, "worstClass": 0.1, "worstTenant": 0.0, "worstWindow": 0.3},
             "instances": s.count, "kinds": ["std"],
             "limits": {
--- a/crates/millethook-lab/src/world/mod.rs
+++ b/crates/millethook-lab/src/world/mod.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct ViewSample {
     /// When the request for it was sent.
-    pub asked: Micros,
+    pub requested_at: Micros,
     /// Jobs that the sidecar owned, with their lease tokens.
     pub owned: Vec<(u64, String)>,
     /// When the response arrived.
--- a/crates/millethook-lab/src/world/views.rs
+++ b/crates/millethook-lab/src/world/views.rs
@@ -44,11 +44,11 @@
                 loop {
                     sleep(interval).await;
                     // A sidecar that is paused or not running does not answer.
-                    let asked = clock.now();
+                    let requested_at = clock.now();
                     let Ok(Some(text)) = timeout(interval, fetch_metrics(at)).await else {
                         continue;
                     };
-                    if let Some(sample) = sample(&text, (asked, clock.now()), sidecar) {
+                    if let Some(sample) = sample(&text, (requested_at, clock.now()), sidecar) {
                         samples.lock().unwrap_or_else(PoisonError::into_inner).push(sample);
                     }
                 }
@@ -75,7 +75,7 @@
     String::from_utf8(answer.body).ok()
 }
 
-fn sample(text: &str, (asked, at): (u64, u64), sidecar: usize) -> Option<ViewSample> {
+fn sample(text: &str, (requested_at, at): (u64, u64), sidecar: usize) -> Option<ViewSample> {
     let metric = |name: &str| -> Option<u64> {
         let line = text.lines().find_map(|l| l.strip_prefix("sidecar.fleet.")?.strip_prefix(name));
         line?.strip_prefix(':')?.split('|').next()?.parse().ok()
@@ -88,7 +88,7 @@
         Some((u64::from_str_radix(job, 16).ok()?, token))
     });
     Some(ViewSample {
-        asked,
+        requested_at,
         owned: owned.collect(),
         at,
         sidecar,
--- a/crates/millethook-lab/tests/it/figures_golden.rs
+++ b/crates/millethook-lab/tests/it/figures_golden.rs
@@ -125,7 +125,7 @@
     let owner = if at < 12 * S { 0 } else { 1 };
     let owned = if sidecar == owner { vec![(5, format!("token{owner}"))] } else { Vec::new() };
     ViewSample {
-        asked: at - 10_000,
+        requested_at: at - 10_000,
         owned,
         at,
         sidecar: sidecar as usize,
--- a/crates/millethook-model/src/fleet/clients.rs
+++ b/crates/millethook-model/src/fleet/clients.rs
@@ -46,15 +46,15 @@
         let sum = self.shares.last().copied().unwrap_or(1.0);
         let drawn = random.share() * sum;
         let class = self.shares.partition_point(|upto| *upto <= drawn).min(self.shares.len() - 1);
-        let spec = &plan.classes[class];
+        let class_plan = &plan.classes[class];
         let longest = match plan.servers.longest_work {
             0.0 => f64::INFINITY,
             longest => longest,
         };
-        let work = (spec.work_us as f64 * random.exponential().min(longest)) as Micros;
+        let work = (class_plan.work_us as f64 * random.exponential().min(longest)) as Micros;
         let key = random.bits();
         let leaves = random.chance(plan.load.leave_early);
-        let leaves_after = leaves.then(|| random.up_to(spec.deadline_ms * MS));
+        let leaves_after = leaves.then(|| random.up_to(class_plan.deadline_ms * MS));
         RequestHead { class, work, key, leaves_after }
     }
 
--- a/crates/millethook-model/src/fleet/requests.rs
+++ b/crates/millethook-model/src/fleet/requests.rs
@@ -97,12 +97,12 @@
 
     /// Removes a request that no further event can concern.
     pub fn forget(&mut self, number: u64) {
-        let over = |request: &Request| {
+        let is_finished = |request: &Request| {
             request.ended
                 && request.at_servers == 0
                 && !request.attempts.iter().any(Attempt::is_out)
         };
-        if self.open.get(&number).is_some_and(over) {
+        if self.open.get(&number).is_some_and(is_finished) {
             self.open.remove(&number);
         }
     }
--- a/crates/millethook-model/src/fleet/server.rs
+++ b/crates/millethook-model/src/fleet/server.rs
@@ -182,12 +182,12 @@
             self.sent.clear();
             return false;
         }
-        let over = budget.add_work(age, work);
+        let exceeded = budget.add_work(age, work);
         self.sent.push_back(Sent { age, work, knew_start });
         while self.sent.front().is_some_and(|sent| sent.age + self.window <= age) {
             self.sent.pop_front();
         }
-        if !over || self.overload_reported {
+        if !exceeded || self.overload_reported {
             return false;
         }
         let sum = |of: &dyn Fn(&Sent) -> bool| -> Micros {
